--- a/internal/quarantine/bans.go
+++ b/internal/quarantine/bans.go
@@ -8,234 +8,239 @@
 	"chervilloom/internal/clock"
 )
 
-// ban is a request that is refused, or that runs one at a time.
+// ban is the quarantine state of one request: refused at every node, or, for a suspect, limited
+// to one run at a time.
 type ban struct {
 	Verdict
-	since   clock.Instant // when this node heard
-	asked   clock.Instant // when a node last asked for its try, as far as known; 0: never
-	tries   bool          // this node makes the try
-	sound   soundCounts   // told since
-	kept    bool          // it is among those that are kept for all nodes
-	gone    clock.Instant // when it was first missing among them; 0: it isn't
-	changed chan struct{} // closed when a suspect is found harmful, or is none any more
+	since            clock.Instant // when this node learnt of the verdict or of the newest trial run
+	trialRequestedAt clock.Instant // when a node last requested the trial run, as far as this node knows; 0: never
+	hasTrial         bool          // this node makes the trial run
+	successes        successCounts // successful runs reported since the ban began
+	persisted        bool          // the request has a row in the platform's table
+	missingSince     clock.Instant // when the row was first missing from a reading; 0: it is present
+	changed          chan struct{} // closed when a suspect is found harmful or released
 }
 
-// due reports whether a run of the request may be asked for.
-func (b *ban) due(now clock.Instant) bool {
+// isTrialDue reports whether a trial run of the request may be requested.
+func (b *ban) isTrialDue(now clock.Instant) bool {
 	if b.Suspect {
-		return b.asked == 0 || now.Sub(b.asked) > suspectPause
+		return b.trialRequestedAt == 0 || now.Sub(b.trialRequestedAt) > suspectRunTimeout
 	}
-	return now.Sub(b.since) > banFor && (b.asked == 0 || now.Sub(b.asked) > tryPause)
+	return now.Sub(b.since) > banDuration && (b.trialRequestedAt == 0 || now.Sub(b.trialRequestedAt) > trialRetryPause)
 }
 
 const (
-	// mostBans bounds the requests that are refused; the oldest is let go first. A store's
-	// page holds that many rows beside those of 200 nodes.
-	mostBans = 256
-	// mostSuspects bounds the suspects among them, so that they push out no request that was
-	// found harmful. More at once come from a loss of many endpoints.
-	mostSuspects = 64
-	// rowGone is for how long a request must be missing among those kept to be taken for
-	// lifted: nodes hand on what they have read with ages of up to 2.2 s.
-	rowGone = 5 * time.Second
-	// foundLate is for how long after a lift the word of the finding before it may still come.
-	foundLate = time.Second
+	// maxBans bounds the bans; the oldest is evicted first. One page of the store lists that
+	// many rows in addition to those of 200 nodes.
+	maxBans = 256
+	// maxSuspects bounds the suspects among them, so that they cannot evict requests that were
+	// found harmful. More suspects at once result from the loss of many endpoints.
+	maxSuspects = 64
+	// missingRowTimeout is how long a row must be missing before its ban counts as lifted: nodes
+	// pass on readings that are up to 2.2 s old.
+	missingRowTimeout = 5 * time.Second
+	// lateFindingWindow is how long after a lift an earlier finding may still arrive.
+	lateFindingWindow = time.Second
 )
 
-// try asks for the one run of a suspect, or of a request whose time is over.
-func (g *Guard) try(ctx context.Context, b *ban, v Verdict) (granted bool, err error) {
+// acquireTrial requests the single trial run of a suspect, or of a request whose ban has run its
+// time. An error is also logged.
+func (g *Guard) acquireTrial(ctx context.Context, b *ban, v Verdict) (granted bool, err error) {
 	v.Tries++
 	granted, err = g.Try(ctx, v)
 	if err != nil {
-		g.Log.Info("request is not tried", "suspect", v.Suspect, "fingerprint", v.Fingerprint, "err", err)
+		g.Log.Info("trial run of a request could not be requested", "suspect", v.Suspect, "fingerprint", v.Fingerprint, "err", err)
 	}
 	if !granted {
 		return false, err
 	}
 	g.mu.Lock()
-	b.Verdict, b.since, b.tries = v, g.Clock.Now(), true
+	b.Verdict, b.since, b.hasTrial = v, g.Clock.Now(), true
 	g.mu.Unlock()
 	g.Log.Info("quarantined request is tried", "suspect", v.Suspect, "fingerprint", v.Fingerprint, "ends", v.Ends, "tries", v.Tries)
 	return true, nil
 }
 
-// Sound notes a run that ended well.
+// Sound records a successful run. It releases a suspect, lifts a ban whose trial run this was,
+// and otherwise reports the runs of a banned request to the other nodes.
 func (g *Guard) Sound(fp Fingerprint) {
 	g.mu.Lock()
 	g.history.add(fp, g.Clock.Now())
 	b, runs := g.bans[fp], g.history.runs(fp)
-	tried := b != nil && b.tries
+	tried := b != nil && b.hasTrial
 	suspect := b != nil && b.Suspect
 	g.mu.Unlock()
 	switch {
 	case suspect:
-		g.release(fp, "a run of it ended well")
+		g.release(fp, "a run of it succeeded")
 	case tried:
-		g.lift(fp, "a run of it ended well")
+		g.lift(fp, "a run of it succeeded")
 	case b != nil:
-		g.tellSound(fp, runs)
+		g.reportSuccesses(fp, runs)
 	}
 }
 
-// tellSound tells how often a request ran well here that was found harmful: many clients
-// may send the same one all day, and some nodes have seen none of its ends.
-func (g *Guard) tellSound(fp Fingerprint, runs int) {
+// reportSuccesses sends the number of this node's successful runs of a harmful request. Many
+// clients may send the same request all day, and some of these nodes have seen none of its
+// crashes.
+func (g *Guard) reportSuccesses(fp Fingerprint, runs int) {
 	m := Message{Node: g.Node, Sound: &SoundRuns{fp, runs}}
 	g.Hear(m)
 	g.Tell(m)
 }
 
-// answer tells how often a request ran well here, if it did.
-func (g *Guard) answer(fp Fingerprint) {
+// answerQuery reports the successful runs of the request at this node, if there are any.
+func (g *Guard) answerQuery(fp Fingerprint) {
 	g.mu.Lock()
 	runs := g.history.runs(fp)
 	g.mu.Unlock()
 	if runs > 0 {
-		g.tellSound(fp, runs)
+		g.reportSuccesses(fp, runs)
 	}
 }
 
-// TakeKept takes up the requests that are kept for all nodes. One that was among them and
-// stays away was lifted by another node.
-func (g *Guard) TakeKept(kept []Verdict) {
+// TakeKept applies the verdicts that were read from the platform's table. A ban whose row was
+// present and stays missing for missingRowTimeout was lifted by another node.
+func (g *Guard) TakeKept(persisted []Verdict) {
 	now := g.Clock.Now()
-	there := map[Fingerprint]bool{}
-	for _, v := range kept {
-		if g.outdated(v, now) {
+	present := map[Fingerprint]bool{}
+	for _, v := range persisted {
+		if g.isOutdated(v, now) {
 			continue
 		}
-		there[v.Fingerprint] = true
+		present[v.Fingerprint] = true
 		g.ban(v, "kept")
 	}
-	var gone []Fingerprint
+	var missing []Fingerprint
 	g.mu.Lock()
 	for fp, b := range g.bans {
 		switch {
-		case there[fp]:
-			b.kept, b.gone = true, 0
-		case b.kept && b.gone == 0:
-			b.gone = now
-		case b.kept && now.Sub(b.gone) > rowGone:
-			gone = append(gone, fp)
+		case present[fp]:
+			b.persisted, b.missingSince = true, 0
+		case b.persisted && b.missingSince == 0:
+			b.missingSince = now
+		case b.persisted && now.Sub(b.missingSince) > missingRowTimeout:
+			missing = append(missing, fp)
 		}
 	}
 	g.mu.Unlock()
-	for _, fp := range gone {
-		const reason = "it is kept no more"
-		if !g.free(fp, reason) {
+	for _, fp := range missing {
+		const reason = "its row is gone from the table"
+		if !g.clearSuspect(fp, reason) {
 			g.unban(fp, reason)
 		}
 	}
 }
 
-// outdated reports whether what is kept of a request is older than what this node knows:
-// it is found harmful since, is no suspect any more, or its quarantine was lifted.
-func (g *Guard) outdated(kept Verdict, now clock.Instant) bool {
-	if g.liftedWithin(kept.Fingerprint, rowGone, now) {
+// isOutdated reports whether a verdict that was read is older than what this node knows: the
+// request has since been found harmful, released, or lifted.
+func (g *Guard) isOutdated(persisted Verdict, now clock.Instant) bool {
+	if g.wasLiftedWithin(persisted.Fingerprint, missingRowTimeout, now) {
 		return true
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !kept.Suspect {
+	if !persisted.Suspect {
 		return false
 	}
-	at, freed := g.freed[kept.Fingerprint]
-	return g.isFound(kept.Fingerprint) || freed && now.Sub(at) < rowGone
+	releasedAt, released := g.releasedAt[persisted.Fingerprint]
+	return g.isFoundHarmful(persisted.Fingerprint) || released && now.Sub(releasedAt) < missingRowTimeout
 }
 
-// liftedWithin reports whether the request's quarantine was lifted at most d ago.
-func (g *Guard) liftedWithin(fp Fingerprint, d time.Duration, now clock.Instant) bool {
+// wasLiftedWithin reports whether the request's ban was lifted less than d ago.
+func (g *Guard) wasLiftedWithin(fp Fingerprint, d time.Duration, now clock.Instant) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	at, lifted := g.lifted[fp]
+	at, lifted := g.liftedAt[fp]
 	return lifted && now.Sub(at) < d
 }
 
-// Knows reports whether the request is refused here, or runs one at a time.
+// Knows reports whether the request is refused here or is a suspect.
 func (g *Guard) Knows(fp Fingerprint) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.bans[fp] != nil
 }
 
-// Restored has the requests kept anew that were kept before the platform's table came back
-// from an older copy: their rows are gone, and nobody has lifted them.
+// Restored marks all bans as not persisted, so that they are written again. It is called after
+// the platform's table was restored from an older copy: the rows are gone although nobody has
+// lifted the bans.
 func (g *Guard) Restored() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, b := range g.bans {
-		b.kept, b.gone = false, 0
+		b.persisted, b.missingSince = false, 0
 	}
 }
 
-// Banned is a request that is refused, for how long it has been, and whether it was among
-// those that are kept for all nodes.
+// Banned is a ban with its age. Kept is set if the ban has a row in the platform's table.
 type Banned struct {
 	Verdict
 	Age  time.Duration
 	Kept bool
 }
 
-// Over reports whether the request is to be forgotten.
-func (b Banned) Over() bool { return b.Age > b.memory() }
+// Over reports whether the ban has expired and its row is to be deleted.
+func (b Banned) Over() bool { return b.Age > b.retention() }
 
-// memory is how long the request is remembered for which no try is asked.
-func (v Verdict) memory() time.Duration {
+// retention is how long a ban is kept if no trial run is requested.
+func (v Verdict) retention() time.Duration {
 	if v.Suspect {
-		return suspectFor
+		return suspectRetention
 	}
-	return forgetAfter
+	return banRetention
 }
 
-// Banned returns the requests that are refused.
+// Banned returns all bans, suspects included.
 func (g *Guard) Banned() []Banned {
 	now := g.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := make([]Banned, 0, len(g.bans))
 	for _, b := range g.bans {
-		out = append(out, Banned{b.Verdict, now.Sub(b.since), b.kept})
+		out = append(out, Banned{b.Verdict, now.Sub(b.since), b.persisted})
 	}
 	return out
 }
 
-// ban refuses a request from now on, or has it run one at a time.
+// ban refuses a request from now on or, if v is a suspect, limits it to one run at a time.
+// source is logged: "tally", "kept" or the name of the node that sent the verdict.
 func (g *Guard) ban(v Verdict, source string) {
 	now := g.Clock.Now()
 	g.mu.Lock()
 	b := g.bans[v.Fingerprint]
 	if b != nil && b.Suspect == v.Suspect || b != nil && v.Suspect {
 		if b.Suspect == v.Suspect && v.Tries > b.Tries {
-			b.Verdict, b.since, b.asked = v, now, now // another node tries it
+			b.Verdict, b.since, b.trialRequestedAt = v, now, now // another node makes the trial run
 		}
 		g.mu.Unlock()
 		return
 	}
-	if v.Suspect && g.suspects() >= mostSuspects {
+	if v.Suspect && g.countSuspects() >= maxSuspects {
 		g.mu.Unlock()
 		return
 	}
-	if b == nil && len(g.bans) >= mostBans {
-		g.dropOldest()
+	if b == nil && len(g.bans) >= maxBans {
+		g.evictOldest()
 	}
 	g.remove(v.Fingerprint)
-	g.bans[v.Fingerprint] = &ban{Verdict: v, since: now, sound: soundCounts{}, changed: make(chan struct{})}
+	g.bans[v.Fingerprint] = &ban{Verdict: v, since: now, successes: successCounts{}, changed: make(chan struct{})}
 	runs := g.history.runs(v.Fingerprint)
 	g.mu.Unlock()
 	if v.Suspect {
 		g.metrics.suspects.Inc()
-		g.Log.Info("request runs one at a time", "fingerprint", v.Fingerprint, "ends", v.Ends, "attempts", v.Attempts, "source", source)
+		g.Log.Info("request is limited to one run at a time", "fingerprint", v.Fingerprint, "ends", v.Ends, "attempts", v.Attempts, "source", source)
 		g.keepOneRun(v)
 	} else {
 		g.metrics.found.Inc()
-		g.Log.Warn("request is quarantined", "fingerprint", v.Fingerprint, "ends", v.Ends, "attempts", v.Attempts, "source", source, "for_ms", banFor.Milliseconds())
+		g.Log.Warn("request is quarantined", "fingerprint", v.Fingerprint, "ends", v.Ends, "attempts", v.Attempts, "source", source, "for_ms", banDuration.Milliseconds())
 	}
 	if runs > 0 {
-		g.tellSound(v.Fingerprint, runs)
+		g.reportSuccesses(v.Fingerprint, runs)
 	}
 }
 
-// remove forgets a ban and wakes the requests that wait for its end.
+// remove deletes a ban and wakes the requests that wait for its change. g.mu is held.
 func (g *Guard) remove(fp Fingerprint) {
 	if b := g.bans[fp]; b != nil {
 		close(b.changed)
@@ -243,8 +248,8 @@
 	}
 }
 
-// suspects returns how many requests run one at a time.
-func (g *Guard) suspects() int {
+// countSuspects returns the number of requests that are limited to one run at a time.
+func (g *Guard) countSuspects() int {
 	n := 0
 	for _, b := range g.bans {
 		if b.Suspect {
@@ -254,7 +259,7 @@
 	return n
 }
 
-func (g *Guard) dropOldest() {
+func (g *Guard) evictOldest() {
 	var oldest Fingerprint
 	for fp, b := range g.bans {
 		if o := g.bans[oldest]; o == nil || b.since.Before(o.since) {
@@ -264,7 +269,7 @@
 	g.remove(oldest)
 }
 
-// lift ends the quarantine of a request at all nodes.
+// lift ends the ban of a request at all nodes.
 func (g *Guard) lift(fp Fingerprint, reason string) {
 	if !g.unban(fp, reason) {
 		return
@@ -275,13 +280,13 @@
 	}
 }
 
-// unban reports whether the request was refused until now.
+// unban ends the ban at this node only, and reports whether there was one.
 func (g *Guard) unban(fp Fingerprint, reason string) bool {
 	g.mu.Lock()
 	b := g.bans[fp]
 	g.remove(fp)
 	g.tally.Clear(fp)
-	g.lifted[fp] = g.Clock.Now()
+	g.liftedAt[fp] = g.Clock.Now()
 	g.mu.Unlock()
 	if b != nil {
 		g.Log.Info("request is quarantined no more", "fingerprint", fp, "reason", reason)
@@ -289,15 +294,16 @@
 	return b != nil
 }
 
-// expire forgets the requests that are over and that nobody else keeps.
-func (g *Guard) expire(now clock.Instant) {
+// removeExpired deletes the expired bans that have no row, and old entries of releasedAt and
+// liftedAt.
+func (g *Guard) removeExpired(now clock.Instant) {
 	for fp, b := range g.bans {
-		if !b.kept && now.Sub(b.since) > b.memory() {
+		if !b.persisted && now.Sub(b.since) > b.retention() {
 			g.remove(fp)
-			g.Log.Info("request is quarantined no more", "fingerprint", fp, "reason", "its time is over")
+			g.Log.Info("request is quarantined no more", "fingerprint", fp, "reason", "it has expired")
 		}
 	}
-	for _, over := range []map[Fingerprint]clock.Instant{g.freed, g.lifted} {
-		maps.DeleteFunc(over, func(_ Fingerprint, at clock.Instant) bool { return now.Sub(at) > rowGone })
+	for _, times := range []map[Fingerprint]clock.Instant{g.releasedAt, g.liftedAt} {
+		maps.DeleteFunc(times, func(_ Fingerprint, at clock.Instant) bool { return now.Sub(at) > missingRowTimeout })
 	}
 }
--- a/internal/quarantine/checks.go
+++ b/internal/quarantine/checks.go
@@ -12,121 +12,125 @@
 	"chervilloom/internal/clock"
 )
 
-// broken is an endpoint at which attempts broke off.
-type broken struct {
-	at      clock.Instant
-	over    clock.Instant // when the check was over; 0: it isn't
-	ended   bool          // nothing listens there any more
-	checked chan struct{} // closed when the check is over
-	runs    []Run         // to be told
+// endpointCheck is the check of an endpoint at which attempts failed.
+type endpointCheck struct {
+	startedAt  clock.Instant
+	finishedAt clock.Instant // when the check completed; 0: still in progress
+	crashed    bool          // the endpoint refuses connections
+	done       chan struct{} // closed when the check is complete
+	unreported []Run         // runs at the endpoint that have not been reported to the tallying nodes
 }
 
 const (
-	// dialLimit is how long one connection of a check may take.
-	dialLimit = 300 * time.Millisecond
-	// standsFor is how long a connection must stand to show that its endpoint does. A
-	// process that ends closes its connections before its listener, which takes
+	// dialTimeout bounds each connection attempt of a check.
+	dialTimeout = 300 * time.Millisecond
+	// minConnectionLife is how long a connection must stay open to show that its endpoint is
+	// alive. An exiting process closes its connections before its listener, which accepts new
 	// connections until then and resets them.
-	standsFor = time.Second
-	// checkLimit bounds a check. An endpoint that answers nothing until then shows no end.
-	checkLimit = 3 * time.Second
-	// redialPause is the pause before a check's second connection; it doubles with each.
-	redialPause = 10 * time.Millisecond
-	// checkWait is how long a repeat waits for the check of the endpoint that its request
-	// broke off at. An endpoint that ends within a millisecond would otherwise have all
-	// the client attempt's others after it before anything is known.
+	minConnectionLife = time.Second
+	// checkTimeout bounds a check. An endpoint that has not answered by then doesn't count as
+	// crashed.
+	checkTimeout = 3 * time.Second
+	// redialBackoff is the pause before a check's second connection; it doubles with each
+	// further one.
+	redialBackoff = 10 * time.Millisecond
+	// checkWait is how long a retry waits for the check of the endpoint at which its request
+	// failed. If endpoints crash within a millisecond, the client attempt's other retries would
+	// otherwise crash more of them before anything is known.
 	checkWait = 20 * time.Millisecond
-	// longCheckWait is checkWait for a request that has seen suspectEnds ends.
-	longCheckWait = 300 * time.Millisecond
-	// brokenFor is how long an endpoint is taken for what its check has shown.
-	brokenFor = 2 * time.Second
-	// mostBroken bounds the endpoints that are checked at a time; more at once are a loss
-	// of many, which tells nothing of a request.
-	mostBroken = 256
+	// suspectCheckWait replaces checkWait for a request that has seen minSuspectCrashes crashes.
+	suspectCheckWait = 300 * time.Millisecond
+	// checkRetention is how long the result of a check is kept.
+	checkRetention = 2 * time.Second
+	// maxChecks bounds the endpoints that are checked at a time. More at once are a mass loss,
+	// which is no evidence against any request.
+	maxChecks = 256
 )
 
-// AttemptID names a client attempt in evidence.
+// AttemptID returns the hash that identifies a client attempt in evidence.
 func AttemptID(requestID string) uint32 {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(requestID)) // a hash never fails
+	_, _ = h.Write([]byte(requestID)) // a hash write never fails
 	return h.Sum32()
 }
 
-// Broke notes that an attempt at an endpoint broke off, whatever the reason. It counts
-// only if nothing listens at the endpoint any more: one that resets a connection, answers
-// with garbage or is cut off has not ended. The request's repeat waits for the check.
+// Broke records that an attempt at an endpoint failed, for whatever reason, and has the endpoint
+// checked. The failure counts as a crash only if the endpoint refuses connections afterwards:
+// one that resets a connection, sends garbage or is unreachable has not crashed. The request's
+// retry waits for the check.
 func (g *Guard) Broke(endpoint, addr string, fp Fingerprint, attempt uint32) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if b := g.noteBroken(endpoint, addr, fp, attempt); b != nil {
-		g.checks[fp] = b
+	if b := g.startCheck(endpoint, addr, fp, attempt); b != nil {
+		g.checksByRequest[fp] = b
 	}
 }
 
-// Recalled notes that an attempt at an endpoint was recalled. The endpoint may have begun to
-// end by it; its repeat need not wait for that.
+// Recalled records that an attempt at an endpoint was recalled. The request may already be
+// crashing the endpoint, so it is checked, but the request's retry does not wait for the check.
 func (g *Guard) Recalled(endpoint, addr string, fp Fingerprint, attempt uint32) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.noteBroken(endpoint, addr, fp, attempt)
+	g.startCheck(endpoint, addr, fp, attempt)
 }
 
-// noteBroken has the endpoint checked, unless too many are or the guard is closed.
-func (g *Guard) noteBroken(endpoint, addr string, fp Fingerprint, attempt uint32) *broken {
+// startCheck starts a check of the endpoint, or joins the one in progress, and adds the run to
+// it. It returns nil if too many checks are kept or the guard is closed. g.mu is held.
+func (g *Guard) startCheck(endpoint, addr string, fp Fingerprint, attempt uint32) *endpointCheck {
 	if g.ctx.Err() != nil {
 		return nil
 	}
 	now := g.Clock.Now()
-	b := g.broken[endpoint]
-	if b == nil || b.over != 0 && !b.ended {
-		if b == nil && len(g.broken) >= mostBroken {
+	b := g.checksByEndpoint[endpoint]
+	if b == nil || b.finishedAt != 0 && !b.crashed {
+		if b == nil && len(g.checksByEndpoint) >= maxChecks {
 			g.metrics.checks.WithLabelValues("skipped").Inc()
 			return nil
 		}
-		b = &broken{at: now, checked: make(chan struct{})}
-		g.broken[endpoint] = b
-		g.work.Go(func() { g.check(b, endpoint, addr) })
+		b = &endpointCheck{startedAt: now, done: make(chan struct{})}
+		g.checksByEndpoint[endpoint] = b
+		g.work.Go(func() { g.checkEndpoint(b, endpoint, addr) })
 	}
-	b.runs = append(b.runs, Run{Fingerprint: fp, Attempt: attempt, Sound: g.history.runs(fp)})
+	b.unreported = append(b.unreported, Run{Fingerprint: fp, Attempt: attempt, Sound: g.history.runs(fp)})
 	return b
 }
 
-// check looks whether anything still listens at an endpoint.
-func (g *Guard) check(b *broken, endpoint, addr string) {
-	found := g.liveness(addr)
+// checkEndpoint checks whether anything still listens at an endpoint, and records the result.
+func (g *Guard) checkEndpoint(b *endpointCheck, endpoint, addr string) {
+	found := g.probeLiveness(addr)
 	if g.ctx.Err() != nil {
-		close(b.checked)
-		return // the guard was closed, which tells nothing of the endpoint
+		close(b.done)
+		return // the guard was closed, so the result is meaningless
 	}
 	g.metrics.checks.WithLabelValues(found.String()).Inc()
 	g.mu.Lock()
-	b.ended = found == Refused
-	b.over = g.Clock.Now()
-	requests := len(b.runs)
+	b.crashed = found == Refused
+	b.finishedAt = g.Clock.Now()
+	requests := len(b.unreported)
 	g.mu.Unlock()
-	close(b.checked)
+	close(b.done)
 	g.Log.Info("endpoint checked", "endpoint", endpoint, "addr", addr, "result", found.String(), "requests", requests,
-		"ms", b.over.Sub(b.at).Milliseconds())
+		"ms", b.finishedAt.Sub(b.startedAt).Milliseconds())
 	if found != Refused {
 		return
 	}
-	g.metrics.ends.Inc()
+	g.metrics.crashes.Inc()
 	if g.Ended != nil {
 		g.Ended(endpoint)
 	}
-	g.Tick() // the same request may be on its way to another node already
+	g.Tick() // report at once: another node may be about to send the same request
 }
 
-// liveness connects until a connection is refused or stands.
-func (g *Guard) liveness(addr string) Liveness {
-	ctx, cancel := context.WithTimeout(g.ctx, checkLimit)
+// probeLiveness connects until a connection is refused or stays open, or checkTimeout is over.
+func (g *Guard) probeLiveness(addr string) Liveness {
+	ctx, cancel := context.WithTimeout(g.ctx, checkTimeout)
 	defer cancel()
-	for pause := redialPause; ; pause *= 2 {
+	for pause := redialBackoff; ; pause *= 2 {
 		conn, err := g.dial(ctx, addr)
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
 			return Refused
-		case err == nil && stands(g.ctx, conn):
+		case err == nil && staysOpen(g.ctx, conn):
 			return Connected
 		}
 		if !clock.Sleep(ctx, pause) {
@@ -136,77 +140,77 @@
 }
 
 func (g *Guard) dial(ctx context.Context, addr string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialLimit)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	return g.Dial(ctx, addr)
 }
 
-// stands reports whether the endpoint keeps the connection open until standsFor is over or
-// ctx ends, and closes it.
-func stands(ctx context.Context, conn net.Conn) bool {
+// staysOpen reports whether the endpoint keeps the connection open for minConnectionLife, or
+// sends data before. It closes the connection, at once if ctx ends.
+func staysOpen(ctx context.Context, conn net.Conn) bool {
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	if err := conn.SetReadDeadline(time.Now().Add(standsFor)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(minConnectionLife)); err != nil {
 		return false
 	}
 	_, err := conn.Read(make([]byte, 1))
 	return err == nil || errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// awaitCheck waits for the check of the endpoint where the request broke off here, and
-// reports whether that endpoint had ended.
-func (g *Guard) awaitCheck(ctx context.Context, fp Fingerprint) (ended bool) {
+// awaitCheck waits for the check of the endpoint at which the request last failed here, and
+// reports whether that endpoint has crashed.
+func (g *Guard) awaitCheck(ctx context.Context, fp Fingerprint) (crashed bool) {
 	g.mu.Lock()
-	b, wait := g.checks[fp], checkWait
-	if g.tally.Saw(fp) >= suspectEnds {
-		wait = longCheckWait
+	b, wait := g.checksByRequest[fp], checkWait
+	if g.tally.Saw(fp) >= minSuspectCrashes {
+		wait = suspectCheckWait
 	}
-	delete(g.checks, fp)
+	delete(g.checksByRequest, fp)
 	g.mu.Unlock()
 	if b == nil {
 		return false
 	}
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	select {
-	case <-b.checked:
-	case <-limit.C:
-		g.Log.Info("request goes on before its endpoint is checked", "fingerprint", fp, "waited_ms", wait.Milliseconds())
+	case <-b.done:
+	case <-timer.C:
+		g.Log.Info("request is retried before its endpoint is checked", "fingerprint", fp, "waited_ms", wait.Milliseconds())
 	case <-ctx.Done():
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return b.ended
+	return b.crashed
 }
 
-// endsToTell returns the runs of endpoints that ended, each once, and forgets endpoints
-// that were checked long ago.
-func (g *Guard) endsToTell(now clock.Instant) []End {
-	var ends []End
-	for endpoint, b := range g.broken {
-		if b.ended && len(b.runs) > 0 {
-			ends = append(ends, End{endpoint, b.runs, b.at})
-			b.runs = nil
+// takeUnreportedCrashes returns each run at a crashed endpoint once, and deletes checks that
+// completed more than checkRetention ago. g.mu is held.
+func (g *Guard) takeUnreportedCrashes(now clock.Instant) []End {
+	var crashes []End
+	for endpoint, b := range g.checksByEndpoint {
+		if b.crashed && len(b.unreported) > 0 {
+			crashes = append(crashes, End{endpoint, b.unreported, b.startedAt})
+			b.unreported = nil
 		}
-		if b.over != 0 && now.Sub(b.over) > brokenFor {
-			delete(g.broken, endpoint)
+		if b.finishedAt != 0 && now.Sub(b.finishedAt) > checkRetention {
+			delete(g.checksByEndpoint, endpoint)
 		}
 	}
-	for fp, b := range g.checks {
-		if b.over != 0 && now.Sub(b.over) > brokenFor {
-			delete(g.checks, fp) // nobody repeated it
+	for fp, b := range g.checksByRequest {
+		if b.finishedAt != 0 && now.Sub(b.finishedAt) > checkRetention {
+			delete(g.checksByRequest, fp) // no retry came for it
 		}
 	}
-	return ends
+	return crashes
 }
 
-// Liveness is what connections to an endpoint show of it.
+// Liveness is the result of a check.
 type Liveness int
 
-// What a check finds.
+// Results of a check.
 const (
-	Silent    Liveness = iota // no answer in time, or connections that don't stand
-	Connected                 // something listens
+	Silent    Liveness = iota // no answer in time, or connections that don't stay open
+	Connected                 // a connection stays open
 	Refused                   // nothing listens
 )
 
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -6,10 +6,10 @@
 	"github.com/matryer/is"
 )
 
-// The same request gives the same fingerprint at every node and in every life of one.
-// Another caller, another target, a body that differs by a byte, or the same bytes cut
-// elsewhere are other requests.
-func TestFingerprintTellsRequestsApart(t *testing.T) {
+// Guards against fingerprints that differ between nodes or restarts, and against equal ones for
+// requests with another caller, another target, a body that differs by a byte, or the same bytes
+// divided differently over the parts.
+func TestFingerprintDistinguishesRequests(t *testing.T) {
 	is := is.New(t)
 	f := Of("org", "POST", "h.example", "/a/b?c", []byte("body"))
 	is.Equal(f, Fingerprint("lqcb3JfcC1PBaU6w"))
@@ -37,7 +37,7 @@
 	}
 }
 
-// BenchmarkFingerprint: a body of 8 KiB, larger than the prompts of the users' sites.
+// BenchmarkFingerprint hashes a body of 8 KiB, larger than the prompts at the users' sites.
 func BenchmarkFingerprint(b *testing.B) {
 	body := make([]byte, 8<<10)
 	b.SetBytes(int64(len(body)))
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -13,69 +13,72 @@
 	"chervilloom/internal/clock"
 )
 
-// Guard is a node's part in the quarantine: it notes with which requests endpoints ended
-// here, tells the nodes that tally, tallies what it hears, and says whether a request may
-// be sent. It is safe for concurrent use. Close ends what it does in the background.
+// Guard is a node's part of the quarantine: it detects which requests were running at endpoints
+// that crashed, reports them to the tallying nodes, tallies the reports that it receives, and
+// decides whether a request may be sent. It is safe for concurrent use. Close stops its
+// background work.
 type Guard struct {
-	Node  string // this node's name
+	Node  string // name of this node
 	Clock clock.Clock
 	Log   *slog.Logger
-	// Tell sends a message to the nodes that tally, Announce to all nodes.
+	// Tell sends a message to the nodes that tally, Announce to all other nodes.
 	Tell     func(Message)
 	Announce func(Message)
-	// Keep is told of each request that is found, and Drop of each that is lifted, so
-	// that they outlast this node's process; nil: they don't.
+	// Keep persists a verdict and Drop deletes it when it is lifted or released, so that
+	// verdicts survive a restart of this node; nil: they are not persisted.
 	Keep func(Verdict)
 	Drop func(Fingerprint)
-	// Try reports whether this node may make the one run of a suspect, or of a request
-	// whose time is over, with the verdict as all nodes shall know it from now on. No other
-	// node may make one then. It is asked before the request is sent. An error says that
-	// this can't be told now. nil: no, and no request is a suspect.
+	// Try reports whether this node may make the single trial run of a suspect, or of a request
+	// whose ban has run its time. On success the verdict that it is passed becomes the one all
+	// nodes know, and no other node may make that run. It is called before the request is sent.
+	// An error means that the answer is unknown now. nil: no trial runs, and no request becomes
+	// a suspect.
 	Try func(context.Context, Verdict) (bool, error)
-	// Dial connects to an endpoint to see whether it listens; nil: over TCP.
+	// Dial connects to an endpoint to check whether it listens; nil: TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
-	// Ended is told of an endpoint that ended with requests; nil: nobody.
+	// Ended is called for each endpoint that crashed while requests of this node ran there; may
+	// be nil.
 	Ended func(endpoint string)
 
-	metrics *metrics
-	alone   bool
-	ctx     context.Context // ends with Close
-	stop    context.CancelFunc
-	work    sync.WaitGroup // checks of endpoints and runs of suspects
+	metrics    *metrics
+	standalone bool
+	ctx        context.Context // done after Close
+	stop       context.CancelFunc
+	work       sync.WaitGroup // checks of endpoints and trial requests
 
-	mu      sync.Mutex
-	tally   Tally
-	judged  clock.Instant
-	dirty   bool // there is evidence that wasn't judged
-	history history
-	broken  map[string]*broken      // by endpoint
-	checks  map[Fingerprint]*broken // where the request broke off last
-	bans    map[Fingerprint]*ban
-	asked   map[Fingerprint]clock.Instant // since when the others are asked
-	freed   map[Fingerprint]clock.Instant // when a suspect was released
-	lifted  map[Fingerprint]clock.Instant // when a quarantine was lifted
-	runs    map[Fingerprint][]*run        // that are under way here, in the order in which they began
-	again   []Message                     // to be told once more
+	mu               sync.Mutex
+	tally            Tally
+	judgedAt         clock.Instant
+	hasNewEvidence   bool // evidence was added since the last judgement
+	history          history
+	checksByEndpoint map[string]*endpointCheck
+	checksByRequest  map[Fingerprint]*endpointCheck // where the request last failed
+	bans             map[Fingerprint]*ban
+	queriedAt        map[Fingerprint]clock.Instant // when the other nodes were asked for their successful runs
+	releasedAt       map[Fingerprint]clock.Instant // when a suspect was released
+	liftedAt         map[Fingerprint]clock.Instant // when a ban was lifted
+	runs             map[Fingerprint][]*run        // in flight here, in the order in which they began
+	resend           []Message                     // messages that the next Tick sends a second time
 }
 
-// judgeEach is the longest pause between two judgements while there is evidence: time
-// settles some.
-const judgeEach = 500 * time.Millisecond
+// maxJudgeInterval is the longest pause between two judgements while there is evidence: some of
+// it becomes conclusive by the passing of time alone.
+const maxJudgeInterval = 500 * time.Millisecond
 
-// askWait is how long the other nodes have to tell that a request runs well with them
-// before it is refused: two looks of theirs and the way there and back. A node that has just
-// started, like those that told it of ends, may have seen none of the runs of a body that
-// clients send all day; without the question it was refused everywhere for a moment.
-const askWait = 100 * time.Millisecond
+// queryWait is how long the other nodes have to report successful runs of a request before it is
+// refused: two of their polling intervals and a round trip. A node that has just started, and likewise the
+// nodes that reported the crashes to it, may have seen no run of a body that clients send all
+// day; without the query all nodes would refuse it briefly.
+const queryWait = 100 * time.Millisecond
 
-// Init registers the metrics; reg may be nil.
+// Init prepares the guard for use, registers its metrics and returns it. reg may be nil.
 func (g *Guard) Init(reg prometheus.Registerer) *Guard {
 	g.ctx, g.stop = context.WithCancel(context.Background())
-	g.broken, g.bans, g.checks = map[string]*broken{}, map[Fingerprint]*ban{}, map[Fingerprint]*broken{}
-	g.asked = map[Fingerprint]clock.Instant{}
-	g.freed, g.lifted = map[Fingerprint]clock.Instant{}, map[Fingerprint]clock.Instant{}
+	g.checksByEndpoint, g.bans, g.checksByRequest = map[string]*endpointCheck{}, map[Fingerprint]*ban{}, map[Fingerprint]*endpointCheck{}
+	g.queriedAt = map[Fingerprint]clock.Instant{}
+	g.releasedAt, g.liftedAt = map[Fingerprint]clock.Instant{}, map[Fingerprint]clock.Instant{}
 	g.runs = map[Fingerprint][]*run{}
-	g.metrics = newMetrics(reg, g.count)
+	g.metrics = newMetrics(reg, g.countRefused)
 	if g.Dial == nil {
 		g.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
@@ -84,16 +87,16 @@
 	return g
 }
 
-// Alone returns a guard that tells nobody and knows what it sees itself. It judges at each
-// question, for nobody calls Tick.
+// Alone returns a guard that exchanges no messages and uses only its own evidence. It judges on
+// each call of Refused, since nobody calls Tick.
 func Alone(c clock.Clock, log *slog.Logger) *Guard {
 	nobody := func(Message) {}
 	g := (&Guard{Clock: c, Log: log, Tell: nobody, Announce: nobody}).Init(nil)
-	g.alone = true
+	g.standalone = true
 	return g
 }
 
-// Close ends the checks of endpoints and waits for them. The guard begins none afterwards.
+// Close cancels the checks of endpoints and waits for them. No check starts afterwards.
 func (g *Guard) Close() {
 	g.mu.Lock()
 	g.stop()
@@ -101,29 +104,30 @@
 	g.work.Wait()
 }
 
-// count returns how many requests are refused.
-func (g *Guard) count() float64 {
+// countRefused returns the number of requests that are refused, suspects not included.
+func (g *Guard) countRefused() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return float64(len(g.bans) - g.suspects())
+	return float64(len(g.bans) - g.countSuspects())
 }
 
-// Refused reports whether the request must not be sent, and why. It is asked immediately
-// before each send: a request may have waited, or be on its way to a second endpoint,
-// while others find it harmful.
+// Refused reports whether the request must not be sent, and the verdict. It is called
+// immediately before each send: while a request waits, or is retried at a second endpoint,
+// others may find it harmful. It waits for the check of the endpoint at which the request last
+// failed, for answers to a query, and up to suspectRunWait for another run of a suspect.
 func (g *Guard) Refused(ctx context.Context, fp Fingerprint) (Verdict, bool) {
-	if g.awaitCheck(ctx, fp) || g.alone {
+	if g.awaitCheck(ctx, fp) || g.standalone {
 		g.Tick()
 	}
 	if g.awaitAnswers(ctx, fp) {
 		g.Tick()
 	}
-	until := g.Clock.Now().Add(suspectWait)
-	g.awaitRun(ctx, fp, until)
-	v, refused := g.refused(ctx, fp)
-	if refused && v.Suspect { // another node makes its run
-		g.awaitRun(ctx, fp, until)
-		v, refused = g.refused(ctx, fp)
+	deadline := g.Clock.Now().Add(suspectRunWait)
+	g.awaitRun(ctx, fp, deadline)
+	v, refused := g.refusedNow(ctx, fp)
+	if refused && v.Suspect { // another node makes the trial run
+		g.awaitRun(ctx, fp, deadline)
+		v, refused = g.refusedNow(ctx, fp)
 	}
 	if refused {
 		g.metrics.refused.Inc()
@@ -131,8 +135,8 @@
 	return v, refused
 }
 
-// refused is Refused as it is known now.
-func (g *Guard) refused(ctx context.Context, fp Fingerprint) (Verdict, bool) {
+// refusedNow is Refused without the waits.
+func (g *Guard) refusedNow(ctx context.Context, fp Fingerprint) (Verdict, bool) {
 	g.mu.Lock()
 	b := g.bans[fp]
 	if b == nil {
@@ -140,47 +144,47 @@
 		return Verdict{}, false
 	}
 	now, v := g.Clock.Now(), b.Verdict
-	due := g.Try != nil && b.due(now)
+	due := g.Try != nil && b.isTrialDue(now)
 	if due {
-		b.asked = now
+		b.trialRequestedAt = now
 	}
 	g.mu.Unlock()
 	if !due {
 		return v, true
 	}
-	granted, _ := g.try(ctx, b, v) // an error is logged, and no leave
+	granted, _ := g.acquireTrial(ctx, b, v) // the error is logged and counts as a refusal
 	return v, !granted
 }
 
-// Tick tells what has been noted, and judges.
+// Tick sends new evidence and judges what has been tallied.
 func (g *Guard) Tick() {
 	now := g.Clock.Now()
 	g.mu.Lock()
-	tell := g.again
-	g.again = nil
-	for _, m := range pack(g.Node, g.endsToTell(now)) {
-		g.note(m, now)
-		tell, g.again = append(tell, m), append(g.again, m) // a lost packet would lose the evidence
+	messages := g.resend
+	g.resend = nil
+	for _, m := range packCrashes(g.Node, g.takeUnreportedCrashes(now)) {
+		g.noteEvidence(m, now)
+		messages, g.resend = append(messages, m), append(g.resend, m) // sent twice, since a lost packet would lose the evidence
 	}
 	var found, suspects []Verdict
-	var ask []Fingerprint
-	if len(g.tally.order) > 0 && (g.dirty || len(g.asked) > 0 || now.Sub(g.judged) >= judgeEach) {
-		g.judged, g.dirty = now, false
-		found, ask = g.answered(g.tally.Judge(g.isFound, now), now)
+	var queries []Fingerprint
+	if len(g.tally.order) > 0 && (g.hasNewEvidence || len(g.queriedAt) > 0 || now.Sub(g.judgedAt) >= maxJudgeInterval) {
+		g.judgedAt, g.hasNewEvidence = now, false
+		found, queries = g.splitAnswered(g.tally.Judge(g.isFoundHarmful, now), now)
 		suspects = g.newSuspects()
 	}
-	g.expire(now)
+	g.removeExpired(now)
 	g.mu.Unlock()
-	for _, m := range tell {
+	for _, m := range messages {
 		g.Tell(m)
 	}
-	if len(ask) > 0 {
-		g.Announce(Message{Node: g.Node, Ask: ask})
+	if len(queries) > 0 {
+		g.Announce(Message{Node: g.Node, Ask: queries})
 	}
 	for _, v := range append(suspects, found...) {
 		g.ban(v, "tally")
 		if !g.Knows(v.Fingerprint) {
-			continue // lifted at once by what this node knows of its runs
+			continue // lifted at once because of this node's own successful runs
 		}
 		if g.Keep != nil {
 			g.Keep(v)
@@ -189,46 +193,47 @@
 	}
 }
 
-func (g *Guard) isFound(fp Fingerprint) bool {
+func (g *Guard) isFoundHarmful(fp Fingerprint) bool {
 	b := g.bans[fp]
 	return b != nil && !b.Suspect
 }
 
-// newSuspects returns the suspects that are not known as such.
+// newSuspects returns the suspects that have no ban yet. g.mu is held.
 func (g *Guard) newSuspects() []Verdict {
 	if g.Try == nil {
 		return nil
 	}
-	return slices.DeleteFunc(g.tally.Suspects(g.isFound), func(v Verdict) bool { return g.bans[v.Fingerprint] != nil })
+	return slices.DeleteFunc(g.tally.Suspects(g.isFoundHarmful), func(v Verdict) bool { return g.bans[v.Fingerprint] != nil })
 }
 
-// answered divides what was found into what the other nodes have had the time to speak
-// for, and what they are to be asked about.
-func (g *Guard) answered(found []Verdict, now clock.Instant) (sure []Verdict, ask []Fingerprint) {
-	still := map[Fingerprint]clock.Instant{}
+// splitAnswered splits the findings into those that are confirmed, since the other nodes have
+// had queryWait to report successful runs, and those about which they are to be asked now. g.mu
+// is held.
+func (g *Guard) splitAnswered(found []Verdict, now clock.Instant) (confirmed []Verdict, queries []Fingerprint) {
+	pending := map[Fingerprint]clock.Instant{}
 	for _, v := range found {
-		at, ok := g.asked[v.Fingerprint]
+		at, ok := g.queriedAt[v.Fingerprint]
 		switch {
-		case g.alone || ok && now.Sub(at) >= askWait:
-			sure = append(sure, v)
+		case g.standalone || ok && now.Sub(at) >= queryWait:
+			confirmed = append(confirmed, v)
 		case ok:
-			still[v.Fingerprint] = at
+			pending[v.Fingerprint] = at
 		default:
-			still[v.Fingerprint] = now
-			ask = append(ask, v.Fingerprint)
-			g.tally.NoteSound(g.Node, v.Fingerprint, g.history.runs(v.Fingerprint)) // its own answer
+			pending[v.Fingerprint] = now
+			queries = append(queries, v.Fingerprint)
+			g.tally.NoteSound(g.Node, v.Fingerprint, g.history.runs(v.Fingerprint)) // this node's own answer
 		}
 	}
-	g.asked = still
-	return sure, ask
+	g.queriedAt = pending
+	return confirmed, queries
 }
 
-// awaitAnswers waits until the other nodes have had the time to speak for the request, and
-// reports whether they were asked.
+// awaitAnswers waits until queryWait has passed since the other nodes were asked about the
+// request, and reports whether they were asked.
 func (g *Guard) awaitAnswers(ctx context.Context, fp Fingerprint) bool {
 	g.mu.Lock()
-	at, asked := g.asked[fp]
-	left := askWait - g.Clock.Now().Sub(at)
+	at, asked := g.queriedAt[fp]
+	left := queryWait - g.Clock.Now().Sub(at)
 	g.mu.Unlock()
 	if asked {
 		clock.Sleep(ctx, left)
@@ -236,43 +241,43 @@
 	return asked
 }
 
-// note takes up evidence.
-func (g *Guard) note(m Message, now clock.Instant) {
+// noteEvidence adds the crashes of a message to the tally. g.mu is held.
+func (g *Guard) noteEvidence(m Message, now clock.Instant) {
 	for _, e := range m.Ends {
 		if g.tally.Note(m.Node, e, now) {
-			g.Log.Info("endpoint's end noted", "endpoint", e.Endpoint, "from", m.Node, "requests", len(e.Runs))
+			g.Log.Info("crash of an endpoint tallied", "endpoint", e.Endpoint, "from", m.Node, "requests", len(e.Runs))
 		}
-		g.dirty = true
+		g.hasNewEvidence = true
 	}
 }
 
-// Hear takes up a message of another node.
+// Hear processes a message of another node.
 func (g *Guard) Hear(m Message) {
 	now := g.Clock.Now()
 	g.mu.Lock()
-	g.note(m, now)
+	g.noteEvidence(m, now)
 	harmless := false
 	if s := m.Sound; s != nil {
 		g.tally.NoteSound(m.Node, s.Fingerprint, s.Runs)
 		if b := g.bans[s.Fingerprint]; b != nil {
-			// The tally may have been cleared: a row that was written while another
-			// node lifted the request brings it back.
-			b.sound.note(m.Node, s.Runs)
-			harmless = b.sound.harmless(b.Ends)
+			// The tally may have been cleared: a row that was written while another node lifted
+			// the ban restores it.
+			b.successes.note(m.Node, s.Runs)
+			harmless = b.successes.isHarmless(b.Ends)
 		}
 	}
 	g.mu.Unlock()
 	if harmless {
-		const reason = "it runs well far more often than endpoints end under it"
+		const reason = "its successful runs far outnumber the crashes"
 		if !g.release(m.Sound.Fingerprint, reason) {
 			g.lift(m.Sound.Fingerprint, reason)
 		}
 	}
 	for _, fp := range m.Ask {
-		g.answer(fp)
+		g.answerQuery(fp)
 	}
 	for _, v := range m.Found {
-		if !g.liftedWithin(v.Fingerprint, foundLate, now) {
+		if !g.wasLiftedWithin(v.Fingerprint, lateFindingWindow, now) {
 			g.ban(v, m.Node)
 		}
 	}
@@ -280,6 +285,6 @@
 		g.unban(fp, m.Node)
 	}
 	for _, fp := range m.Released {
-		g.free(fp, m.Node)
+		g.clearSuspect(fp, m.Node)
 	}
 }
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -18,54 +18,54 @@
 	"chervilloom/internal/clock"
 )
 
-// guards are the guards of a few nodes that hear each other at once, with the requests
-// that are kept for all of them.
-type guards struct {
-	clock *clock.Manual
-	all   []*Guard
-	mu    sync.Mutex // guards kept
-	kept  map[Fingerprint]Verdict
+// testCluster has the guards of a few nodes, which receive each other's messages at once, and
+// the verdicts that are persisted for all of them.
+type testCluster struct {
+	clock     *clock.Manual
+	nodes     []*Guard
+	mu        sync.Mutex // protects persisted
+	persisted map[Fingerprint]Verdict
 }
 
-func newGuards(n int) *guards {
-	gs := &guards{clock: clock.NewManual(clock.Instant(time.Hour)), kept: map[Fingerprint]Verdict{}}
+func newTestCluster(n int) *testCluster {
+	tc := &testCluster{clock: clock.NewManual(clock.Instant(time.Hour)), persisted: map[Fingerprint]Verdict{}}
 	for i := range n {
-		g := &Guard{Node: fmt.Sprint(i), Clock: gs.clock, Log: slog.New(slog.DiscardHandler)}
-		others := func(m Message) {
-			for _, o := range gs.all {
+		g := &Guard{Node: fmt.Sprint(i), Clock: tc.clock, Log: slog.New(slog.DiscardHandler)}
+		sendToOthers := func(m Message) {
+			for _, o := range tc.nodes {
 				if o != g {
 					o.Hear(m)
 				}
 			}
 		}
-		g.Tell, g.Announce = others, others
+		g.Tell, g.Announce = sendToOthers, sendToOthers
 		g.Keep = func(v Verdict) {
-			gs.mu.Lock()
-			defer gs.mu.Unlock()
-			gs.kept[v.Fingerprint] = v
+			tc.mu.Lock()
+			defer tc.mu.Unlock()
+			tc.persisted[v.Fingerprint] = v
 		}
 		g.Drop = func(fp Fingerprint) {
-			gs.mu.Lock()
-			defer gs.mu.Unlock()
-			delete(gs.kept, fp)
+			tc.mu.Lock()
+			defer tc.mu.Unlock()
+			delete(tc.persisted, fp)
 		}
 		g.Try = func(_ context.Context, v Verdict) (bool, error) {
-			gs.mu.Lock()
-			defer gs.mu.Unlock()
-			if gs.kept[v.Fingerprint].Tries+1 != v.Tries {
-				return false, nil // another node has it
+			tc.mu.Lock()
+			defer tc.mu.Unlock()
+			if tc.persisted[v.Fingerprint].Tries+1 != v.Tries {
+				return false, nil // another node has the trial
 			}
-			gs.kept[v.Fingerprint] = v
+			tc.persisted[v.Fingerprint] = v
 			return true, nil
 		}
-		g.Dial = dialFake
-		gs.all = append(gs.all, g.Init(nil))
+		g.Dial = fakeDial
+		tc.nodes = append(tc.nodes, g.Init(nil))
 	}
-	return gs
+	return tc
 }
 
-// dialFake has the endpoint at "gone" ended and every other one alive.
-func dialFake(_ context.Context, addr string) (net.Conn, error) {
+// fakeDial refuses connections to "gone" and accepts those to every other address.
+func fakeDial(_ context.Context, addr string) (net.Conn, error) {
 	if addr == "gone" {
 		return nil, syscall.ECONNREFUSED
 	}
@@ -73,48 +73,49 @@
 	return conn, nil
 }
 
-// slowly is dialFake with answers that take a while.
-func slowly(d time.Duration) func(context.Context, string) (net.Conn, error) {
+// delayedDial is fakeDial with a delay of d.
+func delayedDial(d time.Duration) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		if !clock.Sleep(ctx, d) {
 			return nil, ctx.Err()
 		}
-		return dialFake(ctx, addr)
+		return fakeDial(ctx, addr)
 	}
 }
 
-// pass lets time go on; the nodes read what is kept each second.
-func (gs *guards) pass(d time.Duration) {
+// advance moves the clock by d; the nodes read the persisted verdicts in steps of up to a
+// second.
+func (tc *testCluster) advance(d time.Duration) {
 	for step := min(d, time.Second); d > 0; d -= step {
-		gs.clock.Advance(step)
-		var kept []Verdict
-		for _, v := range gs.kept {
-			kept = append(kept, v)
+		tc.clock.Advance(step)
+		var persisted []Verdict
+		for _, v := range tc.persisted {
+			persisted = append(persisted, v)
 		}
-		for _, g := range gs.all {
-			g.TakeKept(kept)
+		for _, g := range tc.nodes {
+			g.TakeKept(persisted)
 			g.Tick()
 		}
 	}
 }
 
-// end lets an endpoint end under a request of a client attempt at a node.
-func (gs *guards) end(node int, endpoint string, fp Fingerprint, attempt uint32) {
-	gs.all[node].Broke(endpoint, "gone", fp, attempt)
+// crashEndpoint crashes an endpoint under a request of a client attempt at a node.
+func (tc *testCluster) crashEndpoint(node int, endpoint string, fp Fingerprint, attempt uint32) {
+	tc.nodes[node].Broke(endpoint, "gone", fp, attempt)
 	synctest.Wait()
-	gs.pass(200 * time.Millisecond)
+	tc.advance(200 * time.Millisecond)
 }
 
-// convict lets enough endpoints end under a request.
-func (gs *guards) convict(fp Fingerprint) {
+// crashRepeatedly crashes enough endpoints under a request for it to be found harmful.
+func (tc *testCluster) crashRepeatedly(fp Fingerprint) {
 	for i := range 4 {
-		gs.end(i%len(gs.all), fmt.Sprintf("%s%d", fp, i), fp, uint32(i))
+		tc.crashEndpoint(i%len(tc.nodes), fmt.Sprintf("%s%d", fp, i), fp, uint32(i))
 	}
 }
 
-func (gs *guards) refusing(fp Fingerprint) int {
+func (tc *testCluster) countRefusing(fp Fingerprint) int {
 	n := 0
-	for _, g := range gs.all {
+	for _, g := range tc.nodes {
 		if _, refused := g.Refused(context.Background(), fp); refused {
 			n++
 		}
@@ -122,158 +123,159 @@
 	return n
 }
 
-func bubble(t *testing.T, test func(is *is.I)) {
+func runInBubble(t *testing.T, test func(is *is.I)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		test(is.New(t))
-		time.Sleep(2 * checkLimit) // until the checks are over
+		time.Sleep(2 * checkTimeout) // until the checks have completed
 	})
 }
 
-// The quarantine of a request is over. Clients send it at each of three nodes at once: one
-// of them makes one run, the others refuse it. The run ends its endpoint: the request is
-// refused for its time again, everywhere.
-func TestOneRunIsTriedAfterTheQuarantine(t *testing.T) {
-	bubble(t, func(is *is.I) {
-		gs := newGuards(3)
-		gs.convict("bad")
-		is.Equal(gs.refusing("bad"), 3)
-		gs.pass(banFor - time.Minute)
-		is.Equal(gs.refusing("bad"), 3)
-		gs.pass(2 * time.Minute)
-		is.Equal(gs.refusing("bad"), 2) // the third may try
-		gs.pass(time.Second)
-		is.Equal(gs.refusing("bad"), 3)
-		gs.end(0, "another", "bad", 9)
-		gs.pass(banFor - 2*time.Minute)
-		is.Equal(gs.refusing("bad"), 3)
-		gs.pass(4 * time.Minute)
-		is.Equal(gs.refusing("bad"), 2)
+// Guards against several trial runs once a ban has run its time and clients send the request to
+// three nodes at once: one node makes a trial run, the others refuse it. The trial crashes its
+// endpoint, and all nodes refuse the request for banDuration again.
+func TestOneTrialRunAfterQuarantineExpires(t *testing.T) {
+	runInBubble(t, func(is *is.I) {
+		tc := newTestCluster(3)
+		tc.crashRepeatedly("bad")
+		is.Equal(tc.countRefusing("bad"), 3)
+		tc.advance(banDuration - time.Minute)
+		is.Equal(tc.countRefusing("bad"), 3)
+		tc.advance(2 * time.Minute)
+		is.Equal(tc.countRefusing("bad"), 2) // the third may make the trial run
+		tc.advance(time.Second)
+		is.Equal(tc.countRefusing("bad"), 3)
+		tc.crashEndpoint(0, "another", "bad", 9)
+		tc.advance(banDuration - 2*time.Minute)
+		is.Equal(tc.countRefusing("bad"), 3)
+		tc.advance(4 * time.Minute)
+		is.Equal(tc.countRefusing("bad"), 2)
 	})
 }
 
-// The run that is tried ends well, for the engines were mended meanwhile: the request is
-// served again at every node, and counted anew.
-func TestRunThatEndsWellLiftsTheQuarantine(t *testing.T) {
-	bubble(t, func(is *is.I) {
-		gs := newGuards(3)
-		gs.convict("bad")
-		gs.pass(banFor + time.Minute)
-		_, refused := gs.all[1].Refused(context.Background(), "bad")
+// Guards against a ban that outlasts a successful trial run, as after a fix of the engines. The
+// request is served at every node again, and its crashes are counted from zero.
+func TestSuccessfulTrialLiftsQuarantine(t *testing.T) {
+	runInBubble(t, func(is *is.I) {
+		tc := newTestCluster(3)
+		tc.crashRepeatedly("bad")
+		tc.advance(banDuration + time.Minute)
+		_, refused := tc.nodes[1].Refused(context.Background(), "bad")
 		is.True(!refused)
-		gs.all[1].Sound("bad")
-		is.Equal(gs.refusing("bad"), 0)
-		is.Equal(len(gs.kept), 0)
-		gs.end(0, "later", "bad", 20)
-		is.Equal(gs.refusing("bad"), 0)
+		tc.nodes[1].Sound("bad")
+		is.Equal(tc.countRefusing("bad"), 0)
+		is.Equal(len(tc.persisted), 0)
+		tc.crashEndpoint(0, "later", "bad", 20)
+		is.Equal(tc.countRefusing("bad"), 0)
 	})
 }
 
-// A body that clients send all day runs well at all nodes. Endpoints end while it runs
-// there, and the nodes that tell of them have just started and seen none of its runs. The
-// others are asked and speak for it: it is never refused, at no node.
-func TestBodyThatRunsWellElsewhereIsNotRefused(t *testing.T) {
-	bubble(t, func(is *is.I) {
-		gs := newGuards(6)
+// Guards against refusing a request that succeeds all day on other nodes. Endpoints crash while
+// it runs there, and the nodes that report them have just started and seen none of its runs. The
+// other nodes are asked and report its successes.
+func TestRequestSucceedingOnOtherNodesIsNotRefused(t *testing.T) {
+	runInBubble(t, func(is *is.I) {
+		tc := newTestCluster(6)
 		for range 10 {
-			gs.all[4].Sound("hot")
-			gs.all[5].Sound("hot")
+			tc.nodes[4].Sound("hot")
+			tc.nodes[5].Sound("hot")
 		}
 		for i := range 4 {
-			gs.end(i, fmt.Sprintf("e%d", i), "hot", uint32(i))
-			is.Equal(gs.refusing("hot"), 0)
+			tc.crashEndpoint(i, fmt.Sprintf("e%d", i), "hot", uint32(i))
+			is.Equal(tc.countRefusing("hot"), 0)
 		}
-		for _, g := range gs.all {
+		for _, g := range tc.nodes {
 			is.Equal(len(g.bans), 0)
 		}
-		is.Equal(len(gs.kept), 0)
+		is.Equal(len(tc.persisted), 0)
 	})
 }
 
-// The same, but the word of those that could speak for it is lost, and the body is found
-// harmful. They tell when they hear of that, and it is served again.
-func TestBodyThatRunsWellElsewhereIsLetGo(t *testing.T) {
-	bubble(t, func(is *is.I) {
-		gs := newGuards(6)
+// Guards against a ban that stays although the request succeeds on other nodes: their answers
+// were lost, and it is found harmful. They report its successes when they receive the finding,
+// and the ban is lifted.
+func TestRequestSucceedingOnOtherNodesIsLifted(t *testing.T) {
+	runInBubble(t, func(is *is.I) {
+		tc := newTestCluster(6)
 		for range 10 {
-			gs.all[4].Sound("hot")
-			gs.all[5].Sound("hot")
+			tc.nodes[4].Sound("hot")
+			tc.nodes[5].Sound("hot")
 		}
-		gs.all[0].ban(Verdict{Fingerprint: "hot", Ends: 4, Attempts: 4}, "tally")
-		gs.all[0].Announce(Message{Node: "0", Found: []Verdict{{Fingerprint: "hot", Ends: 4, Attempts: 4}}})
-		gs.pass(time.Second)
-		is.Equal(gs.refusing("hot"), 0)
-		is.Equal(len(gs.kept), 0)
+		tc.nodes[0].ban(Verdict{Fingerprint: "hot", Ends: 4, Attempts: 4}, "tally")
+		tc.nodes[0].Announce(Message{Node: "0", Found: []Verdict{{Fingerprint: "hot", Ends: 4, Attempts: 4}}})
+		tc.advance(time.Second)
+		is.Equal(tc.countRefusing("hot"), 0)
+		is.Equal(len(tc.persisted), 0)
 	})
 }
 
-// An attempt breaks off at an endpoint that still takes connections: it resets some, sends
-// garbage, or is cut off and silent. However often that is, the request isn't to blame.
-func TestEndpointsThatStandProveNothing(t *testing.T) {
-	bubble(t, func(is *is.I) {
-		gs := newGuards(2)
+// Guards against blaming a request whose attempts fail at endpoints that still accept
+// connections, because these reset some, send garbage, or are unreachable and silent.
+func TestListeningEndpointsAreNoEvidence(t *testing.T) {
+	runInBubble(t, func(is *is.I) {
+		tc := newTestCluster(2)
 		for i := range 20 {
-			gs.all[i%2].Broke(fmt.Sprintf("e%d", i), "stands", "good", uint32(i))
+			tc.nodes[i%2].Broke(fmt.Sprintf("e%d", i), "stands", "good", uint32(i))
 			synctest.Wait()
-			gs.pass(200 * time.Millisecond)
+			tc.advance(200 * time.Millisecond)
 		}
-		is.Equal(gs.refusing("good"), 0)
-		is.Equal(len(gs.all[0].tally.order), 0)
+		is.Equal(tc.countRefusing("good"), 0)
+		is.Equal(len(tc.nodes[0].tally.order), 0)
 	})
 }
 
-// A node misses the word that a request was found, and the one that it was lifted. What is
-// kept tells it of both; a reading that is older than what it knows changes nothing.
-func TestKeptRequestsReachNodesThatMissedTheWord(t *testing.T) {
-	bubble(t, func(is *is.I) {
-		gs := newGuards(2)
-		late := (&Guard{Node: "late", Clock: gs.clock, Log: slog.New(slog.DiscardHandler), Tell: func(Message) {}}).Init(nil)
-		gs.convict("bad")
-		kept := []Verdict{gs.kept["bad"]}
+// Guards against a node that missed the messages of a finding and of its lift: it learns of both
+// from the persisted verdicts. A reading older than its own state changes nothing.
+func TestPersistedVerdictsReachNodesThatMissedMessages(t *testing.T) {
+	runInBubble(t, func(is *is.I) {
+		tc := newTestCluster(2)
+		late := (&Guard{Node: "late", Clock: tc.clock, Log: slog.New(slog.DiscardHandler), Tell: func(Message) {}}).Init(nil)
+		tc.crashRepeatedly("bad")
+		kept := []Verdict{tc.persisted["bad"]}
 		late.TakeKept(kept)
 		_, refused := late.Refused(context.Background(), "bad")
 		is.True(refused)
 		late.TakeKept(nil)
-		gs.clock.Advance(rowGone / 2)
+		tc.clock.Advance(missingRowTimeout / 2)
 		late.TakeKept(kept)
 		late.TakeKept(nil)
-		gs.clock.Advance(rowGone / 2)
+		tc.clock.Advance(missingRowTimeout / 2)
 		late.TakeKept(nil)
 		is.Equal(len(late.Banned()), 1)
-		gs.clock.Advance(rowGone)
+		tc.clock.Advance(missingRowTimeout)
 		late.TakeKept(nil)
 		is.Equal(len(late.Banned()), 0)
 	})
 }
 
-// Nobody asks for a request for an hour: it is forgotten, and the row that keeps it is
-// due to go.
-func TestQuarantinedRequestsAreForgotten(t *testing.T) {
-	bubble(t, func(is *is.I) {
-		gs := newGuards(1)
-		gs.convict("bad")
-		is.True(!gs.all[0].Banned()[0].Over())
-		gs.clock.Advance(forgetAfter + time.Second)
-		is.True(gs.all[0].Banned()[0].Over())
-		unkept := (&Guard{Node: "x", Clock: gs.clock, Log: slog.New(slog.DiscardHandler)}).Init(nil)
+// Guards against bans that never expire: without a request for an hour the ban is deleted, and
+// its row is due for deletion.
+func TestQuarantinedRequestsExpire(t *testing.T) {
+	runInBubble(t, func(is *is.I) {
+		tc := newTestCluster(1)
+		tc.crashRepeatedly("bad")
+		is.True(!tc.nodes[0].Banned()[0].Over())
+		tc.clock.Advance(banRetention + time.Second)
+		is.True(tc.nodes[0].Banned()[0].Over())
+		unkept := (&Guard{Node: "x", Clock: tc.clock, Log: slog.New(slog.DiscardHandler)}).Init(nil)
 		unkept.ban(Verdict{Fingerprint: "bad"}, "x")
-		gs.clock.Advance(forgetAfter + time.Second)
+		tc.clock.Advance(banRetention + time.Second)
 		unkept.Tick()
 		is.Equal(len(unkept.Banned()), 0)
 	})
 }
 
-// A thousand requests are found, ten thousand endpoints end, every request is another one:
-// what a node holds stays within its bounds, and the newest is what it holds.
-func TestWhatIsHeldIsBounded(t *testing.T) {
-	bubble(t, func(is *is.I) {
-		gs := newGuards(1)
-		g := gs.all[0]
+// Guards against unbounded state: a thousand findings and ten thousand crashes, each with other
+// requests, leave a guard within its bounds, with the newest bans kept.
+func TestGuardStateIsBounded(t *testing.T) {
+	runInBubble(t, func(is *is.I) {
+		tc := newTestCluster(1)
+		g := tc.nodes[0]
 		for i := range 1000 {
-			gs.clock.Advance(time.Millisecond)
+			tc.clock.Advance(time.Millisecond)
 			g.ban(Verdict{Fingerprint: Fingerprint(fmt.Sprint(i))}, "x")
 		}
-		is.Equal(len(g.bans), mostBans)
+		is.Equal(len(g.bans), maxBans)
 		is.True(g.bans["999"] != nil)
 		for i := range 10000 {
 			runs := make([]Run, 100)
@@ -283,23 +285,23 @@
 			g.Hear(Message{Node: "n", Ends: []End{{Endpoint: fmt.Sprintf("e%d", i), Runs: runs}}})
 			g.Sound(Fingerprint(fmt.Sprint(i)))
 		}
-		is.Equal(len(g.tally.order), mostEnds)
-		is.Equal(len(g.tally.ends), mostEnds)
-		is.True(len(g.tally.byPrint) <= mostEnds*mostRuns)
-		is.True(len(g.history.now)+len(g.history.before) <= 2*mostHistory)
-		for i := range 2 * mostBroken {
+		is.Equal(len(g.tally.order), maxCrashes)
+		is.Equal(len(g.tally.crashes), maxCrashes)
+		is.True(len(g.tally.byFingerprint) <= maxCrashes*maxRunsPerCrash)
+		is.True(len(g.history.current)+len(g.history.previous) <= 2*maxHistory)
+		for i := range 2 * maxChecks {
 			g.Broke(fmt.Sprint(i), "gone", "p", 1)
 		}
-		is.Equal(len(g.broken), mostBroken)
+		is.Equal(len(g.checksByEndpoint), maxChecks)
 		synctest.Wait()
-		gs.pass(2 * brokenFor)
-		is.Equal(len(g.broken), 0)
+		tc.advance(2 * checkRetention)
+		is.Equal(len(g.checksByEndpoint), 0)
 	})
 }
 
-// Evidence of an endpoint with many requests, and of many endpoints with one, goes in
-// messages that each fit a packet; nothing of it is lost.
-func TestEvidenceFitsItsMessages(t *testing.T) {
+// Guards against evidence that exceeds a packet or is lost when it is packed: one endpoint with
+// many requests, and many endpoints with one.
+func TestPackedEvidenceFitsPackets(t *testing.T) {
 	is := is.New(t)
 	const packet = 1400 // bytes
 	var ends []End
@@ -315,7 +317,7 @@
 	for _, e := range ends {
 		sent += len(e.Runs)
 	}
-	for _, m := range pack("front-a-long-zone-name-12", ends) {
+	for _, m := range packCrashes("front-a-long-zone-name-12", ends) {
 		raw, err := json.Marshal(map[string]any{"quarantine": m})
 		is.NoErr(err)
 		is.True(len(raw) <= packet)
@@ -326,20 +328,21 @@
 	is.Equal(packed, sent)
 }
 
-// A process that ended has its connections refused; one that stands takes them.
-func TestEndIsSeenByARefusedConnection(t *testing.T) {
+// Guards against a wrong liveness result: an exited process refuses connections, a running one
+// accepts them.
+func TestRefusedConnectionShowsCrash(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	g := Alone(clock.Boot{}, slog.New(slog.DiscardHandler))
-	is.Equal(g.liveness(ln.Addr().String()), Connected)
+	is.Equal(g.probeLiveness(ln.Addr().String()), Connected)
 	ln.Close()
-	is.Equal(g.liveness(ln.Addr().String()), Refused)
+	is.Equal(g.probeLiveness(ln.Addr().String()), Refused)
 }
 
-// Guards against an end that is missed because the ending process, short of processor time,
+// Guards against a crash that goes undetected because the exiting process, short of CPU time,
 // closes its connections long before its listener.
-func TestEndIsSeenWhereTheListenerClosesLast(t *testing.T) {
+func TestCrashIsDetectedWhenListenerClosesLast(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -347,30 +350,30 @@
 	dial := g.Dial
 	g.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, addr)
-		ln.Close() // after the connection was taken
+		ln.Close() // after the connection was accepted
 		return conn, err
 	}
-	is.Equal(g.liveness(ln.Addr().String()), Refused)
+	is.Equal(g.probeLiveness(ln.Addr().String()), Refused)
 }
 
-// Guards against evidence that is dropped because the node stood still between the end and
-// its check.
-func TestEndIsToldAfterALongCheck(t *testing.T) {
-	bubble(t, func(is *is.I) {
-		gs := newGuards(2)
-		gs.all[0].Dial = slowly(dialLimit / 2)
-		gs.all[0].Broke("e", "gone", "bad", 1)
-		gs.clock.Advance(2 * brokenFor) // the node was paused
-		gs.all[0].Tick()
-		time.Sleep(dialLimit)
+// Guards against evidence that is dropped because the node was paused between the crash and the
+// end of its check.
+func TestCrashIsReportedAfterLongCheck(t *testing.T) {
+	runInBubble(t, func(is *is.I) {
+		tc := newTestCluster(2)
+		tc.nodes[0].Dial = delayedDial(dialTimeout / 2)
+		tc.nodes[0].Broke("e", "gone", "bad", 1)
+		tc.clock.Advance(2 * checkRetention) // the node was paused
+		tc.nodes[0].Tick()
+		time.Sleep(dialTimeout)
 		synctest.Wait()
-		is.Equal(gs.all[1].tally.Saw("bad"), 1)
+		is.Equal(tc.nodes[1].tally.Saw("bad"), 1)
 	})
 }
 
-// Guards against an end that is missed because the first connection got no answer.
-func TestEndIsSeenAfterSilence(t *testing.T) {
-	bubble(t, func(is *is.I) {
+// Guards against a crash that goes undetected because the first connections time out.
+func TestCrashIsDetectedAfterDialTimeouts(t *testing.T) {
+	runInBubble(t, func(is *is.I) {
 		g := Alone(clock.NewManual(clock.Instant(time.Hour)), slog.New(slog.DiscardHandler))
 		dials := 0
 		g.Dial = func(ctx context.Context, _ string) (net.Conn, error) {
@@ -380,19 +383,19 @@
 			}
 			return nil, syscall.ECONNREFUSED
 		}
-		is.Equal(g.liveness("busy"), Refused)
+		is.Equal(g.probeLiveness("busy"), Refused)
 	})
 }
 
-// Endpoints end within a millisecond of beginning to run a request, and its repeat is at
-// hand at once. It waits for the look at the endpoint, a round trip, so that what was seen
-// counts before the next one ends: not four endpoints for each client attempt. Where the
-// look gets no answer the repeat goes on without it, later if the request has seen ends.
-func TestRepeatWaitsForTheCheckOfTheEndpoint(t *testing.T) {
-	bubble(t, func(is *is.I) {
+// Guards against four crashes for each client attempt where endpoints crash within a
+// millisecond. The retry, which is due at once, waits for the check of the endpoint (a round
+// trip), so that the crash counts before the next one. Without a result it is sent after
+// checkWait, or suspectCheckWait if the request has seen crashes.
+func TestRetryWaitsForEndpointCheck(t *testing.T) {
+	runInBubble(t, func(is *is.I) {
 		const roundTrip = 3 * time.Millisecond
 		g := Alone(clock.NewManual(clock.Instant(time.Hour)), slog.New(slog.DiscardHandler))
-		g.Dial = slowly(roundTrip)
+		g.Dial = delayedDial(roundTrip)
 		ended := 0
 		for attempt := range uint32(3) {
 			for range 4 {
@@ -404,21 +407,21 @@
 			}
 			g.Clock.(*clock.Manual).Advance(time.Second)
 		}
-		is.Equal(ended, harmFew)
+		is.Equal(ended, minCrashesFewAttempts)
 
-		g.Dial = slowly(checkLimit)
+		g.Dial = delayedDial(checkTimeout)
 		g.Broke("silent", "silent", "good", 1)
 		begun := time.Now()
 		_, refused := g.Refused(context.Background(), "good")
 		is.True(!refused)
 		is.Equal(time.Since(begun), checkWait)
-		time.Sleep(2 * checkLimit) // until the check is over
+		time.Sleep(2 * checkTimeout) // until the check has completed
 
-		for i := range suspectEnds {
+		for i := range minSuspectCrashes {
 			g.Hear(Message{Node: "n", Ends: []End{{Endpoint: fmt.Sprint("x", i), Runs: []Run{{Fingerprint: "suspect", Attempt: 1}}}}})
 		}
 		const slow = 5 * checkWait
-		g.Dial = slowly(slow)
+		g.Dial = delayedDial(slow)
 		g.Broke("e", "gone", "suspect", 1)
 		begun = time.Now()
 		g.Refused(context.Background(), "suspect")
@@ -427,8 +430,8 @@
 }
 
 // Guards against checks that outlive their guard.
-func TestClosedGuardChecksNothing(t *testing.T) {
-	bubble(t, func(is *is.I) {
+func TestClosedGuardStartsNoChecks(t *testing.T) {
+	runInBubble(t, func(is *is.I) {
 		g := Alone(clock.NewManual(clock.Instant(time.Hour)), slog.New(slog.DiscardHandler))
 		near, far := net.Pipe()
 		dials := 0
@@ -449,9 +452,9 @@
 	})
 }
 
-// Guards against a request that all nodes refuse although the one that finds it has seen it
-// run well.
-func TestFindersOwnRunsSpeakForARequest(t *testing.T) {
+// Guards against all nodes refusing a request although the node that finds it has seen its
+// successful runs.
+func TestOwnSuccessesPreventFinding(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(clock.Instant(time.Hour))
 	var found, kept int
@@ -474,17 +477,17 @@
 	is.Equal(kept, 0)
 }
 
-// Guards against a finding that is told, or read, after its request was lifted.
-func TestLateFindingDoesntUndoALift(t *testing.T) {
-	bubble(t, func(is *is.I) {
-		gs := newGuards(1)
-		g, found := gs.all[0], Verdict{Fingerprint: "hot", Ends: 4, Attempts: 4}
+// Guards against a finding that is received, or read, after its request was lifted.
+func TestLateFindingDoesNotUndoLift(t *testing.T) {
+	runInBubble(t, func(is *is.I) {
+		tc := newTestCluster(1)
+		g, found := tc.nodes[0], Verdict{Fingerprint: "hot", Ends: 4, Attempts: 4}
 		g.Hear(Message{Node: "n", Lifted: []Fingerprint{"hot"}})
 		g.Hear(Message{Node: "n", Found: []Verdict{found}})
 		g.TakeKept([]Verdict{found})
-		is.Equal(gs.refusing("hot"), 0)
-		gs.pass(foundLate)
+		is.Equal(tc.countRefusing("hot"), 0)
+		tc.advance(lateFindingWindow)
 		g.Hear(Message{Node: "n", Found: []Verdict{found}})
-		is.Equal(gs.refusing("hot"), 1) // found anew
+		is.Equal(tc.countRefusing("hot"), 1) // found again
 	})
 }
--- a/internal/quarantine/history.go
+++ b/internal/quarantine/history.go
@@ -6,39 +6,39 @@
 	"chervilloom/internal/clock"
 )
 
-// history counts the runs of each request that ended well at this node, of late.
+// history counts the recent successful runs of each request at this node, in two generations.
 type history struct {
-	now, before map[Fingerprint]int
-	since       clock.Instant // when now was begun
+	current, previous map[Fingerprint]int
+	startedAt         clock.Instant // when current was started
 }
 
-// The bounds of a history. Of 4,200 requests a second 370 nodes see 11 each: two
-// generations of 2,048 hold the last 3 to 6 minutes. A request of before that counts as
-// one that never ran well.
+// Bounds of a history. Of 4,200 requests a second each of 370 nodes sees 11: two generations of
+// 2,048 cover the last 3 to 6 minutes. A request whose runs are older counts as one without
+// successful runs.
 const (
-	mostHistory   = 2048
-	historyMemory = endsMemory / 2
+	maxHistory         = 2048
+	generationLifetime = crashRetention / 2
 )
 
 func (h *history) add(fp Fingerprint, now clock.Instant) {
-	if h.now == nil || len(h.now) >= mostHistory || now.Sub(h.since) > historyMemory {
-		h.before, h.now, h.since = h.now, map[Fingerprint]int{}, now
+	if h.current == nil || len(h.current) >= maxHistory || now.Sub(h.startedAt) > generationLifetime {
+		h.previous, h.current, h.startedAt = h.current, map[Fingerprint]int{}, now
 	}
-	h.now[fp]++
+	h.current[fp]++
 }
 
-func (h *history) runs(fp Fingerprint) int { return h.now[fp] + h.before[fp] }
+func (h *history) runs(fp Fingerprint) int { return h.current[fp] + h.previous[fp] }
 
-// Times of the quarantine.
+// Durations of the quarantine.
 const (
-	// banFor is how long a request is refused before one run of it is tried: whoever runs
-	// the engines needs minutes to see what it does to them, and each try may end one
-	// with all that it serves.
-	banFor = 10 * time.Minute
-	// forgetAfter is how long a request is remembered for which no try was asked: it then
-	// has the rights of one that was never seen.
-	forgetAfter = time.Hour
-	// tryPause is the least pause between two times that a node asks for the try of a
-	// request: another node may have it, or the store may be away.
-	tryPause = 10 * time.Second
+	// banDuration is how long a request is refused before a trial run: operators of the engines
+	// need minutes to see what the request does, and each trial may crash an engine with
+	// everything it serves.
+	banDuration = 10 * time.Minute
+	// banRetention is how long a ban is kept for which no trial was requested. After that the
+	// request is treated as one that was never seen.
+	banRetention = time.Hour
+	// trialRetryPause is the minimum pause between two trial requests that a node makes for the
+	// same request: another node may have the trial, or the store may be unavailable.
+	trialRetryPause = 10 * time.Second
 )
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -8,79 +8,81 @@
 	"chervilloom/internal/clock"
 )
 
-// The evidence that it takes to find a request harmful. Whoever shared an endpoint with
-// it saw that endpoint end as well; what sets the harmful one apart is that it was at
-// all ends, and that others were not.
+// Thresholds for finding a request harmful. Every request that shared an endpoint with the
+// harmful one has seen that crash too; what distinguishes the harmful one is that it was present
+// at all crashes while the others missed some.
 const (
-	// harmEnds is how many ends a request must have seen. The platform's bound begins
-	// with the third: from 3 s after it on three more runs are allowed.
-	harmEnds = 3
-	// harmAttempts is how many client attempts must have seen one. A stream that is sent
-	// again after an end, and meets the next one at the same endpoint as the harmful
-	// request, is one attempt all the while.
-	harmAttempts = 2
-	// harmSurely is how many client attempts tell a harmful request at once from one whose
-	// client merely came back. With two of them it takes harmFew ends, which a route that
-	// lets a request run twice never allows.
-	harmSurely = 3
-	harmFew    = 5
-	// harmClearly is how many times as many ends it must have seen as missed with two
-	// attempts.
-	harmClearly = 8
-	// harmMargin is how many of its ends each other request must have missed. Streams
-	// that move together from one end to the next share all but few of them; a harmful
-	// request that comes again without them gets ahead of them by its repeats.
-	harmMargin = 2
-	// harmMany is from how many ends on one that the others missed is enough: what a
-	// client sends many times at once may be at most endpoints for seconds.
-	harmMany = 8
-	// harmSettles is the time after its third end after which nothing else is weighed: what
-	// moved along with it is over by then.
-	harmSettles = 2 * time.Second
-	// harmSound is how many runs may have ended well for each end: a request that ends
-	// its endpoint every other time is found, one that many clients repeat all day and
-	// that sees an end now and then isn't.
-	harmSound = 3
-	// herdSpan is the time within which ends count as one loss if most of them were
-	// without the request: a rack, a zone or a release takes many endpoints at once, and
-	// a request that clients repeat at once may have been at several of them.
-	herdSpan = 100 * time.Millisecond
-	// herdEnds is from how many ends at one moment on time alone proves nothing.
-	herdEnds = 4
+	// minHarmfulCrashes is how many crashes a request must have seen. The platform's bound
+	// starts with the third: from 3 s after it at most three more runs are allowed.
+	minHarmfulCrashes = 3
+	// minHarmfulAttempts is how many client attempts must have seen a crash. A stream that is
+	// resumed after a crash and meets the next one at the same endpoint as the harmful request
+	// is still a single attempt.
+	minHarmfulAttempts = 2
+	// conclusiveAttempts is how many client attempts distinguish a harmful request at once from
+	// one whose client merely retried. With only two attempts minCrashesFewAttempts crashes are
+	// required, which never happens on a route that lets a request run twice.
+	conclusiveAttempts    = 3
+	minCrashesFewAttempts = 5
+	// minSeenPerMissed is the minimum ratio of crashes seen to crashes missed when there are
+	// only two attempts.
+	minSeenPerMissed = 8
+	// minMissedByOthers is how many of its crashes each other request must have missed. Streams
+	// that move together from one crash to the next share all but a few of them; a harmful
+	// request that returns without them gets ahead by its retries.
+	minMissedByOthers = 2
+	// manyCrashes is the number of crashes from which it suffices that the others missed one: a
+	// request that a client sends many times at once may be at most of the endpoints for seconds.
+	manyCrashes = 8
+	// settleTime is the time after the third crash after which other requests are no longer
+	// compared: those that moved along with the harmful one have finished by then.
+	settleTime = 2 * time.Second
+	// maxSuccessesPerCrash is how many successful runs are allowed for each crash. A request
+	// that crashes every other endpoint is found; one that many clients repeat all day and that
+	// sees an occasional crash is not.
+	maxSuccessesPerCrash = 3
+	// massLossWindow is the time within which crashes count as one loss if most of them were
+	// without the request. The loss of a rack or a zone, or a release, stops many endpoints at
+	// once, and a request that clients repeat at once may have been at several of them.
+	massLossWindow = 100 * time.Millisecond
+	// massLossCrashes is the number of simultaneous crashes from which settleTime alone proves
+	// nothing.
+	massLossCrashes = 4
 )
 
-// Verdict says that a request ends the endpoints that run it, and on what evidence.
+// Verdict states that a request crashes the endpoints that run it, or is suspected of it, and
+// the evidence.
 type Verdict struct {
 	Fingerprint Fingerprint `json:"f"`
-	Ends        int         `json:"ends"`     // that it has seen and no other request explains
-	Attempts    int         `json:"attempts"` // of clients that saw one
-	// Tries is how many runs were allowed since to see whether it still does.
+	Ends        int         `json:"ends"`     // crashes that it has seen and that no other request explains
+	Attempts    int         `json:"attempts"` // client attempts that saw a crash
+	// Tries is the number of trial runs that were granted since the finding.
 	Tries int `json:"tries,omitempty"`
-	// Suspect says that it isn't found harmful: it is run, one run at a time.
+	// Suspect is set if the request is not found harmful but limited to one run at a time.
 	Suspect bool `json:"suspect,omitempty"`
 }
 
-// Judge returns the requests that are found harmful at now, without those that known
-// holds. An end under one of these, or under one that is found first, says nothing of the
-// others that were there.
-func (t *Tally) Judge(known func(Fingerprint) bool, now clock.Instant) []Verdict {
+// Judge returns the requests that are found harmful at now, without those for which
+// isKnownHarmful is true. A crash under one of these, or under one that is found earlier in the
+// same call, is no evidence against the other requests that were there.
+func (t *Tally) Judge(isKnownHarmful func(Fingerprint) bool, now clock.Instant) []Verdict {
 	found := map[Fingerprint]bool{}
-	var open []Fingerprint
-	for fp, s := range t.byPrint {
+	var undecided []Fingerprint
+	for fp, s := range t.byFingerprint {
 		switch {
-		case known(fp):
+		case isKnownHarmful(fp):
 			found[fp] = true
-		case len(s.ends) >= harmEnds:
-			open = append(open, fp)
+		case len(s.crashes) >= minHarmfulCrashes:
+			undecided = append(undecided, fp)
 		}
 	}
-	// Whoever saw the most ends first: its ends then explain those of the others.
-	slices.SortFunc(open, func(a, b Fingerprint) int {
-		return cmp.Or(cmp.Compare(len(t.byPrint[b].ends), len(t.byPrint[a].ends)), cmp.Compare(a, b))
+	// The request with the most crashes first: its crashes then explain those of the others.
+	slices.SortFunc(undecided, func(a, b Fingerprint) int {
+		return cmp.Or(cmp.Compare(len(t.byFingerprint[b].crashes), len(t.byFingerprint[a].crashes)), cmp.Compare(a, b))
 	})
 	var out []Verdict
-	for _, fp := range open {
-		if v, harmful := t.judge(fp, found, now); harmful {
+	for _, fp := range undecided {
+		if v, harmful := t.judgeRequest(fp, found, now); harmful {
 			out = append(out, v)
 			found[fp] = true
 		}
@@ -88,76 +90,77 @@
 	return out
 }
 
-func (s *suspect) harmless() bool { return s.sound.harmless(len(s.ends)) }
+func (s *requestEvidence) isHarmless() bool { return s.successes.isHarmless(len(s.crashes)) }
 
-// soundCounts are the runs of a request that ended well, of late, by the node that tells.
-type soundCounts map[string]int
+// successCounts is the number of recent successful runs of a request, by the node that reports
+// them.
+type successCounts map[string]int
 
-func (c soundCounts) note(node string, runs int) { c[node] = max(c[node], runs) }
+func (c successCounts) note(node string, runs int) { c[node] = max(c[node], runs) }
 
-// harmless reports whether the request ran well too often to be what ended that many
-// endpoints.
-func (c soundCounts) harmless(ends int) bool {
+// isHarmless reports whether the request succeeded too often to be the cause of that many
+// crashes.
+func (c successCounts) isHarmless(crashes int) bool {
 	n := 0
 	for _, runs := range c {
 		n += runs
 	}
-	return n > harmSound*ends
+	return n > maxSuccessesPerCrash*crashes
 }
 
-// judge weighs the ends of one request that none of those found explains.
-func (t *Tally) judge(fp Fingerprint, found map[Fingerprint]bool, now clock.Instant) (Verdict, bool) {
-	s := t.byPrint[fp]
-	own := t.ownEnds(fp, found)
+// judgeRequest weighs the crashes of one request that no request in found explains.
+func (t *Tally) judgeRequest(fp Fingerprint, found map[Fingerprint]bool, now clock.Instant) (Verdict, bool) {
+	s := t.byFingerprint[fp]
+	own := t.unexplainedCrashes(fp, found)
 	v := Verdict{Fingerprint: fp, Ends: len(own), Attempts: len(s.attempts)}
-	if v.Ends < harmEnds || v.Attempts < harmAttempts || s.harmless() {
+	if v.Ends < minHarmfulCrashes || v.Attempts < minHarmfulAttempts || s.isHarmless() {
 		return v, false
 	}
-	third, last := own[harmEnds-1], own[len(own)-1]
-	if now.Sub(third.at) > harmSettles && !t.herd(own) {
-		return v, true // those that moved along with it are over
+	third, last := own[minHarmfulCrashes-1], own[len(own)-1]
+	if now.Sub(third.at) > settleTime && !t.hasMassLoss(own) {
+		return v, true // requests that moved along with it have finished
 	}
-	if v.Attempts < harmSurely && v.Ends < harmFew {
+	if v.Attempts < conclusiveAttempts && v.Ends < minCrashesFewAttempts {
 		return v, false
 	}
-	settled := last.at.Sub(third.at) > harmSettles
-	if !settled && v.Attempts < harmSurely && harmClearly*t.missed(fp, own) > v.Ends {
+	settled := last.at.Sub(third.at) > settleTime
+	if !settled && v.Attempts < conclusiveAttempts && minSeenPerMissed*t.countMissed(fp, own) > v.Ends {
 		return v, false
 	}
-	margin := harmMargin
-	if settled || v.Ends >= harmMany {
+	margin := minMissedByOthers
+	if settled || v.Ends >= manyCrashes {
 		margin = 1
 	}
-	return v, t.ahead(fp, own, margin)
+	return v, t.allOthersMissed(fp, own, margin)
 }
 
-// ownEnds returns the ends that the request has seen, without those that another one
-// explains and those that tell nothing beside another.
-func (t *Tally) ownEnds(fp Fingerprint, found map[Fingerprint]bool) []*end {
-	s := t.byPrint[fp]
-	var own []*end
-	for _, e := range s.ends {
-		if !t.explained(e, found, len(s.ends)) && !t.sameLoss(fp, e, own) {
+// unexplainedCrashes returns the crashes that the request has seen, without those that a harmful
+// request explains and those that belong to the same loss as another one.
+func (t *Tally) unexplainedCrashes(fp Fingerprint, found map[Fingerprint]bool) []*crash {
+	s := t.byFingerprint[fp]
+	var own []*crash
+	for _, e := range s.crashes {
+		if !t.isExplained(e, found, len(s.crashes)) && !t.isSameLoss(fp, e, own) {
 			own = append(own, e)
 		}
 	}
 	return own
 }
 
-// explained reports whether a request that was found harmful was at the end, and at no
-// fewer ends than the one that is judged: what has seen more is harmful by itself.
-func (t *Tally) explained(e *end, found map[Fingerprint]bool, ends int) bool {
+// isExplained reports whether a harmful request was present at the crash and has seen at least
+// as many crashes as the judged one. A request that has seen more is judged by itself.
+func (t *Tally) isExplained(e *crash, found map[Fingerprint]bool, crashes int) bool {
 	for other := range e.runs {
-		if found[other] && len(t.byPrint[other].ends) >= ends {
+		if found[other] && len(t.byFingerprint[other].crashes) >= crashes {
 			return true
 		}
 	}
 	return false
 }
 
-// ahead reports whether every other request that may be harmful missed at least margin
-// of the ends.
-func (t *Tally) ahead(fp Fingerprint, own []*end, margin int) bool {
+// allOthersMissed reports whether every other request that may be harmful missed at least margin
+// of the crashes.
+func (t *Tally) allOthersMissed(fp Fingerprint, own []*crash, margin int) bool {
 	shared := map[Fingerprint]int{}
 	for _, e := range own {
 		for other := range e.runs {
@@ -165,15 +168,15 @@
 		}
 	}
 	for other, n := range shared {
-		if other != fp && len(own)-n < margin && !t.byPrint[other].harmless() {
+		if other != fp && len(own)-n < margin && !t.byFingerprint[other].isHarmless() {
 			return false
 		}
 	}
 	return true
 }
 
-// missed counts the ends without the request between its first and its last one.
-func (t *Tally) missed(fp Fingerprint, own []*end) int {
+// countMissed counts the crashes without the request between its first and its last one.
+func (t *Tally) countMissed(fp Fingerprint, own []*crash) int {
 	n := 0
 	for _, e := range t.order {
 		if e.runs[fp] == nil && e.at.After(own[0].at) && e.at.Before(own[len(own)-1].at) {
@@ -183,25 +186,25 @@
 	return n
 }
 
-// sameLoss reports whether the end tells nothing beside those of own at the same moment:
-// many endpoints ended together, or the request was at several of them because its
-// clients had sent it more than once. One client attempt that met one end after the other
-// within a few milliseconds tells of each.
-func (t *Tally) sameLoss(fp Fingerprint, e *end, own []*end) bool {
-	beside, chained := false, false
+// isSameLoss reports whether the crash adds no evidence to the simultaneous ones in own: many
+// endpoints were lost together, or the request was at several of them because its clients had
+// sent it more than once. A single client attempt that meets one crash after the other within a
+// few milliseconds is evidence for each of them.
+func (t *Tally) isSameLoss(fp Fingerprint, e *crash, own []*crash) bool {
+	simultaneous, chained := false, false
 	for _, o := range own {
-		if near(e, o) {
-			beside = true
-			chained = chained || sameAttempt(o.runs[fp], e.runs[fp])
+		if isSimultaneous(e, o) {
+			simultaneous = true
+			chained = chained || shareAttempt(o.runs[fp], e.runs[fp])
 		}
 	}
-	if !beside {
+	if !simultaneous {
 		return false
 	}
 	with, without := 0, 0
 	for _, o := range t.order {
 		switch {
-		case !near(e, o):
+		case !isSimultaneous(e, o):
 		case o.runs[fp] != nil:
 			with++
 		default:
@@ -211,19 +214,19 @@
 	return without > 0 && (!chained || without >= with)
 }
 
-func sameAttempt(a, b []uint32) bool {
+func shareAttempt(a, b []uint32) bool {
 	return slices.ContainsFunc(a, func(attempt uint32) bool { return slices.Contains(b, attempt) })
 }
 
-// herd reports whether one of the ends was among many at the same moment.
-func (t *Tally) herd(own []*end) bool {
-	return slices.ContainsFunc(own, func(e *end) bool {
+// hasMassLoss reports whether one of the crashes was among massLossCrashes simultaneous ones.
+func (t *Tally) hasMassLoss(own []*crash) bool {
+	return slices.ContainsFunc(own, func(e *crash) bool {
 		n := 0
 		for _, o := range t.order {
-			if near(e, o) {
+			if isSimultaneous(e, o) {
 				n++
 			}
 		}
-		return n >= herdEnds
+		return n >= massLossCrashes
 	})
 }
--- a/internal/quarantine/message.go
+++ b/internal/quarantine/message.go
@@ -1,46 +1,47 @@
 package quarantine
 
-// Message is what a node tells others of ends and of requests. All of it may be told
-// again: what is known already changes nothing.
+// Message carries evidence and verdicts between nodes. It is idempotent: receiving it again
+// changes nothing.
 type Message struct {
-	Node string `json:"n"` // that tells
-	// Ends go to the nodes that tally.
+	Node string `json:"n"` // the sender
+	// Ends is sent to the nodes that tally.
 	Ends []End `json:"e,omitempty"`
-	// Sound goes to them too: how often a request ran well that was found harmful.
+	// Sound is sent to them as well: the sender's successful runs of a request that was found
+	// harmful.
 	Sound *SoundRuns `json:"s,omitempty"`
-	// Ask, Found, Lifted and Released go to all nodes. Ask is about to be found: whoever
-	// has seen such a request run well tells so. Released are suspects no more; what is
-	// known of their ends stands.
+	// Ask, Found, Lifted and Released are sent to all nodes. Ask lists requests that are about
+	// to be found harmful: nodes that have seen successful runs of them report these. Released
+	// requests are no longer suspects; their crashes stay in the tallies.
 	Ask      []Fingerprint `json:"a,omitempty"`
 	Found    []Verdict     `json:"v,omitempty"`
 	Lifted   []Fingerprint `json:"l,omitempty"`
 	Released []Fingerprint `json:"f,omitempty"`
 }
 
-// SoundRuns is how many runs of a request ended well at a node, of late.
+// SoundRuns is the number of recent successful runs of a request at a node.
 type SoundRuns struct {
 	Fingerprint Fingerprint `json:"f"`
 	Runs        int         `json:"k"`
 }
 
-// itemsPerMessage bounds the ends and runs of one message: an item takes up to 50 bytes,
-// and a packet holds 1,400.
+// itemsPerMessage bounds the crashes and runs of one message: an item takes up to 50 bytes, and
+// a packet up to 1,400.
 const itemsPerMessage = 24
 
-// pack divides ends over messages.
-func pack(node string, ends []End) []Message {
+// packCrashes distributes crashes over messages of at most itemsPerMessage items.
+func packCrashes(node string, crashes []End) []Message {
 	var out []Message
-	room := 0
-	for _, e := range ends {
+	remaining := 0
+	for _, e := range crashes {
 		for len(e.Runs) > 0 {
-			if room < 2 { // the endpoint and a run
+			if remaining < 2 { // one item for the endpoint and one for a run
 				out = append(out, Message{Node: node})
-				room = itemsPerMessage
+				remaining = itemsPerMessage
 			}
-			n := min(room-1, len(e.Runs))
+			n := min(remaining-1, len(e.Runs))
 			last := &out[len(out)-1]
 			last.Ends = append(last.Ends, End{e.Endpoint, e.Runs[:n], e.at})
-			e.Runs, room = e.Runs[n:], room-1-n
+			e.Runs, remaining = e.Runs[n:], remaining-1-n
 		}
 	}
 	return out
--- a/internal/quarantine/metrics.go
+++ b/internal/quarantine/metrics.go
@@ -3,8 +3,8 @@
 import "github.com/prometheus/client_golang/prometheus"
 
 type metrics struct {
-	found, refused, ends, suspects prometheus.Counter
-	checks                         *prometheus.CounterVec
+	found, refused, crashes, suspects prometheus.Counter
+	checks                            *prometheus.CounterVec
 }
 
 func newMetrics(reg prometheus.Registerer, banned func() float64) *metrics {
@@ -15,13 +15,13 @@
 		found:    counter("chervilloom_quarantine_found_total", "Requests that this node has heard to end endpoints."),
 		refused:  counter("chervilloom_quarantine_refused_total", "Sends that were refused because the request ends endpoints."),
 		suspects: counter("chervilloom_quarantine_suspects_total", "Requests that this node has heard to be run one at a time."),
-		ends:     counter("chervilloom_quarantine_ends_total", "Endpoints that ended with requests of this node."),
+		crashes:  counter("chervilloom_quarantine_ends_total", "Endpoints that ended with requests of this node."),
 		checks: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "chervilloom_quarantine_checks_total", Help: "Checks of endpoints at which requests broke off, by what they found.",
 		}, []string{"result"}),
 	}
 	if reg != nil {
-		reg.MustRegister(m.found, m.refused, m.ends, m.suspects, m.checks, prometheus.NewGaugeFunc(prometheus.GaugeOpts{
+		reg.MustRegister(m.found, m.refused, m.crashes, m.suspects, m.checks, prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "chervilloom_quarantine_requests", Help: "Requests that are refused now.",
 		}, banned))
 	}
--- a/internal/quarantine/runs.go
+++ b/internal/quarantine/runs.go
@@ -5,20 +5,20 @@
 	"sync"
 )
 
-// run is a run of a request that is under way at this node.
+// run is a run of a request that is in flight at this node.
 type run struct {
 	mu     sync.Mutex
-	recall func() // ends it, so that it may be made again later; nil: it must go on, or is over
+	recall func() // cancels the run, so that it can be made again later; nil: the run must not be cancelled, or has ended
 }
 
-func (r *run) end() {
+func (r *run) markEnded() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.recall = nil
 }
 
-// recalled ends the run and reports whether it did.
-func (r *run) recalled() bool {
+// tryRecall cancels the run if that is possible, and reports whether it did.
+func (r *run) tryRecall() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.recall == nil {
@@ -28,30 +28,30 @@
 	return true
 }
 
-// Begin notes a run that begins; the function that it returns notes its end. recall is
-// called if the request becomes a suspect and another run goes on; nil: the run must go on,
-// since the request may not run again.
+// Begin records the start of a run and returns the function that records its end. recall is
+// called if the request becomes a suspect and another run continues; nil: the run must not be
+// cancelled, since the request may not run again.
 func (g *Guard) Begin(fp Fingerprint, recall func()) (end func()) {
 	r := &run{recall: recall}
 	g.mu.Lock()
 	g.runs[fp] = append(g.runs[fp], r)
 	g.mu.Unlock()
 	return func() {
-		r.end()
+		r.markEnded()
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		left := slices.DeleteFunc(g.runs[fp], func(o *run) bool { return o == r })
-		if len(left) == 0 {
+		remaining := slices.DeleteFunc(g.runs[fp], func(o *run) bool { return o == r })
+		if len(remaining) == 0 {
 			delete(g.runs, fp)
 			return
 		}
-		g.runs[fp] = left
+		g.runs[fp] = remaining
 	}
 }
 
-// keepOneRun recalls the runs of a suspect that are under way here, but for the oldest one
-// if this node may make its run. What clients send many times at once would otherwise end
-// an endpoint with each of them.
+// keepOneRun recalls the runs of a suspect that are in flight here, except the oldest one if
+// this node has the trial run or could not request it. A request that clients send many times at
+// once would otherwise crash an endpoint with each of them.
 func (g *Guard) keepOneRun(v Verdict) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -59,24 +59,24 @@
 	if b == nil || len(runs) == 0 || g.ctx.Err() != nil {
 		return
 	}
-	b.asked = g.Clock.Now()
+	b.trialRequestedAt = g.Clock.Now()
 	g.work.Go(func() {
-		granted, err := g.try(g.ctx, b, v)
+		granted, err := g.acquireTrial(g.ctx, b, v)
 		if granted || err != nil {
 			runs = runs[1:]
 		}
-		g.recall(v.Fingerprint, runs)
+		g.recallRuns(v.Fingerprint, runs)
 	})
 }
 
-func (g *Guard) recall(fp Fingerprint, runs []*run) {
+func (g *Guard) recallRuns(fp Fingerprint, runs []*run) {
 	recalled := 0
 	for _, r := range runs {
-		if r.recalled() {
+		if r.tryRecall() {
 			recalled++
 		}
 	}
 	if recalled > 0 {
-		g.Log.Info("runs of a suspect are recalled", "fingerprint", fp, "runs", recalled)
+		g.Log.Info("runs of a suspect recalled", "fingerprint", fp, "runs", recalled)
 	}
 }
--- a/internal/quarantine/suspects.go
+++ b/internal/quarantine/suspects.go
@@ -7,89 +7,89 @@
 	"chervilloom/internal/clock"
 )
 
-// The evidence on which a request is a suspect. Its runs are made one at a time over all
-// nodes until one ends well or it is found harmful: client attempts that come at the same
-// moment would each end one endpoint more before the first of them tells anything.
+// Thresholds for a suspect. Over all nodes only one run of it is made at a time until one
+// succeeds or it is found harmful: simultaneous client attempts would otherwise each crash one
+// more endpoint before the first crash is known.
 const (
-	// suspectEnds is how many ends it must have seen that nothing else explains, over at
-	// least suspectAttempts client attempts.
-	suspectEnds     = 2
-	suspectAttempts = 2
-	// suspectSurely is how many ends are enough for one client attempt.
-	suspectSurely = 3
+	// minSuspectCrashes is the number of crashes without another explanation that a request must
+	// have seen over at least minSuspectAttempts client attempts.
+	minSuspectCrashes  = 2
+	minSuspectAttempts = 2
+	// minSuspectCrashesOneAttempt is the number that suffices for a single client attempt.
+	minSuspectCrashesOneAttempt = 3
 )
 
-// Times of a suspect.
+// Durations for a suspect.
 const (
-	// suspectPause is the time after which a run of which nothing was heard allows another
-	// one: its node may have ended.
-	suspectPause = 2 * time.Second
-	// suspectReturn is after what time a client that met another run may come back.
-	suspectReturn = 500 * time.Millisecond
-	// suspectWait is how long a request waits for the run of a suspect that is under way.
-	suspectWait = 300 * time.Millisecond
-	// suspectFor is how long a suspect is remembered that sees no further end.
-	suspectFor = time.Minute
+	// suspectRunTimeout is the time without a result after which another run may be made: the
+	// node that made the run may have crashed.
+	suspectRunTimeout = 2 * time.Second
+	// suspectRetryAfter is the retry time sent to a client whose request met another run.
+	suspectRetryAfter = 500 * time.Millisecond
+	// suspectRunWait is how long a request waits for the run of a suspect that is in flight.
+	suspectRunWait = 300 * time.Millisecond
+	// suspectRetention is how long a suspect without further crashes is kept.
+	suspectRetention = time.Minute
 )
 
-// Suspects returns the requests that are to run one at a time, without those that known
-// holds.
-func (t *Tally) Suspects(known func(Fingerprint) bool) []Verdict {
+// Suspects returns the requests to be limited to one run at a time, without those for which
+// isKnownHarmful is true.
+func (t *Tally) Suspects(isKnownHarmful func(Fingerprint) bool) []Verdict {
 	found := map[Fingerprint]bool{}
-	for fp := range t.byPrint {
-		if known(fp) {
+	for fp := range t.byFingerprint {
+		if isKnownHarmful(fp) {
 			found[fp] = true
 		}
 	}
 	var out []Verdict
-	for fp, s := range t.byPrint {
-		if found[fp] || len(s.ends) < suspectEnds || s.harmless() {
+	for fp, s := range t.byFingerprint {
+		if found[fp] || len(s.crashes) < minSuspectCrashes || s.isHarmless() {
 			continue
 		}
-		own := t.ownEnds(fp, found)
+		own := t.unexplainedCrashes(fp, found)
 		v := Verdict{Fingerprint: fp, Ends: len(own), Attempts: len(s.attempts), Suspect: true}
-		if suspicious(v) && own[len(own)-1].at.After(s.released) {
+		if isSuspicious(v) && own[len(own)-1].at.After(s.releasedAt) {
 			out = append(out, v)
 		}
 	}
 	return out
 }
 
-func suspicious(v Verdict) bool {
-	return v.Ends >= suspectSurely || v.Ends >= suspectEnds && v.Attempts >= suspectAttempts
+func isSuspicious(v Verdict) bool {
+	return v.Ends >= minSuspectCrashesOneAttempt || v.Ends >= minSuspectCrashes && v.Attempts >= minSuspectAttempts
 }
 
-// Release has the request run freely until it sees another end.
+// Release removes the request from the suspects until it sees another crash.
 func (t *Tally) Release(fp Fingerprint, now clock.Instant) {
-	if s := t.byPrint[fp]; s != nil {
-		s.released = now
+	if s := t.byFingerprint[fp]; s != nil {
+		s.releasedAt = now
 	}
 }
 
-// awaitRun waits for the run of a suspect that is under way, until a time at most.
-func (g *Guard) awaitRun(ctx context.Context, fp Fingerprint, until clock.Instant) {
+// awaitRun waits until the run of a suspect that is in flight ends, deadline passes or ctx ends.
+func (g *Guard) awaitRun(ctx context.Context, fp Fingerprint, deadline clock.Instant) {
 	g.mu.Lock()
 	b, now := g.bans[fp], g.Clock.Now()
-	if b == nil || !b.Suspect || b.due(now) {
+	if b == nil || !b.Suspect || b.isTrialDue(now) {
 		g.mu.Unlock()
 		return
 	}
-	wait := min(until.Sub(now), suspectPause-now.Sub(b.asked))
+	wait := min(deadline.Sub(now), suspectRunTimeout-now.Sub(b.trialRequestedAt))
 	changed := b.changed
 	g.mu.Unlock()
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	select {
 	case <-changed:
-	case <-limit.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// release ends the suspicion against a request at all nodes, and reports whether there was
-// one.
+// release ends the suspicion against a request at all nodes, and reports whether it was a
+// suspect.
 func (g *Guard) release(fp Fingerprint, reason string) bool {
-	if !g.free(fp, reason) {
+	if !g.clearSuspect(fp, reason) {
 		return false
 	}
 	g.Announce(Message{Node: g.Node, Released: []Fingerprint{fp}})
@@ -99,8 +99,9 @@
 	return true
 }
 
-// free reports whether the request was a suspect until now.
-func (g *Guard) free(fp Fingerprint, reason string) bool {
+// clearSuspect ends the suspicion at this node only, and reports whether the request was a
+// suspect.
+func (g *Guard) clearSuspect(fp Fingerprint, reason string) bool {
 	g.mu.Lock()
 	g.tally.Release(fp, g.Clock.Now())
 	b := g.bans[fp]
@@ -109,8 +110,8 @@
 		return false
 	}
 	g.remove(fp)
-	g.freed[fp] = g.Clock.Now()
+	g.releasedAt[fp] = g.Clock.Now()
 	g.mu.Unlock()
-	g.Log.Info("request is no suspect any more", "fingerprint", fp, "reason", reason)
+	g.Log.Info("request is no longer a suspect", "fingerprint", fp, "reason", reason)
 	return true
 }
--- a/internal/quarantine/tally.go
+++ b/internal/quarantine/tally.go
@@ -7,136 +7,138 @@
 	"chervilloom/internal/clock"
 )
 
-// The bounds of a tally: the last 256 ends, each with the requests of an engine and more.
-// Those of before are forgotten, oldest first, and with them what they showed: after a
-// loss of more endpoints at once a request is counted anew.
+// Bounds of a tally: the last 256 crashes, each with more requests than an engine runs. Older
+// crashes are evicted first, together with their evidence: after the loss of more endpoints at
+// once the count of a request starts again.
 const (
-	mostEnds   = 256
-	mostRuns   = 64 // of one end; an engine runs up to 34 requests
-	endsMemory = 10 * time.Minute
+	maxCrashes      = 256
+	maxRunsPerCrash = 64 // an engine runs up to 34 requests
+	crashRetention  = 10 * time.Minute
 )
 
-// Run is a request that an endpoint had when it ended.
+// Run is a request that an endpoint was running when it crashed.
 type Run struct {
 	Fingerprint Fingerprint `json:"f"`
-	Attempt     uint32      `json:"a"`           // tells client attempts of one fingerprint apart
-	Sound       int         `json:"s,omitempty"` // of its runs that ended well at the node that tells, of late
+	Attempt     uint32      `json:"a"`           // AttemptID; distinguishes client attempts with the same fingerprint
+	Sound       int         `json:"s,omitempty"` // recent successful runs of the request at the reporting node
 }
 
-// End tells of an endpoint that ended, and of the requests that a node had there.
+// End reports the crash of an endpoint and the requests that one node had there.
 type End struct {
-	Endpoint string `json:"e"` // one life of an endpoint
+	Endpoint string `json:"e"` // identifies one process lifetime of the endpoint
 	Runs     []Run  `json:"r"`
-	// at is when this node saw it; of another node's 0, told within a tenth of a second.
+	// at is when this node saw the crash; 0 for a report of another node, which arrives within
+	// 100 ms.
 	at clock.Instant
 }
 
-// Tally gathers what nodes tell of ends, for Judge to find the requests that cause them.
-// It holds no clock and does no I/O; one goroutine at a time may use it. What is noted
-// twice counts once, so that evidence may be told again.
+// Tally collects reports of crashes, from which Judge finds the requests that cause them. It has
+// no clock and does no I/O, and is not safe for concurrent use. Duplicates count once, so that
+// evidence may be sent again.
 type Tally struct {
-	ends    map[string]*end
-	order   []*end // by when they were heard first
-	byPrint map[Fingerprint]*suspect
+	crashes       map[string]*crash
+	order         []*crash // in the order of their first reports
+	byFingerprint map[Fingerprint]*requestEvidence
 }
 
-// end is an endpoint's end with the runs that all nodes have told.
-type end struct {
+// crash is an endpoint's crash with the runs that all nodes have reported.
+type crash struct {
 	endpoint string
-	at       clock.Instant            // when it was heard first
-	runs     map[Fingerprint][]uint32 // client attempts
+	at       clock.Instant            // time of the crash if this node saw it first, else of the first report
+	runs     map[Fingerprint][]uint32 // client attempts of each request
 }
 
-// suspect is what is known of a request that has seen an end.
-type suspect struct {
-	ends     []*end
-	attempts map[uint32]bool
-	sound    soundCounts
-	released clock.Instant // when a run of it ended well while it was a suspect
+// requestEvidence is the evidence on a request that has seen a crash.
+type requestEvidence struct {
+	crashes    []*crash
+	attempts   map[uint32]bool
+	successes  successCounts
+	releasedAt clock.Instant // when a run of the suspect last succeeded
 }
 
-// Note takes up what a node tells of an end, and reports whether it is the first to tell.
+// Note adds a node's report of a crash, and returns whether it is the first report of it.
 func (t *Tally) Note(node string, e End, now clock.Instant) (first bool) {
-	if t.ends == nil {
-		t.ends, t.byPrint = map[string]*end{}, map[Fingerprint]*suspect{}
+	if t.crashes == nil {
+		t.crashes, t.byFingerprint = map[string]*crash{}, map[Fingerprint]*requestEvidence{}
 	}
-	at := t.ends[e.Endpoint]
-	first = at == nil
+	known := t.crashes[e.Endpoint]
+	first = known == nil
 	if first {
-		t.forget(now)
-		at = &end{endpoint: e.Endpoint, at: now, runs: map[Fingerprint][]uint32{}}
+		t.evictOld(now)
+		known = &crash{endpoint: e.Endpoint, at: now, runs: map[Fingerprint][]uint32{}}
 		if e.at != 0 {
-			at.at = e.at
+			known.at = e.at
 		}
-		t.ends[e.Endpoint] = at
-		t.order = append(t.order, at)
+		t.crashes[e.Endpoint] = known
+		t.order = append(t.order, known)
 	}
 	for _, r := range e.Runs {
-		t.noteRun(node, at, r)
+		t.addRun(node, known, r)
 	}
 	return first
 }
 
-func (t *Tally) noteRun(node string, at *end, r Run) {
-	attempts, there := at.runs[r.Fingerprint]
-	if !there && len(at.runs) >= mostRuns {
+func (t *Tally) addRun(node string, known *crash, r Run) {
+	attempts, present := known.runs[r.Fingerprint]
+	if !present && len(known.runs) >= maxRunsPerCrash {
 		return
 	}
-	s := t.byPrint[r.Fingerprint]
+	s := t.byFingerprint[r.Fingerprint]
 	if s == nil {
-		s = &suspect{attempts: map[uint32]bool{}, sound: soundCounts{}}
-		t.byPrint[r.Fingerprint] = s
+		s = &requestEvidence{attempts: map[uint32]bool{}, successes: successCounts{}}
+		t.byFingerprint[r.Fingerprint] = s
 	}
-	if !there {
-		s.ends = append(s.ends, at)
+	if !present {
+		s.crashes = append(s.crashes, known)
 	}
 	if !slices.Contains(attempts, r.Attempt) {
-		at.runs[r.Fingerprint] = append(attempts, r.Attempt)
+		known.runs[r.Fingerprint] = append(attempts, r.Attempt)
 		s.attempts[r.Attempt] = true
 	}
-	s.sound.note(node, r.Sound)
+	s.successes.note(node, r.Sound)
 }
 
-// forget drops ends that are old or too many.
-func (t *Tally) forget(now clock.Instant) {
-	for len(t.order) > 0 && (len(t.order) >= mostEnds || now.Sub(t.order[0].at) > endsMemory) {
+// evictOld deletes crashes that are older than crashRetention, and the oldest ones above
+// maxCrashes.
+func (t *Tally) evictOld(now clock.Instant) {
+	for len(t.order) > 0 && (len(t.order) >= maxCrashes || now.Sub(t.order[0].at) > crashRetention) {
 		old := t.order[0]
 		t.order = t.order[1:]
-		delete(t.ends, old.endpoint)
+		delete(t.crashes, old.endpoint)
 		for fp := range old.runs {
-			s := t.byPrint[fp]
-			s.ends = slices.DeleteFunc(s.ends, func(e *end) bool { return e == old })
-			if len(s.ends) == 0 {
-				delete(t.byPrint, fp)
+			s := t.byFingerprint[fp]
+			s.crashes = slices.DeleteFunc(s.crashes, func(e *crash) bool { return e == old })
+			if len(s.crashes) == 0 {
+				delete(t.byFingerprint, fp)
 			}
 		}
 	}
 }
 
-// Clear takes a request out of all ends: it is counted anew.
+// Clear removes a request from all crashes, so that its count starts again.
 func (t *Tally) Clear(fp Fingerprint) {
-	if s := t.byPrint[fp]; s != nil {
-		for _, e := range s.ends {
+	if s := t.byFingerprint[fp]; s != nil {
+		for _, e := range s.crashes {
 			delete(e.runs, fp)
 		}
-		delete(t.byPrint, fp)
+		delete(t.byFingerprint, fp)
 	}
 }
 
-// NoteSound takes up how many runs of a request ended well at a node, of late.
+// NoteSound records the number of recent successful runs of a request at a node.
 func (t *Tally) NoteSound(node string, fp Fingerprint, runs int) {
-	if s := t.byPrint[fp]; s != nil {
-		s.sound.note(node, runs)
+	if s := t.byFingerprint[fp]; s != nil {
+		s.successes.note(node, runs)
 	}
 }
 
-// Saw reports how many ends the request has seen.
+// Saw returns how many crashes the request has seen.
 func (t *Tally) Saw(fp Fingerprint) int {
-	if s := t.byPrint[fp]; s != nil {
-		return len(s.ends)
+	if s := t.byFingerprint[fp]; s != nil {
+		return len(s.crashes)
 	}
 	return 0
 }
 
-// near reports whether two ends were at the same moment.
-func near(a, b *end) bool { return max(a.at.Sub(b.at), b.at.Sub(a.at)) < herdSpan }
+// isSimultaneous reports whether two crashes were within massLossWindow.
+func isSimultaneous(a, b *crash) bool { return max(a.at.Sub(b.at), b.at.Sub(a.at)) < massLossWindow }
--- a/internal/quarantine/world_test.go
+++ b/internal/quarantine/world_test.go
@@ -13,81 +13,81 @@
 	"chervilloom/internal/clock"
 )
 
-// world is a service under load with harmful requests among its clients': endpoints that
-// end take all that they run with them and are back seconds later, what may be repeated
-// goes to another one at once, and clients come back once. One tally hears of the ends.
-type world struct {
-	worldParams
-	rng    *rand.Rand
-	now    time.Duration
-	events eventQueue
-	tally  Tally
-	banned map[Fingerprint]time.Duration // from when on nodes refuse it
-	// suspects are the requests that run one at a time, with the newest run's time; 0: none
-	// was made since.
-	suspects map[Fingerprint]time.Duration
-
-	heads   []*head
-	serial  int
-	history map[string]int // sound runs by node and fingerprint
-
-	third map[Fingerprint]time.Duration // when a harmful request ended its third endpoint
-	ended map[Fingerprint]int           // endpoints
-	after map[Fingerprint]int           // sends after the bound's time
-	sent  int                           // client attempts of innocent requests
-	wrong map[Fingerprint]bool          // innocent ones that were refused
-	found int                           // innocent ones that were found harmful
-	held  int                           // sends of innocent ones that met another run of a suspect
+// simulation is a service under load with harmful requests among its clients' requests. A
+// crashed endpoint loses all runs and restarts seconds later; retryable requests go to another
+// endpoint at once, and clients retry once. One tally receives all reports.
+type simulation struct {
+	simulationParams
+	rng      *rand.Rand
+	now      time.Duration
+	events   eventQueue
+	tally    Tally
+	bannedAt map[Fingerprint]time.Duration // from when nodes refuse it
+	// suspectRuns has the requests that are limited to one run at a time, with the time of their
+	// newest run; 0: none was made since.
+	suspectRuns map[Fingerprint]time.Duration
+
+	endpoints []*simEndpoint
+	serial    int
+	successes map[string]int // successful runs by node and fingerprint
+
+	thirdCrash       map[Fingerprint]time.Duration // when a harmful request crashed its third endpoint
+	crashes          map[Fingerprint]int           // endpoints crashed by each harmful request
+	lateSends        map[Fingerprint]int           // sends later than settledAfter after the third crash
+	innocentAttempts int                           // client attempts of innocent requests
+	wronglyRefused   map[Fingerprint]bool          // innocent requests that were refused
+	wronglyFound     int                           // innocent requests that were found harmful
+	heldSends        int                           // sends of innocent requests that were delayed by another run of a suspect
 }
 
-type worldParams struct {
-	heads, nodes int
-	rate         float64 // innocent requests a second
-	attempts     int     // runs of a client attempt
-	harmful      []harmful
-	hot          float64         // requests a second with one and the same body
-	abuse        int             // copies of a request that some clients send at once
-	herds        []time.Duration // when half of the endpoints end at once
-	losses       float64         // single endpoints that end by themselves, a second
-	lost         float64         // share of what nodes tell that doesn't arrive
-	length       time.Duration
+type simulationParams struct {
+	endpoints, nodes int
+	innocentRate     float64 // innocent requests a second
+	runsPerAttempt   int     // maximum runs of a client attempt
+	harmful          []harmfulLoad
+	sameBodyRate     float64         // requests a second that all have the same body
+	burstCopies      int             // copies that some clients send of a request at once
+	massLosses       []time.Duration // when half of the endpoints crash at once
+	lossRate         float64         // single endpoints that crash for other reasons, a second
+	lostReportShare  float64         // share of the reports that are lost
+	duration         time.Duration
 }
 
-// harmful is a request that ends the endpoints that run it.
-type harmful struct {
+// harmfulLoad is a request that crashes the endpoints that run it.
+type harmfulLoad struct {
 	rate        float64 // client attempts a second
 	first, last time.Duration
-	every       int           // ends one of so many endpoints
-	runs        time.Duration // until it ends one
+	crashOneIn  int           // one run in so many crashes its endpoint
+	timeToCrash time.Duration // mean time until the crash
 }
 
-type head struct {
+type simEndpoint struct {
 	name string
 	up   bool
-	runs []*flight // in the order in which they came
+	runs []*simRequest // in order of arrival
 }
 
-type flight struct {
+type simRequest struct {
 	fp       Fingerprint
 	node     string
 	attempt  uint32
-	left     int // runs of this client attempt
-	comeback bool
-	length   time.Duration
-	harm     *harmful
+	runsLeft int // remaining runs of this client attempt
+	retries  bool
+	duration time.Duration
+	harmful  *harmfulLoad
 }
 
-type event struct {
-	at time.Duration
-	do func()
+type simEvent struct {
+	at  time.Duration
+	run func()
 }
 
-type eventQueue []event
+type eventQueue []simEvent
 
 func (q eventQueue) Len() int           { return len(q) }
 func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
 func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)        { *q = append(*q, x.(event)) }
+func (q *eventQueue) Push(x any)        { *q = append(*q, x.(simEvent)) }
 func (q *eventQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
@@ -96,28 +96,30 @@
 }
 
 const (
-	worldBack   = 3500 * time.Millisecond // until an endpoint that ended serves again
-	worldTell   = 60 * time.Millisecond   // until the tally judges and nodes know
-	worldReturn = 50 * time.Millisecond   // until a client that failed comes back
-	worldStable = 3 * time.Second         // after the third end, sends count
+	endpointRestartTime = 3500 * time.Millisecond // until a crashed endpoint serves again
+	reportDelay         = 60 * time.Millisecond   // until a report is judged and its result known to all nodes
+	clientRetryDelay    = 50 * time.Millisecond   // until a client retries after a failure
+	settledAfter        = 3 * time.Second         // after the third crash; later sends count
 )
 
-func newWorld(p worldParams, seed uint64) *world {
-	w := &world{
-		worldParams: p, rng: rand.New(rand.NewPCG(seed, 7)), banned: map[Fingerprint]time.Duration{},
-		history: map[string]int{}, third: map[Fingerprint]time.Duration{}, ended: map[Fingerprint]int{},
-		after: map[Fingerprint]int{}, wrong: map[Fingerprint]bool{}, suspects: map[Fingerprint]time.Duration{},
+func newSimulation(p simulationParams, seed uint64) *simulation {
+	w := &simulation{
+		simulationParams: p, rng: rand.New(rand.NewPCG(seed, 7)), bannedAt: map[Fingerprint]time.Duration{},
+		successes: map[string]int{}, thirdCrash: map[Fingerprint]time.Duration{}, crashes: map[Fingerprint]int{},
+		lateSends: map[Fingerprint]int{}, wronglyRefused: map[Fingerprint]bool{}, suspectRuns: map[Fingerprint]time.Duration{},
 	}
-	for i := range p.heads {
-		w.heads = append(w.heads, &head{name: fmt.Sprintf("h%d", i), up: true})
+	for i := range p.endpoints {
+		w.endpoints = append(w.endpoints, &simEndpoint{name: fmt.Sprintf("h%d", i), up: true})
 	}
 	return w
 }
 
-func (w *world) in(d time.Duration, do func()) { heap.Push(&w.events, event{w.now + d, do}) }
+func (w *simulation) schedule(d time.Duration, do func()) {
+	heap.Push(&w.events, simEvent{w.now + d, do})
+}
 
 // poisson calls do at random times, rate a second, from first to last.
-func (w *world) poisson(rate float64, first, last time.Duration, do func()) {
+func (w *simulation) poisson(rate float64, first, last time.Duration, do func()) {
 	if rate <= 0 {
 		return
 	}
@@ -125,328 +127,329 @@
 	next = func() {
 		if w.now < last {
 			do()
-			w.in(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), next)
+			w.schedule(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), next)
 		}
 	}
-	w.in(first+time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), next)
+	w.schedule(first+time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), next)
 }
 
-func (w *world) run() {
-	w.poisson(w.rate, 0, w.length, func() {
+func (w *simulation) run() {
+	w.poisson(w.innocentRate, 0, w.duration, func() {
 		w.serial++
 		copies := 1
-		if w.abuse > 0 && w.rng.IntN(10) == 0 {
-			copies = w.abuse
+		if w.burstCopies > 0 && w.rng.IntN(10) == 0 {
+			copies = w.burstCopies
 		}
 		for range copies {
-			w.arrive(Fingerprint(fmt.Sprintf("innocent%d", w.serial)), nil, true)
+			w.startAttempt(Fingerprint(fmt.Sprintf("innocent%d", w.serial)), nil, true)
 		}
 	})
-	w.poisson(w.hot, 0, w.length, func() { w.arrive("hot", nil, true) })
-	w.poisson(w.losses, 0, w.length, func() { w.end(w.heads[w.rng.IntN(len(w.heads))], "") })
-	for _, at := range w.herds {
-		w.in(at, func() {
-			for _, i := range w.rng.Perm(len(w.heads))[:len(w.heads)/2] {
-				w.in(time.Duration(w.rng.IntN(30))*time.Millisecond, func() { w.end(w.heads[i], "") })
+	w.poisson(w.sameBodyRate, 0, w.duration, func() { w.startAttempt("hot", nil, true) })
+	w.poisson(w.lossRate, 0, w.duration, func() { w.crashEndpoint(w.endpoints[w.rng.IntN(len(w.endpoints))], "") })
+	for _, at := range w.massLosses {
+		w.schedule(at, func() {
+			for _, i := range w.rng.Perm(len(w.endpoints))[:len(w.endpoints)/2] {
+				w.schedule(time.Duration(w.rng.IntN(30))*time.Millisecond, func() { w.crashEndpoint(w.endpoints[i], "") })
 			}
 		})
 	}
 	for i := range w.harmful {
 		h := &w.harmful[i]
 		fp := Fingerprint(fmt.Sprintf("harmful%d", i))
-		w.poisson(h.rate, h.first, h.last, func() { w.arrive(fp, h, true) })
+		w.poisson(h.rate, h.first, h.last, func() { w.startAttempt(fp, h, true) })
 	}
 	for len(w.events) > 0 {
-		e := heap.Pop(&w.events).(event)
+		e := heap.Pop(&w.events).(simEvent)
 		w.now = e.at
-		e.do()
+		e.run()
 	}
 }
 
-// arrive is a client attempt at some node.
-func (w *world) arrive(fp Fingerprint, harm *harmful, comeback bool) {
+// startAttempt starts a client attempt at a random node.
+func (w *simulation) startAttempt(fp Fingerprint, harm *harmfulLoad, comeback bool) {
 	if harm == nil {
-		w.sent++
+		w.innocentAttempts++
 	}
-	f := &flight{
-		fp: fp, node: fmt.Sprint(w.rng.IntN(w.nodes)), attempt: w.rng.Uint32(), left: w.attempts, harm: harm, comeback: comeback,
-		length: 300*time.Millisecond + time.Duration(w.rng.ExpFloat64()*float64(700*time.Millisecond)),
+	f := &simRequest{
+		fp: fp, node: fmt.Sprint(w.rng.IntN(w.nodes)), attempt: w.rng.Uint32(), runsLeft: w.runsPerAttempt, harmful: harm, retries: comeback,
+		duration: 300*time.Millisecond + time.Duration(w.rng.ExpFloat64()*float64(700*time.Millisecond)),
 	}
-	w.place(f)
+	w.dispatch(f)
 }
 
-// place sends a flight to the endpoint with the fewest runs of a few.
-func (w *world) place(f *flight) {
-	if at, ok := w.banned[f.fp]; ok && w.now >= at {
-		if f.harm == nil {
-			w.wrong[f.fp] = true
+// dispatch sends a request to the least loaded of a few random endpoints.
+func (w *simulation) dispatch(f *simRequest) {
+	if at, ok := w.bannedAt[f.fp]; ok && w.now >= at {
+		if f.harmful == nil {
+			w.wronglyRefused[f.fp] = true
 		}
 		return
 	}
 	if !w.mayRun(f) {
-		if f.harm == nil {
-			w.held++
+		if f.harmful == nil {
+			w.heldSends++
 		}
-		w.comeBack(f, suspectReturn)
+		w.scheduleRetry(f, suspectRetryAfter)
 		return
 	}
-	var best *head
+	var best *simEndpoint
 	for range 4 {
-		if h := w.heads[w.rng.IntN(len(w.heads))]; h.up && (best == nil || len(h.runs) < len(best.runs)) {
+		if h := w.endpoints[w.rng.IntN(len(w.endpoints))]; h.up && (best == nil || len(h.runs) < len(best.runs)) {
 			best = h
 		}
 	}
-	if best == nil || f.left == 0 {
-		w.comeBack(f, worldReturn)
+	if best == nil || f.runsLeft == 0 {
+		w.scheduleRetry(f, clientRetryDelay)
 		return
 	}
-	if t, ok := w.third[f.fp]; ok && w.now > t+worldStable {
-		w.after[f.fp]++
+	if t, ok := w.thirdCrash[f.fp]; ok && w.now > t+settledAfter {
+		w.lateSends[f.fp]++
 	}
-	f.left--
-	if _, suspect := w.suspects[f.fp]; suspect {
-		w.suspects[f.fp] = w.now
+	f.runsLeft--
+	if _, suspect := w.suspectRuns[f.fp]; suspect {
+		w.suspectRuns[f.fp] = w.now
 	}
 	best.runs = append(best.runs, f)
-	if f.harm != nil && w.rng.IntN(max(1, f.harm.every)) == 0 {
-		w.in(f.harm.runs/2+time.Duration(w.rng.Int64N(int64(f.harm.runs))), func() {
+	if f.harmful != nil && w.rng.IntN(max(1, f.harmful.crashOneIn)) == 0 {
+		w.schedule(f.harmful.timeToCrash/2+time.Duration(w.rng.Int64N(int64(f.harmful.timeToCrash))), func() {
 			if slices.Contains(best.runs, f) {
-				w.end(best, f.fp)
+				w.crashEndpoint(best, f.fp)
 			}
 		})
 		return
 	}
-	w.in(f.length, func() {
+	w.schedule(f.duration, func() {
 		if i := slices.Index(best.runs, f); i >= 0 {
 			best.runs = slices.Delete(best.runs, i, i+1)
-			w.history[f.node+"/"+string(f.fp)]++
+			w.successes[f.node+"/"+string(f.fp)]++
 			w.release(f.fp)
 		}
 	})
 }
 
-// mayRun reports whether the request is no suspect, or no other run of it is under way.
-func (w *world) mayRun(f *flight) bool {
-	last, suspect := w.suspects[f.fp]
-	return !suspect || last == 0 || w.now > last+suspectPause
+// mayRun reports whether the request is no suspect, or has no other run in flight.
+func (w *simulation) mayRun(f *simRequest) bool {
+	last, suspect := w.suspectRuns[f.fp]
+	return !suspect || last == 0 || w.now > last+suspectRunTimeout
 }
 
-// release ends the suspicion against a request of which a run ended well.
-func (w *world) release(fp Fingerprint) {
-	if _, suspect := w.suspects[fp]; suspect {
-		delete(w.suspects, fp)
+// release ends the suspicion against a request after a successful run.
+func (w *simulation) release(fp Fingerprint) {
+	if _, suspect := w.suspectRuns[fp]; suspect {
+		delete(w.suspectRuns, fp)
 		w.tally.Release(fp, clock.Instant(w.now+time.Hour))
 	}
 }
 
-// comeBack has the client send the request again, if it does that.
-func (w *world) comeBack(f *flight, after time.Duration) {
-	if f.comeback {
-		w.in(after, func() { w.arrive(f.fp, f.harm, false) })
+// scheduleRetry makes the client retry the request if it does so at all.
+func (w *simulation) scheduleRetry(f *simRequest, after time.Duration) {
+	if f.retries {
+		w.schedule(after, func() { w.startAttempt(f.fp, f.harmful, false) })
 	}
 }
 
-// end is the end of an endpoint: nodes tell of it, and what ran there goes on elsewhere.
-func (w *world) end(h *head, by Fingerprint) {
+// crashEndpoint crashes an endpoint: nodes report it, and its requests are dispatched again.
+func (w *simulation) crashEndpoint(h *simEndpoint, by Fingerprint) {
 	if !h.up {
 		return
 	}
 	h.up = false
 	if by != "" {
-		w.ended[by]++
-		if w.ended[by] == 3 {
-			w.third[by] = w.now
+		w.crashes[by]++
+		if w.crashes[by] == 3 {
+			w.thirdCrash[by] = w.now
 		}
 	}
-	told := map[string]*End{}
+	reports := map[string]*End{}
 	var nodes []string
 	for _, f := range h.runs {
-		e := told[f.node]
+		e := reports[f.node]
 		if e == nil {
 			e = &End{Endpoint: h.name}
-			told[f.node] = e
+			reports[f.node] = e
 			nodes = append(nodes, f.node)
 		}
-		e.Runs = append(e.Runs, Run{f.fp, f.attempt, w.history[f.node+"/"+string(f.fp)]})
-		w.in(time.Duration(w.rng.IntN(10))*time.Millisecond, func() { w.place(f) })
+		e.Runs = append(e.Runs, Run{f.fp, f.attempt, w.successes[f.node+"/"+string(f.fp)]})
+		w.schedule(time.Duration(w.rng.IntN(10))*time.Millisecond, func() { w.dispatch(f) })
 	}
 	for _, node := range nodes {
-		if w.rng.Float64() >= w.lost {
-			w.tally.Note(node, *told[node], clock.Instant(w.now+time.Hour))
+		if w.rng.Float64() >= w.lostReportShare {
+			w.tally.Note(node, *reports[node], clock.Instant(w.now+time.Hour))
 		}
 	}
-	w.in(worldTell, w.judge)
-	w.in(harmSettles+worldTell, w.judge)
+	w.schedule(reportDelay, w.judgeTally)
+	w.schedule(settleTime+reportDelay, w.judgeTally)
 	w.serial++
 	name := fmt.Sprintf("%s.%d", h.name, w.serial)
 	h.runs = nil
-	w.in(worldBack, func() { h.name, h.up = name, true })
+	w.schedule(endpointRestartTime, func() { h.name, h.up = name, true })
 }
 
-// judge has what is found harmful refused from now on.
-func (w *world) judge() {
-	known := func(f Fingerprint) bool { _, ok := w.banned[f]; return ok }
+// judgeTally refuses the requests that are found harmful from now on.
+func (w *simulation) judgeTally() {
+	known := func(f Fingerprint) bool { _, ok := w.bannedAt[f]; return ok }
 	for _, v := range w.tally.Judge(known, clock.Instant(w.now+time.Hour)) {
-		w.banned[v.Fingerprint] = w.now
+		w.bannedAt[v.Fingerprint] = w.now
 		if !strings.HasPrefix(string(v.Fingerprint), "harmful") {
-			w.found++
+			w.wronglyFound++
 		}
-		w.in(worldTell, func() { w.tellSound(v.Fingerprint) })
+		w.schedule(reportDelay, func() { w.reportSuccesses(v.Fingerprint) })
 	}
 	for _, v := range w.tally.Suspects(known) {
-		if _, suspect := w.suspects[v.Fingerprint]; !suspect {
-			w.suspects[v.Fingerprint] = 0
+		if _, suspect := w.suspectRuns[v.Fingerprint]; !suspect {
+			w.suspectRuns[v.Fingerprint] = 0
 			w.keepOneRun(v.Fingerprint)
 		}
 	}
 }
 
-// keepOneRun recalls the runs of a suspect but for one. What a harmful one does to its
-// endpoint goes on.
-func (w *world) keepOneRun(fp Fingerprint) {
-	for _, h := range w.heads {
-		h.runs = slices.DeleteFunc(h.runs, func(f *flight) bool {
+// keepOneRun recalls the runs of a suspect except one. A harmful run that was recalled still
+// crashes its endpoint.
+func (w *simulation) keepOneRun(fp Fingerprint) {
+	for _, h := range w.endpoints {
+		h.runs = slices.DeleteFunc(h.runs, func(f *simRequest) bool {
 			if f.fp != fp {
 				return false
 			}
-			if w.suspects[fp] == 0 {
-				w.suspects[fp] = w.now
+			if w.suspectRuns[fp] == 0 {
+				w.suspectRuns[fp] = w.now
 				return false
 			}
 			again := *f
-			w.in(0, func() { w.place(&again) })
-			return f.harm == nil
+			w.schedule(0, func() { w.dispatch(&again) })
+			return f.harmful == nil
 		})
 	}
 }
 
-// tellSound has the nodes say how often a request ran well that was found harmful.
-func (w *world) tellSound(fp Fingerprint) {
-	sound := soundCounts{}
+// reportSuccesses makes the nodes report their successful runs of a request that was found
+// harmful.
+func (w *simulation) reportSuccesses(fp Fingerprint) {
+	successes := successCounts{}
 	for node := range w.nodes {
 		name := fmt.Sprint(node)
-		sound.note(name, w.history[name+"/"+string(fp)])
-		w.tally.NoteSound(name, fp, sound[name])
+		successes.note(name, w.successes[name+"/"+string(fp)])
+		w.tally.NoteSound(name, fp, successes[name])
 	}
-	if sound.harmless(w.tally.Saw(fp)) {
-		delete(w.banned, fp)
+	if successes.isHarmless(w.tally.Saw(fp)) {
+		delete(w.bannedAt, fp)
 	}
 }
 
-var worldSeeds = flag.Int("world.seeds", 4, "seeds of each case of TestHarmfulRequestsAreFoundAndNoOthers")
-
-// innocentBound is the share of innocent requests that may be refused, with endpoints
-// ending for all reasons at once: a tenth of the share that the platform lets a system
-// refuse wrongly (one in 500).
-const innocentBound = 1.0 / 5000
-
-// harmBound is how often a harmful request may reach endpoints once worldStable has
-// passed since it ended its third one.
-const harmBound = 3
-
-// worldBase is a small site: a request runs twice at most, and every fifth second an
-// endpoint ends for other reasons.
-var worldBase = worldParams{heads: 12, nodes: 6, rate: 85, attempts: 2, losses: 0.2, length: 120 * time.Second}
-
-// worldCases change the base.
-func worldCases() map[string]func(p *worldParams) {
-	fast := harmful{rate: 1.5, first: 10 * time.Second, last: 30 * time.Second, runs: 100 * time.Millisecond}
-	slow := harmful{rate: 0.1, first: 5 * time.Second, last: 110 * time.Second, runs: 100 * time.Millisecond}
-	early := harmful{rate: 1.5, first: 10 * time.Second, last: 30 * time.Second, runs: 4 * time.Millisecond}
-	halfway := harmful{rate: 1.5, first: 10 * time.Second, last: 40 * time.Second, runs: 600 * time.Millisecond}
-	everyOther := harmful{rate: 1.5, first: 10 * time.Second, last: 40 * time.Second, runs: 100 * time.Millisecond, every: 2}
-	return map[string]func(p *worldParams){
-		"calm":                        func(p *worldParams) {},
-		"many single losses":          func(p *worldParams) { p.losses = 1.5 },
-		"half ends, again":            func(p *worldParams) { p.herds = seconds(20, 24, 28, 60, 64, 68) },
-		"half ends, one body":         func(p *worldParams) { p.herds, p.hot = seconds(20, 24, 28, 60, 64), 20 },
-		"half ends, repeated":         func(p *worldParams) { p.herds, p.abuse = seconds(20, 24, 28, 60, 64), 8 },
-		"one body":                    func(p *worldParams) { p.hot, p.losses = 10, 0.7 },
-		"harmful":                     func(p *worldParams) { p.harmful = []harmful{fast} },
-		"harmful, seldom":             func(p *worldParams) { p.harmful = []harmful{slow} },
-		"harmful, at once":            func(p *worldParams) { p.harmful = []harmful{early} },
-		"harmful, halfway":            func(p *worldParams) { p.harmful = []harmful{halfway} },
-		"harmful, every other":        func(p *worldParams) { p.harmful = []harmful{everyOther} },
-		"two harmful":                 func(p *worldParams) { p.harmful = []harmful{fast, fast} },
-		"two harmful, one seldom":     func(p *worldParams) { p.harmful = []harmful{fast, slow} },
-		"harmful, evidence lost":      func(p *worldParams) { p.harmful, p.lost = []harmful{fast}, 0.2 },
-		"harmful, repeated":           func(p *worldParams) { p.harmful, p.abuse = []harmful{fast}, 8 },
-		"harmful, one body":           func(p *worldParams) { p.harmful, p.hot = []harmful{fast}, 10 },
-		"harmful, half ends":          func(p *worldParams) { p.harmful, p.herds = []harmful{fast}, seconds(11, 12, 15) },
-		"harmful, many losses":        func(p *worldParams) { p.harmful, p.losses = []harmful{fast}, 1.5 },
-		"harmful, seldom, losses":     func(p *worldParams) { p.harmful, p.losses = []harmful{slow}, 0.7 },
-		"harmful, losses":             func(p *worldParams) { p.harmful, p.losses = []harmful{fast}, 0.7 },
-		"losses":                      func(p *worldParams) { p.losses = 0.7 },
-		"two harmful, losses":         func(p *worldParams) { p.harmful, p.losses = []harmful{fast, fast}, 0.7 },
-		"harmful, plain endpoints":    func(p *worldParams) { p.harmful, p.heads, p.rate = []harmful{early}, 3, 18 },
-		"harmful, three runs":         func(p *worldParams) { p.harmful, p.attempts = []harmful{fast}, 3 },
-		"harmful, seldom, three runs": func(p *worldParams) { p.harmful, p.attempts = []harmful{slow}, 3 },
-		"losses, three runs":          func(p *worldParams) { p.losses, p.attempts = 0.7, 3 },
-		"harmful, 295 nodes": func(p *worldParams) {
-			p.harmful, p.heads, p.nodes, p.rate = []harmful{fast}, 60, 295, 800
+var simulationSeeds = flag.Int("world.seeds", 4, "seeds of each case of TestOnlyHarmfulRequestsAreFound")
+
+// maxInnocentRefusedShare is the share of innocent requests that may be refused, with endpoints
+// crashing for all reasons at once: a tenth of the share of wrong refusals that the platform
+// allows a system (one in 500).
+const maxInnocentRefusedShare = 1.0 / 5000
+
+// maxLateSends is how often a harmful request may reach endpoints later than settledAfter after
+// its third crash.
+const maxLateSends = 3
+
+// baseParams is a small site: a request runs at most twice, and an endpoint crashes for other
+// reasons every five seconds.
+var baseParams = simulationParams{endpoints: 12, nodes: 6, innocentRate: 85, runsPerAttempt: 2, lossRate: 0.2, duration: 120 * time.Second}
+
+// simulationCases returns the cases as changes to baseParams.
+func simulationCases() map[string]func(p *simulationParams) {
+	fast := harmfulLoad{rate: 1.5, first: 10 * time.Second, last: 30 * time.Second, timeToCrash: 100 * time.Millisecond}
+	slow := harmfulLoad{rate: 0.1, first: 5 * time.Second, last: 110 * time.Second, timeToCrash: 100 * time.Millisecond}
+	early := harmfulLoad{rate: 1.5, first: 10 * time.Second, last: 30 * time.Second, timeToCrash: 4 * time.Millisecond}
+	halfway := harmfulLoad{rate: 1.5, first: 10 * time.Second, last: 40 * time.Second, timeToCrash: 600 * time.Millisecond}
+	everyOther := harmfulLoad{rate: 1.5, first: 10 * time.Second, last: 40 * time.Second, timeToCrash: 100 * time.Millisecond, crashOneIn: 2}
+	return map[string]func(p *simulationParams){
+		"calm":                        func(p *simulationParams) {},
+		"many single losses":          func(p *simulationParams) { p.lossRate = 1.5 },
+		"half ends, again":            func(p *simulationParams) { p.massLosses = seconds(20, 24, 28, 60, 64, 68) },
+		"half ends, one body":         func(p *simulationParams) { p.massLosses, p.sameBodyRate = seconds(20, 24, 28, 60, 64), 20 },
+		"half ends, repeated":         func(p *simulationParams) { p.massLosses, p.burstCopies = seconds(20, 24, 28, 60, 64), 8 },
+		"one body":                    func(p *simulationParams) { p.sameBodyRate, p.lossRate = 10, 0.7 },
+		"harmful":                     func(p *simulationParams) { p.harmful = []harmfulLoad{fast} },
+		"harmful, seldom":             func(p *simulationParams) { p.harmful = []harmfulLoad{slow} },
+		"harmful, at once":            func(p *simulationParams) { p.harmful = []harmfulLoad{early} },
+		"harmful, halfway":            func(p *simulationParams) { p.harmful = []harmfulLoad{halfway} },
+		"harmful, every other":        func(p *simulationParams) { p.harmful = []harmfulLoad{everyOther} },
+		"two harmful":                 func(p *simulationParams) { p.harmful = []harmfulLoad{fast, fast} },
+		"two harmful, one seldom":     func(p *simulationParams) { p.harmful = []harmfulLoad{fast, slow} },
+		"harmful, evidence lost":      func(p *simulationParams) { p.harmful, p.lostReportShare = []harmfulLoad{fast}, 0.2 },
+		"harmful, repeated":           func(p *simulationParams) { p.harmful, p.burstCopies = []harmfulLoad{fast}, 8 },
+		"harmful, one body":           func(p *simulationParams) { p.harmful, p.sameBodyRate = []harmfulLoad{fast}, 10 },
+		"harmful, half ends":          func(p *simulationParams) { p.harmful, p.massLosses = []harmfulLoad{fast}, seconds(11, 12, 15) },
+		"harmful, many losses":        func(p *simulationParams) { p.harmful, p.lossRate = []harmfulLoad{fast}, 1.5 },
+		"harmful, seldom, losses":     func(p *simulationParams) { p.harmful, p.lossRate = []harmfulLoad{slow}, 0.7 },
+		"harmful, losses":             func(p *simulationParams) { p.harmful, p.lossRate = []harmfulLoad{fast}, 0.7 },
+		"losses":                      func(p *simulationParams) { p.lossRate = 0.7 },
+		"two harmful, losses":         func(p *simulationParams) { p.harmful, p.lossRate = []harmfulLoad{fast, fast}, 0.7 },
+		"harmful, plain endpoints":    func(p *simulationParams) { p.harmful, p.endpoints, p.innocentRate = []harmfulLoad{early}, 3, 18 },
+		"harmful, three runs":         func(p *simulationParams) { p.harmful, p.runsPerAttempt = []harmfulLoad{fast}, 3 },
+		"harmful, seldom, three runs": func(p *simulationParams) { p.harmful, p.runsPerAttempt = []harmfulLoad{slow}, 3 },
+		"losses, three runs":          func(p *simulationParams) { p.lossRate, p.runsPerAttempt = 0.7, 3 },
+		"harmful, 295 nodes": func(p *simulationParams) {
+			p.harmful, p.endpoints, p.nodes, p.innocentRate = []harmfulLoad{fast}, 60, 295, 800
 		},
 	}
 }
 
-// play runs a case.
-func play(name string, seed uint64) *world {
-	p := worldBase
-	worldCases()[name](&p)
-	w := newWorld(p, seed)
+// runCase runs one case with one seed.
+func runCase(name string, seed uint64) *simulation {
+	p := baseParams
+	simulationCases()[name](&p)
+	w := newSimulation(p, seed)
 	w.run()
 	return w
 }
 
-// checkBound fails the test for each harmful request that came too often.
-func (w *world) checkBound(t *testing.T, seed uint64) {
+// checkSendBound fails the test for each harmful request that exceeded maxLateSends.
+func (w *simulation) checkSendBound(t *testing.T, seed uint64) {
 	t.Helper()
-	for fp, n := range w.after {
-		if n > harmBound {
-			t.Errorf("seed %d: %s reached endpoints %d times after the bound's time", seed, fp, n)
+	for fp, n := range w.lateSends {
+		if n > maxLateSends {
+			t.Errorf("seed %d: %s reached endpoints %d times after the settling time", seed, fp, n)
 		}
 	}
 }
 
-// Requests that end their endpoints come beside everything else that ends some: single
-// losses, half of a service at once, a body that many clients send, clients that repeat
-// at once, two harmful ones at a time, one that spares every other endpoint, evidence
-// that is lost. Each harmful one is kept away within the bound, and of the innocent
-// requests hardly one in a hundred thousand is refused.
-func TestHarmfulRequestsAreFoundAndNoOthers(t *testing.T) {
-	for name := range worldCases() {
+// Guards against harmful requests that are not found, and innocent ones that are, while
+// endpoints also crash for other reasons: single losses, half of a service at once, a body that
+// many clients send, clients that send copies at once, two harmful requests at a time, one that
+// crashes only every other endpoint, lost reports. Hardly one innocent request in a hundred
+// thousand is refused.
+func TestOnlyHarmfulRequestsAreFound(t *testing.T) {
+	for name := range simulationCases() {
 		t.Run(name, func(t *testing.T) {
 			sent, refused, found, held, ended, most := 0, 0, 0, 0, 0, 0
-			for seed := range uint64(*worldSeeds) {
-				w := play(name, seed)
-				w.checkBound(t, seed)
-				sent, refused, found, held = sent+w.sent, refused+len(w.wrong), found+w.found, held+w.held
-				for _, n := range w.ended {
+			for seed := range uint64(*simulationSeeds) {
+				w := runCase(name, seed)
+				w.checkSendBound(t, seed)
+				sent, refused, found, held = sent+w.innocentAttempts, refused+len(w.wronglyRefused), found+w.wronglyFound, held+w.heldSends
+				for _, n := range w.crashes {
 					ended = max(ended, n)
 				}
-				for _, n := range w.after {
+				for _, n := range w.lateSends {
 					most = max(most, n)
 				}
 			}
-			t.Logf("of %d innocent requests %d refused, %d found harmful, %d sends held; at most %d endpoints ended under one request, %d sends after the bound's time",
+			t.Logf("of %d innocent requests %d refused, %d found harmful, %d sends delayed; at most %d endpoints crashed under one request, %d sends after the settling time",
 				sent, refused, found, held, ended, most)
-			if float64(refused) > innocentBound*float64(sent) {
+			if float64(refused) > maxInnocentRefusedShare*float64(sent) {
 				t.Errorf("%d of %d innocent requests refused", refused, sent)
 			}
 		})
 	}
 }
 
-// Two harmful requests at a time, or one beside half of a service that ends, several client
-// attempts of which are under way at once when enough is known: one comes a fourth or fifth
-// time after the bound's time. The worlds in which that was seen.
-func TestHarmfulRequestsThatCameOnceTooOften(t *testing.T) {
+// Guards against a fourth or fifth late send of a harmful request. This was seen in these
+// simulations: two harmful requests, or one beside the loss of half of the endpoints, of which
+// several client attempts were in flight when the evidence was complete.
+func TestLateSendsOfConcurrentAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		seed uint64
 	}{
 		{"two harmful", 56}, {"two harmful, losses", 74}, {"two harmful, one seldom", 17}, {"harmful, half ends", 7},
 	} {
-		t.Run(c.name, func(t *testing.T) { play(c.name, c.seed).checkBound(t, c.seed) })
+		t.Run(c.name, func(t *testing.T) { runCase(c.name, c.seed).checkSendBound(t, c.seed) })
 	}
 }
 
