--- a/internal/backpressure/bench_test.go
+++ b/internal/backpressure/bench_test.go
@@ -7,8 +7,9 @@
 	"chervilloom/internal/clock"
 )
 
-// BenchmarkAllows asks for the 120 heads of a large service, as each request's choice does:
-// none of them says anything, or twelve name a limit to a node that is last in order.
+// BenchmarkAllows queries the 120 head endpoints of a large service, as the choice for each
+// request does: with no signals from any of them, and with twelve that name a limit to a node
+// that is last in the sender order.
 func BenchmarkAllows(b *testing.B) {
 	var order []string
 	for i := range 295 {
--- a/internal/backpressure/guard.go
+++ b/internal/backpressure/guard.go
@@ -1,7 +1,7 @@
-// Package backpressure keeps to the load that endpoints accept. An endpoint under pressure
-// names the requests a second that it takes from all nodes together: a few nodes share that
-// rate limit and the others send it nothing. One that turns a request away may ask the node
-// that sent it to back off, and one that leaves gets nothing new.
+// Package backpressure keeps the load within what endpoints accept. An endpoint under pressure
+// names a rate limit, in requests a second from all nodes together: a few nodes share it and the
+// others send nothing. An endpoint that rejects a request may ask the sending node to back off,
+// and one that is leaving gets no new requests.
 package backpressure
 
 import (
@@ -16,38 +16,38 @@
 	"chervilloom/internal/clock"
 )
 
-// Options are what a Guard needs.
+// Options configures a Guard.
 type Options struct {
-	Node  string // this one
+	Node  string // name of this node
 	Clock clock.Clock
 	Log   *slog.Logger
-	// Order returns the nodes that may send to a limited endpoint, those that should first;
-	// all nodes with the same view return the same. nil: this node is alone.
+	// Order returns the nodes that may send to a rate-limited endpoint, preferred ones first;
+	// all nodes with the same view return the same order. nil: there are no other nodes.
 	Order func(ID) []string
-	// Announce tells a notice to all other nodes; nil: there are none.
+	// Announce sends a notice to all other nodes; nil: there are none.
 	Announce func(Notice)
-	// Leaves is told once of each endpoint that says that it leaves; nil: nobody.
+	// Leaves is called once for each endpoint that announces that it is leaving; may be nil.
 	Leaves     func(ID)
-	Registerer prometheus.Registerer // nil: no metrics
+	Registerer prometheus.Registerer // may be nil
 }
 
-// Guard is asked before each send, whichever attempt it is, and told of each answer. It is
-// safe for concurrent use.
+// Guard applies the signals of endpoints: it is queried before each send, of whichever
+// attempt, and receives the signals of each answer. It is safe for concurrent use.
 type Guard struct {
 	Options
 	metrics *metrics
 
-	// quiet is set while no endpoint has said anything that is still kept: then a choice
-	// among hundreds of endpoints takes no lock and reads no clock.
+	// quiet is set while no signal of any endpoint is stored. A choice among hundreds of
+	// endpoints then takes no lock and reads no clock.
 	quiet atomic.Bool
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // protects the fields below
 	limits   *limits
 	backoffs *backoffs
-	leaving  leaving
+	leaving  leavingEndpoints
 }
 
-// New returns a guard that knows of no endpoint.
+// New returns a guard without any signals.
 func New(o Options) *Guard {
 	if o.Order == nil {
 		o.Order = func(ID) []string { return nil }
@@ -61,15 +61,15 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	g := &Guard{Options: o, limits: newLimits(o.Node), backoffs: newBackoffs(o.Node), leaving: leaving{}}
+	g := &Guard{Options: o, limits: newLimits(o.Node), backoffs: newBackoffs(o.Node), leaving: leavingEndpoints{}}
 	g.metrics = newMetrics(o.Registerer, g)
 	g.quiet.Store(true)
 	return g
 }
 
-// noteQuiet is called under mu after each change.
-func (g *Guard) noteQuiet() {
-	g.quiet.Store(len(g.limits.by)+len(g.backoffs.by)+len(g.leaving) == 0)
+// updateQuiet is called with mu held after each change.
+func (g *Guard) updateQuiet() {
+	g.quiet.Store(len(g.limits.byID)+len(g.backoffs.byID)+len(g.leaving) == 0)
 }
 
 // Allows reports whether the endpoint may be chosen for a request now.
@@ -79,110 +79,112 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.allows(id, g.Clock.Now())
+	return g.isAllowed(id, g.Clock.Now())
 }
 
-func (g *Guard) allows(id ID, now clock.Instant) bool {
-	return !g.leaving.has(id) && g.backoffs.allows(id, now) && g.limits.allows(id, now)
+func (g *Guard) isAllowed(id ID, now clock.Instant) bool {
+	return !g.leaving.contains(id) && g.backoffs.isAllowed(id, now) && g.limits.isAllowed(id, now)
 }
 
-// Leaving reports whether the endpoint said that it leaves.
+// Leaving reports whether the endpoint has announced that it is leaving.
 func (g *Guard) Leaving(id ID) bool {
 	if g.quiet.Load() {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.leaving.has(id)
+	return g.leaving.contains(id)
 }
 
-// Take asks for one request to be sent now. Whoever sends one calls it immediately before:
-// what other requests took since the endpoint was chosen counts.
+// Take reports whether one request may be sent now, and counts it if so. Senders call it
+// immediately before each send, since other requests may have used the rate limit after the
+// endpoint was chosen.
 func (g *Guard) Take(id ID) bool {
 	if g.quiet.Load() {
 		return true
 	}
-	tell, reason := g.take(id)
-	g.announce(tell)
+	notice, reason := g.tryTake(id)
+	g.announce(notice)
 	if reason != "" {
 		g.metrics.held.WithLabelValues(reason).Inc()
 	}
 	return reason == ""
 }
 
-// take returns why the request must not be sent, or what the others should be told.
-func (g *Guard) take(id ID) (tell *Notice, reason string) {
+// tryTake returns the reason why the request must not be sent, or else a notice for the other
+// nodes; nil: none.
+func (g *Guard) tryTake(id ID) (notice *Notice, reason string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.Clock.Now()
-	if g.leaving.has(id) {
+	if g.leaving.contains(id) {
 		return nil, reasonLeaving
 	}
-	if !g.backoffs.allows(id, now) {
+	if !g.backoffs.isAllowed(id, now) {
 		return nil, reasonBackoff
 	}
-	ok, tell := g.limits.take(id, now)
+	ok, notice := g.limits.tryTake(id, now)
 	if !ok {
 		return nil, reasonLimit
 	}
-	g.backoffs.take(id, now)
-	return tell, ""
+	g.backoffs.recordSend(id, now)
+	return notice, ""
 }
 
-// Answered takes up the signals of the answer to a request that was sent at sent.
-func (g *Guard) Answered(id ID, s Signals, sent clock.Instant) {
+// Answered processes the signals of the answer to a request that was sent at sentAt.
+func (g *Guard) Answered(id ID, s Signals, sentAt clock.Instant) {
 	if g.quiet.Load() && s == (Signals{}) {
 		return
 	}
 	g.mu.Lock()
 	now := g.Clock.Now()
-	var tell *Notice
+	var notice *Notice
 	if !s.LimitInvalid {
-		tell = g.limits.answered(id, s.Limit, sent, now, g.Order)
+		notice = g.limits.recordAnswer(id, s.Limit, sentAt, now, g.Order)
 	}
-	begins := g.backoffs.answered(id, s.RetryAfter, sent, now)
-	leaves := s.Leaving && g.leaving.add(id, now)
-	g.noteQuiet()
+	backoffBegins := g.backoffs.recordAnswer(id, s.RetryAfter, sentAt, now)
+	isLeaving := s.Leaving && g.leaving.add(id, now)
+	g.updateQuiet()
 	g.mu.Unlock()
-	if leaves {
-		g.Log.Info("endpoint says that it leaves", "endpoint", id)
+	if isLeaving {
+		g.Log.Info("endpoint is leaving", "endpoint", id)
 		g.Leaves(id)
 	}
-	if begins {
-		g.Log.Info("endpoint asks for a backoff", "endpoint", id, "retry_after_ms", s.RetryAfter.Milliseconds())
+	if backoffBegins {
+		g.Log.Info("endpoint requests a backoff", "endpoint", id, "retry_after_ms", s.RetryAfter.Milliseconds())
 	}
-	if tell != nil {
-		g.logLimit(*tell)
-		g.announce(tell)
+	if notice != nil {
+		g.logLimit(*notice)
+		g.announce(notice)
 	}
 }
 
-// Hear takes up another node's notice.
+// Hear processes another node's notice.
 func (g *Guard) Hear(n Notice) {
 	if n.Node == g.Node {
 		return
 	}
 	g.mu.Lock()
-	news := g.limits.hear(n, g.Clock.Now(), g.Order)
-	g.noteQuiet()
+	changed := g.limits.applyNotice(n, g.Clock.Now(), g.Order)
+	g.updateQuiet()
 	g.mu.Unlock()
-	if news {
+	if changed {
 		g.logLimit(n)
 	}
 }
 
-// RetryAfter returns after how long the endpoint can take a request that it isn't allowed now;
-// 0: it leaves.
+// RetryAfter returns the time until an endpoint that is not allowed now can accept a request; 0:
+// it is leaving.
 func (g *Guard) RetryAfter(id ID) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.leaving.has(id) {
+	if g.leaving.contains(id) {
 		return 0
 	}
 	return max(g.backoffs.retryAfter(id, g.Clock.Now()), g.limits.retryAfter(id))
 }
 
-// Held returns the endpoints to which this node may send nothing now.
+// Held returns the endpoints to which this node may send nothing now, sorted.
 func (g *Guard) Held() []ID {
 	if g.quiet.Load() {
 		return nil
@@ -191,13 +193,13 @@
 	defer g.mu.Unlock()
 	now := g.Clock.Now()
 	var held []ID
-	for id := range g.limits.by {
-		if !g.allows(id, now) {
+	for id := range g.limits.byID {
+		if !g.isAllowed(id, now) {
 			held = append(held, id)
 		}
 	}
-	for id := range g.backoffs.by {
-		if !g.allows(id, now) {
+	for id := range g.backoffs.byID {
+		if !g.isAllowed(id, now) {
 			held = append(held, id)
 		}
 	}
@@ -208,18 +210,19 @@
 	return slices.Compact(held)
 }
 
-// Sweep forgets endpoints that are no longer listed, and takes up which nodes there are.
+// Sweep deletes the state of endpoints that are no longer listed, and refreshes the order of
+// senders.
 func (g *Guard) Sweep(listed func(ID) bool) {
 	if g.quiet.Load() {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	defer g.noteQuiet()
+	defer g.updateQuiet()
 	now := g.Clock.Now()
-	g.limits.keep(listed, now, g.Order)
-	g.backoffs.keep(now)
-	g.leaving.keep(listed, now)
+	g.limits.refresh(listed, now, g.Order)
+	g.backoffs.removeExpired(now)
+	g.leaving.refresh(listed, now)
 }
 
 func (g *Guard) announce(n *Notice) {
@@ -230,8 +233,8 @@
 
 func (g *Guard) logLimit(n Notice) {
 	if n.Ended {
-		g.Log.Info("rate limit of an endpoint has ended", "endpoint", n.ID, "from", n.Node)
+		g.Log.Info("rate limit of an endpoint ended", "endpoint", n.ID, "from", n.Node)
 		return
 	}
-	g.Log.Info("endpoint names a rate limit", "endpoint", n.ID, "limit", n.Rate, "from", n.Node)
+	g.Log.Info("endpoint sets a rate limit", "endpoint", n.ID, "limit", n.Rate, "from", n.Node)
 }
--- a/internal/backpressure/leaving.go
+++ b/internal/backpressure/leaving.go
@@ -6,31 +6,32 @@
 	"chervilloom/internal/clock"
 )
 
-// leavingMemory is how long an endpoint that leaves and isn't listed is remembered. Its entry
-// may come back after an outage of the platform.
+// leavingMemory is how long a leaving endpoint that isn't listed is remembered. Its entry may
+// reappear after an outage of the platform.
 const leavingMemory = 10 * time.Minute
 
-// leaving holds the endpoints that said that they leave, and when each was last listed or
-// heard. Leaving is final for one life. It is pure: no clock, no lock, no I/O.
-type leaving map[ID]clock.Instant
+// leavingEndpoints has the endpoints that announced that they are leaving, with the time when
+// each was last listed or announced it. Leaving is final for one lifetime of an endpoint. It has
+// no clock and no lock, and does no I/O.
+type leavingEndpoints map[ID]clock.Instant
 
-// add notes that an endpoint leaves. It reports whether that is new.
-func (l leaving) add(id ID, now clock.Instant) bool {
+// add records a leaving endpoint. It reports whether the endpoint is new.
+func (l leavingEndpoints) add(id ID, now clock.Instant) bool {
 	_, known := l[id]
 	l[id] = now
 	return !known
 }
 
-func (l leaving) has(id ID) bool {
+func (l leavingEndpoints) contains(id ID) bool {
 	_, known := l[id]
 	return known
 }
 
-func (l leaving) keep(listed func(ID) bool, now clock.Instant) {
-	for id, seen := range l {
+func (l leavingEndpoints) refresh(listed func(ID) bool, now clock.Instant) {
+	for id, lastSeen := range l {
 		if listed(id) {
 			l[id] = now
-		} else if now.Sub(seen) > leavingMemory {
+		} else if now.Sub(lastSeen) > leavingMemory {
 			delete(l, id)
 		}
 	}
--- a/internal/backpressure/metrics.go
+++ b/internal/backpressure/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// The reasons for which sends are held back.
+// Reasons for holding a send back.
 const (
 	reasonLimit   = "rate_limit"
 	reasonBackoff = "backoff"
@@ -29,10 +29,10 @@
 	}
 	reg.MustRegister(m.held)
 	gauge("chervilloom_endpoints_limited", "Endpoints that name a rate limit, as this node knows.", func() int {
-		return len(g.limits.by)
+		return len(g.limits.byID)
 	})
 	gauge("chervilloom_endpoints_backed_off", "Endpoints that asked this node to send nothing for a while.", func() int {
-		return g.backoffs.active(g.Clock.Now())
+		return g.backoffs.countActive(g.Clock.Now())
 	})
 	gauge("chervilloom_endpoints_leaving", "Endpoints that said that they leave, those of the last minutes included.", func() int {
 		return len(g.leaving)
--- a/internal/backpressure/signals.go
+++ b/internal/backpressure/signals.go
@@ -9,49 +9,49 @@
 	"time"
 )
 
-// Signals are what an answer says of its endpoint.
+// Signals are the load signals that an endpoint attached to an answer.
 type Signals struct {
-	// Limit is the requests a second that the endpoint takes from all nodes together; nil:
-	// it names none.
+	// Limit is the number of requests a second that the endpoint accepts from all nodes
+	// together; nil: no limit.
 	Limit *float64
-	// LimitInvalid says that it names one that can't be kept to: what was known before holds.
+	// LimitInvalid is set if the limit could not be parsed: the previous one stays in force.
 	LimitInvalid bool
-	// RetryAfter is how long an endpoint that turned the request away wants nothing from this
-	// node; 0: it doesn't say.
+	// RetryAfter is the backoff that an endpoint requests from this node when it rejects a
+	// request; 0: none.
 	RetryAfter time.Duration
-	// Leaving says that the endpoint leaves.
+	// Leaving is set if the endpoint is leaving.
 	Leaving bool
 }
 
-// MaxRetryAfter bounds a backoff: a wrong value must not keep requests from an endpoint for
-// good.
+// MaxRetryAfter bounds a backoff, so that a wrong value does not block an endpoint indefinitely.
 const MaxRetryAfter = 10 * time.Minute
 
-var errNoNumber = errors.New("no number of zero or more")
+var errInvalidNumber = errors.New("not a number of zero or more")
 
-// ReadLimit takes up the value of a header that names a limit, in requests a second; empty:
-// there was none.
+// ReadLimit parses the value of a header that names a limit, in requests a second; empty: no
+// limit.
 func (s *Signals) ReadLimit(text string) error {
 	if text == "" {
 		return nil
 	}
-	limit, err := number(text)
+	limit, err := parseNumber(text)
 	if err != nil || math.IsInf(limit, 0) {
 		s.LimitInvalid = true
-		return fmt.Errorf("rate limit %q: %w", text, errNoNumber)
+		return fmt.Errorf("rate limit %q: %w", text, errInvalidNumber)
 	}
 	s.Limit = &limit
 	return nil
 }
 
-// ReadRetryAfter takes up the values of a header that asks for a backoff, in seconds with
-// decimals. The longest counts. A date isn't taken: the clocks of VMs differ and may jump.
+// ReadRetryAfter parses the values of a header that requests a backoff, in seconds with
+// decimals. The longest one is used, also if an error is returned for another. Dates are
+// rejected: the clocks of VMs differ and may jump.
 func (s *Signals) ReadRetryAfter(values []string) error {
 	var wrong error
 	for _, text := range values {
-		seconds, err := number(text)
+		seconds, err := parseNumber(text)
 		if err != nil {
-			wrong = fmt.Errorf("backoff %q: %w", text, errNoNumber)
+			wrong = fmt.Errorf("backoff %q: %w", text, errInvalidNumber)
 			continue
 		}
 		s.RetryAfter = max(s.RetryAfter, time.Duration(min(seconds, MaxRetryAfter.Seconds())*float64(time.Second)))
@@ -59,10 +59,10 @@
 	return wrong
 }
 
-func number(text string) (float64, error) {
+func parseNumber(text string) (float64, error) {
 	x, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || math.IsNaN(x) || x < 0 {
-		return 0, errNoNumber
+		return 0, errInvalidNumber
 	}
 	return x, nil
 }
