--- a/internal/forward/beside_test.go
+++ b/internal/forward/beside_test.go
@@ -28,15 +28,16 @@
 	"chervilloom/platform"
 )
 
-// rig is a forwarder before plain endpoints of the test's own.
-type rig struct {
+// testForwarder is a forwarder in front of plain endpoints that the test starts.
+type testForwarder struct {
 	*forward.Forwarder
 	server *httptest.Server
 	guard  *quarantine.Guard
 }
 
-// newRig starts a forwarder that may send slack repeats in a window.
-func newRig(t *testing.T, slack float64, addrs ...string) *rig {
+// newTestForwarder starts a forwarder whose budget allows slack retries in a window, for
+// endpoints at addrs.
+func newTestForwarder(t *testing.T, slack float64, addrs ...string) *testForwarder {
 	t.Helper()
 	doc := catalog.Document{
 		Version:  1,
@@ -58,7 +59,7 @@
 	c := clock.Boot{}
 	known := roster.Merge(roster.Empty(), roster.Listing{Endpoints: list}, c.Now(), 0)
 	log := slog.New(slog.DiscardHandler)
-	r := &rig{guard: (&quarantine.Guard{
+	r := &testForwarder{guard: (&quarantine.Guard{
 		Clock: c, Log: log, Tell: func(quarantine.Message) {}, Announce: func(quarantine.Message) {},
 	}).Init(nil)}
 	r.Forwarder = &forward.Forwarder{
@@ -83,10 +84,10 @@
 	return r
 }
 
-// get asks for a path and returns the status of the answer and its body.
-func (r *rig) get(t *testing.T, id, path string) (int, string) {
+// get requests a path and returns the status and the body of the response.
+func (r *testForwarder) get(t *testing.T, id, path string) (int, string) {
 	t.Helper()
-	resp, err := r.ask(t, id, path)
+	resp, err := r.send(t, id, path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,8 +99,8 @@
 	return resp.StatusCode, string(body)
 }
 
-// ask sends a request for a path.
-func (r *rig) ask(t *testing.T, id, path string) (*http.Response, error) {
+// send sends a GET request for a path.
+func (r *testForwarder) send(t *testing.T, id, path string) (*http.Response, error) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, r.server.URL+path, nil)
 	if err != nil {
@@ -110,8 +111,8 @@
 	return http.DefaultClient.Do(req)
 }
 
-// endpoint starts one that answers as endpoints do.
-func endpoint(t *testing.T) string {
+// startEndpoint starts an endpoint that answers every request, and returns its address.
+func startEndpoint(t *testing.T) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
@@ -122,8 +123,8 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// gone returns an address at which nothing listens.
-func gone(t *testing.T) string {
+// unusedAddr returns an address on which nothing listens.
+func unusedAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -133,14 +134,15 @@
 	return ln.Addr().String()
 }
 
-// A request ends one endpoint after the other, and the list shows them for seconds more.
-// Requests of others that are placed there have their connection refused at once. Nothing
-// arrived anywhere, so that going to another endpoint is no repeat; yet each took one from
-// the budget, and when that was spent, 108 requests of a played day were refused with free
-// endpoints at hand ("least loaded; ... connection refused").
-func TestRefusedConnectionsCostNoRepeat(t *testing.T) {
+// Guards against retry budget spent on refused connections. When a request terminates one
+// endpoint after the other, the list shows them for some more seconds, and other requests
+// placed there have their connections refused at once. Nothing was sent, so another attempt
+// is no retry. Each attempt did take one retry from the budget, and once it was spent, 108
+// requests of a simulated day were refused although endpoints were free ("least loaded;
+// ... connection refused").
+func TestRefusedConnectionsAreExemptFromRetryBudget(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 0, gone(t), gone(t), endpoint(t))
+	r := newTestForwarder(t, 0, unusedAddr(t), unusedAddr(t), startEndpoint(t))
 	for i := range 20 {
 		code, body := r.get(t, string(rune('a'+i)), "/lookup/x")
 		is.Equal(code, http.StatusOK)
@@ -148,15 +150,15 @@
 	}
 }
 
-// Every endpoint but one that would serve refuses connections. A request looks at a few of
-// them and is told then: where all are gone, it must not go through hundreds.
+// Guards against a request that dials hundreds of endpoints when all of them refuse
+// connections. It is refused after a few dials.
 func TestRefusedConnectionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	var addrs []string
 	for range 40 {
-		addrs = append(addrs, gone(t))
+		addrs = append(addrs, unusedAddr(t))
 	}
-	r := newRig(t, 0, addrs...)
+	r := newTestForwarder(t, 0, addrs...)
 	var dials atomic.Int32
 	r.Pool.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		dials.Add(1)
@@ -167,9 +169,9 @@
 	is.True(dials.Load() <= 4)
 }
 
-// Guards against requests that wait or are sent on while every endpoint of their service
-// rests.
-func TestRequestsAreRefusedAtOnceWhileAllEndpointsRest(t *testing.T) {
+// Guards against requests that wait, or are sent anyway, while every endpoint of their
+// service has asked for a backoff.
+func TestRequestsAreRefusedWhileAllEndpointsBackOff(t *testing.T) {
 	is := is.New(t)
 	var arrivals atomic.Int32
 	resting := func() string {
@@ -182,18 +184,18 @@
 		t.Cleanup(s.Close)
 		return strings.TrimPrefix(s.URL, "http://")
 	}
-	r := newRig(t, 100, resting(), resting())
+	r := newTestForwarder(t, 100, resting(), resting())
 	for i := range 20 {
-		resp, err := r.ask(t, string(rune('a'+i)), "/lookup/x")
+		resp, err := r.send(t, string(rune('a'+i)), "/lookup/x")
 		is.NoErr(err)
 		resp.Body.Close()
 		is.Equal(resp.StatusCode, http.StatusServiceUnavailable)
 		if i == 0 {
-			continue // it found out
+			continue // the first request learns about the backoff
 		}
 		after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		is.NoErr(err)
 		is.True(after > 25)
 	}
-	is.Equal(arrivals.Load(), int32(2)) // one each
+	is.Equal(arrivals.Load(), int32(2)) // one at each endpoint
 }
--- a/internal/forward/choose.go
+++ b/internal/forward/choose.go
@@ -10,9 +10,9 @@
 	"chervilloom/internal/roster"
 )
 
-// EjectionID names an endpoint to the ejector. A head has another name in each
-// of its groups: streams that broke off when a group lost a member say nothing
-// about the group that the head leads a second later.
+// EjectionID returns the ejector's key for an endpoint. The key of a group head includes
+// the group: failures of streams that were cut when a group lost a member must not count
+// against the next group of the same head, which may serve a second later.
 func EjectionID(e *roster.Endpoint) retry.ID {
 	if e.Member.Group == "" {
 		return retry.ID(e.ID)
@@ -20,15 +20,16 @@
 	return retry.ID(string(e.ID) + "@" + e.Member.Group)
 }
 
-// report tells the ejector how an attempt ended. Endpoints that fail more than
-// their peers are left out for a while although their health check is good.
-func (x *exchange) report(ep *roster.Endpoint, res Result) {
+// reportResult passes an attempt's result to the ejector, which excludes endpoints for a while
+// that fail more than their peers although their health checks pass.
+func (x *exchange) reportResult(ep *roster.Endpoint, res Result) {
 	switch res {
 	case Answered:
 		x.f.Ejector.Report(EjectionID(ep), false)
 	case MayHaveRun, Failed, OutOfTime:
-		// A head that stands still is suspect, and its group is taken apart.
-		if x.endedHere() {
+		// This node aborted the attempt. A stalled head is already marked suspect, and
+		// its group is dissolved.
+		if x.isAbortedHere() {
 			return
 		}
 		x.f.Ejector.Report(EjectionID(ep), true)
@@ -38,8 +39,8 @@
 	}
 }
 
-// pick chooses the next endpoint, nil when there is none. An endpoint whose
-// ejection is over gets one request as a trial, if that may be sent again.
+// pick returns the next endpoint, or nil if there is none. An endpoint whose ejection has
+// expired gets one request as a trial, if that request may be repeated.
 func (x *exchange) pick() *roster.Endpoint {
 	eps := x.candidates()
 	if x.route.Repeatable() {
@@ -50,17 +51,18 @@
 		}
 	}
 	ep, reason := x.choose(eps)
-	x.noChoice = reason
+	x.pickReason = reason
 	return ep
 }
 
-// choices is what a choice had to choose from, for the log.
-type choices struct {
-	endpoints int // that could serve the request
-	freeSlots int // of theirs, as this node knew
+// candidateStats records the candidates of the newest selection, for the log.
+type candidateStats struct {
+	endpoints int // endpoints that could serve the request
+	freeSlots int // their free slots, as far as this node knows
 }
 
-// choose picks among the endpoints; ejected ones only when there is no other.
+// choose selects one of the endpoints, an ejected one only if there is no other. Without
+// one it returns nil and the reason.
 func (x *exchange) choose(eps []*roster.Endpoint) (*roster.Endpoint, balance.Reason) {
 	profile := x.f.Plain
 	if x.engine() != nil {
@@ -69,20 +71,21 @@
 	}
 	again := x.engine() != nil && len(x.tried) > 0
 	if again {
-		profile.Bounds.Sample = sampleAgain
+		profile.Bounds.Sample = retrySampleSize
 	}
 	cands := make([]balance.Candidate, len(eps))
-	x.choices = choices{endpoints: len(eps)}
+	x.candidateStats = candidateStats{endpoints: len(eps)}
 	for i, e := range eps {
 		st := x.f.Tracker.Of(e.ID, profile.Turnover)
 		if e.Zone != x.f.Zone && x.engine() != nil {
-			// This node sees what it has there itself; the zone's mean tells the others'.
+			// The tracker knows only this node's own requests in another zone; the
+			// zone's mean load includes those of the other nodes.
 			mean := x.f.ZoneLoad(e.Zone, e.Model)
 			load := mean.Load * float64(e.Slots)
 			st.Load, st.Unread = max(st.Load, load), max(st.Unread, mean.Unread)
 			st.Unconfirmed = min(st.Unconfirmed, st.Load-load)
 		}
-		x.choices.freeSlots += max(0, e.Slots-int(st.Load))
+		x.candidateStats.freeSlots += max(0, e.Slots-int(st.Load))
 		cands[i] = balance.Candidate{
 			Load: st.Load, Unconfirmed: st.Unconfirmed, Slots: e.Slots, Unread: st.Unread, Local: again || e.Zone == x.f.Zone,
 			Suspect: st.Suspect, Tried: x.wasTried(e.ID),
@@ -96,29 +99,30 @@
 	return eps[i], reason
 }
 
-// sampleAgain is how many heads are looked at for a request that goes on elsewhere, those of
-// all zones alike. When a group is lost, the nodes of its zone place its streams at the same
-// moment by the same board: the least loaded of the two or three heads that are left there
-// got them all, and read their prompts for half a second while their clients waited.
-const sampleAgain = 2
+// retrySampleSize is the number of heads, from all zones alike, that are compared for a retry.
+// When a group is lost, the nodes of its zone reassign its streams at the same moment from
+// the same load counts. With a full comparison the least loaded of the two or three
+// remaining heads got all of them and spent half a second on their prompts while the
+// clients waited.
+const retrySampleSize = 2
 
-// pressureID names an endpoint to the guard of what endpoints take.
-func pressureID(e *roster.Endpoint) backpressure.ID { return backpressure.ID(e.ID) }
+// backpressureID returns the backpressure guard's key for an endpoint.
+func backpressureID(e *roster.Endpoint) backpressure.ID { return backpressure.ID(e.ID) }
 
-// candidates returns the endpoints that could serve the request. Those that take nothing
-// from this node now are left out.
+// candidates returns the endpoints that could serve the request, without those that accept
+// no requests from this node at present.
 func (x *exchange) candidates() []*roster.Endpoint {
 	all := x.f.View().Roster.Service(x.service)
 	engine := x.engine()
-	x.held, x.heldFor = 0, 0
+	x.backingOff, x.backoffLeft = 0, 0
 	out := make([]*roster.Endpoint, 0, len(all))
 	for _, e := range all {
 		switch {
 		case !e.Usable():
 		case engine != nil && !(e.Leads() && e.Model == x.req.Model):
-		case x.f.Backpressure.Leaving(pressureID(e)):
-		case !x.f.Backpressure.Allows(pressureID(e)):
-			x.noteHeld(e)
+		case x.f.Backpressure.Leaving(backpressureID(e)):
+		case !x.f.Backpressure.Allows(backpressureID(e)):
+			x.noteBackingOff(e)
 		default:
 			out = append(out, e)
 		}
@@ -126,15 +130,17 @@
 	return out
 }
 
-// noteHeld counts an endpoint that takes nothing now, and notes when the first one does again.
-func (x *exchange) noteHeld(e *roster.Endpoint) {
-	after := x.f.Backpressure.RetryAfter(pressureID(e))
-	if x.held == 0 || after < x.heldFor {
-		x.heldFor = after
+// noteBackingOff counts an endpoint that accepts nothing at present and records the shortest
+// time until one accepts requests again.
+func (x *exchange) noteBackingOff(e *roster.Endpoint) {
+	after := x.f.Backpressure.RetryAfter(backpressureID(e))
+	if x.backingOff == 0 || after < x.backoffLeft {
+		x.backoffLeft = after
 	}
-	x.held++
+	x.backingOff++
 }
 
+// engine returns the engine declaration of the request's service, nil for a plain service.
 func (x *exchange) engine() *catalog.Engine {
 	if s := x.catalog.Service(x.service); s != nil {
 		return s.Engine
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -8,16 +8,16 @@
 	"chervilloom/internal/upstream"
 )
 
-type clientKey struct{}
+type clientConnKey struct{}
 
-// WithClient lets requests know the connection that they came on. It is a server's
-// ConnContext.
+// WithClient stores a client's connection in the context of its requests. Use it as
+// http.Server's ConnContext.
 func WithClient(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, clientKey{}, c)
+	return context.WithValue(ctx, clientConnKey{}, c)
 }
 
-// clientLeft reports whether the client has closed its connection.
-func clientLeft(r *http.Request) bool {
-	c, ok := r.Context().Value(clientKey{}).(net.Conn)
+// isClientGone reports whether the client has closed its connection.
+func isClientGone(r *http.Request) bool {
+	c, ok := r.Context().Value(clientConnKey{}).(net.Conn)
 	return ok && upstream.PeerLeft(c)
 }
--- a/internal/forward/client_test.go
+++ b/internal/forward/client_test.go
@@ -21,10 +21,10 @@
 	"chervilloom/internal/upstream"
 )
 
-// The client sends a request and leaves while the node still dials the endpoint. The
-// node has not read from the client's connection since. Nothing is sent: the endpoint
-// would run for nobody. The same where the client's time is over by then.
-func TestNothingIsSentForAClientThatHasLeft(t *testing.T) {
+// Guards against requests that are run for nobody: the client disconnects, or its deadline
+// passes, while the node still dials the endpoint and does not read from the client's
+// connection.
+func TestNoRequestIsSentAfterClientDisconnects(t *testing.T) {
 	for name, late := range map[string]bool{"left": false, "time is over": true} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -41,7 +41,7 @@
 					} else {
 						client.Close()
 						for !upstream.PeerLeft(server) && ctx.Err() == nil {
-							time.Sleep(time.Millisecond) // the end is on its way over the loopback
+							time.Sleep(time.Millisecond) // the FIN has not arrived over the loopback yet
 						}
 					}
 					return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
@@ -53,7 +53,7 @@
 			in = in.WithContext(WithClient(context.Background(), server))
 			x := &exchange{
 				f: f, req: &Request{}, route: &catalog.Route{Repeat: catalog.Idempotent}, catalog: &catalog.Catalog{},
-				in: in, client: in.Context(), start: c.Now(), deadline: c.Now().Add(time.Second),
+				clientRequest: in, clientCtx: in.Context(), start: c.Now(), deadline: c.Now().Add(time.Second),
 			}
 			f.Nodes = func() int { return 1 }
 			res := x.attempt(context.Background(), &roster.Endpoint{ID: "e", Addr: endpoint.Listener.Addr().String()})
@@ -68,6 +68,7 @@
 	}
 }
 
+// tcpPair returns the two ends of a TCP connection.
 func tcpPair(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/forward/codec.go
+++ b/internal/forward/codec.go
@@ -1,7 +1,7 @@
-// Package forward takes a client's request to an endpoint and the answer back.
-// One loop of attempts serves every kind of request: pick an endpoint, send,
-// judge what came back, and go on, give up or be done. What is decided between
-// two attempts is pure (Next); the loop does the I/O.
+// Package forward proxies client requests to endpoints. One loop of attempts serves every
+// kind of request: pick an endpoint, send the request, classify the response, then retry,
+// give up or finish. The decision between two attempts is a pure function (Next); the loop
+// does the I/O.
 package forward
 
 import (
@@ -13,61 +13,62 @@
 	"chervilloom/internal/roster"
 )
 
-// Request is a client's request as far as decisions need it.
+// Request contains the parts of a client's request that routing and retries depend on.
 type Request struct {
-	ID     string // of this client attempt
+	ID     string // unique for each attempt of the client
 	Host   string
 	Path   string // as sent, without the query
 	Target string // path and query as sent
-	Key    string // empty: none
+	Key    string // API key; empty: none
 	Model  string
-	Prompt int           // tokens
-	Answer int           // tokens at most; 0: not told
-	Hint   int           // the client's guess of the answer's tokens; 0: none
-	Resume string        // id of the last event that the client has
-	Left   time.Duration // how long the client waits; 0: not told
+	Prompt int           // prompt length in tokens
+	Answer int           // maximum answer length in tokens; 0: not given
+	Hint   int           // the client's estimate of the answer length in tokens; 0: none
+	Resume string        // id of the last event that the client received
+	Left   time.Duration // the client's remaining timeout; 0: not given
 }
 
-// Hop is what one attempt tells its endpoint beside the client's own headers.
+// Hop contains the values that an attempt sends to its endpoint in addition to the
+// client's own headers.
 type Hop struct {
-	Expect       roster.ID     // any other endpoint refuses the request
-	Left         time.Duration // what is left of the client's time
+	Expect       roster.ID     // the intended endpoint; any other one refuses the request
+	Left         time.Duration // time until the client's deadline
 	Organisation string        // empty: none
-	Resume       string        // go on after this event; empty: from the beginning
-	Urgency      int           // 0 is the most urgent; NoUrgency: none is told
+	Resume       string        // resume after the event with this id; empty: from the beginning
+	Urgency      int           // 0 is the most urgent; NoUrgency: not sent
 }
 
-// NoUrgency leaves the order to the endpoint.
+// NoUrgency leaves the order of requests to the endpoint.
 const NoUrgency = -1
 
-// Reply is what an endpoint says of an attempt in its answer's head.
+// Reply is the information about an attempt in the header of an endpoint's response.
 type Reply struct {
-	NotRun  bool   // the request didn't run there and won't
-	Ours    bool   // the answer names this request
-	Signed  bool   // it bears an endpoint's signature
-	Encoded bool   // the body was changed on the way
-	HasLoad bool   // Running and Waiting are told
-	Running int    // requests that run there
-	Waiting int    // requests that wait there
-	Culprit string // the endpoint that made a group refuse; empty: not told
+	NotRun  bool   // the request has not run there and will not
+	Ours    bool   // the response carries this request's id
+	Signed  bool   // the response carries an endpoint's stamp
+	Encoded bool   // the body has a Content-Encoding, so an intermediary changed it
+	HasLoad bool   // Running and Waiting are set
+	Running int    // requests running at the endpoint
+	Waiting int    // requests queued at the endpoint
+	Culprit string // the group member that caused the refusal; empty: not named
 	Other   bool   // another endpoint has the address now
-	// Pressure is what it says of how much it takes. Unreadable names the headers of that
-	// which can't be read; nil: none.
+	// Pressure contains the endpoint's rate limit and backoff. Unreadable names those of
+	// their headers that cannot be parsed; nil: none.
 	Pressure   backpressure.Signals
 	Unreadable error
 }
 
-// Codec translates between the project and what clients and endpoints speak.
+// Codec translates between this package and the protocols of clients and endpoints.
 type Codec interface {
 	// Read decodes a client's request.
 	Read(r *http.Request) (Request, error)
-	// Outbound returns the header of an attempt: the client's own end-to-end
-	// headers and what hop adds.
+	// Outbound returns the header of an attempt: the client's end-to-end headers and
+	// the values of hop.
 	Outbound(in http.Header, req *Request, hop Hop) http.Header
-	// Judge reads the head of an endpoint's answer.
+	// Judge reads the header of an endpoint's response.
 	Judge(req *Request, resp *http.Response) Reply
-	// Relay copies the end-to-end headers of an answer.
+	// Relay copies the end-to-end headers of a response.
 	Relay(dst, src http.Header)
-	// Refuse answers a request with an error of the system itself.
+	// Refuse writes an error of the proxy itself as the response.
 	Refuse(w http.ResponseWriter, requestID string, e *outcome.Error)
 }
--- a/internal/forward/demand.go
+++ b/internal/forward/demand.go
@@ -2,8 +2,8 @@
 
 import "chervilloom/internal/demand"
 
-// noteDemand counts what the request asks of its model's groups.
-func (x *exchange) noteDemand() {
+// recordDemand adds the request's expected work to the demand for its model.
+func (x *exchange) recordDemand() {
 	e := x.engine()
 	if e == nil {
 		return
@@ -19,10 +19,10 @@
 	x.f.demand.Note(x.service, m.Name, e.Work(m, x.req.Prompt, answer).Seconds(), x.start)
 }
 
-// Demand returns what this node's requests for a service have asked for of late.
+// Demand returns the recent demand of this node's requests for a service.
 func (f *Forwarder) Demand(service string) demand.Demand {
 	return f.demand.Of(service, f.Clock.Now())
 }
 
-// DemandOfAll returns the same for each service.
+// DemandOfAll returns the recent demand for each service.
 func (f *Forwarder) DemandOfAll() []demand.Told { return f.demand.All(f.Clock.Now()) }
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -7,32 +7,32 @@
 	"io"
 )
 
-// maxEvent bounds one event of a stream, in bytes.
-const maxEvent = 256 << 10
+// maxEventBytes is the maximum size of one event of a stream, in bytes.
+const maxEventBytes = 256 << 10
 
-var errEventTooLong = errors.New("forward: an event of the stream is too long")
+var errEventTooLong = errors.New("forward: an event of the stream exceeds 256 KiB")
 
-// eventReader cuts a stream into whole events. A stream that breaks off in the
-// middle of an event never yields that part: what the client has received must
-// end where another endpoint goes on.
+// eventReader splits a stream into complete events. It never yields a partial event at the
+// end of a broken stream: another endpoint resumes after a complete event, so the client's
+// copy must end at the same place.
 type eventReader struct {
-	br *bufio.Reader
+	buf *bufio.Reader
 }
 
 func newEventReader(r io.Reader) *eventReader {
 	const size = 2 << 10
-	return &eventReader{br: bufio.NewReaderSize(r, size)}
+	return &eventReader{buf: bufio.NewReaderSize(r, size)}
 }
 
-// next returns the bytes of the next whole event, its blank line included, and
-// its id (empty: none). At the end of the stream rest holds what came after
-// the last whole event.
+// next returns the bytes of the next complete event, including its blank line, and its id
+// (empty: none). At the end of the stream, rest contains the bytes after the last complete
+// event. It fails with errEventTooLong for an event of more than maxEventBytes bytes.
 func (e *eventReader) next() (event []byte, id string, rest []byte, err error) {
 	for {
-		line, err := e.br.ReadSlice('\n')
+		line, err := e.buf.ReadSlice('\n')
 		event = append(event, line...)
 		if errors.Is(err, bufio.ErrBufferFull) {
-			if len(event) > maxEvent {
+			if len(event) > maxEventBytes {
 				return nil, "", nil, errEventTooLong
 			}
 			continue
@@ -40,19 +40,19 @@
 		if err != nil {
 			return nil, "", event, err
 		}
-		if len(event) > maxEvent {
+		if len(event) > maxEventBytes {
 			return nil, "", nil, errEventTooLong
 		}
-		if endsEvent(event) {
+		if isEventEnd(event) {
 			return event, eventID(event), nil, nil
 		}
 	}
 }
 
-// ready reports whether more of the stream has been received already.
-func (e *eventReader) ready() bool { return e.br.Buffered() > 0 }
+// hasBuffered reports whether more of the stream is already buffered.
+func (e *eventReader) hasBuffered() bool { return e.buf.Buffered() > 0 }
 
-func endsEvent(b []byte) bool {
+func isEventEnd(b []byte) bool {
 	return bytes.HasSuffix(b, []byte("\n\n")) || bytes.HasSuffix(b, []byte("\r\n\r\n")) || bytes.Equal(b, []byte("\n"))
 }
 
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -19,73 +19,74 @@
 	"chervilloom/internal/upstream"
 )
 
-// exchange is one client request on its way through its attempts.
+// exchange is the state of one client request over all its attempts.
 type exchange struct {
-	f            *Forwarder
-	req          *Request
-	route        *catalog.Route
-	catalog      *catalog.Catalog
-	organisation string
-	service      string
-	returned     bool // it was refused before
-	start        clock.Instant
-	deadline     clock.Instant
+	f             *Forwarder
+	req           *Request
+	route         *catalog.Route
+	catalog       *catalog.Catalog
+	organisation  string
+	service       string
+	isClientRetry bool // an earlier attempt of the client was probably refused
+	start         clock.Instant
+	deadline      clock.Instant
 
-	in     *http.Request
-	w      http.ResponseWriter
-	client context.Context // ends when the client leaves
-	body   []byte
-	fp     quarantine.Fingerprint
+	clientRequest *http.Request
+	w             http.ResponseWriter
+	clientCtx     context.Context // cancelled when the client disconnects
+	body          []byte
+	fingerprint   quarantine.Fingerprint
 
-	tried     []roster.ID
-	progress  Progress
-	resume    string // id of the last event that the client has
-	events    int    // sent to the client
-	failure   *failure
-	lastCause string // of the newest attempt that failed
-	noChoice  balance.Reason
-	choices   choices
-	held      int           // endpoints that could serve the request and take nothing now
-	heldFor   time.Duration // until the first of them takes a request again
-	unsent    bool          // the newest attempt was held back before it was sent
-	sentAt    clock.Instant // when the newest attempt was sent
-	first     time.Duration // from the start to the answer's first event; 0: none came
-	lastEvent clock.Instant
-	gap       time.Duration // longest pause between two events
-	moving    atomic.Bool   // a stalled attempt is given up; the budget has been asked
-	recalled  atomic.Bool   // the quarantine has ended the attempt
-	banned    bool          // the request ends endpoints; it isn't sent
-	verdict   quarantine.Verdict
-	// refusedDial says that the newest attempt's endpoint refused the connection, closed
-	// how many have.
-	refusedDial bool
-	closed      int
+	tried            []roster.ID
+	progress         Progress
+	lastEventID      string // id of the last event that the client received
+	eventsSent       int    // number of events sent to the client
+	failure          *failureResponse
+	lastCause        string // cause of the newest failed attempt
+	pickReason       balance.Reason
+	candidateStats   candidateStats
+	backingOff       int           // endpoints that could serve the request but accept nothing at present
+	backoffLeft      time.Duration // until the first of them accepts a request again
+	heldBack         bool          // backpressure stopped the newest attempt before it was sent
+	sentAt           clock.Instant // when the newest attempt was sent
+	firstByteLatency time.Duration // from the start to the response header; 0: none sent yet
+	lastEventAt      clock.Instant
+	maxGap           time.Duration // longest pause between two events
+	abortedStalled   atomic.Bool   // a stalled attempt was aborted, with its retry taken from the budget
+	recalled         atomic.Bool   // the quarantine aborted the attempt
+	isQuarantined    bool          // the request is quarantined and not sent
+	verdict          quarantine.Verdict
+	// connRefused reports whether the newest attempt's endpoint refused the connection;
+	// connRefusals counts the attempts for which this happened.
+	connRefused  bool
+	connRefusals int
 }
 
-func (x *exchange) left(now clock.Instant) time.Duration { return x.deadline.Sub(now) }
+// timeLeft returns the time from now to the request's deadline.
+func (x *exchange) timeLeft(now clock.Instant) time.Duration { return x.deadline.Sub(now) }
 
-// run makes attempts until the client has its answer or can't get one.
+// run makes attempts until the client has a response or none is possible.
 func (x *exchange) run(ctx context.Context) {
 	x.f.budget(x.service).First()
 	ep := x.pick()
-	x.noteDemand()
+	x.recordDemand()
 	if ep == nil {
-		x.refuseUnserved()
+		x.refuseNotRun()
 		return
 	}
 	for {
 		res := x.attempt(ctx, ep)
-		x.report(ep, res)
-		x.f.Metrics.attempt(x.route, res)
+		x.reportResult(ep, res)
+		x.f.Metrics.countAttempt(x.route, res)
 		next := x.pick()
 		x.progress.Endpoint = next != nil
 		x.progress.Budget = true
 		step := Next(x.route, res, x.progress)
-		if step == Again && !x.moving.Swap(false) {
-			x.progress.Budget = x.free(res) || x.f.budget(x.service).Allow()
+		if step == Again && !x.abortedStalled.Swap(false) {
+			x.progress.Budget = x.isExemptFromBudget(res) || x.f.budget(x.service).Allow()
 			step = Next(x.route, res, x.progress)
 		}
-		x.f.Log.Debug("attempt", "request", x.req.ID, "endpoint", ep.ID, "result", res.String(), "step", step.String(), "cause", x.lastCause, "events", x.events)
+		x.f.Log.Debug("attempt", "request", x.req.ID, "endpoint", ep.ID, "result", res.String(), "step", step.String(), "cause", x.lastCause, "events", x.eventsSent)
 		if step != Again {
 			x.finish(step, res)
 			return
@@ -94,34 +95,35 @@
 	}
 }
 
-// mostClosed is how many endpoints that refuse the connection cost a request nothing.
-const mostClosed = 3
+// maxFreeRefusals is the number of refused connections per request that are exempt from the
+// retry budget.
+const maxFreeRefusals = 3
 
-// free reports whether the next attempt takes nothing from the retry budget: an attempt that
-// was held back isn't one, and nothing has arrived at an endpoint that refuses connections.
-// Many requests meet one that ended before it leaves the list. A connection that hangs has
-// cost its time and counts.
-func (x *exchange) free(res Result) bool {
-	return res == NotRun && (x.unsent || x.refusedDial && x.closed <= mostClosed)
+// isExemptFromBudget reports whether the next attempt is exempt from the retry budget, because
+// nothing reached the last endpoint: backpressure stopped the attempt, or the endpoint refused
+// the connection. Many requests are placed at a terminated endpoint until it is removed from the
+// list. A dial that times out has used up the request's time and does count.
+func (x *exchange) isExemptFromBudget(res Result) bool {
+	return res == NotRun && (x.heldBack || x.connRefused && x.connRefusals <= maxFreeRefusals)
 }
 
-// attempt sends the request to an endpoint and relays what comes back.
+// attempt sends the request to an endpoint and relays the response.
 func (x *exchange) attempt(ctx context.Context, ep *roster.Endpoint) Result {
 	x.tried = append(x.tried, ep.ID)
-	x.lastCause, x.refusedDial, x.unsent = "", false, false
+	x.lastCause, x.connRefused, x.heldBack = "", false, false
 	x.recalled.Store(false)
 	conn, err := x.connect(ctx, ep)
 	if err != nil {
-		return x.failed(ctx, ep, err)
+		return x.classifyError(ctx, ep, err)
 	}
-	if res, over := x.overBeforeSend(ctx, ep); over {
-		x.f.Pool.Return(conn, x.keptIdle())
+	if res, over := x.checkBeforeSend(ctx, ep); over {
+		x.f.Pool.Return(conn, x.maxIdleConns())
 		return res
 	}
 	x.progress.Sent++
 	x.sentAt = x.f.Clock.Now()
 	ticket := x.f.Tracker.Start(ep.ID, func() {
-		if x.mayMove() {
+		if x.allowsMove() {
 			conn.Abort()
 		}
 	})
@@ -130,62 +132,63 @@
 		x.f.Placed(ep.ID, x.req.Prompt)
 	}
 	stop := context.AfterFunc(ctx, conn.Abort)
-	stopLimit := x.limitTry(conn)
-	endRun := x.f.Quarantine.Begin(x.fp, x.recallBy(conn))
-	resp, err := conn.Send(x.outbound(ep))
+	stopLimit := x.startAttemptTimeout(conn)
+	endRun := x.f.Quarantine.Begin(x.fingerprint, x.recallFunc(conn))
+	resp, err := conn.Send(x.outboundRequest(ep))
 	var res Result
 	if err != nil {
 		x.progress.Runs++
-		res = x.failed(ctx, ep, err)
+		res = x.classifyError(ctx, ep, err)
 	} else {
 		ticket.Progress()
-		res = x.judge(ctx, ep, conn, resp, ticket)
+		res = x.handleResponse(ctx, ep, conn, resp, ticket)
 	}
-	x.noteRun(ep, res, x.sentAt)
-	// Whatever may abort the connection must be over before another request
-	// gets it: an abort that came late would end that one's exchange.
+	x.reportRun(ep, res, x.sentAt)
+	// Stop everything that may abort the connection before another request reuses it: a
+	// late abort would end the other request's exchange.
 	ticket.End()
 	stopLimit()
 	endRun()
-	if !stop() || x.endedHere() {
+	if !stop() || x.isAbortedHere() {
 		conn.Spoil()
 	}
-	x.f.Pool.Put(conn, resp, x.keptIdle())
+	x.f.Pool.Put(conn, resp, x.maxIdleConns())
 	return res
 }
 
-// overBeforeSend looks once more whether the request may be sent: at the client, its time,
-// the quarantine and what the endpoint takes. A node that is short of processor time, or
-// whose dial hangs, comes here seconds after the client left; the server's own look at the
-// connection is as late, and the endpoint would run for nobody.
-func (x *exchange) overBeforeSend(ctx context.Context, ep *roster.Endpoint) (Result, bool) {
+// checkBeforeSend checks immediately before sending whether the request must not be sent:
+// the client disconnected, the deadline has passed, the request is quarantined or the
+// endpoint accepts no more. On a node short of CPU time, or after a slow dial, this can be
+// seconds after the client disconnected; net/http detects the disconnection just as late,
+// and the endpoint would run the request for nobody.
+func (x *exchange) checkBeforeSend(ctx context.Context, ep *roster.Endpoint) (Result, bool) {
 	switch {
-	case x.client.Err() != nil || clientLeft(x.in):
+	case x.clientCtx.Err() != nil || isClientGone(x.clientRequest):
 		x.lastCause = "the client had left before the request was sent"
 		return ClientGone, true
-	case ctx.Err() != nil || x.left(x.f.Clock.Now()) <= 0:
+	case ctx.Err() != nil || x.timeLeft(x.f.Clock.Now()) <= 0:
 		x.lastCause = "the time was over before the request was sent"
 		return OutOfTime, true
-	case x.quarantined(ctx):
-		x.lastCause = "the request ends the endpoints that run it"
+	case x.checkQuarantine(ctx):
+		x.lastCause = "the request is quarantined: endpoints that run it terminate"
 		return Banned, true
-	case !x.f.Backpressure.Take(pressureID(ep)): // the last question: it counts what is sent
-		x.lastCause, x.unsent = "the endpoint takes nothing more now", true
+	case !x.f.Backpressure.Take(backpressureID(ep)): // checked last, because it counts the request as sent
+		x.lastCause, x.heldBack = "the endpoint accepts no more requests at present", true
 		return NotRun, true
 	}
 	return 0, false
 }
 
-// quarantined reports whether the request must not be sent because endpoints end under
-// it. This is the only way to an endpoint, whichever attempt it is.
-func (x *exchange) quarantined(ctx context.Context) bool {
-	x.verdict, x.banned = x.f.Quarantine.Refused(ctx, x.fp)
-	return x.banned
+// checkQuarantine reports whether the request must not be sent because it terminates the
+// endpoints that run it. Every attempt passes this check before it is sent.
+func (x *exchange) checkQuarantine(ctx context.Context) bool {
+	x.verdict, x.isQuarantined = x.f.Quarantine.Refused(ctx, x.fingerprint)
+	return x.isQuarantined
 }
 
-// recallBy returns what ends the attempt if the request becomes a suspect; nil for a request
-// that may not run again.
-func (x *exchange) recallBy(conn *upstream.Conn) func() {
+// recallFunc returns a function that aborts the attempt if the request becomes suspected of
+// terminating endpoints. It is nil for a request that is not repeatable.
+func (x *exchange) recallFunc(conn *upstream.Conn) func() {
 	if !x.route.Repeatable() {
 		return nil
 	}
@@ -195,18 +198,19 @@
 	}
 }
 
-// endedHere reports whether this node ended the attempt: that says nothing of the endpoint.
-func (x *exchange) endedHere() bool { return x.moving.Load() || x.recalled.Load() }
+// isAbortedHere reports whether this node aborted the attempt, so that its result is no failure
+// of the endpoint.
+func (x *exchange) isAbortedHere() bool { return x.abortedStalled.Load() || x.recalled.Load() }
 
-// limitTry gives an answer that may be asked for again a time within which it
-// must have come: an endpoint that hangs would otherwise hold the request until
-// its client's time is over. It returns what ends the limit.
-func (x *exchange) limitTry(conn *upstream.Conn) func() {
+// startAttemptTimeout starts a timeout for an attempt of an idempotent request: a hanging
+// endpoint would otherwise block the request until its deadline. The returned function stops the
+// timeout.
+func (x *exchange) startAttemptTimeout(conn *upstream.Conn) func() {
 	if x.route.Repeat != catalog.Idempotent {
 		return func() {}
 	}
-	t := time.AfterFunc(max(minTry, tryObjectives*x.route.Objective), func() {
-		if x.mayMove() {
+	t := time.AfterFunc(max(minAttemptTimeout, attemptTimeoutObjectives*x.route.Objective), func() {
+		if x.allowsMove() {
 			conn.Abort()
 		}
 	})
@@ -218,17 +222,17 @@
 }
 
 const (
-	// tryObjectives is how many objectives a try may take; one in a hundred
-	// calls takes five times the mean.
-	tryObjectives = 2
-	minTry        = 200 * time.Millisecond
+	// attemptTimeoutObjectives is the timeout of an attempt as a multiple of the route's
+	// latency objective. One in a hundred calls takes five times the mean.
+	attemptTimeoutObjectives = 2
+	minAttemptTimeout        = 200 * time.Millisecond
 )
 
-// mayMove reports whether an attempt whose endpoint went silent should be given
-// up for another one, and takes the repeat from the budget. Without another
-// endpoint the attempt goes on: the silence may end, and giving up would only
-// cut the answer. It is called while the attempt runs.
-func (x *exchange) mayMove() bool {
+// allowsMove reports whether an attempt at a stalled endpoint should be aborted and retried at
+// another one; if so, the retry has been taken from the budget. Without another endpoint the
+// attempt continues: the endpoint may recover, and an abort would only cut the response. It
+// is called while the attempt runs.
+func (x *exchange) allowsMove() bool {
 	if !x.route.Repeatable() || x.progress.Runs+1 >= x.route.MaxAttempts {
 		return false
 	}
@@ -237,17 +241,17 @@
 	}
 	ok := x.f.budget(x.service).Allow()
 	if ok {
-		x.moving.Store(true)
+		x.abortedStalled.Store(true)
 	}
 	return ok
 }
 
-// keptIdle returns how many idle connections this node may keep to an endpoint of
-// the request's service. Above its limit for all callers together an endpoint
-// resets new connections.
-func (x *exchange) keptIdle() int {
+// maxIdleConns returns the maximum number of idle connections from this node to an endpoint of
+// the request's service. An endpoint limits the connections of all callers together and
+// resets new ones above the limit.
+func (x *exchange) maxIdleConns() int {
 	const (
-		idleShare = 0.75 // of an endpoint's connections; the others are for requests that run
+		idleShare = 0.75 // of an endpoint's connections; the rest is for running requests
 		most      = 16
 	)
 	s := x.catalog.Service(x.service)
@@ -257,54 +261,57 @@
 	return min(most, int(idleShare*float64(s.MaxConns))/max(1, x.f.Nodes()))
 }
 
+// connect returns a connection to the endpoint. A request that may run only once gets a new
+// one.
 func (x *exchange) connect(ctx context.Context, ep *roster.Endpoint) (*upstream.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialLimit)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	return x.f.Pool.Get(ctx, ep.Addr, x.route.Repeat == catalog.Once)
 }
 
-func (x *exchange) outbound(ep *roster.Endpoint) *upstream.Request {
+// outboundRequest returns the request to send to the endpoint.
+func (x *exchange) outboundRequest(ep *roster.Endpoint) *upstream.Request {
 	hop := Hop{
-		Expect: ep.ID, Left: max(time.Millisecond, x.left(x.f.Clock.Now())),
-		Organisation: x.organisation, Resume: x.resume, Urgency: x.urgency(),
+		Expect: ep.ID, Left: max(time.Millisecond, x.timeLeft(x.f.Clock.Now())),
+		Organisation: x.organisation, Resume: x.lastEventID, Urgency: x.urgency(),
 	}
 	return &upstream.Request{
-		Method: x.in.Method, Target: x.req.Target, Host: x.in.Host,
-		Header: x.f.Codec.Outbound(x.in.Header, x.req, hop), Body: x.body,
+		Method: x.clientRequest.Method, Target: x.req.Target, Host: x.clientRequest.Host,
+		Header: x.f.Codec.Outbound(x.clientRequest.Header, x.req, hop), Body: x.body,
 	}
 }
 
-// The urgencies: an answer that has begun goes on before others begin, and one
-// that is late already waits.
+// Urgencies of requests to engines. Endpoints resume a started response before they start
+// others; a request that is already late comes last.
 const (
-	urgencyResumed  = 1
-	urgencyFresh    = 4
-	urgencyReturned = 8
+	urgencyResumed = 1
+	urgencyNew     = 4
+	urgencyRetried = 8
 )
 
 func (x *exchange) urgency() int {
 	switch {
 	case x.engine() == nil:
 		return NoUrgency
-	case x.resume != "":
+	case x.lastEventID != "":
 		return urgencyResumed
-	case x.returned:
-		return urgencyReturned
+	case x.isClientRetry:
+		return urgencyRetried
 	}
-	return urgencyFresh
+	return urgencyNew
 }
 
-// failed names the end of an attempt that brought no answer.
-func (x *exchange) failed(ctx context.Context, ep *roster.Endpoint, err error) Result {
+// classifyError returns the result of an attempt that ended with err and records the cause.
+func (x *exchange) classifyError(ctx context.Context, ep *roster.Endpoint, err error) Result {
 	x.lastCause = err.Error()
 	switch {
-	case x.client.Err() != nil:
+	case x.clientCtx.Err() != nil:
 		return ClientGone
 	case ctx.Err() != nil:
 		return OutOfTime
 	case errors.Is(err, upstream.ErrUnsent):
-		if x.refusedDial = errors.Is(err, syscall.ECONNREFUSED); x.refusedDial {
-			x.closed++
+		if x.connRefused = errors.Is(err, syscall.ECONNREFUSED); x.connRefused {
+			x.connRefusals++
 		}
 		x.f.Tracker.Suspect(ep.ID)
 		x.f.Missed()
@@ -313,27 +320,28 @@
 	return MayHaveRun
 }
 
-// finish ends the request as the step says.
+// finish ends the request with the given step.
 func (x *exchange) finish(step Step, res Result) {
-	x.f.Metrics.ended(x.route, step, res)
+	x.f.Metrics.countEnd(x.route, step, res)
 	switch step {
 	case Finish:
-		x.log("request done", res)
+		x.logEnd("request done", res)
 	case Pass:
-		x.pass()
-		x.log("request failed at the endpoint", res)
+		x.relayFailure()
+		x.logEnd("request failed at the endpoint", res)
 	case Refuse:
-		x.refuseUnserved()
+		x.refuseNotRun()
 	case Admit:
-		x.log("request unknown", res)
-		x.f.Codec.Refuse(x.w, x.req.ID, x.unknown(res))
+		x.logEnd("request unknown", res)
+		x.f.Codec.Refuse(x.w, x.req.ID, x.unknownOutcome(res))
 	case Cut:
-		x.log("request cut", res)
-		panic(http.ErrAbortHandler) // closes the connection without a proper end
+		x.logEnd("request cut", res)
+		panic(http.ErrAbortHandler) // closes the connection without ending the response properly
 	}
 }
 
-func (x *exchange) unknown(res Result) *outcome.Error {
+// unknownOutcome returns the error for a request that may have run.
+func (x *exchange) unknownOutcome(res Result) *outcome.Error {
 	if res == OutOfTime {
 		return outcome.New(outcome.DeadlineExceeded, outcome.Unknown,
 			"the time is over and the request may have run", "look before sending it again")
@@ -342,55 +350,57 @@
 		"the endpoint gave no usable answer and the request may have run", "look before sending it again")
 }
 
-func (x *exchange) pass() {
+// relayFailure relays the endpoint's error response.
+func (x *exchange) relayFailure() {
 	x.f.Codec.Relay(x.w.Header(), x.failure.header)
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(x.failure.body)))
 	x.w.WriteHeader(x.failure.status)
-	_, _ = x.w.Write(x.failure.body) // a client that left needs no answer
+	_, _ = x.w.Write(x.failure.body) // an error means that the client disconnected
 }
 
-// refuseUnserved tells the client that the request has not run.
-func (x *exchange) refuseUnserved() {
+// refuseNotRun reports to the client that the request has not run, and why.
+func (x *exchange) refuseNotRun() {
 	e := outcome.New(outcome.NoCapacity, outcome.NotRun, "nothing serves this now", "try again").After(retryAfterNone)
 	stage := "pick"
 	switch {
-	case x.banned:
+	case x.isQuarantined:
 		stage, e = "quarantine", x.verdict.Refusal()
-	case x.noChoice == balance.AllFull:
+	case x.pickReason == balance.AllFull:
 		e = outcome.New(outcome.Overloaded, outcome.NotRun, "every endpoint is full", "try again").After(retryAfterFull)
-	case x.held > 0 && x.choices.endpoints == 0:
-		e = outcome.New(outcome.Overloaded, outcome.NotRun, "the endpoints take nothing more now", "try again").After(spreadReturn(x.heldFor))
+	case x.backingOff > 0 && x.candidateStats.endpoints == 0:
+		e = outcome.New(outcome.Overloaded, outcome.NotRun, "the endpoints take nothing more now", "try again").After(addJitter(x.backoffLeft))
 	}
-	x.f.refuse(x.w, x.req, stage, e.WithCause(errors.New(string(x.noChoice)+"; "+x.lastCause)),
-		"route", x.route.Name, "model", x.req.Model, "endpoints", x.choices.endpoints, "free_slots", x.choices.freeSlots,
-		"held_back", x.held, "tried", x.tried, "fingerprint", x.fp)
+	x.f.refuse(x.w, x.req, stage, e.WithCause(errors.New(string(x.pickReason)+"; "+x.lastCause)),
+		"route", x.route.Name, "model", x.req.Model, "endpoints", x.candidateStats.endpoints, "free_slots", x.candidateStats.freeSlots,
+		"held_back", x.backingOff, "tried", x.tried, "fingerprint", x.fingerprint)
 }
 
-// spreadReturn spreads the returns of clients that are refused for the same time over as
-// much again.
-func spreadReturn(after time.Duration) time.Duration {
+// addJitter returns a random duration between after and twice after, so that clients that
+// are refused for the same time do not retry at the same moment.
+func addJitter(after time.Duration) time.Duration {
 	return after + time.Duration(rand.Float64()*float64(after))
 }
 
-func (x *exchange) log(message string, res Result) {
+func (x *exchange) logEnd(message string, res Result) {
 	x.f.Log.Info(message, "request", x.req.ID, "route", x.route.Name, "organisation", x.organisation,
-		"config", x.catalog.Version, "tried", x.tried, "events", x.events, "result", res.String(),
+		"config", x.catalog.Version, "tried", x.tried, "events", x.eventsSent, "result", res.String(),
 		"cause", x.lastCause, "ms", x.f.Clock.Now().Sub(x.start).Milliseconds(),
-		"model", x.req.Model, "endpoints", x.choices.endpoints, "free_slots", x.choices.freeSlots,
-		"first_ms", x.first.Milliseconds(), "objective_ms", x.route.Objective.Milliseconds(),
-		"gap_ms", x.gap.Milliseconds(), "gap_aim_ms", x.route.GapAim.Milliseconds())
+		"model", x.req.Model, "endpoints", x.candidateStats.endpoints, "free_slots", x.candidateStats.freeSlots,
+		"first_ms", x.firstByteLatency.Milliseconds(), "objective_ms", x.route.Objective.Milliseconds(),
+		"gap_ms", x.maxGap.Milliseconds(), "gap_aim_ms", x.route.GapAim.Milliseconds())
 }
 
-// noteRun has the quarantine know how a run ended. An endpoint that leaves in order may
-// break off what is left, and one that went silent was given up here; that is no end under
-// a request. One whose run was recalled may still end by it.
-func (x *exchange) noteRun(ep *roster.Endpoint, res Result, sent clock.Instant) {
+// reportRun reports the end of a run to the quarantine. A broken run is not reported if the
+// endpoint drains, since it may abort its remaining requests, or if this node aborted the
+// attempt at a stalled endpoint: neither was caused by the request. An endpoint may still
+// terminate because of a recalled run, so that one is reported.
+func (x *exchange) reportRun(ep *roster.Endpoint, res Result, sent clock.Instant) {
 	switch res {
 	case Answered:
-		x.f.Quarantine.Sound(x.fp)
+		x.f.Quarantine.Sound(x.fingerprint)
 	case MayHaveRun:
-		x.logBroken(ep, sent)
-		if x.moving.Load() {
+		x.logBrokenAttempt(ep, sent)
+		if x.abortedStalled.Load() {
 			return
 		}
 		if now := x.f.View().Roster.Get(ep.ID); now == nil || !now.Usable() {
@@ -400,13 +410,13 @@
 		if x.recalled.Load() {
 			note = x.f.Quarantine.Recalled
 		}
-		note(string(ep.ID), ep.Addr, x.fp, quarantine.AttemptID(x.req.ID))
+		note(string(ep.ID), ep.Addr, x.fingerprint, quarantine.AttemptID(x.req.ID))
 	}
 }
 
-// logBroken tells of an attempt without a usable answer. Each client attempt has an id of
-// its own; the fingerprint shows which of them are the same request.
-func (x *exchange) logBroken(ep *roster.Endpoint, sent clock.Instant) {
-	x.f.Log.Info("attempt broke off", "request", x.req.ID, "fingerprint", x.fp, "endpoint", ep.ID,
-		"group", ep.Member.Group, "sent_ms_ago", x.f.Clock.Now().Sub(sent).Milliseconds(), "events", x.events, "cause", x.lastCause)
+// logBrokenAttempt logs an attempt without a usable response. Each attempt of a client has its
+// own request id; attempts with the same fingerprint are the same request.
+func (x *exchange) logBrokenAttempt(ep *roster.Endpoint, sent clock.Instant) {
+	x.f.Log.Info("attempt broke off", "request", x.req.ID, "fingerprint", x.fingerprint, "endpoint", ep.ID,
+		"group", ep.Member.Group, "sent_ms_ago", x.f.Clock.Now().Sub(sent).Milliseconds(), "events", x.eventsSent, "cause", x.lastCause)
 }
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -22,35 +22,35 @@
 	"chervilloom/internal/upstream"
 )
 
-// View is what a request is decided on.
+// View is a snapshot of the configuration and the endpoints for one request.
 type View struct {
 	Catalog *catalog.Catalog // nil: no configuration is known yet
 	// Fresh reports whether the configuration was confirmed recently enough to
-	// vouch for keys and routes.
+	// accept keys and routes.
 	Fresh bool
 	// Current reports whether the configuration was confirmed within the time in
-	// which a change must be in force. What it doesn't know then is surely unknown.
+	// which a change must take effect. Keys and routes that it lacks then do not exist.
 	Current bool
 	Roster  *roster.Roster
-	// ConfigAge is the time since the read that confirmed the configuration began.
+	// ConfigAge is the time since the start of the read that confirmed the configuration.
 	ConfigAge time.Duration
 }
 
-// Profile tunes the choice among the endpoints of a kind of service.
+// Profile configures the selection among the endpoints of a kind of service.
 type Profile struct {
 	Bounds   balance.Bounds
-	Turnover time.Duration // about how long a request runs there
+	Turnover time.Duration // approximate run time of a request
 }
 
-// Quarantine knows which requests end the endpoints that run them.
+// Quarantine detects requests that terminate the endpoints that run them.
 type Quarantine interface {
-	// Refused reports whether the request must not be sent, and on what evidence.
+	// Refused reports whether the request must not be sent, and the evidence.
 	Refused(ctx context.Context, fp quarantine.Fingerprint) (quarantine.Verdict, bool)
-	// Begin is told of a run that begins; end, of its end. recall is called if the run is to
-	// be made again later; nil: it must go on.
+	// Begin registers the start of a run; the caller calls end when the run ends. recall
+	// aborts a run that is to be repeated later; nil: the run must not be aborted.
 	Begin(fp quarantine.Fingerprint, recall func()) (end func())
-	// Broke is told of an attempt at an endpoint that broke off, Recalled of one that was
-	// recalled, Sound of one that ended well.
+	// Broke reports an attempt that ended without a usable response, Recalled one that was
+	// recalled, and Sound one that succeeded.
 	Broke(endpoint, addr string, fp quarantine.Fingerprint, attempt uint32)
 	Recalled(endpoint, addr string, fp quarantine.Fingerprint, attempt uint32)
 	Sound(fp quarantine.Fingerprint)
@@ -65,56 +65,56 @@
 	Pool    *upstream.Pool
 	Tracker *balance.Tracker
 	Zone    string
-	Plain   Profile // of services without engines
-	Engine  Profile // of services with engines
+	Plain   Profile // for services without engines
+	Engine  Profile // for services with engines
 	View    func() View
-	// Ejector leaves out endpoints that fail more than their peers.
+	// Ejector excludes endpoints that fail more than their peers.
 	Ejector *retry.Ejector
-	// Quarantine keeps requests that end endpoints from further ones.
+	// Quarantine refuses requests that terminate endpoints.
 	Quarantine Quarantine
-	// Backpressure keeps to what endpoints say of how much they take.
+	// Backpressure enforces the rate limits and backoffs that endpoints report.
 	Backpressure *backpressure.Guard
-	// NewBudget makes the retry budget of one service.
+	// NewBudget creates the retry budget of one service.
 	NewBudget func() *retry.Windowed
-	// Missed is told when a request met an endpoint that is no longer there, so
+	// Missed is called when a request was sent to an endpoint that no longer exists, so
 	// that the list is read again soon.
 	Missed func()
-	// Unanswered is told of a plain endpoint that gave no usable answer.
+	// Unanswered is called with a plain endpoint that gave no usable response.
 	Unanswered func(roster.ID)
-	// Placed is told of each request that is sent to an engine, with the tokens of
-	// its prompt.
+	// Placed is called for each request that is sent to an engine, with the prompt length
+	// in tokens.
 	Placed func(id roster.ID, prompt int)
 	// Started is closed once a configuration and the endpoints are known; nil: they
-	// are.
+	// already are.
 	Started <-chan struct{}
-	// Sample returns how many engines' heads are looked at for a request; 0: all.
+	// Sample returns the number of engine heads to compare for a request; 0: all.
 	Sample func() int
-	// ZoneLoad returns how loaded another zone's heads of a model are; the zero value:
+	// ZoneLoad returns the mean load of a model's heads in another zone; the zero value:
 	// not known.
 	ZoneLoad func(zone, model string) board.Mean
-	// Nodes returns how many nodes share the endpoints.
+	// Nodes returns the number of nodes that share the endpoints.
 	Nodes func() int
 
-	usual   usualTimes
-	demand  demand.Meter
-	mu      sync.Mutex
-	budgets map[string]*retry.Windowed
+	timeouts clientTimeouts
+	demand   demand.Meter
+	mu       sync.Mutex
+	budgets  map[string]*retry.Windowed
 }
 
 const (
-	// defaultLeft is the time of a client that tells none.
-	defaultLeft = 30 * time.Second
-	// dialLimit is how long a connection to an endpoint may take to be set up.
-	// A round trip takes 3 ms across zones; a longer silence is a dark endpoint.
-	dialLimit = 300 * time.Millisecond
-	// startWait is how long a request waits for what a node that has just started
-	// doesn't know yet; its first reads of the store take 10 to 30 ms.
+	// defaultTimeout is the timeout of a request whose client sends none.
+	defaultTimeout = 30 * time.Second
+	// dialTimeout is the timeout for connecting to an endpoint. A round trip between
+	// zones takes 3 ms, so an endpoint that exceeds it is unreachable.
+	dialTimeout = 300 * time.Millisecond
+	// startWait is the maximum time that a request waits for the first reads of the
+	// store by a node that has just started; they take 10 to 30 ms.
 	startWait = 300 * time.Millisecond
-	// retryAfterNone is told when nothing serves: a repair of a group with a
-	// spare takes one to two seconds.
+	// retryAfterNone is sent when no endpoint serves the request: the repair of a
+	// group with a spare takes one to two seconds.
 	retryAfterNone = time.Second
-	// retryAfterFull is told when every endpoint is full: a slot of a group
-	// frees about every 50 ms, and half of the queue has gone by then.
+	// retryAfterFull is sent when every endpoint is full: a slot of a group becomes
+	// free about every 50 ms, so half of the queue has been served by then.
 	retryAfterFull = 400 * time.Millisecond
 )
 
@@ -131,20 +131,20 @@
 		f.refuse(w, &req, "admit", problem)
 		return
 	}
-	ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(x.left(f.Clock.Now())))
+	ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(x.timeLeft(f.Clock.Now())))
 	defer cancel()
 	if x.body, problem = f.readBody(w, r, x.catalog.Limits.BodyBytes); problem != nil {
 		f.refuse(w, &req, "body", problem)
 		return
 	}
-	x.in, x.w, x.client = r, w, r.Context()
-	x.fp = quarantine.Of(x.organisation, r.Method, req.Host, req.Target, x.body)
+	x.clientRequest, x.w, x.clientCtx = r, w, r.Context()
+	x.fingerprint = quarantine.Of(x.organisation, r.Method, req.Host, req.Target, x.body)
 	x.run(ctx)
 }
 
-// awaitStart waits a moment for a node that has just started. All nodes start at
-// once after a loss of power, and clients meet them a few milliseconds later, often
-// on their last try: refused then, their request is lost.
+// awaitStart waits up to startWait for the configuration and the endpoints of a node that
+// has just started. After a power failure all nodes start at once, and clients reach them a
+// few milliseconds later, often with their last retry: a refusal would lose the request.
 func (f *Forwarder) awaitStart(ctx context.Context) {
 	select {
 	case <-f.Started:
@@ -162,16 +162,16 @@
 	}
 }
 
-// admit finds what the request may use, or says why it can't be served.
+// admit resolves the request's route and organisation, or returns the reason for a refusal.
 func (f *Forwarder) admit(req *Request) (*exchange, *outcome.Error) {
 	v := f.View()
 	now := f.Clock.Now()
 	if v.Catalog == nil {
-		return nil, unsure()
+		return nil, refuseStaleConfig()
 	}
 	route := v.Catalog.Route(req.Host, req.Path)
 	if route == nil && !v.Current {
-		return nil, unsure()
+		return nil, refuseStaleConfig()
 	}
 	if route == nil {
 		return nil, outcome.New(outcome.UnknownService, outcome.NotRun,
@@ -179,17 +179,17 @@
 	}
 	x := &exchange{
 		f: f, req: req, route: route, catalog: v.Catalog,
-		start: now, deadline: now.Add(timeLeft(req, route)),
-		service: route.PickBackend(rand.Float64()), resume: req.Resume,
+		start: now, deadline: now.Add(requestTimeout(req, route)),
+		service: route.PickBackend(rand.Float64()), lastEventID: req.Resume,
 	}
-	x.returned = f.usual.returned(route.Name, req.Left)
+	x.isClientRetry = f.timeouts.isRetry(route.Name, req.Left)
 	if v.Catalog.Keyed() && !route.Public {
 		if !v.Fresh {
-			return nil, unsure()
+			return nil, refuseStaleConfig()
 		}
 		org := v.Catalog.Organisation(req.Key)
 		if org == nil && !v.Current {
-			return nil, unsure()
+			return nil, refuseStaleConfig()
 		}
 		if org == nil {
 			return nil, outcome.New(outcome.Unauthorised, outcome.NotRun,
@@ -200,16 +200,18 @@
 	return x, nil
 }
 
-// unsure refuses a request that a newer configuration may treat otherwise.
-func unsure() *outcome.Error {
+// refuseStaleConfig returns the refusal of a request for which a newer configuration might give
+// another result.
+func refuseStaleConfig() *outcome.Error {
 	return outcome.New(outcome.PlatformDown, outcome.NotRun,
 		"the configuration is not known well enough", "try again, another node may know it").After(retryAfterNone)
 }
 
-func timeLeft(req *Request, route *catalog.Route) time.Duration {
+// requestTimeout returns the time until the request's deadline.
+func requestTimeout(req *Request, route *catalog.Route) time.Duration {
 	left := req.Left
 	if left <= 0 {
-		left = defaultLeft
+		left = defaultTimeout
 	}
 	if route.Timeout > 0 {
 		left = min(left, route.Timeout)
@@ -228,13 +230,14 @@
 	if r.ContentLength > 0 && r.ContentLength <= limit {
 		body := make([]byte, r.ContentLength)
 		_, err := io.ReadFull(src, body)
-		return body, bodyProblem(err)
+		return body, bodyError(err)
 	}
 	body, err := io.ReadAll(src)
-	return body, bodyProblem(err)
+	return body, bodyError(err)
 }
 
-func bodyProblem(err error) *outcome.Error {
+// bodyError returns the refusal for an error from reading the body, nil without one.
+func bodyError(err error) *outcome.Error {
 	if err == nil {
 		return nil
 	}
@@ -245,7 +248,8 @@
 	return outcome.New(kind, outcome.NotRun, "the body could not be read", "send a whole body within the limit").WithCause(err)
 }
 
-// refuse answers a request that has not run. fields are further ones of its log line.
+// refuse responds to a request that has not run. fields are additional attributes of the
+// log entry.
 func (f *Forwarder) refuse(w http.ResponseWriter, req *Request, stage string, e *outcome.Error, fields ...any) {
 	f.Metrics.refused.WithLabelValues(string(e.Kind)).Inc()
 	v := f.View()
@@ -275,24 +279,26 @@
 	return b
 }
 
-// usualTimes holds the longest time that clients of each route have told. A
-// request that comes with less has been refused before: its client counts from
-// its first attempt.
-type usualTimes struct {
-	mu  sync.Mutex
-	max map[string]time.Duration
+// clientTimeouts records the longest timeout that clients of each route have sent. A request
+// with a shorter one has probably been refused before: clients send what remains of the
+// timeout since their first attempt.
+type clientTimeouts struct {
+	mu      sync.Mutex
+	longest map[string]time.Duration
 }
 
-// returnedShare of the usual time is left of a first attempt at least: clients
-// take a few milliseconds to send it.
-const returnedShare = 0.97
+// firstAttemptShare is the share of the usual timeout below which a request is not a first
+// attempt. A first attempt has lost a few milliseconds on its way from the client.
+const firstAttemptShare = 0.97
 
-func (u *usualTimes) returned(route string, left time.Duration) bool {
+// isRetry reports whether a request with this remaining time is probably a retry by its
+// client, and records the time.
+func (u *clientTimeouts) isRetry(route string, left time.Duration) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.max == nil {
-		u.max = map[string]time.Duration{}
+	if u.longest == nil {
+		u.longest = map[string]time.Duration{}
 	}
-	u.max[route] = max(u.max[route], left)
-	return float64(left) < returnedShare*float64(u.max[route])
+	u.longest[route] = max(u.longest[route], left)
+	return float64(left) < firstAttemptShare*float64(u.longest[route])
 }
--- a/internal/forward/metrics.go
+++ b/internal/forward/metrics.go
@@ -8,15 +8,15 @@
 	"chervilloom/internal/catalog"
 )
 
-// Metrics counts what becomes of requests. Its labels have few values: kinds and
-// outcomes, never names that an operator or a client chooses.
+// Metrics counts the outcomes of requests and attempts. Its labels have few values: kinds
+// and outcomes, never names that an operator or a client chooses.
 type Metrics struct {
-	requests *prometheus.CounterVec
-	attempts *prometheus.CounterVec
-	first    *prometheus.HistogramVec
-	refused  *prometheus.CounterVec
-	limited  prometheus.Counter
-	backoffs prometheus.Counter
+	requests  *prometheus.CounterVec
+	attempts  *prometheus.CounterVec
+	firstByte *prometheus.HistogramVec
+	refused   *prometheus.CounterVec
+	limited   prometheus.Counter
+	backoffs  prometheus.Counter
 }
 
 // NewMetrics registers the metrics; reg may be nil.
@@ -28,7 +28,7 @@
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "chervilloom_request_attempts_total", Help: "Attempts at endpoints, by kind of route and how they ended.",
 		}, []string{"kind", "result"}),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		firstByte: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "chervilloom_request_first_byte_seconds", Help: "Time from a request's arrival to the head of its answer, by kind of route.",
 			Buckets: []float64{0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 1, 2, 4, 8},
 		}, []string{"kind"}),
@@ -43,35 +43,35 @@
 		}),
 	}
 	if reg != nil {
-		reg.MustRegister(m.requests, m.attempts, m.first, m.refused, m.limited, m.backoffs)
+		reg.MustRegister(m.requests, m.attempts, m.firstByte, m.refused, m.limited, m.backoffs)
 	}
 	return m
 }
 
-var kindText = map[catalog.Repeat]string{catalog.Once: "once", catalog.Idempotent: "idempotent", catalog.Stream: "stream"}
+var kindNames = map[catalog.Repeat]string{catalog.Once: "once", catalog.Idempotent: "idempotent", catalog.Stream: "stream"}
 
-var resultText = [...]string{"answered", "not_run", "may_have_run", "failed", "client_gone", "out_of_time", "banned"}
+var resultNames = [...]string{"answered", "not_run", "may_have_run", "failed", "client_gone", "out_of_time", "banned"}
 
 // String returns the result's name in logs and metrics.
-func (r Result) String() string { return resultText[r] }
+func (r Result) String() string { return resultNames[r] }
 
-var stepText = [...]string{"finished", "again", "endpoint_failure", "refused", "unknown", "cut"}
+var stepNames = [...]string{"finished", "again", "endpoint_failure", "refused", "unknown", "cut"}
 
 // String returns the step's name in logs and metrics.
-func (s Step) String() string { return stepText[s] }
+func (s Step) String() string { return stepNames[s] }
 
-func (m *Metrics) attempt(route *catalog.Route, res Result) {
-	m.attempts.WithLabelValues(kindText[route.Repeat], res.String()).Inc()
+func (m *Metrics) countAttempt(route *catalog.Route, res Result) {
+	m.attempts.WithLabelValues(kindNames[route.Repeat], res.String()).Inc()
 }
 
-func (m *Metrics) ended(route *catalog.Route, step Step, res Result) {
+func (m *Metrics) countEnd(route *catalog.Route, step Step, res Result) {
 	outcome := step.String()
 	if res == ClientGone {
 		outcome = res.String()
 	}
-	m.requests.WithLabelValues(kindText[route.Repeat], outcome).Inc()
+	m.requests.WithLabelValues(kindNames[route.Repeat], outcome).Inc()
 }
 
-func (m *Metrics) began(route *catalog.Route, after time.Duration) {
-	m.first.WithLabelValues(kindText[route.Repeat]).Observe(after.Seconds())
+func (m *Metrics) observeFirstByte(route *catalog.Route, after time.Duration) {
+	m.firstByte.WithLabelValues(kindNames[route.Repeat]).Observe(after.Seconds())
 }
--- a/internal/forward/next_test.go
+++ b/internal/forward/next_test.go
@@ -31,30 +31,30 @@
 		want  Step
 	}{
 		"answered":                               {onceRoute, Answered, ran, Finish},
-		"client left":                            {idemRoute, ClientGone, ran, Finish},
-		"refused there, another may take it":     {onceRoute, NotRun, free, Again},
-		"refused there, no other":                {onceRoute, NotRun, Progress{Sent: 1, Budget: true}, Refuse},
-		"refused there, no budget":               {onceRoute, NotRun, Progress{Sent: 1, Endpoint: true}, Refuse},
-		"refused by many":                        {onceRoute, NotRun, Progress{Sent: 3, Endpoint: true, Budget: true}, Refuse},
-		"may have run, runs once":                {onceRoute, MayHaveRun, ran, Admit},
-		"may have run, may run again":            {idemRoute, MayHaveRun, ran, Again},
-		"may have run on as many as may":         {idemRoute, MayHaveRun, Progress{Sent: 2, Runs: 2, Endpoint: true, Budget: true}, Admit},
-		"ran once before, refused now":           {idemRoute, NotRun, Progress{Sent: 2, Runs: 1}, Admit},
-		"failed there, may run again":            {idemRoute, Failed, ran, Again},
-		"failed there, runs once":                {onceRoute, Failed, ran, Pass},
-		"stream cut, goes on elsewhere":          {streamRoute, MayHaveRun, Progress{Sent: 1, Runs: 1, Begun: true, Endpoint: true, Budget: true}, Again},
-		"stream cut, nowhere to go":              {streamRoute, MayHaveRun, Progress{Sent: 1, Runs: 1, Begun: true, Budget: true}, Cut},
-		"out of time before it ran":              {onceRoute, OutOfTime, Progress{}, Refuse},
+		"client disconnected":                    {idemRoute, ClientGone, ran, Finish},
+		"refused, another endpoint available":    {onceRoute, NotRun, free, Again},
+		"refused, no other endpoint":             {onceRoute, NotRun, Progress{Sent: 1, Budget: true}, Refuse},
+		"refused, no budget":                     {onceRoute, NotRun, Progress{Sent: 1, Endpoint: true}, Refuse},
+		"refused by the maximum of endpoints":    {onceRoute, NotRun, Progress{Sent: 3, Endpoint: true, Budget: true}, Refuse},
+		"may have run, not repeatable":           {onceRoute, MayHaveRun, ran, Admit},
+		"may have run, repeatable":               {idemRoute, MayHaveRun, ran, Again},
+		"may have run the maximum of times":      {idemRoute, MayHaveRun, Progress{Sent: 2, Runs: 2, Endpoint: true, Budget: true}, Admit},
+		"refused after an earlier run":           {idemRoute, NotRun, Progress{Sent: 2, Runs: 1}, Admit},
+		"failed, repeatable":                     {idemRoute, Failed, ran, Again},
+		"failed, not repeatable":                 {onceRoute, Failed, ran, Pass},
+		"stream cut, another endpoint available": {streamRoute, MayHaveRun, Progress{Sent: 1, Runs: 1, Begun: true, Endpoint: true, Budget: true}, Again},
+		"stream cut, no other endpoint":          {streamRoute, MayHaveRun, Progress{Sent: 1, Runs: 1, Begun: true, Budget: true}, Cut},
+		"out of time before any run":             {onceRoute, OutOfTime, Progress{}, Refuse},
 		"out of time, may have run":              {onceRoute, OutOfTime, Progress{Sent: 1, Runs: 1}, Admit},
-		"out of time in the middle of an answer": {streamRoute, OutOfTime, Progress{Runs: 1, Begun: true}, Cut},
+		"out of time during the response":        {streamRoute, OutOfTime, Progress{Runs: 1, Begun: true}, Cut},
 	} {
 		t.Run(name, func(t *testing.T) { is.New(t).Equal(Next(c.route, c.res, c.p), c.want) })
 	}
 }
 
-// Whatever came before: a request that may run once is never sent again after it
-// may have run, and nobody is told "not run" of one that may have.
-func TestNextKeepsItsPromises(t *testing.T) {
+// Guards, for any history of attempts, against a non-repeatable request that is sent again
+// after it may have run, and against "not run" reported for a request that may have run.
+func TestNextNeverRepeatsNonRepeatableRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Progress{
 			Sent: rapid.IntRange(0, 4).Draw(t, "sent"), Runs: rapid.IntRange(0, 3).Draw(t, "runs"),
@@ -67,20 +67,20 @@
 		route := rapid.SampledFrom([]*catalog.Route{onceRoute, idemRoute, streamRoute}).Draw(t, "route")
 		switch step := Next(route, res, p); {
 		case step == Again && p.Runs > 0 && !route.Repeatable():
-			t.Fatal("a request that may have run is sent again")
+			t.Fatal("a non-repeatable request that may have run is sent again")
 		case step == Again && (!p.Budget || !p.Endpoint):
 			t.Fatal("sent again without budget or endpoint")
 		case step == Refuse && (p.Runs > 0 || p.Begun):
-			t.Fatal("told as not run though it may have")
+			t.Fatal("reported as not run although it may have run")
 		case (step == Pass || step == Admit || step == Refuse) && p.Begun:
-			t.Fatal("a second head after the first")
+			t.Fatal("a second response header after the first")
 		}
 	})
 }
 
-// An endpoint crashes in the middle of an event. The client must not get the
-// part: another endpoint goes on after the last whole event.
-func TestEventsAreWhole(t *testing.T) {
+// Guards against a partial event that is relayed when an endpoint crashes while sending it:
+// another endpoint resumes after the last complete event.
+func TestEventReaderYieldsNoPartialEvent(t *testing.T) {
 	is := is.New(t)
 	r := newEventReader(strings.NewReader("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"))
 	_, id, _, err := r.next()
@@ -95,17 +95,17 @@
 	is.Equal(string(rest), "id: 3\nda")
 }
 
-func TestEventWithoutEndIsRefused(t *testing.T) {
+func TestEventReaderRefusesTooLongEvent(t *testing.T) {
 	is := is.New(t)
-	r := newEventReader(strings.NewReader("data: " + strings.Repeat("x", maxEvent+4096)))
+	r := newEventReader(strings.NewReader("data: " + strings.Repeat("x", maxEventBytes+4096)))
 	_, _, _, err := r.next()
 	is.True(errors.Is(err, errEventTooLong))
 }
 
-// A group loses a member and all its streams break off; its head leads the next
-// group a second later. What the ejector holds against the head in its old group
-// must not keep requests from the new one.
-func TestFailuresBelongToOneGroup(t *testing.T) {
+// Guards against failures of an old group that eject the head from the next one. When a
+// group loses a member, all its streams are cut, and its head may serve in another group a
+// second later.
+func TestEjectionIsPerGroup(t *testing.T) {
 	is := is.New(t)
 	old := &roster.Endpoint{ID: "e1", Member: roster.Membership{Group: "g1"}}
 	now := &roster.Endpoint{ID: "e1", Member: roster.Membership{Group: "g2"}}
--- a/internal/forward/recall_test.go
+++ b/internal/forward/recall_test.go
@@ -15,45 +15,48 @@
 	"chervilloom/internal/roster"
 )
 
-// recaller ends the first run once its endpoint has it.
-type recaller struct {
+// recallingQuarantine is a quarantine that recalls the first run once its endpoint has the
+// request.
+type recallingQuarantine struct {
 	forward.Quarantine
-	runs, recalled atomic.Int32
-	came           chan struct{}
+	runs, recalled  atomic.Int32
+	requestReceived chan struct{}
 }
 
-func (q *recaller) Begin(_ quarantine.Fingerprint, recall func()) func() {
+func (q *recallingQuarantine) Begin(_ quarantine.Fingerprint, recall func()) func() {
 	if q.runs.Add(1) == 1 {
 		go func() {
-			<-q.came
+			<-q.requestReceived
 			recall()
 		}()
 	}
 	return func() {}
 }
 
-func (q *recaller) Recalled(string, string, quarantine.Fingerprint, uint32) { q.recalled.Add(1) }
+func (q *recallingQuarantine) Recalled(string, string, quarantine.Fingerprint, uint32) {
+	q.recalled.Add(1)
+}
 
-// Guards against an endpoint that is blamed for a run which the node itself ended, and
-// against a request that is lost with it. The endpoint may still end by that run, which is
-// looked at.
-func TestRecalledRunIsMadeAgainAndBlamesNobody(t *testing.T) {
+// Guards against a recalled run that counts as a failure of its endpoint, and against the
+// loss of its request. The run is reported to the quarantine as recalled, because the
+// endpoint may still terminate because of it.
+func TestRecalledRunIsRetriedAndNotCountedAsFailure(t *testing.T) {
 	is := is.New(t)
-	q := &recaller{came: make(chan struct{})}
+	q := &recallingQuarantine{requestReceived: make(chan struct{})}
 	var held atomic.Int32
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if held.Add(1) == 1 {
-			close(q.came)
+			close(q.requestReceived)
 			<-r.Context().Done()
 			return
 		}
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 		w.Header().Set("X-Server-Stamp", "s")
-		_, _ = io.WriteString(w, "ok") // a node that left needs no answer
+		_, _ = io.WriteString(w, "ok") // an error means that the node disconnected
 	}))
 	defer s.Close()
 	addr := strings.TrimPrefix(s.URL, "http://")
-	r := newRig(t, 10, addr, addr)
+	r := newTestForwarder(t, 10, addr, addr)
 	q.Quarantine = r.guard
 	r.Quarantine = q
 	var blamed atomic.Int32
--- a/internal/forward/relay.go
+++ b/internal/forward/relay.go
@@ -14,61 +14,63 @@
 	"chervilloom/internal/upstream"
 )
 
-// failure is an endpoint's own complete answer that is no success.
-type failure struct {
+// failureResponse is an endpoint's complete error response.
+type failureResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// judge handles an answer whose head has come. It leaves the connection spoiled
-// unless the answer was read to its end.
-func (x *exchange) judge(ctx context.Context, ep *roster.Endpoint, conn *upstream.Conn, resp *http.Response, ticket *balance.Ticket) Result {
+// handleResponse classifies a response by its header and relays it. Unless the response was read
+// to its end, the connection must not be reused afterwards.
+func (x *exchange) handleResponse(ctx context.Context, ep *roster.Endpoint, conn *upstream.Conn, resp *http.Response, ticket *balance.Ticket) Result {
 	rep := x.f.Codec.Judge(x.req, resp)
 	if rep.HasLoad {
 		ticket.Load(rep.Running, rep.Waiting)
 	}
-	x.notePressure(ep, rep)
+	x.recordPressure(ep, rep)
 	success := resp.StatusCode >= 200 && resp.StatusCode < 300
 	switch {
 	case rep.NotRun || rep.Other:
-		return x.notRun(ep, conn, resp, rep)
+		return x.handleNotRun(ep, conn, resp, rep)
 	case !rep.Ours || success && (!rep.Signed || rep.Encoded):
-		// A late or forged answer of another request: it must not reach the
-		// client, and whatever follows on the connection is not to be trusted.
+		// A late or forged response to another request: it must not reach the client,
+		// and later data on the connection cannot be trusted.
 		conn.Spoil()
 		x.progress.Runs++
-		x.lastCause = fmt.Sprintf("answer %d is not the request's own", resp.StatusCode)
+		x.lastCause = fmt.Sprintf("response with status %d does not belong to the request", resp.StatusCode)
 		return MayHaveRun
 	}
 	x.progress.Runs++
 	if success && x.route.Repeat == catalog.Stream {
-		return x.relayEvents(ctx, ep, conn, resp, ticket)
+		return x.relayStream(ctx, ep, conn, resp, ticket)
 	}
-	return x.relayWhole(ctx, ep, conn, resp, success)
+	return x.relayResponse(ctx, ep, conn, resp, success)
 }
 
-// notePressure takes up what an endpoint says of how much it takes.
-func (x *exchange) notePressure(ep *roster.Endpoint, rep Reply) {
+// recordPressure passes an endpoint's rate limit and backoff to the backpressure guard.
+func (x *exchange) recordPressure(ep *roster.Endpoint, rep Reply) {
 	if rep.Other {
 		return
 	}
 	if rep.Unreadable != nil {
-		x.f.Log.Debug("answer's header not readable", "request", x.req.ID, "endpoint", ep.ID, "err", rep.Unreadable)
+		x.f.Log.Debug("response header is unreadable", "request", x.req.ID, "endpoint", ep.ID, "err", rep.Unreadable)
 	}
 	signals := rep.Pressure
 	if signals.Limit != nil {
 		x.f.Metrics.limited.Inc()
-		x.f.Log.Debug("answer names a rate limit", "request", x.req.ID, "endpoint", ep.ID, "limit", *signals.Limit)
+		x.f.Log.Debug("endpoint reports a rate limit", "request", x.req.ID, "endpoint", ep.ID, "limit", *signals.Limit)
 	}
 	if signals.RetryAfter > 0 {
 		x.f.Metrics.backoffs.Inc()
-		x.f.Log.Debug("answer asks for a backoff", "request", x.req.ID, "endpoint", ep.ID, "retry_after_ms", signals.RetryAfter.Milliseconds())
+		x.f.Log.Debug("endpoint requests a backoff", "request", x.req.ID, "endpoint", ep.ID, "retry_after_ms", signals.RetryAfter.Milliseconds())
 	}
-	x.f.Backpressure.Answered(pressureID(ep), signals, x.sentAt)
+	x.f.Backpressure.Answered(backpressureID(ep), signals, x.sentAt)
 }
 
-func (x *exchange) notRun(ep *roster.Endpoint, conn *upstream.Conn, resp *http.Response, rep Reply) Result {
+// handleNotRun handles a response that shows that the request has not run. The rest of the body
+// is discarded so that the connection can be reused.
+func (x *exchange) handleNotRun(ep *roster.Endpoint, conn *upstream.Conn, resp *http.Response, rep Reply) Result {
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		conn.Spoil()
 	}
@@ -80,73 +82,75 @@
 	return NotRun
 }
 
-// wholeLimit is the size up to which an answer is held until it is complete, so
-// that a truncated one never reaches the client and can be asked for again.
-const wholeLimit = 1 << 20
+// maxBufferedResponse is the size in bytes up to which a response is buffered until it is
+// complete, so that a truncated one never reaches the client and the request can be retried.
+const maxBufferedResponse = 1 << 20
 
-// relayWhole passes on an answer that is no stream of events.
-func (x *exchange) relayWhole(ctx context.Context, ep *roster.Endpoint, conn *upstream.Conn, resp *http.Response, success bool) Result {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, wholeLimit+1))
+// relayResponse relays a response that is not an event stream.
+func (x *exchange) relayResponse(ctx context.Context, ep *roster.Endpoint, conn *upstream.Conn, resp *http.Response, success bool) Result {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedResponse+1))
 	if err != nil {
 		conn.Spoil()
-		return x.failed(ctx, ep, err)
+		return x.classifyError(ctx, ep, err)
 	}
-	if !success && len(body) <= wholeLimit {
-		x.failure = &failure{resp.StatusCode, resp.Header, body}
+	if !success && len(body) <= maxBufferedResponse {
+		x.failure = &failureResponse{resp.StatusCode, resp.Header, body}
 		x.lastCause = "endpoint answered " + strconv.Itoa(resp.StatusCode)
 		return Failed
 	}
 	x.f.Codec.Relay(x.w.Header(), resp.Header)
-	if len(body) <= wholeLimit {
+	if len(body) <= maxBufferedResponse {
 		x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	x.w.WriteHeader(resp.StatusCode)
-	x.noteBegun()
+	x.recordHeaderSent()
 	if _, err := x.w.Write(body); err != nil {
 		conn.Spoil()
-		return x.failed(ctx, ep, err)
+		return x.classifyError(ctx, ep, err)
 	}
-	if len(body) > wholeLimit {
+	if len(body) > maxBufferedResponse {
 		if _, err := io.Copy(x.w, resp.Body); err != nil {
 			conn.Spoil()
-			return x.failed(ctx, ep, err)
+			return x.classifyError(ctx, ep, err)
 		}
 	}
 	return Answered
 }
 
-// relayEvents passes a stream on event by event.
-func (x *exchange) relayEvents(ctx context.Context, ep *roster.Endpoint, conn *upstream.Conn, resp *http.Response, ticket *balance.Ticket) Result {
+// relayStream relays a stream event by event. Events that the client already has are
+// dropped.
+func (x *exchange) relayStream(ctx context.Context, ep *roster.Endpoint, conn *upstream.Conn, resp *http.Response, ticket *balance.Ticket) Result {
 	out := http.NewResponseController(x.w)
 	events := newEventReader(resp.Body)
 	for {
 		event, id, rest, err := events.next()
 		if errors.Is(err, io.EOF) && len(rest) == 0 {
-			// A stream without an event is an answer too: one that goes on after
-			// its last event. Without its head the client would get a bare 200.
-			x.begin(resp)
+			// A stream without events is a valid response, for example one resumed
+			// after its last event. Without writeHeader the client would get a 200
+			// without the endpoint's headers.
+			x.writeHeader(resp)
 			return Answered
 		}
 		if err != nil {
 			conn.Spoil()
-			return x.failed(ctx, ep, err)
+			return x.classifyError(ctx, ep, err)
 		}
 		ticket.Event()
-		if x.seen(id) {
+		if x.isDuplicate(id) {
 			continue
 		}
-		x.begin(resp)
+		x.writeHeader(resp)
 		if _, err := x.w.Write(event); err != nil {
 			conn.Spoil()
 			x.lastCause = err.Error()
 			return ClientGone
 		}
-		x.events++
-		x.noteEvent()
+		x.eventsSent++
+		x.recordEvent()
 		if id != "" {
-			x.resume = id
+			x.lastEventID = id
 		}
-		if !events.ready() {
+		if !events.hasBuffered() {
 			if err := out.Flush(); err != nil {
 				conn.Spoil()
 				x.lastCause = err.Error()
@@ -156,37 +160,38 @@
 	}
 }
 
-// begin sends the head of the answer at the first event. An answer that goes
-// on at another endpoint keeps the head of its first one.
-func (x *exchange) begin(resp *http.Response) {
+// writeHeader sends the response header before the first event. A response that is resumed at
+// another endpoint keeps the header from its first endpoint.
+func (x *exchange) writeHeader(resp *http.Response) {
 	if x.progress.Begun {
 		return
 	}
 	x.f.Codec.Relay(x.w.Header(), resp.Header)
-	x.w.Header().Del("Content-Length") // the whole stream may come from several endpoints
+	x.w.Header().Del("Content-Length") // the stream may be assembled from several endpoints
 	x.w.WriteHeader(resp.StatusCode)
-	x.noteBegun()
+	x.recordHeaderSent()
 }
 
-func (x *exchange) noteBegun() {
+// recordHeaderSent records that the response header was sent to the client.
+func (x *exchange) recordHeaderSent() {
 	x.progress.Begun = true
-	x.first = x.f.Clock.Now().Sub(x.start)
-	x.f.Metrics.began(x.route, x.first)
+	x.firstByteLatency = x.f.Clock.Now().Sub(x.start)
+	x.f.Metrics.observeFirstByte(x.route, x.firstByteLatency)
 }
 
-// noteEvent takes up the pause before an event that has gone to the client.
-func (x *exchange) noteEvent() {
+// recordEvent updates the longest pause between events after an event was sent to the client.
+func (x *exchange) recordEvent() {
 	now := x.f.Clock.Now()
-	if x.lastEvent != 0 {
-		x.gap = max(x.gap, now.Sub(x.lastEvent))
+	if x.lastEventAt != 0 {
+		x.maxGap = max(x.maxGap, now.Sub(x.lastEventAt))
 	}
-	x.lastEvent = now
+	x.lastEventAt = now
 }
 
-// seen reports whether the client has the event already. An endpoint that goes
-// on too early would send pieces twice.
-func (x *exchange) seen(id string) bool {
-	have, err := strconv.ParseUint(x.resume, 10, 64)
+// isDuplicate reports whether the client already has the event. An endpoint that resumes too
+// early sends some events twice.
+func (x *exchange) isDuplicate(id string) bool {
+	have, err := strconv.ParseUint(x.lastEventID, 10, 64)
 	if err != nil {
 		return false
 	}
--- a/internal/forward/start_test.go
+++ b/internal/forward/start_test.go
@@ -9,10 +9,10 @@
 	"github.com/matryer/is"
 )
 
-// All nodes have just started again, and a client's last try comes before the first
-// read of the store has ended: it waits the few milliseconds. Where the store stays
-// away, the client is told so after startWait.
-func TestRequestWaitsForAStartingNode(t *testing.T) {
+// Guards against the refusal of a request that arrives before a restarted node has finished
+// its first reads of the store: it may be the client's last retry. The request waits for the
+// reads, but no longer than startWait.
+func TestRequestWaitsForStartingNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		started := make(chan struct{})
@@ -22,7 +22,7 @@
 		is.Equal(time.Since(begun), startWait)
 
 		go func() {
-			time.Sleep(20 * time.Millisecond) // in the bubble's time: the first reads
+			time.Sleep(20 * time.Millisecond) // fake time of the bubble; stands for the first reads
 			close(started)
 		}()
 		begun = time.Now()
