--- a/internal/forward/beside_test.go
+++ b/internal/forward/beside_test.go
@@ -174,7 +174,7 @@
 func TestRequestsAreRefusedWhileAllEndpointsBackOff(t *testing.T) {
 	is := is.New(t)
 	var arrivals atomic.Int32
-	resting := func() string {
+	newBackingOffEndpoint := func() string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			arrivals.Add(1)
 			w.Header().Set("X-Not-Run", "1")
@@ -184,7 +184,7 @@
 		t.Cleanup(s.Close)
 		return strings.TrimPrefix(s.URL, "http://")
 	}
-	r := newTestForwarder(t, 100, resting(), resting())
+	r := newTestForwarder(t, 100, newBackingOffEndpoint(), newBackingOffEndpoint())
 	for i := range 20 {
 		resp, err := r.send(t, string(rune('a'+i)), "/lookup/x")
 		is.NoErr(err)
--- a/internal/roster/bench_test.go
+++ b/internal/roster/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// benchRoster has that many engines in groups of twelve.
+// benchRoster returns a roster of n engines in groups of twelve.
 func benchRoster(n int) *Roster {
 	l := Listing{}
 	for i := range n {
@@ -17,7 +17,8 @@
 	return Merge(Empty(), l, 1, 0)
 }
 
-// What a node does for each word of a head that begins or ceases to serve.
+// BenchmarkHint measures the cost of applying one hint about a head that starts or stops
+// serving.
 func BenchmarkHint(b *testing.B) {
 	for _, n := range []int{54, 162, 1002, 3002} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/roster/life.go
+++ b/internal/roster/life.go
@@ -5,38 +5,37 @@
 	"strings"
 )
 
-// ID names one life of an endpoint's process: the endpoint's name and when the
-// process started. An endpoint that starts again may keep its name and its
-// address; it then holds and knows nothing of before. Two lives are never equal, so
-// whatever is kept by ID (claims, loads, connections' records, ejections) ends with
-// the life that it is about.
+// ID identifies one incarnation of an endpoint: the endpoint's name and the start time of
+// its process. A restarted endpoint may keep its name and address but has lost all its
+// state. The ids of two incarnations differ, so state that is stored by ID (claims, loads,
+// connection records, ejections) is never applied to a later incarnation.
 type ID string
 
-// lifeMark stands between the name and the start. A name never contains it.
-const lifeMark = "~"
+// idSeparator separates the name from the start time. A name never contains it.
+const idSeparator = "~"
 
-// Life returns the ID of the process that started at born, in Unix ms of the
-// endpoint's own clock; 0: the endpoint doesn't tell. It is compared only with
-// another start of the same name.
+// Life returns the ID of the process that started at born, in Unix ms of the endpoint's own
+// clock; 0: unknown. Start times are compared only between incarnations of the same name.
 func Life(name string, born uint64) ID {
 	if born == 0 {
 		return ID(name)
 	}
-	return ID(name + lifeMark + strconv.FormatUint(born, 10))
+	return ID(name + idSeparator + strconv.FormatUint(born, 10))
 }
 
-// ValidName reports whether lives of an endpoint of that name can be told apart.
-func ValidName(name string) bool { return name != "" && !strings.Contains(name, lifeMark) }
+// ValidName reports whether name can be part of an ID: it is neither empty nor contains the
+// separator.
+func ValidName(name string) bool { return name != "" && !strings.Contains(name, idSeparator) }
 
-// Name returns the name that the endpoint keeps over its lives.
+// Name returns the endpoint's name, which is the same for all its incarnations.
 func (id ID) Name() string {
-	name, _, _ := strings.Cut(string(id), lifeMark)
+	name, _, _ := strings.Cut(string(id), idSeparator)
 	return name
 }
 
-// Born returns when the process started, in Unix ms of its own clock; 0: untold.
+// Born returns the start time of the process in Unix ms of its own clock; 0: unknown.
 func (id ID) Born() uint64 {
-	_, text, _ := strings.Cut(string(id), lifeMark)
+	_, text, _ := strings.Cut(string(id), idSeparator)
 	born, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
 		return 0
@@ -44,13 +43,13 @@
 	return born
 }
 
-// Before reports whether id is an earlier life of the same endpoint.
+// Before reports whether id is an earlier incarnation of the same endpoint.
 func (id ID) Before(other ID) bool {
 	return id.Name() == other.Name() && id.Born() < other.Born()
 }
 
-// Rejected is an entry of the platform's list that names no endpoint to use.
+// Rejected is an entry of the platform's list that describes no usable endpoint.
 type Rejected struct {
-	Key    string // of the entry
+	Key    string // key of the entry
 	Reason string
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,6 +1,5 @@
-// Package roster holds what a node knows of the endpoints of all services, as
-// the platform's list tells it. A Roster is an immutable snapshot; Merge makes
-// the next one from a newer list.
+// Package roster keeps a node's list of the endpoints of all services, as read from the
+// platform. A Roster is an immutable snapshot; Merge builds the next one from a newer list.
 package roster
 
 import (
@@ -24,7 +23,7 @@
 	Broken  GroupState = "broken"
 )
 
-// Membership is an endpoint's place in a group.
+// Membership is an endpoint's membership in a group.
 type Membership struct {
 	Group string     `json:"group,omitempty"` // empty: in no group
 	Epoch uint64     `json:"epoch,omitempty"`
@@ -32,7 +31,7 @@
 	State GroupState `json:"state,omitempty"`
 }
 
-// Endpoint is one back end as the platform lists it.
+// Endpoint is one endpoint as the platform lists it.
 type Endpoint struct {
 	ID       ID         `json:"id"`
 	Service  string     `json:"service"`
@@ -40,54 +39,55 @@
 	Zone     string     `json:"zone"`
 	Slots    int        `json:"slots"`
 	Draining bool       `json:"draining,omitempty"`
-	Sequence uint64     `json:"sequence,omitempty"` // counts the writes of its entry in one life
+	Sequence uint64     `json:"sequence,omitempty"` // number of writes of its entry by one incarnation
 	Domain   string     `json:"domain,omitempty"`   // fabric domain; engines only
-	Staged   []string   `json:"staged,omitempty"`   // models whose weights lie on the host; engines only
+	Staged   []string   `json:"staged,omitempty"`   // models whose weights are stored on the host; engines only
 	Model    string     `json:"model,omitempty"`    // model of the newest group; engines only
 	Member   Membership `json:"member,omitzero"`
-	// Instants of this VM's clock; they mean nothing to another one.
+	// Instants of this VM's clock, not valid on another VM.
 	Missing clock.Instant `json:"-"` // when it was first missing from the list; 0: listed
-	Hinted  clock.Instant `json:"-"` // when a node told of Model and Member; 0: the list did
+	Hinted  clock.Instant `json:"-"` // when a hint set Model and Member; 0: they are from the list
 }
 
-// Usable reports whether the endpoint may get new work.
+// Usable reports whether new work may be sent to the endpoint.
 func (e *Endpoint) Usable() bool { return !e.Draining }
 
-// TakesRequests reports whether requests are sent to the endpoint itself: a plain one, or
-// the head of a group that takes requests.
+// TakesRequests reports whether requests are sent to the endpoint itself: it is a plain one,
+// or the head of a group that accepts requests.
 func (e *Endpoint) TakesRequests() bool { return e.Domain == "" || e.Leads() }
 
-// Leads reports whether the endpoint is the head of a group that takes requests.
+// Leads reports whether the endpoint is the head of a group that accepts requests.
 func (e *Endpoint) Leads() bool { return e.Member.Rank == 0 && e.Member.State == Open }
 
-// Listing is what one read of the platform's list brought.
+// Listing is the result of one read of the platform's list.
 type Listing struct {
 	Endpoints []Endpoint
 	Rejected  []Rejected
-	Era       uint64 // of the platform's table
-	// Partial: another node told it, and only of endpoints that take requests.
+	Era       uint64 // era of the platform's table; a restore from an older copy starts a new one
+	// Partial reports whether another node sent the listing, which then has only the
+	// endpoints for which TakesRequests is true.
 	Partial bool
 }
 
 // Roster is a snapshot of the endpoints.
 type Roster struct {
-	Asked     clock.Instant // when the list was asked for; it is at least as new as this
-	Era       uint64        // of the platform's table
-	Partial   bool          // it holds only endpoints that take requests
-	restored  clock.Instant // when a list of this era was first asked for; 0: no other was known before
-	byID      []*Endpoint   // sorted
-	byService map[string][]*Endpoint
-	lives     map[string]life // by name: the latest life that a list showed
-	left      map[ID]departure
+	Asked        clock.Instant // when the list was requested; the list is at least as new
+	Era          uint64        // era of the platform's table
+	Partial      bool          // only endpoints for which TakesRequests is true
+	restoredAt   clock.Instant // when a list of this era was first requested; 0: no earlier era was known
+	byID         []*Endpoint   // sorted by ID
+	byService    map[string][]*Endpoint
+	incarnations map[string]incarnation // latest listed incarnation, by endpoint name
+	departures   map[ID]departure
 }
 
-// life is a life of an endpoint and when it was last listed.
-type life struct {
-	id     ID
-	listed clock.Instant
+// incarnation is an incarnation of an endpoint and when it was last listed.
+type incarnation struct {
+	id       ID
+	listedAt clock.Instant
 }
 
-// Empty returns a roster of no endpoints.
+// Empty returns a roster without endpoints.
 func Empty() *Roster { return &Roster{} }
 
 // Get returns the endpoint of that id, or nil.
@@ -102,7 +102,7 @@
 	return slices.BinarySearchFunc(sorted, id, func(e *Endpoint, id ID) int { return cmp.Compare(e.ID, id) })
 }
 
-// Service returns the endpoints of a service. The caller must not change it.
+// Service returns the endpoints of a service. The caller must not modify the slice.
 func (r *Roster) Service(name string) []*Endpoint { return r.byService[name] }
 
 // All calls f for every endpoint, in the order of their ids.
@@ -112,75 +112,72 @@
 	}
 }
 
-// Known reports whether a list was ever read.
+// Known reports whether a list has been read.
 func (r *Roster) Known() bool { return r.Asked != 0 }
 
-// lifeMemory is how long an entry of an earlier life is left out after the later
-// one was listed: an entry that was written before the restart may come back after
-// an outage of the platform, and live endpoints write theirs anew every 1.2 s. An
-// earlier life that is still listed then is the live one, and the later entry was
-// not its endpoint's own.
-const lifeMemory = 5 * time.Second
+// staleIncarnationGrace is how long an entry of an earlier incarnation is ignored after the later
+// one was listed: an entry from before the restart may reappear after an outage of the platform,
+// and live endpoints rewrite theirs every 1.2 s. An earlier incarnation that is still listed
+// after that is the live one, and the later entry was not written by its endpoint.
+const staleIncarnationGrace = 5 * time.Second
 
-// noteLife takes up that a list asked for at asked shows the life. It reports
-// whether the entry counts: one of an earlier life than is known doesn't.
-func (r *Roster) noteLife(old *Roster, id ID, asked clock.Instant) bool {
+// recordIncarnation records an incarnation from a list that was requested at asked. It reports
+// whether the entry is valid: one of an earlier incarnation than the known one is not.
+func (r *Roster) recordIncarnation(old *Roster, id ID, asked clock.Instant) bool {
 	name := id.Name()
-	if known, ok := old.lives[name]; ok && id.Before(known.id) && asked.Sub(known.listed) < lifeMemory {
-		if _, ok := r.lives[name]; !ok {
-			r.lives[name] = known
+	if known, ok := old.incarnations[name]; ok && id.Before(known.id) && asked.Sub(known.listedAt) < staleIncarnationGrace {
+		if _, ok := r.incarnations[name]; !ok {
+			r.incarnations[name] = known
 		}
 		return false
 	}
-	r.lives[name] = life{id, asked}
+	r.incarnations[name] = incarnation{id, asked}
 	return true
 }
 
-// LapseGrace is how long an endpoint that vanished around an outage of the
-// platform is still taken for listed. Entries lapse while the platform is away
-// and live endpoints write them anew within 2 s of its return; without the
-// grace every endpoint would seem gone at once after each outage.
+// LapseGrace is how long a missing endpoint is kept after an outage of the platform. Entries
+// expire during an outage, and live endpoints rewrite them within 2 s of its end; without
+// the grace all endpoints would be dropped at once after each outage.
 const LapseGrace = 2 * time.Second
 
-// Merge returns the roster after a list that was asked for at asked.
-// recovered is when this node last regained the platform (0: it never lost it).
-// An endpoint that is missing is dropped, except within LapseGrace after recovered, or
-// after the table came back from an older copy, when it stays as it was until the grace
-// is over. A list of an earlier era than is known changes nothing.
+// Merge returns the roster after a list that was requested at asked. recovered is when this
+// node last reconnected to the platform (0: it never lost the connection). A missing endpoint
+// is dropped, except within LapseGrace after recovered or after a restore of the table, when
+// it is kept unchanged. A list of an earlier era than the known one is ignored.
 func Merge(old *Roster, l Listing, asked, recovered clock.Instant) *Roster {
 	if l.Era < old.Era {
 		return old
 	}
 	listed := l.Endpoints
 	next := &Roster{
-		Asked:    asked,
-		Era:      l.Era,
-		Partial:  l.Partial,
-		restored: old.restored,
-		byID:     make([]*Endpoint, 0, len(listed)),
-		lives:    make(map[string]life, len(listed)),
+		Asked:        asked,
+		Era:          l.Era,
+		Partial:      l.Partial,
+		restoredAt:   old.restoredAt,
+		byID:         make([]*Endpoint, 0, len(listed)),
+		incarnations: make(map[string]incarnation, len(listed)),
 	}
 	if l.Era > old.Era && old.Known() {
-		next.restored = asked
+		next.restoredAt = asked
 	}
-	if !l.Partial { // else the node that tells it keeps what is missing
-		recovered = max(recovered, next.restored)
+	if !l.Partial { // for a partial list the sending node applies the grace
+		recovered = max(recovered, next.restoredAt)
 	}
 	for i := range listed {
 		e := &listed[i]
-		if !next.noteLife(old, e.ID, asked) {
+		if !next.recordIncarnation(old, e.ID, asked) {
 			continue
 		}
-		left := old.left[e.ID]
-		if left.seen != 0 && !left.draining && next.isOlder(e, left.sequence) {
+		departed := old.departures[e.ID]
+		if departed.missingSince != 0 && !departed.wasDraining && next.isStale(e, departed.sequence) {
 			continue
 		}
-		// Draining is final for one life. An older entry that is written
-		// again after an outage must not bring new work to a leaving endpoint.
-		e.Draining = e.Draining || left.draining
+		// Draining is final for an incarnation. An older entry that is rewritten after
+		// an outage must not send new work to a draining endpoint.
+		e.Draining = e.Draining || departed.wasDraining
 		if prev := old.Get(e.ID); prev != nil {
 			e.Draining = e.Draining || prev.Draining
-			if e.Sequence != prev.Sequence && next.isOlder(e, prev.Sequence) {
+			if e.Sequence != prev.Sequence && next.isStale(e, prev.Sequence) {
 				e.Model, e.Member, e.Staged, e.Sequence = prev.Model, prev.Member, prev.Staged, prev.Sequence
 			}
 			if prev.Hinted.After(asked) {
@@ -191,7 +188,7 @@
 	}
 	if recovered != 0 && asked.Sub(recovered) < LapseGrace {
 		old.All(func(e *Endpoint) {
-			if _, listed := next.lives[e.ID.Name()]; listed {
+			if _, listed := next.incarnations[e.ID.Name()]; listed {
 				return
 			}
 			kept := *e
@@ -201,27 +198,27 @@
 			next.byID = append(next.byID, &kept)
 		})
 	}
-	next.keepHinted(old)
-	next.index()
-	next.remember(old)
+	next.keepHintedHeads(old)
+	next.buildIndex()
+	next.recordDepartures(old)
 	return next
 }
 
-// keepHinted keeps heads that a node told of after the list was asked for: a partial list
-// has none that began to serve since.
-func (r *Roster) keepHinted(old *Roster) {
+// keepHintedHeads keeps the heads for which a hint arrived after a partial list was requested:
+// the list lacks heads that started to serve since then.
+func (r *Roster) keepHintedHeads(old *Roster) {
 	if !r.Partial {
 		return
 	}
 	for _, e := range old.byID {
-		if _, listed := r.lives[e.ID.Name()]; !listed && e.Hinted.After(r.Asked) && e.Leads() {
+		if _, listed := r.incarnations[e.ID.Name()]; !listed && e.Hinted.After(r.Asked) && e.Leads() {
 			r.byID = append(r.byID, e)
 		}
 	}
 }
 
-// index sorts the endpoints and gathers those of each service.
-func (r *Roster) index() {
+// buildIndex sorts the endpoints and builds the index by service.
+func (r *Roster) buildIndex() {
 	slices.SortFunc(r.byID, func(a, b *Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	r.byService = map[string][]*Endpoint{}
 	for _, e := range r.byID {
@@ -229,19 +226,22 @@
 	}
 }
 
-// with returns the roster with e in place of the endpoint of its id, or beside the others.
-func (r *Roster) with(e *Endpoint) *Roster {
+// withEndpoint returns a copy of the roster in which e replaces the endpoint of the same id or is
+// added.
+func (r *Roster) withEndpoint(e *Endpoint) *Roster {
 	next := *r
-	next.byID = replace(r.byID, e)
+	next.byID = withReplaced(r.byID, e)
 	next.byService = maps.Clone(r.byService)
 	if next.byService == nil {
 		next.byService = map[string][]*Endpoint{}
 	}
-	next.byService[e.Service] = replace(r.byService[e.Service], e)
+	next.byService[e.Service] = withReplaced(r.byService[e.Service], e)
 	return &next
 }
 
-func replace(sorted []*Endpoint, e *Endpoint) []*Endpoint {
+// withReplaced returns a copy of the sorted list in which e replaces the endpoint of the same id
+// or is inserted.
+func withReplaced(sorted []*Endpoint, e *Endpoint) []*Endpoint {
 	i, found := find(sorted, e.ID)
 	if !found {
 		return slices.Insert(slices.Clip(sorted), i, e)
@@ -251,65 +251,65 @@
 	return out
 }
 
-// without returns the roster without an endpoint.
-func (r *Roster) without(e *Endpoint) *Roster {
+// withoutEndpoint returns a copy of the roster without an endpoint.
+func (r *Roster) withoutEndpoint(e *Endpoint) *Roster {
 	next := *r
-	isOther := func(x *Endpoint) bool { return x.ID == e.ID }
-	next.byID = slices.DeleteFunc(slices.Clone(r.byID), isOther)
+	isRemoved := func(x *Endpoint) bool { return x.ID == e.ID }
+	next.byID = slices.DeleteFunc(slices.Clone(r.byID), isRemoved)
 	next.byService = maps.Clone(r.byService)
-	next.byService[e.Service] = slices.DeleteFunc(slices.Clone(r.byService[e.Service]), isOther)
+	next.byService[e.Service] = slices.DeleteFunc(slices.Clone(r.byService[e.Service]), isRemoved)
 	return &next
 }
 
-// Hint is what a node that gives orders to an endpoint tells of it before the
-// platform's list does.
+// Hint is the new state of an endpoint, sent by the node that changed it before the
+// platform's list shows the change.
 type Hint struct {
 	ID     ID         `json:"id"`
 	Model  string     `json:"model"`
 	Member Membership `json:"member"`
-	// Entry is the endpoint as the list has it, for nodes that know only those that take
-	// requests; nil: it takes none.
+	// Entry is the endpoint as listed, for nodes with a partial roster, which may not have
+	// it yet; nil if it accepts no requests.
 	Entry *Endpoint `json:"entry,omitempty"`
 }
 
-// With returns the roster after a hint that came at now. It stays until a list
-// that was asked for later tells otherwise; a hint about an endpoint that isn't
-// listed, or about an older group than the listed one, changes nothing. A partial roster
-// takes a head up that begins to take requests.
+// With returns the roster after a hint that was received at now. The hint is valid until a
+// list that was requested later. A hint about an endpoint that is not listed, or about an
+// older group than the listed one, is ignored, except that a partial roster adds a head that
+// starts to accept requests.
 func (r *Roster) With(h Hint, now clock.Instant) *Roster {
 	e := r.Get(h.ID)
 	if e == nil && r.Partial && h.Member.State == Open {
 		e = h.Entry
 	}
-	if e == nil || h.Member.Epoch < e.Member.Epoch || r.outlived(h.ID) {
+	if e == nil || h.Member.Epoch < e.Member.Epoch || r.hasLaterIncarnation(h.ID) {
 		return r
 	}
 	changed := *e
 	changed.Model, changed.Member, changed.Hinted = h.Model, h.Member, now
-	changed.Draining = changed.Draining || r.left[h.ID].draining
-	return r.with(&changed)
+	changed.Draining = changed.Draining || r.departures[h.ID].wasDraining
+	return r.withEndpoint(&changed)
 }
 
-// outlived reports whether a later life of the endpoint is known.
-func (r *Roster) outlived(id ID) bool {
-	known, ok := r.lives[id.Name()]
+// hasLaterIncarnation reports whether a later incarnation of the endpoint is known.
+func (r *Roster) hasLaterIncarnation(id ID) bool {
+	known, ok := r.incarnations[id.Name()]
 	return ok && id.Before(known.id)
 }
 
-// Leaving returns the roster after the word that endpoints leave, or are listed no more.
-// New work must stop within the platform's bound. A roster of the whole list waits for the
-// next list to miss an endpoint.
+// Leaving returns the roster after a message that endpoints are draining (leaving) or no
+// longer listed (gone). It makes new work stop within the time that the platform allows. A
+// complete roster ignores gone and drops an endpoint when the next list lacks it.
 func (r *Roster) Leaving(leaving, gone []ID) *Roster {
 	for _, id := range leaving {
 		if e := r.Get(id); e != nil && e.Usable() {
 			changed := *e
 			changed.Draining = true
-			r = r.with(&changed)
+			r = r.withEndpoint(&changed)
 		}
 	}
 	for _, id := range gone {
 		if e := r.Get(id); e != nil && r.Partial {
-			r = r.without(e)
+			r = r.withoutEndpoint(e)
 		}
 	}
 	return r
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -13,43 +13,44 @@
 
 func at(d time.Duration) clock.Instant { return start.Add(d) }
 
-func ids(r *Roster, service string) int { return len(r.Service(service)) }
+func countEndpoints(r *Roster, service string) int { return len(r.Service(service)) }
 
-// The platform was away for longer than entries live and is back: the list is
-// nearly empty until the endpoints have written themselves anew. For two seconds
-// a missing endpoint stays; one that is missing then is gone.
-func TestEntriesThatLapsedAreKeptForAMoment(t *testing.T) {
+// Guards against dropping all endpoints after an outage of the platform that was longer than
+// the lifetime of entries: the list is nearly empty until the endpoints have rewritten their
+// entries. A missing endpoint is kept for LapseGrace and dropped after it.
+func TestMissingEndpointsAreKeptAfterOutage(t *testing.T) {
 	is := is.New(t)
 	full := []Endpoint{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}}
 	r := Merge(Empty(), Listing{Endpoints: full}, at(0), 0)
 	back := at(10 * time.Second)
 	r = Merge(r, Listing{Endpoints: []Endpoint{{ID: "a", Service: "s"}}}, back.Add(time.Second), back)
-	is.Equal(ids(r, "s"), 2)
+	is.Equal(countEndpoints(r, "s"), 2)
 	r = Merge(r, Listing{Endpoints: []Endpoint{{ID: "a", Service: "s"}}}, back.Add(LapseGrace), back)
-	is.Equal(ids(r, "s"), 1)
+	is.Equal(countEndpoints(r, "s"), 1)
 }
 
-// Without an outage an endpoint that is missing has left: some never say that
-// they are leaving.
-func TestMissingEndpointIsGone(t *testing.T) {
+// Guards against keeping an endpoint that is missing from a list without an outage: some
+// endpoints terminate without draining first.
+func TestMissingEndpointIsDroppedWithoutOutage(t *testing.T) {
 	is := is.New(t)
 	r := Merge(Empty(), Listing{Endpoints: []Endpoint{{ID: "a", Service: "s"}}}, at(0), 0)
 	r = Merge(r, Listing{Endpoints: nil}, at(time.Second), 0)
-	is.Equal(ids(r, "s"), 0)
+	is.Equal(countEndpoints(r, "s"), 0)
 }
 
-// An endpoint said that it leaves; after an outage an older entry of it says
-// that it is ready. It gets no new work.
-func TestLeavingIsFinal(t *testing.T) {
+// Guards against new work for a draining endpoint when an older entry of it, in which it is
+// ready, reappears after an outage.
+func TestDrainingIsFinal(t *testing.T) {
 	is := is.New(t)
 	r := Merge(Empty(), Listing{Endpoints: []Endpoint{{ID: "a", Service: "s", Draining: true}}}, at(0), 0)
 	r = Merge(r, Listing{Endpoints: []Endpoint{{ID: "a", Service: "s"}}}, at(time.Second), 0)
 	is.True(!r.Get("a").Usable())
 }
 
-// A node tells that a head is open. The list that was asked for before that
-// still says that it is ready and must not undo it; a later one does.
-func TestHintStandsUntilANewerList(t *testing.T) {
+// Guards against a list that overwrites a newer hint: a hint opens a head, and a list that
+// was requested before it still shows the head as ready. A list that was requested after the
+// hint takes precedence.
+func TestHintIsValidUntilNewerList(t *testing.T) {
 	is := is.New(t)
 	ready := Endpoint{ID: "a", Service: "s", Member: Membership{Group: "g", Epoch: 3, State: Ready}}
 	r := Merge(Empty(), Listing{Endpoints: []Endpoint{ready}}, at(0), 0)
@@ -62,8 +63,8 @@
 	is.True(!r.Get("a").Leads())
 }
 
-// A hint about an older group comes late: the endpoint is in a newer one.
-func TestLateHintChangesNothing(t *testing.T) {
+// Guards against a late hint about an older group that changes an endpoint in a newer one.
+func TestHintAboutOlderGroupIsIgnored(t *testing.T) {
 	is := is.New(t)
 	newer := Endpoint{ID: "a", Service: "s", Member: Membership{Group: "h", Epoch: 4, State: Open}}
 	r := Merge(Empty(), Listing{Endpoints: []Endpoint{newer}}, at(0), 0)
@@ -72,28 +73,28 @@
 	is.Equal(r.With(Hint{ID: "unknown"}, at(time.Second)), r)
 }
 
-// listing is a list of one endpoint's entry.
+// listing returns a list with the entry of one endpoint.
 func listing(era, sequence uint64, draining bool) Listing {
 	e := Endpoint{ID: Life("i", 7), Service: "s", Sequence: sequence, Draining: draining}
 	return Listing{Era: era, Endpoints: []Endpoint{e}}
 }
 
-// A node has seen that an endpoint is gone, or leaves. The platform's table comes back from
-// a copy of before, in which the endpoint is ready: it must get no new work. One whose
-// entry lapsed during a cut has written it anew when it is listed again, and is used.
-func TestCopiesOfEntriesBringNoWorkToThoseThatLeft(t *testing.T) {
+// Guards against new work for a departed or draining endpoint when the platform's table is
+// restored from an older copy in which the endpoint is ready. An endpoint whose entry
+// expired during a partition has rewritten it when it is listed again, and is used.
+func TestRestoredEntriesDoNotReviveDepartedEndpoints(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		last     Listing // that the node saw before the restore
-		gone     bool    // and it saw that the entry is gone
+		last     Listing // the last list before the restore
+		gone     bool    // a list without the entry followed
 		restored Listing
 		usable   bool
 	}{
 		{"gone, the copy is older", listing(1, 9, false), true, listing(2, 7, false), false},
-		{"gone, the copy is as new", listing(1, 9, false), true, listing(2, 9, false), false},
-		{"gone, it writes again", listing(1, 9, false), true, listing(1, 10, false), true},
-		{"leaving, the copy is ready", listing(1, 9, true), false, listing(2, 7, false), false},
-		{"leaving and gone, the copy is ready", listing(1, 9, true), true, listing(2, 7, false), false},
+		{"gone, the copy is equally new", listing(1, 9, false), true, listing(2, 9, false), false},
+		{"gone, the entry is rewritten", listing(1, 9, false), true, listing(1, 10, false), true},
+		{"draining, the copy is ready", listing(1, 9, true), false, listing(2, 7, false), false},
+		{"draining and gone, the copy is ready", listing(1, 9, true), true, listing(2, 7, false), false},
 		{"ready, the copy is older", listing(1, 9, false), false, listing(2, 7, false), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -110,10 +111,11 @@
 	}
 }
 
-// The copy shows a head as it was: in a group that has ended. What the newer entry told
-// stands until the head writes again. An endpoint that tells no start may have begun to
-// count anew, so only a copy that has just come back is taken for older.
-func TestOlderEntriesShowNoEndedGroups(t *testing.T) {
+// Guards against entries of a restored copy that show a head in a group that was dissolved:
+// the newer entry remains valid until the head rewrites it. The sequence of an endpoint
+// without a start time may have been reset by a restart, so a lower one counts as older only
+// shortly after a restore.
+func TestRestoredEntriesDoNotShowDissolvedGroups(t *testing.T) {
 	is := is.New(t)
 	now := clock.Instant(time.Hour)
 	entry := func(id ID, sequence uint64, group string) Endpoint {
@@ -125,9 +127,9 @@
 	is.Equal(same.Get(Life("i", 7)).Member.Group, "g2")
 	restored := Merge(r, Listing{Era: 2, Endpoints: []Endpoint{entry("old", 8, "g1")}}, now.Add(time.Second), 0)
 	is.Equal(restored.Get("old").Member.Group, "g2")
-	is.True(restored.Get(Life("i", 7)) != nil) // the copy lacks it; it writes again within the grace
+	is.True(restored.Get(Life("i", 7)) != nil) // missing from the copy; it may rewrite its entry within the grace
 	late := Merge(restored, Listing{Era: 2, Endpoints: []Endpoint{entry("old", 10, "g4")}}, now.Add(4*time.Second), 0)
 	is.Equal(late.Get("old").Member.Group, "g4")
 	is.True(late.Get(Life("i", 7)) == nil)
-	is.Equal(Merge(late, Listing{Era: 1}, now.Add(5*time.Second), 0), late) // it arrived late
+	is.Equal(Merge(late, Listing{Era: 1}, now.Add(5*time.Second), 0), late) // late list of an earlier era
 }
