--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,7 +1,7 @@
-// Package catalog holds what the operator declares: routes, services, engines
-// with their models, and organisations with their keys. A Document is one
-// version as it was declared; a Catalog is the same version indexed for lookups.
-// Both are immutable once built, so that a request sees one version throughout.
+// Package catalog contains the operator's configuration: routes, services, engines with
+// their models, and organisations with their keys. A Document is one version as declared; a
+// Catalog is the same version indexed for lookups. Both are immutable once built, so that a
+// request uses the same version throughout.
 package catalog
 
 import (
@@ -13,17 +13,17 @@
 	"time"
 )
 
-// Repeat says how often a request may run.
+// Repeat is the kind of a route, which determines how often a request may run.
 type Repeat int
 
 // The kinds of route.
 const (
 	Once       Repeat = iota // at most one run for each client attempt
 	Idempotent               // any number of runs
-	Stream                   // a stream of events; runs once unless the route is resumable
+	Stream                   // event stream; one run unless the route is resumable
 )
 
-// Document is one version of the operator's declarations.
+// Document is one version of the operator's configuration.
 type Document struct {
 	Version       uint64
 	Routes        []Route
@@ -36,24 +36,24 @@
 type Route struct {
 	Name        string
 	Host        string
-	Prefix      string // begins and ends with a slash
+	Prefix      string // path prefix, starts and ends with a slash
 	Repeat      Repeat
-	Resumable   bool          // a cut stream may go on at another endpoint
-	Public      bool          // needs no key
-	Timeout     time.Duration // the longest time until the final answer
-	Objective   time.Duration // latency within which an answer counts in full
-	GapAim      time.Duration // longest pause between events that is on time; Stream only
+	Resumable   bool          // an interrupted stream may be resumed at another endpoint
+	Public      bool          // requires no API key
+	Timeout     time.Duration // maximum time until the complete response
+	Objective   time.Duration // latency objective
+	GapAim      time.Duration // objective for the pause between two events; Stream only
 	Priority    int           // 0 is the most urgent
-	MaxAttempts int           // endpoints that one request may run on
+	MaxAttempts int           // maximum number of endpoints that run one request
 	Backends    []Backend
 }
 
-// Repeatable reports whether a request that may have run can be sent again.
+// Repeatable reports whether a request that may have run may be sent again.
 func (r *Route) Repeatable() bool {
 	return r.Repeat == Idempotent || r.Repeat == Stream && r.Resumable
 }
 
-// Backend is one service behind a route with its share of the requests.
+// Backend is a service that receives a share of a route's requests, by weight.
 type Backend struct {
 	Service string
 	Weight  int
@@ -63,41 +63,41 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	MaxConns   int     // connections that an endpoint accepts from all callers together
+	MaxConns   int     // maximum number of connections to an endpoint from all callers together
 	Engine     *Engine // nil: a plain service
 }
 
-// Engine describes the model engines of a service. Times hold for one group
-// before the model's Pace is applied.
+// Engine describes the model engines of a service. Times are those of one group before they
+// are multiplied by the model's Pace.
 type Engine struct {
-	Slots          int // requests that a group runs at once
-	KVCapacity     int // tokens
-	Stride         int // steps in a pass that has writers; an event leaves once a pass
-	Chunk          int // prompt tokens read in a step at most
+	Slots          int // requests that a group runs concurrently
+	KVCapacity     int // capacity of the KV cache in tokens
+	Stride         int // steps in a pass with decoding requests, which emit one event per pass
+	Chunk          int // maximum number of prompt tokens prefilled in a step
 	Step           time.Duration
-	PerSequence    time.Duration // added to a step for each writing request
+	PerSequence    time.Duration // added to a step for each decoding request
 	ContextPerK    time.Duration // added to a step for each 1,000 tokens of context
-	ReadPerSecond  float64       // prompt tokens
-	PairsPerM      time.Duration // per million pairs of a prompt token and an earlier token
-	ReportLag      time.Duration // age of a report when it is given
-	LoadsPerSecond float64       // loads from the weight store that may begin, over all endpoints
-	LoadsAtOnce    int           // loads that run at full speed
-	FormTime       time.Duration // from the open order until the group serves
+	ReadPerSecond  float64       // prefill rate in prompt tokens per second
+	PairsPerM      time.Duration // attention time per million pairs of a prompt token and an earlier token
+	ReportLag      time.Duration // age of a load report when it is sent
+	LoadsPerSecond float64       // maximum rate at which loads from the weight store start, over all endpoints
+	LoadsAtOnce    int           // concurrent loads that run at full speed
+	FormTime       time.Duration // time from the open order until the group serves
 	FarFactor      float64       // slowdown of a group that spans fabric domains
-	Keeps          int           // models that a host keeps staged
-	UsualPrompt    int           // mean tokens
-	UsualAnswer    int           // mean tokens
+	Keeps          int           // number of models that a host keeps staged
+	UsualPrompt    int           // mean prompt length in tokens
+	UsualAnswer    int           // mean answer length in tokens
 	Models         []Model
 }
 
-// Model is one model that the engines of a service carry.
+// Model is a model that the engines of a service can run.
 type Model struct {
 	Name  string
 	Size  int           // members of a group
-	Pace  float64       // factor on all times of a group
-	Share float64       // share of the work at the start
-	Load  time.Duration // from the weight store
-	Warm  time.Duration // from the host
+	Pace  float64       // factor for all times of a group
+	Share float64       // initial share of the work
+	Load  time.Duration // load time from the weight store
+	Warm  time.Duration // load time from the host
 }
 
 // Model returns the model of that name, or nil.
@@ -110,28 +110,29 @@
 	return nil
 }
 
-// Work returns the time that a request takes of a group whose slots are all in
-// use: its prompt is read alone, each step writes a token of every slot.
+// Work returns the share of a fully loaded group's time that a request uses: its prompt is
+// prefilled alone, while each decoding step generates one token for every slot. prompt and
+// answer are lengths in tokens.
 func (e *Engine) Work(m *Model, prompt, answer int) time.Duration {
-	read := 0.0
+	readSeconds := 0.0
 	if e.ReadPerSecond > 0 {
-		read = float64(prompt) / e.ReadPerSecond
+		readSeconds = float64(prompt) / e.ReadPerSecond
 	}
-	token := e.Step.Seconds()/float64(max(1, e.Slots)) + e.PerSequence.Seconds() + e.ContextPerK.Seconds()*float64(prompt)/1000
-	return time.Duration(m.Pace * (read + float64(answer)*token) * float64(time.Second))
+	tokenSeconds := e.Step.Seconds()/float64(max(1, e.Slots)) + e.PerSequence.Seconds() + e.ContextPerK.Seconds()*float64(prompt)/1000
+	return time.Duration(m.Pace * (readSeconds + float64(answer)*tokenSeconds) * float64(time.Second))
 }
 
-// Organisation is a customer with its keys.
+// Organisation is a customer with its API keys.
 type Organisation struct {
 	Name     string
 	Keys     []string
-	Priority int // takes precedence over the route's; NoPriority: none declared
+	Priority int // overrides the route's priority; NoPriority: not declared
 }
 
-// NoPriority marks an organisation that leaves the priority to the route.
+// NoPriority is the priority of an organisation that declares none; the route's applies.
 const NoPriority = -1
 
-// Limits bound what a client may send.
+// Limits are the limits for client requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -147,8 +148,8 @@
 	services map[string]*Service
 }
 
-// New indexes a document. It fails when a route names a service that the
-// document doesn't declare, since requests on it could go nowhere.
+// New indexes a document. It fails if a route has no service, or one that the document does
+// not declare: its requests could not be served.
 func New(doc Document) (*Catalog, error) {
 	c := &Catalog{
 		Document: doc,
@@ -176,20 +177,21 @@
 	return c, nil
 }
 
+// addRoute checks the route's services and adds the route to the index.
 func (c *Catalog) addRoute(r *Route) error {
 	if len(r.Backends) == 0 {
-		return fmt.Errorf("catalog: route %q has no service; name one that the document declares", r.Name)
+		return fmt.Errorf("catalog: route %q has no service; add a service that the document declares", r.Name)
 	}
 	for _, b := range r.Backends {
 		if c.services[b.Service] == nil {
-			return fmt.Errorf("catalog: route %q names service %q, which the document doesn't declare", r.Name, b.Service)
+			return fmt.Errorf("catalog: route %q refers to service %q, which the document does not declare", r.Name, b.Service)
 		}
 	}
 	c.byHost[r.Host] = append(c.byHost[r.Host], r)
 	return nil
 }
 
-// Route returns the route with the longest prefix that begins path, or nil.
+// Route returns the route of the host with the longest prefix of path, or nil.
 func (c *Catalog) Route(host, path string) *Route {
 	for _, r := range c.byHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -199,17 +201,17 @@
 	return nil
 }
 
-// Organisation returns the holder of a key, or nil.
+// Organisation returns the organisation with that key, or nil.
 func (c *Catalog) Organisation(key string) *Organisation { return c.byKey[key] }
 
-// Keyed reports whether requests need a key.
+// Keyed reports whether requests on routes that are not public require a key.
 func (c *Catalog) Keyed() bool { return len(c.Organisations) > 0 }
 
 // Service returns the service of that name, or nil.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
-// PickBackend returns the service that draw, uniform in [0, 1), falls to by
-// the weights of the route's services.
+// PickBackend selects one of the route's services by their weights. draw is a random number
+// in [0, 1).
 func (r *Route) PickBackend(draw float64) string {
 	total := 0
 	for _, b := range r.Backends {
@@ -228,29 +230,29 @@
 	return r.Backends[len(r.Backends)-1].Service
 }
 
-// Change is what a read of the operator's configuration brought.
+// Change is the result of a read of the operator's configuration.
 type Change struct {
-	Document *Document // nil: no newer one
-	Cursor   Cursor    // where the next wait goes on
+	Document *Document // nil: no newer version
+	Cursor   Cursor    // position for the next read
 }
 
-// Cursor is a place in the history of the operator's changes. A version means another
-// place in another era of the table: see platform.Row.
+// Cursor is a position in the history of the operator's changes. Versions are only
+// comparable within one era of the table, see platform.Row.
 type Cursor struct {
 	Era     uint64
 	Version uint64
 }
 
-// ErrHistoryGone means that the changes since a cursor are no longer known;
-// read the configuration afresh.
-var ErrHistoryGone = errors.New("catalog: the changes since then are no longer known; read the configuration afresh")
+// ErrHistoryGone means that the changes since a cursor are no longer available. The caller
+// must read the complete configuration.
+var ErrHistoryGone = errors.New("catalog: the changes since the cursor are no longer available; read the complete configuration")
 
-// InvalidDocument is a configuration that can't be understood.
+// InvalidDocument is the error for a configuration that cannot be parsed.
 type InvalidDocument struct{ Cause error }
 
-// Error says what is wrong; the last good configuration stays in force.
+// Error returns the cause. The last valid configuration remains in force.
 func (e *InvalidDocument) Error() string {
-	return "catalog: the configuration can't be understood: " + e.Cause.Error() + "; the last good one stays in force"
+	return "catalog: cannot parse the configuration: " + e.Cause.Error() + "; the last valid one remains in force"
 }
 
 // Unwrap returns the cause.
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func testDocument() Document {
+func newTestDocument() Document {
 	return Document{
 		Version:  3,
 		Services: []Service{{Name: "one"}, {Name: "two"}},
@@ -22,7 +22,7 @@
 
 func TestLongestPrefixWins(t *testing.T) {
 	is := is.New(t)
-	c, err := New(testDocument())
+	c, err := New(newTestDocument())
 	is.NoErr(err)
 	is.Equal(c.Route("h", "/a/b/c").Name, "narrow")
 	is.Equal(c.Route("h", "/a/bc").Name, "middle")
@@ -30,32 +30,33 @@
 	is.Equal(c.Route("other", "/x"), nil)
 }
 
-func TestWeightsSplitARoute(t *testing.T) {
+func TestPickBackendFollowsWeights(t *testing.T) {
 	is := is.New(t)
-	c, err := New(testDocument())
+	c, err := New(newTestDocument())
 	is.NoErr(err)
 	r := c.Route("h", "/a/b/")
 	is.Equal(r.PickBackend(0), "one")
 	is.Equal(r.PickBackend(0.899), "one")
 	is.Equal(r.PickBackend(0.9), "two")
 	is.Equal(r.PickBackend(0.999), "two")
-	is.Equal(c.Route("h", "/a/").PickBackend(0.5), "two") // weights of zero don't lose requests
+	is.Equal(c.Route("h", "/a/").PickBackend(0.5), "two") // a total weight of zero selects the first service
 }
 
-func TestKeysNameTheirOrganisation(t *testing.T) {
+func TestOrganisationIsFoundByKey(t *testing.T) {
 	is := is.New(t)
-	c, err := New(testDocument())
+	c, err := New(newTestDocument())
 	is.NoErr(err)
 	is.Equal(c.Organisation("k2").Name, "org")
 	is.Equal(c.Organisation("k3"), nil)
 	is.True(c.Keyed())
 }
 
-// A route that leads to a service that isn't declared would fail each request;
-// the whole document is refused and the last one stays in force.
-func TestRouteToNowhereIsRefused(t *testing.T) {
+// Guards against a document with a route that has no service or an undeclared one: every
+// request on the route would fail. The document is refused, and the last one remains in
+// force.
+func TestRouteWithoutDeclaredServiceIsRefused(t *testing.T) {
 	is := is.New(t)
-	doc := testDocument()
+	doc := newTestDocument()
 	doc.Routes[0].Backends[0].Service = "three"
 	_, err := New(doc)
 	is.True(err != nil)
