--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,10 +1,11 @@
-// Package feed hands the platform's state on between nodes. The node that holds
-// a zone's duty reads configuration, endpoints and leases from the store; the
-// zone's other nodes ask it. Each node reading for itself costs four calls a
-// second and node, and the store's rates and price don't grow with the nodes.
+// Package feed distributes the platform's state among nodes. The node with a zone's duty
+// reads configuration, endpoints and leases from the store; the other nodes of the zone
+// poll it. If each node read for itself, this would cost four calls per second and node,
+// while the store's rate limits and budget do not grow with the number of nodes.
 //
-// A node asks and is answered with the age of each part, so that what it knows
-// is never taken for newer than it is: it counts from before it asked.
+// A response contains the age of each part, measured from the start of the read of the
+// store; the poller subtracts it from the time of its request. State is thus never taken
+// for newer than it is.
 package feed
 
 import (
@@ -19,90 +20,92 @@
 	"chervilloom/internal/roster"
 )
 
-// Have is what the asking node knows already.
+// Have is the state that the polling node already has.
 type Have struct {
 	Config    uint64 `json:"config"`    // version of its configuration
-	Life      string `json:"life"`      // of the answering node's journal
-	Endpoints uint64 `json:"endpoints"` // number of the newest change of endpoints, in that life
-	Rows      uint64 `json:"rows"`      // number of the newest change of rows, in that life
+	Life      string `json:"life"`      // incarnation of the responding node's journal
+	Endpoints uint64 `json:"endpoints"` // number of the newest change of endpoints in that incarnation
+	Rows      uint64 `json:"rows"`      // number of the newest change of rows in that incarnation
 }
 
-// Question is what an asker sends: what it has, and what it has seen since.
+// Question is a poll of a node: the state that it has, and its recent demand.
 type Question struct {
 	Have
-	Node   string        `json:"node"` // that asks
-	Zone   string        `json:"zone"` // of that node
+	Node   string        `json:"node"` // polling node
+	Zone   string        `json:"zone"` // zone of the polling node
 	Demand []demand.Told `json:"demand,omitempty"`
 }
 
-// Ages say how old the parts of an answer are.
+// Ages are the ages of the parts of a response.
 type Ages struct {
-	Config time.Duration // since the read that confirmed the configuration began
-	Roster time.Duration // since the read of the list of endpoints began
+	Config time.Duration // since the start of the read that confirmed the configuration
+	Roster time.Duration // since the start of the read of the list of endpoints
 }
 
-// State is an answer without its ages. It is the same for all who know the same.
+// State is a response without its ages. It is identical for all nodes that have the same
+// state.
 type State struct {
-	Document  *catalog.Document        `json:"document,omitempty"` // nil: the asker has the newest
-	Life      string                   `json:"life"`
-	Era       uint64                   `json:"era,omitempty"` // of the platform's table
-	Config    uint64                   `json:"config"`        // version of the answering node's configuration
+	Document  *catalog.Document        `json:"document,omitempty"` // nil: the polling node has the newest
+	Life      string                   `json:"life"`               // incarnation of the responding node's journal
+	Era       uint64                   `json:"era,omitempty"`      // era of the platform's table
+	Config    uint64                   `json:"config"`             // version of the responding node's configuration
 	Endpoints changes[roster.Endpoint] `json:"endpoints"`
 	Rows      changes[table.Row]       `json:"rows"` // leases and addresses of nodes
 }
 
-// Source is what the answering node knows.
+// Source provides the state of the responding node.
 type Source struct {
 	Catalog   func() *catalog.Catalog
 	Confirmed func() clock.Instant // start of the read that confirmed the catalog
 	Roster    func() *roster.Roster
 	Rows      func() []table.Row
-	Era       func() uint64 // of the platform's table
+	Era       func() uint64 // era of the platform's table
 }
 
-// Journal numbers the changes of endpoints and rows, so that an answer holds only
-// what the asker lacks: the whole list, asked for by every node each second, took
-// 192 KB a second and node at 100 nodes with 1,000 endpoints.
+// Journal numbers the changes of endpoints and rows, so that a response contains only those
+// that the polling node lacks. Complete lists for every node each second took 192 KB/s per
+// node with 100 nodes and 1,000 endpoints.
 type Journal struct {
-	Life string // drawn anew by each process
+	Life string // incarnation of the journal, random for each process
 
-	mu        sync.Mutex
-	taken     *roster.Roster // the one that endpoints holds
-	endpoints record[roster.Endpoint]
-	rows      record[table.Row]
+	mu         sync.Mutex
+	lastRoster *roster.Roster // the roster from which endpoints was last updated
+	endpoints  changeLog[roster.Endpoint]
+	rows       changeLog[table.Row]
 }
 
-// Take notes the newest endpoints and rows, and returns the numbers of their newest changes.
+// Take records the newest endpoints and rows, and returns the numbers of their newest changes.
 func (j *Journal) Take(r *roster.Roster, rows []table.Row) (endpoints, leases uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if r != j.taken {
-		// An asker sends requests and plans nothing: of a group it needs the head.
+	if r != j.lastRoster {
+		// A polling node only sends requests and does not plan groups, so it needs
+		// just the head of each group.
 		endpoints := map[string]roster.Endpoint{}
 		r.All(func(e *roster.Endpoint) {
 			if e.TakesRequests() {
 				endpoints[string(e.ID)] = *e
 			}
 		})
-		j.endpoints.take(endpoints, same)
-		j.taken = r
+		j.endpoints.update(endpoints, isSameEntry)
+		j.lastRoster = r
 	}
 	byKey := make(map[string]table.Row, len(rows))
 	for _, row := range rows {
-		row.Attempt = "" // of use to its writer alone
+		row.Attempt = "" // needed only by the row's writer
 		byKey[row.Key] = row
 	}
-	j.rows.take(byKey, table.Row.Same)
+	j.rows.update(byKey, table.Row.Same)
 	return j.endpoints.seq, j.rows.seq
 }
 
-// same reports whether two entries tell an asker the same.
-func same(a, b roster.Endpoint) bool {
+// isSameEntry reports whether two entries are equal for a polling node.
+func isSameEntry(a, b roster.Endpoint) bool {
 	return a.Addr == b.Addr && a.Draining == b.Draining && a.Domain == b.Domain && a.Model == b.Model &&
 		a.Member == b.Member && slices.Equal(a.Staged, b.Staged)
 }
 
-// Since returns what has changed since have.
+// Since returns the changes since have, or everything if have is of another incarnation.
 func (j *Journal) Since(have Have) State {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -114,30 +117,30 @@
 	}
 }
 
-// Answer makes the answer to have at now.
+// Answer returns the response to a node that has have, at now.
 func Answer(src Source, j *Journal, have Have, now clock.Instant) (State, Ages) {
-	known, ages := look(src, j, now)
-	return known.since(j, have), ages
+	known, ages := takeSnapshot(src, j, now)
+	return known.stateSince(j, have), ages
 }
 
-// knowledge is what a node can tell at some moment.
-type knowledge struct {
-	catalog         *catalog.Catalog // nil: none is known
+// snapshot identifies the state of a node at some moment.
+type snapshot struct {
+	catalog         *catalog.Catalog // nil: not known yet
 	era             uint64
 	endpoints, rows uint64 // numbers of the journal's newest changes
 }
 
-// look has the journal note what the node knows.
-func look(src Source, j *Journal, now clock.Instant) (knowledge, Ages) {
+// takeSnapshot updates the journal from the source and returns the current state and its ages.
+func takeSnapshot(src Source, j *Journal, now clock.Instant) (snapshot, Ages) {
 	r := src.Roster()
 	ages := Ages{Config: now.Sub(src.Confirmed()), Roster: now.Sub(r.Asked)}
-	k := knowledge{catalog: src.Catalog(), era: src.Era()}
+	k := snapshot{catalog: src.Catalog(), era: src.Era()}
 	k.endpoints, k.rows = j.Take(r, src.Rows())
 	return k, ages
 }
 
-// since returns what an asker lacks that has have.
-func (k knowledge) since(j *Journal, have Have) State {
+// stateSince returns the part of the state that a node with have lacks.
+func (k snapshot) stateSince(j *Journal, have Have) State {
 	s := j.Since(have)
 	s.Era = k.era
 	if k.catalog != nil {
@@ -149,21 +152,21 @@
 	return s
 }
 
-// Copy is what an asker knows from one answering node. Each node that is asked
-// has its own: numbers of one journal mean nothing in another, and an asker that
-// goes to and fro between two would get everything from both each time.
+// Copy is a polling node's copy of the state of one responding node. There is one for each
+// responding node: change numbers are valid for one journal only, and with a single copy a
+// node that alternates between two would get the complete state each time.
 type Copy struct {
 	Life      string
 	Endpoints Table[roster.Endpoint]
 	Rows      Table[table.Row]
 }
 
-// Have returns what to ask with, beside the configuration's version.
+// Have returns the state to send with the next poll, without the configuration's version.
 func (c *Copy) Have() Have {
 	return Have{Life: c.Life, Endpoints: c.Endpoints.seq, Rows: c.Rows.seq}
 }
 
-// Apply takes up an answer.
+// Apply updates the copy from a response.
 func (c *Copy) Apply(s *State) {
 	c.Life = s.Life
 	c.Endpoints.apply(s.Endpoints, func(e roster.Endpoint) string { return string(e.ID) })
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -20,6 +20,7 @@
 	"chervilloom/internal/roster"
 )
 
+// rosterOf returns a roster of endpoints; states maps their ids to their groups.
 func rosterOf(states map[string]string) *roster.Roster {
 	var list []roster.Endpoint
 	for id, group := range states {
@@ -28,7 +29,7 @@
 	return roster.Merge(roster.Empty(), roster.Listing{Endpoints: list}, 1, 0)
 }
 
-// rowsOf returns a row for each state whose version changes with it.
+// rowsOf returns a row for each state, with a version that depends on the state.
 func rowsOf(states map[string]string) []table.Row {
 	var rows []table.Row
 	for id, group := range states {
@@ -37,7 +38,8 @@
 	return rows
 }
 
-func keys(rows []table.Row) []string {
+// versionedKeys returns the sorted keys of the rows with their versions.
+func versionedKeys(rows []table.Row) []string {
 	var out []string
 	for _, r := range rows {
 		out = append(out, fmt.Sprintf("%s@%d", r.Key, r.Version))
@@ -46,7 +48,8 @@
 	return out
 }
 
-func sortedText(list []roster.Endpoint) string {
+// formatEndpoints returns the ids of the endpoints with their groups, sorted by id.
+func formatEndpoints(list []roster.Endpoint) string {
 	slices.SortFunc(list, func(a, b roster.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	var b strings.Builder
 	for _, e := range list {
@@ -55,9 +58,10 @@
 	return b.String()
 }
 
-// Whatever changes between two questions, and however many an asker misses, it
-// knows what the answering node knows after each answer.
-func TestAskerKnowsWhatTheJournalKnows(t *testing.T) {
+// Guards against changes that are lost or duplicated on their way to a polling node: after
+// each response it has the responding node's state, for any changes between two polls and
+// any number of missed polls.
+func TestCopyMatchesJournalAfterEachResponse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		j := &Journal{Life: "a"}
 		var known Copy
@@ -77,21 +81,22 @@
 			}
 			s := j.Since(known.Have())
 			known.Apply(&s)
-			if got, want := keys(known.Rows.List), keys(rowsOf(states)); !slices.Equal(got, want) {
+			if got, want := versionedKeys(known.Rows.List), versionedKeys(rowsOf(states)); !slices.Equal(got, want) {
 				t.Fatalf("rows %v, want %v", got, want)
 			}
 			var want []roster.Endpoint
 			rosterOf(states).All(func(e *roster.Endpoint) { want = append(want, *e) })
-			if sortedText(known.Endpoints.List) != sortedText(want) {
-				t.Fatalf("known %s, want %s", sortedText(known.Endpoints.List), sortedText(want))
+			if formatEndpoints(known.Endpoints.List) != formatEndpoints(want) {
+				t.Fatalf("known %s, want %s", formatEndpoints(known.Endpoints.List), formatEndpoints(want))
 			}
 		}
 	})
 }
 
-// The answering node was restarted: its numbers begin anew and mean nothing to
-// an asker of its former life, which gets everything.
-func TestNewLifeTellsEverything(t *testing.T) {
+// Guards against change numbers of an earlier incarnation that are compared with those of
+// the current one: after a restart of the responding node its numbers start again, so it
+// sends the complete state.
+func TestNewIncarnationSendsCompleteState(t *testing.T) {
 	is := is.New(t)
 	j := &Journal{Life: "b"}
 	states := map[string]string{"e1": "g"}
@@ -103,7 +108,9 @@
 	is.Equal(len(s.Rows.Changed), 1)
 }
 
-func server(t *testing.T, c *clock.Manual, serving bool) (*Client, string) {
+// startServer starts a node that responds to polls if serving is true, and returns a client and
+// the node's address.
+func startServer(t *testing.T, c *clock.Manual, serving bool) (*Client, string) {
 	t.Helper()
 	cat, err := catalog.New(catalog.Document{Version: 7})
 	if err != nil {
@@ -125,12 +132,13 @@
 	return NewClient(), strings.TrimPrefix(h.URL, "http://")
 }
 
-// The answer tells how old each part is. A key that was taken away counts from
-// the read that showed it, not from the answer that came two seconds later.
-func TestAnswerTellsItsAge(t *testing.T) {
+// Guards against state that appears newer than it is: its age counts from the read of the
+// store, not from the response two seconds later, or a revoked API key would be accepted for
+// too long.
+func TestResponseContainsAges(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(clock.Instant(time.Hour))
-	client, addr := server(t, c, true)
+	client, addr := startServer(t, c, true)
 	c.Advance(2 * time.Second)
 	s, ages, err := client.Ask(context.Background(), addr, Question{})
 	is.NoErr(err)
@@ -142,7 +150,7 @@
 	have := known.Have()
 	have.Config = 7
 	c.Advance(time.Second)
-	for range 2 { // the second answer is one that is kept; its age is not
+	for range 2 { // the second response is cached, but its age is not
 		again, ages, err := client.Ask(context.Background(), addr, Question{Have: have})
 		is.NoErr(err)
 		is.Equal(ages.Config, 3*time.Second)
@@ -151,19 +159,19 @@
 	}
 }
 
-// A node that itself asks another one doesn't answer: what it knows is older by
-// a hop, and two that ask each other would keep each other's past alive.
-func TestFollowerDoesNotAnswer(t *testing.T) {
+// Guards against responses from a node that polls another one: its state is older by one
+// hop, and two nodes that poll each other would keep stale state forever.
+func TestFollowerRefusesPolls(t *testing.T) {
 	is := is.New(t)
-	client, addr := server(t, clock.NewManual(1), false)
+	client, addr := startServer(t, clock.NewManual(1), false)
 	_, _, err := client.Ask(context.Background(), addr, Question{})
 	is.True(err != nil)
 }
 
-// A node without its zone's holder asks two other holders in turn. Each answer
-// brings what changed since that node was asked last; everything each time would
-// be megabytes a second in a large fleet.
-func TestChangingTheSourceBringsChangesOnly(t *testing.T) {
+// Guards against complete responses for a node that polls two holders of other zones' duties
+// in turn, because its own zone has none. Each response contains the changes since the last
+// poll of that holder; complete ones would be megabytes per second in a large fleet.
+func TestAlternatingSourcesSendOnlyChanges(t *testing.T) {
 	is := is.New(t)
 	a, b := &Journal{Life: "a"}, &Journal{Life: "b"}
 	var fromA, fromB Copy
@@ -181,8 +189,8 @@
 	}
 }
 
-// zoneOf makes a roster of groups of twelve engines.
-func zoneOf(groups int) *roster.Roster {
+// rosterOfGroups returns a roster of groups of twelve engines.
+func rosterOfGroups(groups int) *roster.Roster {
 	var list []roster.Endpoint
 	for i := range groups * 12 {
 		m := roster.Membership{Group: fmt.Sprint("zone-a-", i/12+1<<40), Epoch: uint64(i/12 + 1<<40), Rank: i % 12, State: roster.Ready}
@@ -198,19 +206,20 @@
 	return roster.Merge(roster.Empty(), roster.Listing{Endpoints: list}, 1, 0)
 }
 
-// A node that has just started, and all others after the duty has changed hands, asks for
-// everything. Told of 3,000 engines, of which one in twelve takes requests, 100 nodes need
-// more than a link of 200 Mbit/s carries within the limit of an answer: none of them
-// follows, and all of them read the platform's list themselves.
-func TestWholeAnswerHoldsOnlyWhatTakesRequests(t *testing.T) {
+// Guards against complete responses that contain endpoints which accept no requests. A
+// restarted node, and every node after the duty has moved to another holder, requests the
+// complete state. With 3,000 engines, of which one in twelve accepts requests, the responses
+// for 100 nodes exceeded what a 200 Mbit/s link carries within the poll timeout, so all
+// nodes read the platform's list themselves.
+func TestCompleteResponseContainsOnlyEndpointsThatTakeRequests(t *testing.T) {
 	is := is.New(t)
-	const link, nodes = 200e6 / 8 * 0.4, 100 // bytes that the link carries within 400 ms
-	r := zoneOf(250)
+	const link, nodes = 200e6 / 8 * 0.4, 100 // link capacity in bytes within 400 ms
+	r := rosterOfGroups(250)
 	s := &Server{Journal: &Journal{Life: "a"}, Source: Source{
 		Catalog: func() *catalog.Catalog { return nil }, Confirmed: func() clock.Instant { return 1 },
 		Roster: func() *roster.Roster { return r }, Rows: func() []table.Row { return nil }, Era: func() uint64 { return 0 },
 	}}
-	body, _, err := s.answer(Have{}, 2)
+	body, _, err := s.response(Have{}, 2)
 	is.NoErr(err)
 	state, _ := Answer(s.Source, s.Journal, Have{}, 2)
 	is.Equal(len(state.Endpoints.Changed), 250)
--- a/internal/feed/main_test.go
+++ b/internal/feed/main_test.go
@@ -7,8 +7,8 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain gives the properties a fixed seed, so that a run has the same verdict
-// each time.
+// TestMain sets a fixed seed for the property tests, so that every run has the same result,
+// and checks for leaked goroutines.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "2000"} {
 		if err := flag.Set(name, value); err != nil {
--- a/internal/feed/record.go
+++ b/internal/feed/record.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// changes are what an asker lacks of a table.
+// changes are the changes of a table that a polling node lacks.
 type changes[V any] struct {
 	Seq     uint64   `json:"seq"`            // number of the newest change
-	Full    bool     `json:"full,omitempty"` // Changed holds everything
+	Full    bool     `json:"full,omitempty"` // Changed is the complete table
 	Changed []V      `json:"changed,omitempty"`
-	Removed []string `json:"removed,omitempty"` // keys
+	Removed []string `json:"removed,omitempty"` // keys of removed entries
 }
 
-// record numbers the changes of a table.
-type record[V any] struct {
-	seq     uint64
-	oldest  uint64 // removals up to here are forgotten
-	current map[string]numbered[V]
-	removed []removal
+// changeLog numbers the changes of a table.
+type changeLog[V any] struct {
+	seq          uint64
+	discardedSeq uint64 // number of the newest removal that was discarded
+	current      map[string]numbered[V]
+	removals     []removal
 }
 
 type numbered[V any] struct {
@@ -28,12 +28,13 @@
 	seq uint64
 }
 
-// keptRemovals is how many removals are remembered; an asker that lacks older
-// ones gets everything.
-const keptRemovals = 256
+// maxRemovals is the number of removals to keep; a node that lacks older ones gets the
+// complete table.
+const maxRemovals = 256
 
-// take notes the newest content of the table.
-func (r *record[V]) take(next map[string]V, same func(a, b V) bool) {
+// update updates the record to the newest content of the table. Entries that are the same as
+// before keep their numbers.
+func (r *changeLog[V]) update(next map[string]V, same func(a, b V) bool) {
 	if r.current == nil {
 		r.current = map[string]numbered[V]{}
 	}
@@ -50,18 +51,19 @@
 			continue
 		}
 		delete(r.current, key)
-		r.removed = append(r.removed, removal{key, seq})
+		r.removals = append(r.removals, removal{key, seq})
 		r.seq = seq
 	}
-	if n := len(r.removed) - keptRemovals; n > 0 {
-		r.oldest = r.removed[n-1].seq
-		r.removed = slices.Clone(r.removed[n:])
+	if n := len(r.removals) - maxRemovals; n > 0 {
+		r.discardedSeq = r.removals[n-1].seq
+		r.removals = slices.Clone(r.removals[n:])
 	}
 }
 
-// since returns what has changed after seq; everything if seq is not known here.
-func (r *record[V]) since(seq uint64, known bool) changes[V] {
-	out := changes[V]{Seq: r.seq, Full: !known || seq < r.oldest}
+// stateSince returns the changes after seq, or the complete table if seq is too old or, as known
+// reports, not of this incarnation.
+func (r *changeLog[V]) since(seq uint64, known bool) changes[V] {
+	out := changes[V]{Seq: r.seq, Full: !known || seq < r.discardedSeq}
 	for _, n := range r.current {
 		if out.Full || n.seq > seq {
 			out.Changed = append(out.Changed, n.value)
@@ -70,7 +72,7 @@
 	if out.Full {
 		return out
 	}
-	for _, d := range r.removed {
+	for _, d := range r.removals {
 		if d.seq > seq {
 			out.Removed = append(out.Removed, d.key)
 		}
@@ -78,12 +80,13 @@
 	return out
 }
 
-// Table is an asker's copy of a table.
+// Table is a polling node's copy of a table.
 type Table[V any] struct {
-	List []V // in no order; never changed in place
+	List []V // unordered; never modified in place
 	seq  uint64
 }
 
+// apply updates the copy; key returns an entry's key.
 func (t *Table[V]) apply(c changes[V], key func(V) string) {
 	t.seq = c.Seq
 	if c.Full {
--- a/internal/feed/wire.go
+++ b/internal/feed/wire.go
@@ -16,47 +16,47 @@
 	"chervilloom/internal/clock"
 )
 
-// path is where nodes ask each other.
-const path = "/state"
+// statePath is the HTTP path for polls.
+const statePath = "/state"
 
-// maxState bounds an answer, in bytes: 600 endpoints and a configuration of
-// 2,000 routes take 1 MB.
-const maxState = 16 << 20
+// maxStateBytes is the maximum size of a poll or a response, in bytes: 600 endpoints and a
+// configuration of 2,000 routes take 1 MB.
+const maxStateBytes = 16 << 20
 
-// Server answers other nodes.
+// Server responds to the polls of other nodes.
 type Server struct {
 	Source  Source
 	Journal *Journal
 	Clock   clock.Clock
 	Log     *slog.Logger
-	// Serving reports whether this node reads the store itself; one that asks
-	// another node would only hand on what is older.
+	// Serving reports whether this node reads the store itself; the state of a node that
+	// polls another one is older.
 	Serving func() bool
-	// Hear is told of each question; nil: nobody.
+	// Hear is called with each poll; may be nil.
 	Hear func(Question)
 
-	mu      sync.Mutex
-	answers map[answerKey][]byte
-	newest  knowledge // what the kept answers lead to
+	mu              sync.Mutex
+	cachedResponses map[responseKey][]byte
+	cachedSnapshot  snapshot // the state to which all cached responses lead
 }
 
-// ServeHTTP answers one question.
+// ServeHTTP responds to one poll.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != path || !s.Serving() {
+	if r.URL.Path != statePath || !s.Serving() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	var q Question
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxState)).Decode(&q); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxStateBytes)).Decode(&q); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	if s.Hear != nil {
 		s.Hear(q)
 	}
-	body, ages, err := s.answer(q.Have, s.Clock.Now())
+	body, ages, err := s.response(q.Have, s.Clock.Now())
 	if err != nil {
-		s.Log.Error("state not encoded", "err", err)
+		s.Log.Error("cannot encode the state response", "err", err)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -64,45 +64,47 @@
 	w.Header().Set("Content-Encoding", "gzip")
 	w.Header().Set(headerConfigAge, ages.Config.String())
 	w.Header().Set(headerRosterAge, ages.Roster.String())
-	_, _ = w.Write(body) // an asker that left asks again
+	_, _ = w.Write(body) // a node that disconnected polls again
 }
 
-// The headers of an answer's ages, as Go durations.
+// Response headers with the ages of the state, as Go durations.
 const (
 	headerConfigAge = "Chervilloom-Config-Age"
 	headerRosterAge = "Chervilloom-Endpoints-Age"
 )
 
-// answerKey names an answer: what the asker has, and what the answering node knows.
-type answerKey struct {
-	have  Have
-	known knowledge
+// responseKey is the key of a cached response: the state of the polling node and that of the
+// responding node.
+type responseKey struct {
+	have    Have
+	current snapshot
 }
 
-// answer returns the answer's bytes. Askers of a zone mostly know the same, and after a
-// start all of them ask for everything within a second: one answer is made at a time, and
-// kept for the others. Made for each asker at once, the states would fill a small node's
-// memory.
-func (s *Server) answer(have Have, now clock.Instant) ([]byte, Ages, error) {
+// response returns the encoded response and its ages. The nodes of a zone mostly have the same
+// state, and after a start all of them request the complete one within a second. Responses
+// are therefore encoded one at a time and cached: one for each node at once would exhaust
+// the memory of a small node.
+func (s *Server) response(have Have, now clock.Instant) ([]byte, Ages, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known, ages := look(s.Source, s.Journal, now)
-	key := answerKey{have, known}
-	if body, ok := s.answers[key]; ok {
+	known, ages := takeSnapshot(s.Source, s.Journal, now)
+	key := responseKey{have, known}
+	if body, ok := s.cachedResponses[key]; ok {
 		return body, ages, nil
 	}
-	state := known.since(s.Journal, have)
+	state := known.stateSince(s.Journal, have)
 	body, err := encode(&state)
 	if err != nil {
 		return nil, ages, err
 	}
-	if s.newest != known || len(s.answers) >= keptAnswers {
-		s.answers, s.newest = map[answerKey][]byte{}, known
+	if s.cachedSnapshot != known || len(s.cachedResponses) >= maxCachedResponses {
+		s.cachedResponses, s.cachedSnapshot = map[responseKey][]byte{}, known
 	}
-	s.answers[key] = body
+	s.cachedResponses[key] = body
 	return body, ages, nil
 }
 
+// encode returns the state as gzip-compressed JSON.
 func encode(state *State) ([]byte, error) {
 	var buf bytes.Buffer
 	zip, err := gzip.NewWriterLevel(&buf, gzip.BestSpeed)
@@ -118,14 +120,14 @@
 	return buf.Bytes(), nil
 }
 
-// keptAnswers bounds the answers that are kept; all of them lead to the newest
+// maxCachedResponses is the maximum number of cached responses. All of them lead to the newest
 // state.
-const keptAnswers = 16
+const maxCachedResponses = 16
 
-// Client asks other nodes.
+// Client polls other nodes.
 type Client struct{ client *http.Client }
 
-// NewClient returns a client that keeps its connection between questions.
+// NewClient returns a client that keeps its connections open between polls.
 func NewClient() *Client {
 	const (
 		dialTimeout = 300 * time.Millisecond
@@ -137,13 +139,14 @@
 	}}}
 }
 
-// Ask asks the node at addr, ip:port.
+// Ask polls the node at addr, ip:port. It returns the response and its ages, and fails if
+// the node does not read the store itself.
 func (c *Client) Ask(ctx context.Context, addr string, q Question) (*State, Ages, error) {
 	body, err := json.Marshal(q)
 	if err != nil {
 		return nil, Ages{}, err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+statePath, bytes.NewReader(body))
 	if err != nil {
 		return nil, Ages{}, err
 	}
@@ -153,25 +156,25 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, Ages{}, fmt.Errorf("feed: node %s answered %d; it doesn't read the store itself", addr, resp.StatusCode)
+		return nil, Ages{}, fmt.Errorf("feed: node %s returned status %d; it does not read the store itself", addr, resp.StatusCode)
 	}
 	ages, err := readAges(resp.Header)
 	if err != nil {
-		return nil, Ages{}, fmt.Errorf("feed: answer of node %s has no ages: %w", addr, err)
+		return nil, Ages{}, fmt.Errorf("feed: response of node %s has no valid ages: %w", addr, err)
 	}
-	zip, err := gzip.NewReader(io.LimitReader(resp.Body, maxState))
+	zip, err := gzip.NewReader(io.LimitReader(resp.Body, maxStateBytes))
 	if err != nil {
-		return nil, Ages{}, fmt.Errorf("feed: answer of node %s: %w", addr, err)
+		return nil, Ages{}, fmt.Errorf("feed: cannot decompress the response of node %s: %w", addr, err)
 	}
 	var s State
-	if err := json.NewDecoder(io.LimitReader(zip, maxState)).Decode(&s); err != nil {
-		return nil, Ages{}, fmt.Errorf("feed: answer of node %s: %w", addr, err)
+	if err := json.NewDecoder(io.LimitReader(zip, maxStateBytes)).Decode(&s); err != nil {
+		return nil, Ages{}, fmt.Errorf("feed: cannot decode the response of node %s: %w", addr, err)
 	}
 	return &s, ages, nil
 }
 
-// readAges fails where an age is missing: taken for zero, it would make old keys
-// pass as fresh.
+// readAges returns the ages in the header. It fails if one is missing: with an age of zero,
+// revoked API keys would be accepted as current.
 func readAges(h http.Header) (Ages, error) {
 	config, err := time.ParseDuration(h.Get(headerConfigAge))
 	if err != nil {
