--- a/internal/entry/backoff.go
+++ b/internal/entry/backoff.go
@@ -7,65 +7,68 @@
 	"time"
 )
 
-// backoff spaces the calls to a store that fails. All nodes of a fleet asking twice a second
-// each for configuration, endpoints and leases make thousands of calls in an outage of some
-// seconds, which can't be answered and which delay the first ones that can. A few nodes of
-// each zone go on at the full pace, so that its return is seen as soon; the others ask them
-// who has seen it, and the store itself less often the longer it fails: some of them may
-// reach a store that turns those few away.
+// backoff delays calls to a failing store. If every node of a fleet kept asking for
+// configuration, endpoints and leases twice a second, an outage of some seconds would cause
+// thousands of calls that cannot be answered and that delay the first successful ones. A
+// few nodes of each zone keep the usual rate, so that the recovery is noticed without
+// delay. The other nodes ask those nodes, and call the store itself less often the longer
+// it fails: they may reach a store that rejects the few.
 type backoff struct {
-	// eager reports whether this node is one of the few.
-	eager    func() bool
-	failures int // in a row
+	// usesFullRate reports whether this node keeps the usual rate.
+	usesFullRate        func() bool
+	consecutiveFailures int // consecutive
 }
 
 const (
-	// backoffFree is how many failures in a row delay nothing: one call may be lost.
-	backoffFree = 1
-	// backoffMost bounds the pause between two calls of one kind.
-	backoffMost = 3 * time.Second
+	// freeFailures is the number of consecutive failures without a delay: a single call may
+	// be lost.
+	freeFailures = 1
+	// maxBackoff is the longest delay between two calls of one kind.
+	maxBackoff = 3 * time.Second
 )
 
-// failed returns the pause after a call that failed, where calls are usually that far apart.
-func (b *backoff) failed(usual time.Duration) time.Duration {
-	b.failures++
-	over := b.failures - backoffFree
-	if over <= 0 || b.eager == nil || b.eager() {
-		return usual
+// recordFailure records a failed call and returns the delay before the next one; interval
+// is the time between successful calls.
+func (b *backoff) recordFailure(interval time.Duration) time.Duration {
+	b.consecutiveFailures++
+	excess := b.consecutiveFailures - freeFailures
+	if excess <= 0 || b.usesFullRate == nil || b.usesFullRate() {
+		return interval
 	}
-	return max(usual, min(backoffMost, usual<<min(over, 8)))
+	return max(interval, min(maxBackoff, interval<<min(excess, 8)))
 }
 
-func (b *backoff) succeeded() { b.failures = 0 }
+// reset resets the backoff.
+func (b *backoff) reset() { b.consecutiveFailures = 0 }
 
-// eagerNodes is how many nodes of a zone look for a failing store at the full pace.
-const eagerNodes = 4
+// fullRateNodes is the number of nodes per zone that call a failing store at the usual rate.
+const fullRateNodes = 4
 
-// looksFirst reports whether this node is among those of its zone that look for a failing
-// store at the full pace: holders of duties, nodes that know nothing yet, and a few of the
-// largest nodes, drawn by their names.
-func (n *Node) looksFirst() bool {
-	if n.holdsAny() || n.config.current.Load() == nil {
+// usesFullRate reports whether this node calls a failing store at the usual rate: duty
+// holders, nodes without a configuration, and a few of the zone's largest nodes, ordered by
+// a hash of their names.
+func (n *Node) usesFullRate() bool {
+	if n.holdsAnyDuty() || n.config.current.Load() == nil {
 		return true
 	}
-	return slices.Contains(n.leaseRows.first(n.Settings.Zone, eagerNodes), n.Settings.VM)
+	return slices.Contains(n.leaseCache.largestNodes(n.Settings.Zone, fullRateNodes), n.Settings.VM)
 }
 
-// first returns some nodes of a zone, the largest first, the same at every node that knows
-// the same rows.
-func (c *leaseCache) first(zone string, most int) []string {
+// largestNodes returns up to limit nodes of a zone, the largest first. All nodes with the
+// same rows compute the same result.
+func (c *leaseCache) largestNodes(zone string, limit int) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := c.directory()
-	nodes := slices.Clone(d.zones[zone])
+	d := c.rowIndex()
+	nodes := slices.Clone(d.nodes[zone])
 	slices.SortFunc(nodes, func(a, b string) int {
-		return cmp.Or(cmp.Compare(d.cores[b], d.cores[a]), cmp.Compare(drawOf(a), drawOf(b)))
+		return cmp.Or(cmp.Compare(d.cores[b], d.cores[a]), cmp.Compare(hashName(a), hashName(b)))
 	})
-	return nodes[:min(most, len(nodes))]
+	return nodes[:min(limit, len(nodes))]
 }
 
-// drawOf returns a number drawn by a name, the same everywhere.
-func drawOf(name string) uint32 {
+// hashName returns the FNV-1a hash of a name, which is the same on every node.
+func hashName(name string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name)) // never fails
 	return h.Sum32()
--- a/internal/entry/duty.go
+++ b/internal/entry/duty.go
@@ -1,84 +1,88 @@
 package entry
 
-// The ranks of a node for a zone's duty. Each rank waits a step (half a second) longer
-// for a lease that has become free.
+// The ranks of a node for a zone's duty. With each rank, a node waits one more step (half a
+// second) before it acquires a free lease.
 const (
 	rankFirst  = 0
 	rankSecond = 1
-	// rankOther is the first of the ranks of other zones' nodes; where zones have many
-	// nodes each gets one of spreadRanks by its name and the zone's, so that several
-	// duties that become free at once don't fall to one.
+	// rankOther is the lowest rank of nodes from other zones. In zones with many nodes each
+	// such node gets one of spreadRanks by a hash of its own name and the zone's, so that
+	// several leases that become free at once don't go to the same node.
 	rankOther   = 2
 	spreadRanks = 3
-	// rankHolder is of nodes that hold a duty already. One that held three of 219 engines
-	// each was late with their reports and took engines for lost by the dozen.
+	// rankHolder is the rank of nodes that hold a duty already. A node that held three
+	// duties of 219 engines each processed their reports late and declared dozens of
+	// engines lost.
 	rankHolder = rankOther + spreadRanks
-	// rankSmall is of a zone's small nodes where it has larger ones: a fifth of a core
-	// doesn't carry 219 engines and 59 followers. It could not read the list within
-	// 700 ms, nor renew its lease.
+	// rankSmall is the rank of a zone's small nodes if it has larger ones. A fifth of a
+	// core is too little for 219 engines and 59 followers: such a node could neither read
+	// the endpoint list within 700 ms nor renew its lease.
 	rankSmall = rankHolder + 1
-	rankNever = rankSmall + 1 // as many ranks follow a lease
+	rankNever = rankSmall + 1 // the number of ranks that watch a lease
 )
 
-// Sizes of nodes, in cores.
+// Node sizes, in cores.
 const (
-	// largerBy is from how many times its size another node counts as larger: machines
+	// largerSizeRatio is the size ratio from which another node counts as larger. Machines
 	// of one kind differ by less.
-	largerBy = 1.5
-	// A node that knows no others yet tries first from largeAlone on and second from
-	// mediumAlone on; smaller ones leave it the time to be known.
-	largeAlone  = 0.5
-	mediumAlone = 0.3
+	largerSizeRatio = 1.5
+	// A node that has no rows of other nodes yet has the first rank from largeNodeCores on and
+	// the second from mediumNodeCores on. Smaller nodes wait until the rows of larger ones can
+	// be read.
+	largeNodeCores  = 0.5
+	mediumNodeCores = 0.3
 )
 
-// rank spreads the duties. Of a zone's nodes the largest try first, half of them a step
-// later; then the largest of the other zones, those that hold a duty last; then the
-// zone's small ones.
+// rank returns this node's rank for a zone's duty. In the zone itself the largest nodes
+// come first, half of them one rank lower. Next are the largest nodes of other zones, those
+// that hold a duty last, and then the zone's small nodes.
 func (n *Node) rank(zone string) int {
 	if zone != n.Settings.Zone {
-		return n.rankElsewhere(zone)
+		return n.rankForOtherZone(zone)
 	}
-	if n.leaseRows.zoneNodes(zone) == 0 && n.Settings.Cores > 0 {
-		return rankAlone(n.Settings.Cores)
+	if n.leaseCache.zoneNodeCount(zone) == 0 && n.Settings.Cores > 0 {
+		return rankWithoutPeers(n.Settings.Cores)
 	}
-	if n.small() {
+	if n.isSmall() {
 		return rankSmall
 	}
-	return n.drawn(zone, rankSecond+1)
+	return n.hashedRank(zone, rankSecond+1)
 }
 
-// drawn returns a number below n by the names of the node and the zone.
-func (n *Node) drawn(zone string, below int) int {
-	return int(drawOf(n.Settings.VM+" "+zone) % uint32(below))
+// hashedRank returns a rank below the given bound by a hash of the node's and the zone's
+// names.
+func (n *Node) hashedRank(zone string, bound int) int {
+	return int(hashName(n.Settings.VM+" "+zone) % uint32(bound))
 }
 
-// rankElsewhere is the rank for another zone's duty.
-func (n *Node) rankElsewhere(zone string) int {
-	if n.small() || n.leaseRows.zoneNodes(zone) == 0 && n.Settings.Cores > 0 && n.Settings.Cores < mediumAlone {
+// rankForOtherZone returns the rank for the duty of another zone.
+func (n *Node) rankForOtherZone(zone string) int {
+	if n.isSmall() || n.leaseCache.zoneNodeCount(zone) == 0 && n.Settings.Cores > 0 && n.Settings.Cores < mediumNodeCores {
 		return rankNever
 	}
-	if !n.shares(zone) {
+	if !n.usesBoard(zone) {
 		return rankOther
 	}
 	for _, other := range n.Settings.Zones {
-		if other != zone && n.holds(other) {
+		if other != zone && n.holdsDuty(other) {
 			return rankHolder
 		}
 	}
-	return rankOther + n.drawn(zone, spreadRanks)
+	return rankOther + n.hashedRank(zone, spreadRanks)
 }
 
-// small reports whether the own zone has nodes that are clearly larger than this one.
-func (n *Node) small() bool {
-	return n.Settings.Cores > 0 && n.leaseRows.largest(n.Settings.Zone) >= largerBy*n.Settings.Cores
+// isSmall reports whether this zone has nodes that are clearly larger than this one.
+func (n *Node) isSmall() bool {
+	return n.Settings.Cores > 0 && n.leaseCache.maxCores(n.Settings.Zone) >= largerSizeRatio*n.Settings.Cores
 }
 
-// rankAlone is the rank of a node that knows no others: all start at once.
-func rankAlone(cores float64) int {
+// rankWithoutPeers returns the rank of a node without rows of other nodes, as when all
+// nodes start at once.
+func rankWithoutPeers(cores float64) int {
 	switch {
-	case cores >= largeAlone:
+	case cores >= largeNodeCores:
 		return rankFirst
-	case cores >= mediumAlone:
+	case cores >= mediumNodeCores:
 		return rankSecond
 	}
 	return rankSmall
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -22,7 +22,7 @@
 	"chervilloom/internal/roster"
 )
 
-// fakeStore is a store in memory that can be switched off.
+// fakeStore is an in-memory store that can be made to fail.
 type fakeStore struct {
 	mu    sync.Mutex
 	down  bool
@@ -55,7 +55,7 @@
 	return roster.Listing{}, s.call()
 }
 
-// Era returns 0: the store tells none.
+// Era returns 0: this store has no eras.
 func (s *fakeStore) Era() uint64 { return 0 }
 
 func (s *fakeStore) Get(_ context.Context, tab, key string) (table.Row, error) {
@@ -83,7 +83,7 @@
 	return table.Result{Committed: true}, nil
 }
 
-func testNode(store *fakeStore, c clock.Clock) *Node {
+func newTestNode(store *fakeStore, c clock.Clock) *Node {
 	return New(Options{
 		Settings: &Settings{
 			VM: "me", Zone: "a", Zones: []string{"a", "b"}, Strict: true, RevokeAfter: 5 * time.Second,
@@ -105,29 +105,29 @@
 	return table.Row{Table: table.TableLeases, Key: nodePrefix + vm, Version: 1, Value: []byte(addr)}
 }
 
-// A key may have been taken away while the node could not read: it vouches for
-// keys for less than the bound after the start of the last read, also when it
-// was frozen meanwhile, since the clock goes on then.
-func TestKeysAreVouchedForNoLongerThanTheBound(t *testing.T) {
+// Guards against accepting a revoked key. Keys are accepted for less than the bound after
+// the start of the last read that confirmed the configuration, even if the process was
+// suspended, because the clock continues then.
+func TestKeysAcceptedOnlyWithinRevocationBound(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(clock.Instant(time.Hour))
-	n := testNode(&fakeStore{}, c)
-	is.True(!n.fresh()) // nothing is known yet
+	n := newTestNode(&fakeStore{}, c)
+	is.True(!n.acceptsKeys()) // no configuration yet
 	n.config.confirm(&catalog.Document{Version: 1}, c.Now())
 	c.Advance(5*time.Second - revokeMargin - time.Millisecond)
-	is.True(n.fresh())
+	is.True(n.acceptsKeys())
 	c.Advance(time.Millisecond)
-	is.True(!n.fresh())
-	n.config.confirm(nil, c.Now().Add(-time.Second)) // told by a node that read a second ago
-	is.True(n.fresh())
-	n.config.confirm(nil, c.Now().Add(-time.Minute)) // an older answer takes nothing back
-	is.True(n.fresh())
+	is.True(!n.acceptsKeys())
+	n.config.confirm(nil, c.Now().Add(-time.Second)) // confirmed by a node that read a second ago
+	is.True(n.acceptsKeys())
+	n.config.confirm(nil, c.Now().Add(-time.Minute)) // an older answer changes nothing
+	is.True(n.acceptsKeys())
 }
 
-func TestOlderDocumentsChangeNothing(t *testing.T) {
+func TestOlderAndInvalidDocumentsIgnored(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(clock.Instant(time.Hour))
-	n := testNode(&fakeStore{}, c)
+	n := newTestNode(&fakeStore{}, c)
 	n.config.confirm(&catalog.Document{Version: 9}, c.Now())
 	n.config.confirm(&catalog.Document{Version: 4}, c.Now())
 	is.Equal(n.config.version(), uint64(9))
@@ -136,48 +136,47 @@
 	is.Equal(n.config.version(), uint64(9))
 }
 
-// The node asks the holder of its zone's duty first and other zones' after that.
-// One that has lost the store, and its own lease with it, still believes its
-// last row: it must ask the others instead of waiting for itself.
-func TestWhoIsAskedForTheState(t *testing.T) {
+// The node asks the holder of its own zone's duty first, then those of other zones. Guards
+// against a node that has lost the store and its own lease: its cached row still names
+// itself as the holder, so it must ask the others.
+func TestFeedSources(t *testing.T) {
 	is := is.New(t)
-	n := testNode(&fakeStore{}, clock.NewManual(clock.Instant(time.Hour)))
-	n.leaseRows.take([]table.Row{ownerRow("a", "x"), ownerRow("b", "y"), addrRow("x", "10.0.0.1:1"), addrRow("y", "10.0.0.2:1")}, 0)
-	is.Equal(n.feeders(), []string{"10.0.0.1:1", "10.0.0.2:1"})
-	n.leaseRows.take([]table.Row{ownerRow("a", "me"), ownerRow("b", "y"), addrRow("y", "10.0.0.2:1")}, 0)
-	is.Equal(n.feeders(), []string{"10.0.0.2:1"})
-	is.Equal(n.leaseRows.nodes(), 1)
+	n := newTestNode(&fakeStore{}, clock.NewManual(clock.Instant(time.Hour)))
+	n.leaseCache.applyRows([]table.Row{ownerRow("a", "x"), ownerRow("b", "y"), addrRow("x", "10.0.0.1:1"), addrRow("y", "10.0.0.2:1")}, 0)
+	is.Equal(n.feedSources(), []string{"10.0.0.1:1", "10.0.0.2:1"})
+	n.leaseCache.applyRows([]table.Row{ownerRow("a", "me"), ownerRow("b", "y"), addrRow("y", "10.0.0.2:1")}, 0)
+	is.Equal(n.feedSources(), []string{"10.0.0.2:1"})
+	is.Equal(n.leaseCache.nodeCount(), 1)
 }
 
-// The managers of all zones look at their leases in one round; the store is
-// asked once.
-func TestLeaseRowsAreReadTogether(t *testing.T) {
+// The managers of all zones poll their leases in the same round; the store gets one call.
+func TestLeaseRowsReadInOneCall(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(clock.Instant(time.Hour))
 	store := &fakeStore{rows: map[string]table.Row{"a": ownerRow("a", "x"), "b": ownerRow("b", "y")}}
-	n := testNode(store, c)
+	n := newTestNode(store, c)
 	for _, zone := range []string{"a", "b", "a"} {
-		_, err := n.leaseRows.Get(context.Background(), table.TableLeases, zone)
+		_, err := n.leaseCache.Get(context.Background(), table.TableLeases, zone)
 		is.NoErr(err)
 	}
 	is.Equal(store.calls, 1)
-	c.Advance(leasePoll)
-	row, err := n.leaseRows.Get(context.Background(), table.TableLeases, "b")
+	c.Advance(leasePollInterval)
+	row, err := n.leaseCache.Get(context.Background(), table.TableLeases, "b")
 	is.NoErr(err)
 	is.Equal(row.Version, uint64(1))
 	is.Equal(store.calls, 2)
 	store.down = true
-	c.Advance(leasePoll)
-	_, err = n.leaseRows.Get(context.Background(), table.TableLeases, "b")
-	is.True(err != nil) // what was read before is too old to decide on
+	c.Advance(leasePollInterval)
+	_, err = n.leaseCache.Get(context.Background(), table.TableLeases, "b")
+	is.True(err != nil) // the cached rows are too old to decide on
 }
 
-// Eighty nodes share the retry slack of the platform; one that knows of fewer
-// takes an eighth at most.
-func TestRetryBudgetIsShared(t *testing.T) {
+// Eighty nodes share the platform's retry slack; a node that knows of fewer nodes takes at
+// most an eighth of it.
+func TestRetryBudgetSharedByNodes(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(clock.Instant(time.Hour))
-	n := testNode(&fakeStore{}, c)
+	n := newTestNode(&fakeStore{}, c)
 	allowed := func() int {
 		b, k := n.newBudget(), 0
 		for {
@@ -188,43 +187,43 @@
 		}
 	}
 	few := allowed()
-	is.True(few*leastNodes <= 100)
+	is.True(few*minBudgetNodes <= 100)
 	var rows []table.Row
 	for i := range 80 {
 		rows = append(rows, addrRow(string(rune('A'+i)), "10.0.0.1:1"))
 	}
-	n.leaseRows.take(rows, 0)
+	n.leaseCache.applyRows(rows, 0)
 	is.True(allowed() < few)
 	is.True(allowed()*80 <= 100)
 }
 
-// The list shows that one endpoint leaves and another is gone. The nodes that
-// follow this one are told of both, once.
-func TestLeavingEndpointsAreTold(t *testing.T) {
+// The list shows one endpoint as draining and lacks another. Both are reported to the other
+// nodes once.
+func TestLeavingEndpointsReportedOnce(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(clock.Instant(time.Hour))
-	n := testNode(&fakeStore{}, c)
+	n := newTestNode(&fakeStore{}, c)
 	var told [][]roster.ID
-	n.roster.leaves = func(leaving, gone []roster.ID) { told = append(told, leaving, gone) }
-	n.roster.take(roster.Listing{Endpoints: []roster.Endpoint{{ID: "stays"}, {ID: "leaves"}, {ID: "goes"}}}, c.Now(), 0)
+	n.roster.onLeaving = func(leaving, gone []roster.ID) { told = append(told, leaving, gone) }
+	n.roster.applyList(roster.Listing{Endpoints: []roster.Endpoint{{ID: "stays"}, {ID: "leaves"}, {ID: "goes"}}}, c.Now(), 0)
 	after := roster.Listing{Endpoints: []roster.Endpoint{{ID: "stays"}, {ID: "leaves", Draining: true}}}
-	n.roster.take(after, c.Now().Add(time.Second), 0)
-	n.roster.take(after, c.Now().Add(2*time.Second), 0)
+	n.roster.applyList(after, c.Now().Add(time.Second), 0)
+	n.roster.applyList(after, c.Now().Add(2*time.Second), 0)
 	is.Equal(told, [][]roster.ID{{"leaves"}, {"goes"}})
 }
 
-// The holder of a zone's duty gets one request in sixty of the zone's. It plans for
-// what all of the zone's nodes are asked for, which comes with their questions; those
-// of another zone, and its own, don't count twice.
-func TestDutyPlansForTheZonesDemand(t *testing.T) {
+// The holder of a zone's duty gets one in sixty of the zone's requests. It plans for the
+// demand at all nodes of the zone, which their questions contain; reports from another zone
+// or from itself are not counted.
+func TestDutyHolderSumsZoneDemand(t *testing.T) {
 	is := is.New(t)
-	n := testNode(&fakeStore{}, clock.NewManual(clock.Instant(time.Hour)))
+	n := newTestNode(&fakeStore{}, clock.NewManual(clock.Instant(time.Hour)))
 	told := []demand.Told{{Service: "s", Demand: demand.Demand{Requests: 5, Work: map[string]float64{"big": 2}}}}
 	for _, q := range []feed.Question{
 		{Node: "n1", Zone: "a", Demand: told}, {Node: "n2", Zone: "a", Demand: told},
 		{Node: "n3", Zone: "b", Demand: told}, {Node: "me", Zone: "a", Demand: told},
 	} {
-		n.hearDemand(q)
+		n.recordQuestion(q)
 	}
 	is.Equal(n.zoneDemand("s"), demand.Demand{Requests: 10, Work: map[string]float64{"big": 4}})
 }
--- a/internal/entry/eras.go
+++ b/internal/entry/eras.go
@@ -11,21 +11,21 @@
 	table "chervilloom/internal/platform"
 )
 
-// eras notes when the platform's table comes back from an older copy: what was written
-// there since is gone, and versions are given out again. Each answer of the table tells
-// its era; a node that asks another one is told by that one.
-type eras struct {
+// eraTracker detects when the platform's table has been restored from an older copy: later
+// writes are lost, and row versions are issued again. The store returns its era with each
+// answer; a node that does not read the store learns the era from the node that it follows.
+type eraTracker struct {
 	log *slog.Logger
-	// restored is called once for each new era after the first one known.
-	restored func()
-	restores prometheus.Counter
+	// onRestore is called once for each new era after the first one known.
+	onRestore func()
+	restores  prometheus.Counter
 
 	mu  sync.Mutex
-	era uint64 // the newest one; 0: none is known
+	era uint64 // newest era; 0: none known
 }
 
-// note takes up the era of an answer; 0: it told none.
-func (e *eras) note(era uint64) {
+// observe records the era of an answer; 0 means that the answer contained none.
+func (e *eraTracker) observe(era uint64) {
 	e.mu.Lock()
 	before := e.era
 	e.era = max(before, era)
@@ -34,20 +34,20 @@
 		return
 	}
 	e.restores.Inc()
-	e.log.Warn("the platform's table came back from an older copy; what was written since is put back", "era_before", before, "era", era)
-	e.restored()
+	e.log.Warn("platform table restored from an older copy; lost rows are rewritten", "era_before", before, "era", era)
+	e.onRestore()
 }
 
-// newest returns the newest era that is known.
-func (e *eras) newest() uint64 {
+// newest returns the newest known era.
+func (e *eraTracker) newest() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.era
 }
 
-func newEras(n *Node) *eras {
-	e := &eras{
-		log: n.Log, restored: n.tableRestored,
+func newEraTracker(n *Node) *eraTracker {
+	e := &eraTracker{
+		log: n.Log, onRestore: n.handleTableRestore,
 		restores: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "chervilloom_store_restores_total",
 			Help: "Times that the platform's table was seen to have come back from an older copy.",
@@ -57,60 +57,61 @@
 	return e
 }
 
-// tableEra returns the newest era of the table that this node knows of, by its own reads
-// or by another node's.
+// tableEra returns the newest era of the table that this node knows from its own reads or
+// from another node.
 func (n *Node) tableEra() uint64 {
-	n.eras.note(n.Store.Era())
+	n.eras.observe(n.Store.Era())
 	return n.eras.newest()
 }
 
-// tableRestored has what this node knows and the table has lost put back: leases and claims
-// by their holders, see lease.Manager and formation.Controller.
-func (n *Node) tableRestored() {
-	n.quarantine.Restored()
-	n.lookSoon()
+// handleTableRestore triggers the rewrite of quarantine rows and a new read of the endpoints.
+// Leases and claims are rewritten by their holders, see lease.Manager and
+// formation.Controller.
+func (n *Node) handleTableRestore() {
+	n.quarantineGuard.Restored()
+	n.refreshSoon()
 }
 
-// keepAnnounced writes this node's row again if the table came back without it. Others
-// would send it no news, and count one node too few.
-func (n *Node) keepAnnounced() {
+// rewriteMissingRow rewrites this node's row if the restored table lacks it. Without the row
+// other nodes would send it no messages and would undercount the nodes by one.
+func (n *Node) rewriteMissingRow() {
 	n.tableEra()
-	if n.leaving.Load() || !n.announced.Load() || !n.leaseRows.lacks(nodePrefix+n.Settings.VM, n.eras.newest()) {
+	if n.leaving.Load() || !n.rowWritten.Load() || !n.leaseCache.isMissing(nodePrefix+n.Settings.VM, n.eras.newest()) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), announceLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
-	if err := n.leaseRows.announce(ctx, n.Settings.VM, n.address()); err != nil {
-		n.Log.Info("node's row not put back; it is tried again", "err", err)
+	if err := n.leaseCache.announce(ctx, n.Settings.VM, n.address()); err != nil {
+		n.Log.Info("node row not rewritten; retrying", "err", err)
 		return
 	}
-	n.Log.Info("node's row put back", "era", n.eras.newest())
+	n.Log.Info("node row rewritten after a table restore", "era", n.eras.newest())
 }
 
-// lacks reports whether the rows of that era are known and have none of that key.
-func (c *leaseCache) lacks(key string, era uint64) bool {
+// isMissing reports whether the rows of the given era are known and the key is not among them.
+func (c *leaseCache) isMissing(key string, era uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, ok := c.rows[key]
 	return era != 0 && c.era == era && c.rows != nil && !ok
 }
 
-// askOthers asks the nodes that hold duties, all at once, which configuration they have in
-// force. A table that has just come back from an older copy shows a node that starts an
-// older document, with keys that were taken away since.
-func (n *Node) askOthers(ctx context.Context) {
+// askDutyHolders asks all duty holders concurrently for their configuration. A table that was
+// just restored from an older copy returns an older document to a starting node, with keys
+// that have been revoked since.
+func (n *Node) askDutyHolders(ctx context.Context) {
 	if n.Store.Era() == 0 || n.Settings.Bootstrap {
 		return
 	}
-	if err := n.leaseRows.refresh(ctx, table.TableLeases); err != nil {
-		n.Log.Info("holders of duties are not known; the store's configuration is believed", "err", err)
+	if err := n.leaseCache.refresh(ctx, table.TableLeases); err != nil {
+		n.Log.Info("duty holders unknown; using the store's configuration without asking other nodes", "err", err)
 		return
 	}
 	var asking sync.WaitGroup
-	for _, addr := range n.feeders() {
-		asking.Go(func() { n.follower.hearVersion(ctx, addr) })
+	for _, addr := range n.feedSources() {
+		asking.Go(func() { n.follower.fetchConfig(ctx, addr) })
 	}
 	asking.Wait()
 }
 
-const announceLimit = time.Second // for a write of the node's row
+const announceTimeout = time.Second // for a write of the node's row
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -11,100 +11,101 @@
 	"chervilloom/internal/roster"
 )
 
-// follower keeps this node's knowledge by asking the node that holds the zone's
-// duty. While that works, nothing is read from the store.
+// follower keeps this node's state up to date by polling the node that holds the zone's
+// duty. While this succeeds, nothing is read from the store.
 type follower struct {
-	node  *Node
-	ask   *feed.Client
-	clock clock.Clock
-	log   *slog.Logger
+	node   *Node
+	client *feed.Client
+	clock  clock.Clock
+	log    *slog.Logger
 
-	last atomic.Int64 // when the last good answer was asked for
-	own  atomic.Bool  // it came from the holder of the own zone's duty
-	wake chan struct{}
-	next time.Duration         // until the next question; touched by run alone
-	from string                // address of the node that answered last; touched by run alone
-	kept map[string]*feed.Copy // what each node has told, by address; touched by run alone
+	lastSuccess  atomic.Int64 // when the last successful question was sent
+	fromOwnZone  atomic.Bool  // the last answer came from the holder of the own zone's duty
+	wake         chan struct{}
+	nextInterval time.Duration         // interval to the next question; used by run only
+	source       string                // address of the node that answered last; used by run only
+	copies       map[string]*feed.Copy // state received from each node, by address; used by run only
 }
 
 const (
-	followPause = 900 * time.Millisecond // between two questions
-	followLimit = 400 * time.Millisecond // for an answer
-	// followAgain is the pause after nobody answered well: the few nodes that look for a
-	// failing store see its return first.
-	followAgain = 400 * time.Millisecond
-	// followFor is how long after a question that was answered well the store is
-	// left alone.
-	followFor = 1500 * time.Millisecond
-	// followAge is the greatest age of what another node tells: the owner reads
-	// the list every second and has its configuration confirmed every 0.8 s.
-	followAge = 2200 * time.Millisecond
-	// followSpare is kept of the time in which a change of the configuration must
-	// be in force: for noticing that no node is followed any more, and a read of
+	followInterval = 900 * time.Millisecond // between two questions
+	followTimeout  = 400 * time.Millisecond // timeout of one answer
+	// followRetryInterval is the interval after a round without a usable answer: the few
+	// nodes that keep polling a failing store notice its recovery first.
+	followRetryInterval = 400 * time.Millisecond
+	// followValidity is how long after a successful question the store is not read.
+	followValidity = 1500 * time.Millisecond
+	// maxFollowAge is the greatest accepted age of another node's state: the duty holder reads
+	// the endpoint list every second and has its configuration confirmed every 0.8 s.
+	maxFollowAge = 2200 * time.Millisecond
+	// followMargin is subtracted from the time within which a configuration change must be
+	// in force: it covers the detection that no node is followed any more and one read of
 	// the store.
-	followSpare = 300 * time.Millisecond
-	followLeast = 200 * time.Millisecond // between two questions
-	// keptCopies is how many nodes' copies are kept: the holders of a region's
-	// zones.
-	keptCopies = 4
+	followMargin      = 300 * time.Millisecond
+	minFollowInterval = 200 * time.Millisecond // least interval between two questions
+	// maxCopies is the number of nodes whose copies are kept: the duty holders of a
+	// region's zones.
+	maxCopies = 4
 )
 
-// following reports whether this node is kept up to date by another one.
-func (f *follower) following() bool {
-	at := clock.Instant(f.last.Load())
-	return at != 0 && f.clock.Now().Sub(at) < followFor
+// isFollowing reports whether this node is kept up to date by another one.
+func (f *follower) isFollowing() bool {
+	at := clock.Instant(f.lastSuccess.Load())
+	return at != 0 && f.clock.Now().Sub(at) < followValidity
 }
 
-// followingOwn reports whether the holder of the own zone's duty answers. While
-// it doesn't, its lease is read from the store: what another node tells of it is
-// a second older, and the zone would wait that much longer for its next holder.
-func (f *follower) followingOwn() bool { return f.own.Load() && f.following() }
+// isFollowingOwnZone reports whether the answers come from the holder of the own zone's duty.
+// Otherwise the zone's lease is read from the store: another zone's holder reports it a
+// second later, which would delay the takeover of the duty by as much.
+func (f *follower) isFollowingOwnZone() bool { return f.fromOwnZone.Load() && f.isFollowing() }
 
-// soon asks before the next question is due.
-func (f *follower) soon() {
+// pollSoon triggers the next question before it is due.
+func (f *follower) pollSoon() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
+// run polls the feed sources until ctx ends.
 func (f *follower) run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		f.next = followPause
-		if f.node.seeking() {
-			f.next = seekPause
+		f.nextInterval = followInterval
+		if f.node.isSeeking() {
+			f.nextInterval = seekInterval
 		}
-		f.askAny(ctx)
+		f.pollSources(ctx)
 		select {
 		case <-ctx.Done():
 		case <-f.wake:
-		case <-time.After(f.next):
+		case <-time.After(f.nextInterval):
 		}
 	}
 	return nil
 }
 
-// askAny asks the nodes that read the store, until one answers well.
-func (f *follower) askAny(ctx context.Context) {
-	addrs := f.node.feeders()
-	own := f.node.leaseRows.addr(f.node.leaseRows.owner(f.node.Settings.Zone))
+// pollSources asks the nodes that read the store in turn until one returns a usable answer.
+func (f *follower) pollSources(ctx context.Context) {
+	addrs := f.node.feedSources()
+	own := f.node.leaseCache.addr(f.node.leaseCache.owner(f.node.Settings.Zone))
 	for _, addr := range addrs {
-		if f.once(ctx, addr) {
-			f.own.Store(addr == own)
+		if f.pollSource(ctx, addr) {
+			f.fromOwnZone.Store(addr == own)
 			return
 		}
 	}
 	if len(addrs) > 0 {
-		f.next = min(f.next, followAgain)
+		f.nextInterval = min(f.nextInterval, followRetryInterval)
 	}
-	if f.following() {
+	if f.isFollowing() {
 		f.log.Info("no node is followed; the store is read", "asked", addrs)
 	}
-	f.last.Store(0)
+	f.lastSuccess.Store(0)
 }
 
-func (f *follower) once(ctx context.Context, addr string) bool {
-	ctx, cancel := context.WithTimeout(ctx, followLimit)
+// pollSource asks one node, applies its answer and reports whether the answer was usable.
+func (f *follower) pollSource(ctx context.Context, addr string) bool {
+	ctx, cancel := context.WithTimeout(ctx, followTimeout)
 	defer cancel()
 	known := f.copyOf(addr)
 	asked := f.clock.Now()
@@ -112,75 +113,75 @@
 		Have: known.Have(), Node: f.node.Settings.VM, Zone: f.node.Settings.Zone, Demand: f.node.forwarder.DemandOfAll(),
 	}
 	q.Config = f.node.config.version()
-	s, ages, err := f.ask.Ask(ctx, addr, q)
+	s, ages, err := f.client.Ask(ctx, addr, q)
 	if err != nil {
 		return false
 	}
 	known.Apply(s)
-	f.node.config.hear(s.Config)
-	if ages.Config > f.oldest() || ages.Roster > followAge {
+	f.node.config.recordPeerVersion(s.Config)
+	if ages.Config > f.maxConfigAge() || ages.Roster > maxFollowAge {
 		return false
 	}
 	if s.Era < f.node.eras.newest() {
-		return false // it doesn't know yet that the table came back from an older copy
+		return false // that node has not detected the table restore yet
 	}
-	f.node.eras.note(s.Era)
-	f.next = f.pauseAfter(ages.Config)
-	if !f.following() || addr != f.from {
+	f.node.eras.observe(s.Era)
+	f.nextInterval = f.intervalAfter(ages.Config)
+	if !f.isFollowing() || addr != f.source {
 		f.log.Info("node is followed; the store is not read", "node", addr, "config_age_ms", ages.Config.Milliseconds(), "endpoints_age_ms", ages.Roster.Milliseconds())
 	}
-	f.from = addr
-	if !f.node.holdsAny() { // else it plans by the whole list, and reads it itself
-		f.node.roster.takeFrom(roster.Listing{Endpoints: known.Endpoints.List, Era: s.Era, Partial: true}, asked.Add(-ages.Roster))
+	f.source = addr
+	if !f.node.holdsAnyDuty() { // a duty holder needs the full list and reads it itself
+		f.node.roster.applyPeerList(roster.Listing{Endpoints: known.Endpoints.List, Era: s.Era, Partial: true}, asked.Add(-ages.Roster))
 	}
-	if s.Config >= f.node.config.version() { // else it is yet to learn of the one in force here
+	if s.Config >= f.node.config.version() { // otherwise the other node has yet to read the configuration in force here
 		f.node.config.confirm(s.Document, asked.Add(-ages.Config))
 	}
-	f.node.leaseRows.take(known.Rows.List, s.Era)
-	f.last.Store(int64(asked))
+	f.node.leaseCache.applyRows(known.Rows.List, s.Era)
+	f.lastSuccess.Store(int64(asked))
 	return true
 }
 
-// hearVersion asks a node which configuration it has in force.
-func (f *follower) hearVersion(ctx context.Context, addr string) {
-	ctx, cancel := context.WithTimeout(ctx, followLimit)
+// fetchConfig asks a node for its configuration and applies a newer one.
+func (f *follower) fetchConfig(ctx context.Context, addr string) {
+	ctx, cancel := context.WithTimeout(ctx, followTimeout)
 	defer cancel()
-	s, _, err := f.ask.Ask(ctx, addr, feed.Question{Node: f.node.Settings.VM, Zone: f.node.Settings.Zone})
+	s, _, err := f.client.Ask(ctx, addr, feed.Question{Node: f.node.Settings.VM, Zone: f.node.Settings.Zone})
 	if err != nil {
-		f.log.Info("node doesn't tell its configuration", "node", addr, "err", err)
+		f.log.Info("configuration not received from node", "node", addr, "err", err)
 		return
 	}
-	f.node.config.hear(s.Config)
+	f.node.config.recordPeerVersion(s.Config)
 	if s.Document != nil {
 		f.node.config.apply(s.Document)
 	}
 }
 
-// oldest is the greatest age of a configuration that another node may tell.
-func (f *follower) oldest() time.Duration {
+// maxConfigAge returns the greatest accepted age of a configuration from another node.
+func (f *follower) maxConfigAge() time.Duration {
 	if within := f.node.Settings.ConfigWithin; within > 0 {
-		return min(followAge, within-followSpare)
+		return min(maxFollowAge, within-followMargin)
 	}
-	return followAge
+	return maxFollowAge
 }
 
-// pauseAfter returns the pause after an answer with a configuration of that age: the
-// next one comes, or is missed, before the configuration is too old. A node that
-// asked every 0.9 s went on with what was up to 3.1 s old after its holder had lost
-// the store.
-func (f *follower) pauseAfter(age time.Duration) time.Duration {
-	return min(followPause, max(followLeast, f.oldest()+followSpare/2-age))
+// intervalAfter returns the interval after an answer with a configuration of the given age,
+// such that the next answer arrives or times out before that configuration is too old. With
+// a fixed interval of 0.9 s a node used a configuration of up to 3.1 s after its source had
+// lost the store.
+func (f *follower) intervalAfter(age time.Duration) time.Duration {
+	return min(followInterval, max(minFollowInterval, f.maxConfigAge()+followMargin/2-age))
 }
 
-// copyOf returns what the node at addr has told so far.
+// copyOf returns the state received from the node at addr so far.
 func (f *follower) copyOf(addr string) *feed.Copy {
-	if c := f.kept[addr]; c != nil {
+	if c := f.copies[addr]; c != nil {
 		return c
 	}
-	if f.kept == nil || len(f.kept) >= keptCopies {
-		f.kept = map[string]*feed.Copy{}
+	if f.copies == nil || len(f.copies) >= maxCopies {
+		f.copies = map[string]*feed.Copy{}
 	}
 	c := &feed.Copy{}
-	f.kept[addr] = c
+	f.copies[addr] = c
 	return c
 }
--- a/internal/entry/hints.go
+++ b/internal/entry/hints.go
@@ -8,138 +8,142 @@
 	"chervilloom/internal/roster"
 )
 
-// suspected follows the tracker's verdict on an endpoint that stands still.
-func (n *Node) suspected(id roster.ID) {
+// handleSuspect handles the tracker's report of a stalled endpoint.
+func (n *Node) handleSuspect(id roster.ID) {
 	last, _ := n.tracker.Sign(id)
 	n.Log.Info("endpoint is suspect", "endpoint", id, "silent_ms", n.Clock.Now().Sub(last).Milliseconds())
-	n.suspect(id)
-	n.tellOwner(id, news.Message{Suspect: id})
-	n.lookSoon()
+	n.reportStall(id)
+	n.sendToController(id, news.Message{Suspect: id})
+	n.refreshSoon()
 }
 
-// doubted has the node that runs the endpoint's group look at it.
-func (n *Node) doubted(id roster.ID) {
-	n.doubt(id)
-	n.tellOwner(id, news.Message{Doubt: id})
+// handleDoubt requests a check of an endpoint that may have stalled, here or at the node that
+// controls its group.
+func (n *Node) handleDoubt(id roster.ID) {
+	n.reportDoubt(id)
+	n.sendToController(id, news.Message{Doubt: id})
 }
 
-// tellOwner sends a message to the node that runs the endpoint's group.
-func (n *Node) tellOwner(id roster.ID, m news.Message) {
+// sendToController sends a message to the node that controls the endpoint's group.
+func (n *Node) sendToController(id roster.ID, m news.Message) {
 	e := n.roster.current.Load().Get(id)
 	if e == nil {
 		return
 	}
-	if owner := n.leaseRows.owner(e.Zone); owner != n.Settings.VM {
-		if addr := n.leaseRows.addr(owner); addr != "" {
+	if owner := n.leaseCache.owner(e.Zone); owner != n.Settings.VM {
+		if addr := n.leaseCache.addr(owner); addr != "" {
 			n.send(m, addr)
 		}
 	}
 }
 
-// suspect has this node look at the endpoint if it runs the endpoint's group.
-func (n *Node) suspect(id roster.ID) {
+// reportStall reports a stalled endpoint to this node's controllers; the one that controls its
+// group checks it.
+func (n *Node) reportStall(id roster.ID) {
 	for _, c := range n.controllers {
 		c.Standstill(id)
 	}
 }
 
-// doubt does the same for an endpoint that may stand still.
-func (n *Node) doubt(id roster.ID) {
+// reportDoubt does the same for an endpoint that may have stalled.
+func (n *Node) reportDoubt(id roster.ID) {
 	for _, c := range n.controllers {
 		c.Doubt(id)
 	}
 }
 
-// announce tells all nodes, this one included, about a head.
-func (n *Node) announce(h roster.Hint) {
+// announceHint sends the new state of a group's head to all nodes and applies it here.
+func (n *Node) announceHint(h roster.Hint) {
 	if h.Member.State == roster.Open {
 		h.Entry = n.roster.current.Load().Get(h.ID)
 	}
-	n.takeHint(h)
-	n.spread(news.Message{Hint: &h})
+	n.applyHint(h)
+	n.broadcast(news.Message{Hint: &h})
 }
 
-// takeHint takes up a hint; what this node has at a head whose group has lost a
-// member moves at once.
-func (n *Node) takeHint(h roster.Hint) {
+// applyHint applies a hint. Requests at a head whose group has lost a member are retried
+// elsewhere at once.
+func (n *Node) applyHint(h roster.Hint) {
 	e := n.roster.current.Load().Get(h.ID)
 	if h.Member.State == roster.Broken && (e == nil || h.Member.Group == e.Member.Group) {
 		n.tracker.Strand(h.ID)
 	}
-	n.roster.hint(h)
+	n.roster.applyHint(h)
 }
 
-// heard takes up a message of another node.
-func (n *Node) heard(m news.Message) {
+// handleMessage handles a message from another node.
+func (n *Node) handleMessage(m news.Message) {
 	if m.Relay {
-		n.passOn(m)
+		n.relayInZone(m)
 	}
 	if m.Hint != nil {
-		n.takeHint(*m.Hint)
+		n.applyHint(*m.Hint)
 	}
 	if m.Suspect != "" {
-		n.suspect(m.Suspect)
+		n.reportStall(m.Suspect)
 	}
 	if m.Doubt != "" {
-		n.doubt(m.Doubt)
+		n.reportDoubt(m.Doubt)
 	}
 	if len(m.Leaving)+len(m.Gone) > 0 {
-		n.roster.leaving(m.Leaving, m.Gone)
+		n.roster.markLeaving(m.Leaving, m.Gone)
 	}
 	if m.Ask {
-		n.lookSoon()
+		n.refreshSoon()
 	}
 	if m.InFlight != nil {
-		n.loads.note(m.InFlight, n.Clock.Now())
+		n.loads.recordCounts(m.InFlight, n.Clock.Now())
 	}
 	for _, c := range m.Board {
 		n.tracker.TakeBoard(c)
 	}
 	if len(m.Means) > 0 {
-		n.loads.takeMeans(m.Means, n.Clock.Now())
+		n.loads.recordMeans(m.Means, n.Clock.Now())
 	}
 	if m.Placed != nil {
-		n.tracker.Told(m.Placed.ID, m.Placed.Requests, m.Placed.Tokens, engineTurnover)
+		n.tracker.Told(m.Placed.ID, m.Placed.Requests, m.Placed.Tokens, engineLoadDecay)
 	}
 	if m.Quarantine != nil {
-		n.quarantine.Hear(*m.Quarantine)
+		n.quarantineGuard.Hear(*m.Quarantine)
 	}
 	if m.Pressure != nil {
-		n.pressure.Hear(*m.Pressure)
+		n.backpressureGuard.Hear(*m.Pressure)
 	}
 	if m.Failed != "" {
 		n.forwarder.Ejector.Report(retry.ID(m.Failed), true)
 	}
 }
 
-// mostLeaving is how many endpoints one message names; each takes some 30 bytes.
-const mostLeaving = 32
+// maxLeavingPerMessage is the number of endpoints in one message; each takes some 30 bytes.
+const maxLeavingPerMessage = 32
 
-// tellLeaving tells all nodes which endpoints leave and which are listed no more: new work
-// must stop within the platform's bound, which answers to hundreds of nodes that all ask at
-// once don't keep. They ask as well, once for each list that shows a loss: until their next
-// usual question they would send by heads of before.
-func (n *Node) tellLeaving(leaving, gone []roster.ID) {
-	n.spread(news.Message{Ask: true})
-	for part := range slices.Chunk(leaving, mostLeaving) {
-		n.spread(news.Message{Leaving: part})
-	}
-	for part := range slices.Chunk(gone, mostLeaving) {
-		n.spread(news.Message{Gone: part})
+// broadcastLeaving sends all nodes the endpoints that are draining and those that are no
+// longer listed. New requests to them must stop within the platform's bound, which cannot
+// be met if hundreds of nodes all poll at once. The nodes are also asked to poll, once for
+// each list that lacks endpoints: until their next regular poll they would use outdated
+// heads.
+func (n *Node) broadcastLeaving(leaving, gone []roster.ID) {
+	n.broadcast(news.Message{Ask: true})
+	for part := range slices.Chunk(leaving, maxLeavingPerMessage) {
+		n.broadcast(news.Message{Leaving: part})
+	}
+	for part := range slices.Chunk(gone, maxLeavingPerMessage) {
+		n.broadcast(news.Message{Gone: part})
 	}
 }
 
-// tellPlaced tells the few other nodes of the zone of a request that was sent to an
-// engine. They mostly use the same engines, and would else see it only in the answer's
-// head, 100 ms and more later. Where they are many the zone's board tells.
-func (n *Node) tellPlaced(id roster.ID, prompt int) {
-	if n.shares(n.Settings.Zone) {
+// sendPlacement informs the other nodes of a small zone about a request that was sent to an
+// engine. They mostly use the same engines and would otherwise see it only in the response
+// headers, at least 100 ms later. In zones with many nodes the board carries this
+// information.
+func (n *Node) sendPlacement(id roster.ID, prompt int) {
+	if n.usesBoard(n.Settings.Zone) {
 		return
 	}
-	peers := n.leaseRows.zonePeers(n.Settings.VM, n.Settings.Zone)
+	peers := n.leaseCache.zonePeers(n.Settings.VM, n.Settings.Zone)
 	n.send(news.Message{Placed: &news.Placed{ID: id, Requests: 1, Tokens: float64(prompt)}}, peers...)
 }
 
-// tellFailed tells the others of a plain endpoint that gave no usable answer. In
-// a large fleet each node sends it too few requests to see that by itself.
-func (n *Node) tellFailed(id roster.ID) { n.spread(news.Message{Failed: id}) }
+// broadcastFailure informs all nodes about a plain endpoint that returned no usable answer.
+// In a large fleet each node sends it too few requests to detect the failure alone.
+func (n *Node) broadcastFailure(id roster.ID) { n.broadcast(news.Message{Failed: id}) }
--- a/internal/entry/leases.go
+++ b/internal/entry/leases.go
@@ -16,79 +16,79 @@
 	table "chervilloom/internal/platform"
 )
 
-// leaseStore is the part of the platform's table that leases need.
+// leaseStore is the part of the platform's store that leases need.
 type leaseStore interface {
 	Get(ctx context.Context, table, key string) (table.Row, error)
 	List(ctx context.Context, table, prefix string) ([]table.Row, error)
 	Commit(ctx context.Context, txn table.Txn) (table.Result, error)
-	// Era is the newest era of the table that an answer showed.
+	// Era returns the newest era of the table seen in any answer.
 	Era() uint64
 }
 
-// leaseCache reads the lease rows of all zones in one call and answers the
-// managers from it. Each of them looking for itself would cost as many calls as
-// there are zones. A row that is read late only delays a takeover: the write
-// that takes a lease is conditional on the row's version.
+// leaseCache reads the lease rows of all zones in one call and serves the lease managers
+// from memory; separate reads would cost one call per zone. A stale row only delays a
+// takeover, because the write that acquires a lease is conditional on the row's version.
 type leaseCache struct {
-	Table leaseStore
-	clock clock.Clock
-	idle  func() bool // another node keeps the rows up to date
-	// taken is told of the rows with each reading.
-	taken func([]table.Row)
+	Table       leaseStore
+	clock       clock.Clock
+	isFedByPeer func() bool // reports whether another node supplies the rows
+	// onRows is called with the rows after each update.
+	onRows func([]table.Row)
 
-	reading sync.Mutex // held while the rows are read
+	readMu  sync.Mutex // held during a read
 	backoff backoff
-	failed  error         // of the newest read
-	again   clock.Instant // no read before that after one that failed
-
-	mu   sync.Mutex    // guards what follows; never held over a call
-	read clock.Instant // when the rows were asked for; 0: they must be read
-	era  uint64        // of the rows
-	rows map[string]table.Row
-	dir  *directory // what the rows say; nil: they have changed since
+	readErr error         // error of the latest read
+	retryAt clock.Instant // earliest time of the next read after a failed one
+
+	mu     sync.Mutex    // guards the fields below; never held during a call
+	readAt clock.Instant // start of the latest read; 0: a read is due
+	era    uint64        // era of the rows
+	rows   map[string]table.Row
+	index  *rowIndex // index of rows; nil: outdated
 }
 
-// directory is what the rows say of nodes and duties. It is asked for several times a
-// request and made anew only when rows change.
-type directory struct {
-	owners map[string]string   // VM that holds a duty
-	addrs  map[string]string   // of a VM
-	zones  map[string][]string // VMs of an availability zone
-	cores  map[string]float64  // of a VM; 0: it doesn't tell
-	// largest is the size of a zone's largest VM, in cores.
-	largest map[string]float64
+// rowIndex indexes the rows by node and duty. It is used several times per request and
+// rebuilt only after a change of the rows.
+type rowIndex struct {
+	owners map[string]string   // duty holder's VM, by duty
+	addrs  map[string]string   // address, by VM
+	nodes  map[string][]string // VMs, by availability zone
+	cores  map[string]float64  // size, by VM; 0: unknown
+	// maxCores is the size of the largest VM, in cores, by zone.
+	maxCores map[string]float64
 }
 
-func (c *leaseCache) directory() *directory {
-	if c.dir != nil {
-		return c.dir
+// rowIndex returns the index of the rows; c.mu must be held.
+func (c *leaseCache) rowIndex() *rowIndex {
+	if c.index != nil {
+		return c.index
 	}
-	d := &directory{owners: map[string]string{}, addrs: map[string]string{}, zones: map[string][]string{}, cores: map[string]float64{}, largest: map[string]float64{}}
+	d := &rowIndex{owners: map[string]string{}, addrs: map[string]string{}, nodes: map[string][]string{}, cores: map[string]float64{}, maxCores: map[string]float64{}}
 	for key, r := range c.rows {
 		if vm, ok := strings.CutPrefix(key, nodePrefix); ok {
-			at := nodeAddrOf(r.Value)
+			at := parseNodeAddr(r.Value)
 			d.addrs[vm], d.cores[vm] = at.addr, at.cores
-			d.largest[at.zone] = max(d.largest[at.zone], at.cores)
-			d.zones[at.zone] = append(d.zones[at.zone], vm)
+			d.maxCores[at.zone] = max(d.maxCores[at.zone], at.cores)
+			d.nodes[at.zone] = append(d.nodes[at.zone], vm)
 			continue
 		}
 		if strings.HasPrefix(key, quarantinePrefix) {
 			continue
 		}
 		var row lease.Row
-		if json.Unmarshal(r.Value, &row) == nil && !row.Released { // the lease's manager logs one that can't be read
+		if json.Unmarshal(r.Value, &row) == nil && !row.Released { // the lease manager logs rows that cannot be decoded
 			d.owners[key] = string(row.Owner.VM)
 		}
 	}
-	c.dir = d
+	c.index = d
 	return d
 }
 
-// leaseCacheFor is how long the rows that were read serve the managers: less
-// than leasePoll, so that each round of looks makes one call.
-const leaseCacheFor = leasePoll - 200*time.Millisecond
+// leaseCacheTTL is how long the rows are served after a read: less than leasePollInterval,
+// so that each polling round of the managers makes one call.
+const leaseCacheTTL = leasePollInterval - 200*time.Millisecond
 
-// Get returns a lease row.
+// Get returns a lease row, reading the rows first if they are outdated.
 func (c *leaseCache) Get(ctx context.Context, tab, key string) (table.Row, error) {
 	if err := c.refresh(ctx, tab); err != nil {
 		return table.Row{}, err
@@ -101,70 +101,73 @@
 	return table.Row{Table: tab, Key: key, Era: c.era}, nil
 }
 
-// refresh reads the rows if they are old and no other node tells them. The store may
-// not answer for long; whoever asks for an address meanwhile, each request among them,
-// must not wait for it.
+// refresh reads the rows if they are outdated and no other node supplies them. The store
+// may not answer for a long time; lookups of addresses, which every request makes, must not
+// wait for it.
 func (c *leaseCache) refresh(ctx context.Context, tab string) error {
-	c.reading.Lock()
-	defer c.reading.Unlock()
-	idle := c.idle()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	idle := c.isFedByPeer()
 	c.mu.Lock()
 	now := c.clock.Now()
-	if c.failed != nil && now.Before(c.again) {
+	if c.readErr != nil && now.Before(c.retryAt) {
 		c.mu.Unlock()
-		return c.failed
+		return c.readErr
 	}
-	// Rows of before the table came back from an older copy say nothing.
-	due := !idle && (c.read == 0 || now.Sub(c.read) > leaseCacheFor) || c.era < c.Table.Era()
+	// Rows from before a table restore are not valid any more.
+	due := !idle && (c.readAt == 0 || now.Sub(c.readAt) > leaseCacheTTL) || c.era < c.Table.Era()
 	c.mu.Unlock()
 	if !due {
 		return nil
 	}
-	era := c.Table.Era() // of an empty answer, or an earlier one: what is checked in that isn't written
+	era := c.Table.Era() // era of an empty answer, or an earlier one; a write checked against an earlier era is rejected
 	rows, err := c.Table.List(ctx, tab, "")
-	c.failed = err
+	c.readErr = err
 	if err != nil {
-		// The managers of all zones ask; one call tells all of them.
-		c.again = c.clock.Now().Add(c.backoff.failed(leaseCacheFor))
+		// The managers of all zones call this function: the error is returned to all of
+		// them without another call.
+		c.retryAt = c.clock.Now().Add(c.backoff.recordFailure(leaseCacheTTL))
 		return err
 	}
-	c.backoff.succeeded()
+	c.backoff.reset()
 	switch {
 	case len(rows) > 0:
 		era = rows[0].Era
 	case era == 0:
-		era = c.Table.Era() // the first answer of all told it
+		era = c.Table.Era() // the first answer of all contained it
 	}
 	c.mu.Lock()
-	c.read = now
-	c.set(rows, era)
+	c.readAt = now
+	c.setRows(rows, era)
 	c.mu.Unlock()
-	c.taken(rows) // which may ask for addresses
+	c.onRows(rows) // not under c.mu: it may look addresses up
 	return nil
 }
 
-func (c *leaseCache) set(rows []table.Row, era uint64) {
-	c.dir, c.era = nil, era
+// setRows replaces the rows; c.mu must be held.
+func (c *leaseCache) setRows(rows []table.Row, era uint64) {
+	c.index, c.era = nil, era
 	c.rows = make(map[string]table.Row, len(rows))
 	for _, r := range rows {
 		c.rows[r.Key] = r
 	}
 }
 
-// take takes up rows that another node has read.
-func (c *leaseCache) take(rows []table.Row, era uint64) {
+// applyRows replaces the rows by those that another node has read, unless they are from an
+// earlier era.
+func (c *leaseCache) applyRows(rows []table.Row, era uint64) {
 	c.mu.Lock()
 	if era < c.era {
 		c.mu.Unlock()
 		return
 	}
-	c.set(rows, era)
+	c.setRows(rows, era)
 	c.mu.Unlock()
-	c.taken(rows)
+	c.onRows(rows)
 }
 
-// row returns a row as it is known; its version is 0 if there is none.
-func (c *leaseCache) row(key string) table.Row {
+// cachedRow returns the cached row of a key, with version 0 if there is none.
+func (c *leaseCache) cachedRow(key string) table.Row {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r, ok := c.rows[key]; ok {
@@ -173,8 +176,8 @@
 	return table.Row{Table: table.TableLeases, Key: key, Era: c.era}
 }
 
-// all returns the rows as they are known.
-func (c *leaseCache) all() []table.Row {
+// allRows returns all cached rows.
+func (c *leaseCache) allRows() []table.Row {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make([]table.Row, 0, len(c.rows))
@@ -184,22 +187,22 @@
 	return out
 }
 
-// Commit writes lease rows, and shows the others what it wrote.
+// Commit writes lease rows and updates the cache with the result.
 func (c *leaseCache) Commit(ctx context.Context, txn table.Txn) (table.Result, error) {
 	res, err := c.Table.Commit(ctx, txn)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil || !res.Committed {
-		c.read = 0 // the rows are not what they seemed
+		c.readAt = 0 // the cached rows are outdated
 		return res, err
 	}
 	if c.rows == nil {
 		c.rows = map[string]table.Row{}
 	}
-	c.dir = nil
+	c.index = nil
 	for _, r := range res.Rows {
 		if len(r.Value) == 0 {
-			delete(c.rows, r.Key) // it was deleted
+			delete(c.rows, r.Key) // deleted
 			continue
 		}
 		c.rows[r.Key] = r
@@ -207,50 +210,50 @@
 	return res, nil
 }
 
-// owner returns the VM that holds a duty as far as known; empty: none.
+// owner returns the VM that holds a duty according to the cache, or "".
 func (c *leaseCache) owner(duty string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.directory().owners[duty]
+	return c.rowIndex().owners[duty]
 }
 
-// addr returns where a node can be reached; empty: unknown.
+// addr returns the address of a node, or "" if it is unknown.
 func (c *leaseCache) addr(vm string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.directory().addrs[vm]
+	return c.rowIndex().addrs[vm]
 }
 
-// nodePrefix begins the keys of the rows that name the nodes. They stand among
-// the leases, so that one call reads both.
+// nodePrefix is the key prefix of the node rows. They are in the same table as the leases,
+// so that one call reads both.
 const nodePrefix = "node/"
 
-// nodeAddr is where a node can be reached, its availability zone, and its part of a
-// core (0: untold).
+// nodeAddr is the address of a node, its availability zone and its size in cores (0:
+// unknown).
 type nodeAddr struct {
 	addr, zone string
 	cores      float64
 }
 
-func (a nodeAddr) value() []byte {
+func (a nodeAddr) encode() []byte {
 	return []byte(a.addr + " " + a.zone + " " + strconv.FormatFloat(a.cores, 'f', -1, 64))
 }
 
-func nodeAddrOf(value []byte) nodeAddr {
+func parseNodeAddr(value []byte) nodeAddr {
 	addr, rest, _ := strings.Cut(string(value), " ")
 	zone, size, _ := strings.Cut(rest, " ")
 	cores, err := strconv.ParseFloat(size, 64)
 	if err != nil {
-		cores = 0 // a node that doesn't tell
+		cores = 0 // not announced by that node
 	}
 	return nodeAddr{addr, zone, cores}
 }
 
-// announce writes where the node can be reached.
+// announce writes the node's row.
 func (c *leaseCache) announce(ctx context.Context, vm string, at nodeAddr) error {
 	_, err := c.Commit(ctx, table.Txn{
 		Attempt: uuid.NewString(),
-		Writes:  []table.Write{{Table: table.TableLeases, Key: nodePrefix + vm, Value: at.value()}},
+		Writes:  []table.Write{{Table: table.TableLeases, Key: nodePrefix + vm, Value: at.encode()}},
 	})
 	return err
 }
@@ -264,15 +267,15 @@
 	return err
 }
 
-// largest returns the size of the zone's largest node, in cores.
-func (c *leaseCache) largest(zone string) float64 {
+// maxCores returns the size of the zone's largest node, in cores.
+func (c *leaseCache) maxCores(zone string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.directory().largest[zone]
+	return c.rowIndex().maxCores[zone]
 }
 
-// known reports whether the rows were ever read or told.
-func (c *leaseCache) known() bool {
+// hasRows reports whether rows have been read or received.
+func (c *leaseCache) hasRows() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rows != nil
@@ -282,9 +285,9 @@
 func (c *leaseCache) zonePeers(vm, zone string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := c.directory()
+	d := c.rowIndex()
 	var out []string
-	for _, name := range d.zones[zone] {
+	for _, name := range d.nodes[zone] {
 		if name != vm {
 			out = append(out, d.addrs[name])
 		}
@@ -292,13 +295,13 @@
 	return out
 }
 
-// nodesBeside returns the nodes of a zone and those of the others. The node self, of selfZone,
-// is among them also while its row isn't known yet.
-func (c *leaseCache) nodesBeside(zone, self, selfZone string) (near, far []string) {
+// nodesByZone returns the nodes of a zone and those of all other zones. The node self, of
+// zone selfZone, is included even if its row is not known yet.
+func (c *leaseCache) nodesByZone(zone, self, selfZone string) (near, far []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := c.directory()
-	for z, vms := range d.zones {
+	d := c.rowIndex()
+	for z, vms := range d.nodes {
 		if z == zone {
 			near = append(near, vms...)
 			continue
@@ -314,41 +317,41 @@
 	return near, append(far, self)
 }
 
-// zoneNodes returns how many nodes of a zone have announced themselves.
-func (c *leaseCache) zoneNodes(zone string) int {
+// zoneNodeCount returns the number of nodes announced in a zone.
+func (c *leaseCache) zoneNodeCount(zone string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.directory().zones[zone])
+	return len(c.rowIndex().nodes[zone])
 }
 
-// nodes returns how many nodes have announced themselves.
-func (c *leaseCache) nodes() int {
+// nodeCount returns the number of nodes announced in all zones.
+func (c *leaseCache) nodeCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.directory().addrs)
+	return len(c.rowIndex().addrs)
 }
 
-// runAnnounce writes the node's row once, tells that it did, and deletes the row when ctx
-// ends.
-func (c *leaseCache) runAnnounce(ctx context.Context, vm string, at nodeAddr, written func(), log *slog.Logger) error {
-	const again = 500 * time.Millisecond
+// runAnnounce writes the node's row with retries, calls onWritten once it has succeeded, and
+// deletes the row when ctx ends.
+func (c *leaseCache) runAnnounce(ctx context.Context, vm string, at nodeAddr, onWritten func(), log *slog.Logger) error {
+	const retryInterval = 500 * time.Millisecond
 	for {
-		wctx, cancel := context.WithTimeout(ctx, announceLimit)
+		wctx, cancel := context.WithTimeout(ctx, announceTimeout)
 		err := c.announce(wctx, vm, at)
 		cancel()
 		if err == nil {
-			written()
+			onWritten()
 			break
 		}
-		if !clock.Sleep(ctx, again) {
+		if !clock.Sleep(ctx, retryInterval) {
 			return nil
 		}
 	}
 	<-ctx.Done()
-	wctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), announceLimit)
+	wctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), announceTimeout)
 	defer cancel()
 	if err := c.withdraw(wctx, vm); err != nil {
-		log.Info("node's row stays; others send it news in vain", "err", err)
+		log.Info("node row not deleted; other nodes keep sending messages to this address", "err", err)
 	}
 	return nil
 }
--- a/internal/entry/loads.go
+++ b/internal/entry/loads.go
@@ -13,99 +13,103 @@
 )
 
 const (
-	// directPeers is up to how many other nodes of a zone each request is told to
-	// directly: with so few that takes fewer messages than a board.
-	directPeers = 4
-	// boardPause is the least pause between two boards of a zone; with a look each 30 ms
-	// they are 60 ms apart. In the driver, at 40 ms (59 nodes, 18
-	// heads, four fifths of the slots in use) 0.3 in 100 requests met a full head, none
-	// was refused by its node, and prompts waited 4 ms for others; at 120 ms 1.2 in 100
-	// and 7 ms. With each request told to 24 nodes, which add up what has long ended, 25
-	// in 100 were refused while heads were free.
-	boardPause = 3 * balance.WatchStep
-	// meanPause is the pause between two tellings of zones' mean loads.
-	meanPause = 10 * boardPause
-	// boardWhole is the pause between two boards that tell of all heads; those between
-	// tell what has changed.
-	boardWhole = 500 * time.Millisecond
-	// meanFor is how long a mean load is believed.
-	meanFor = 2 * time.Second
+	// maxDirectPeers is the largest number of other nodes in a zone to which each request is
+	// reported directly; up to here that takes fewer messages than a board.
+	maxDirectPeers = 4
+	// boardInterval is the least interval between two boards of a zone; with a check every 30
+	// ms they are 60 ms apart. In the test driver (59 nodes, 18 heads, 80% of the slots in
+	// use) at 40 ms 0.3% of requests met a full head, none was refused by its node, and
+	// prompts waited 4 ms for other prompts; at 120 ms it was 1.2% and 7 ms. When each
+	// request was reported to 24 nodes instead, which also counted requests that had long
+	// ended, 25% were refused while heads had free slots.
+	boardInterval = 3 * balance.WatchStep
+	// meanInterval is the interval at which zones' mean loads are sent.
+	meanInterval = 10 * boardInterval
+	// fullBoardInterval is the interval between two boards with all heads; those in between
+	// contain the changed counts only.
+	fullBoardInterval = 500 * time.Millisecond
+	// meanTTL is how long a mean load is valid.
+	meanTTL = 2 * time.Second
 )
 
-// loads shares what nodes have in flight at the heads of each zone.
-type loads struct {
+// loadExchange exchanges the nodes' counts of requests in flight at the heads of each zone.
+type loadExchange struct {
 	node *Node
 
-	// Touched by run alone.
-	lastShow, lastMeans clock.Instant
-	changes             uint64
-	told                map[string]clock.Instant // by zone: when a count was told last
-	empty               map[string]bool          // by zone: the last count told was empty
+	// Used by tick's goroutine only.
+	lastBoards, lastMeans clock.Instant
+	lastChanges           uint64
+	lastSent              map[string]clock.Instant // by zone: when a count was sent last
+	lastSentEmpty         map[string]bool          // by zone: the last count sent was empty
 
-	mu     sync.Mutex
-	boards map[string]*board.Board // by zone; of those whose duty this node holds
-	shown  map[string]shown
-	means  map[meanKey]meanLoad
+	mu        sync.Mutex
+	boards    map[string]*board.Board // by zone, for the duties that this node holds
+	published map[string]publishedBoard
+	means     map[meanKey]meanLoad
 }
 
 type meanKey struct{ zone, model string }
 
-// meanLoad is a zone's mean load of a model, and when it was told.
+// meanLoad is a zone's mean load for a model, with the time at which it was received.
 type meanLoad struct {
 	board.Mean
 	at clock.Instant
 }
 
-// shown is a zone's board as it was told last, and when all of it was told.
-type shown struct {
-	whole  clock.Instant
+// publishedBoard is a zone's board as published last; fullAt is when all of its counts were
+// published.
+type publishedBoard struct {
+	fullAt clock.Instant
 	counts []board.Count
 }
 
-func newLoads(n *Node) *loads {
-	return &loads{
-		node: n, told: map[string]clock.Instant{}, empty: map[string]bool{},
-		boards: map[string]*board.Board{}, shown: map[string]shown{}, means: map[meanKey]meanLoad{},
+func newLoadExchange(n *Node) *loadExchange {
+	return &loadExchange{
+		node: n, lastSent: map[string]clock.Instant{}, lastSentEmpty: map[string]bool{},
+		boards: map[string]*board.Board{}, published: map[string]publishedBoard{}, means: map[meanKey]meanLoad{},
 	}
 }
 
-// tick runs with each look of the tracker, so that it costs no wake-up of its own.
-func (l *loads) tick() {
+// tick runs after each check of the tracker, so that it needs no timer of its own.
+func (l *loadExchange) tick() {
 	now := l.node.Clock.Now()
-	l.tell()
-	if now.Sub(l.lastShow) >= boardPause {
-		l.lastShow = now
-		l.show()
+	l.sendCounts()
+	if now.Sub(l.lastBoards) >= boardInterval {
+		l.lastBoards = now
+		l.publishBoards()
 	}
-	if now.Sub(l.lastMeans) >= meanPause {
+	if now.Sub(l.lastMeans) >= meanInterval {
 		l.lastMeans = now
-		l.showMeans()
+		l.sendMeans()
 	}
 }
 
-// shares reports whether a zone's nodes are so many that its loads stand on a board.
-func (n *Node) shares(zone string) bool { return n.leaseRows.zoneNodes(zone) > directPeers+1 }
+// usesBoard reports whether a zone has so many nodes that its loads are exchanged through a
+// board.
+func (n *Node) usesBoard(zone string) bool {
+	return n.leaseCache.zoneNodeCount(zone) > maxDirectPeers+1
+}
 
-// sample is how many heads are looked at for a request: all where each request is told
-// at once.
-func (n *Node) sample() int {
-	if n.shares(n.Settings.Zone) {
-		return engineSample
+// sampleSize returns the number of heads to compare for a request; 0 means all, used where
+// each request is reported to all peers.
+func (n *Node) sampleSize() int {
+	if n.usesBoard(n.Settings.Zone) {
+		return engineSampleSize
 	}
 	return 0
 }
 
-// tell tells this node's count to the holders of the zones in which it has changed, or
-// was told a while ago.
-func (l *loads) tell() {
+// sendCounts sends this node's counts to the holder of each zone's duty if they have
+// changed, or at the latest after board.TellAgain.
+func (l *loadExchange) sendCounts() {
 	n := l.node
 	now := n.Clock.Now()
 	changes := n.tracker.Changes()
-	changed := changes != l.changes
-	if !changed && now.Sub(l.told[n.Settings.Zone]) < board.TellAgain {
+	changed := changes != l.lastChanges
+	if !changed && now.Sub(l.lastSent[n.Settings.Zone]) < board.TellAgain {
 		return
 	}
-	l.changes = changes
+	l.lastChanges = changes
 	counts := map[string][]board.Count{}
 	r := n.roster.current.Load()
 	for _, c := range n.tracker.Tell() {
@@ -115,33 +119,35 @@
 	}
 	for _, zone := range n.Settings.Zones {
 		own := counts[zone]
-		if len(own) == 0 && l.empty[zone] || !n.shares(zone) {
+		if len(own) == 0 && l.lastSentEmpty[zone] || !n.usesBoard(zone) {
 			continue
 		}
-		l.told[zone], l.empty[zone] = now, len(own) == 0
-		l.send(zone, own, now)
+		l.lastSent[zone], l.lastSentEmpty[zone] = now, len(own) == 0
+		l.sendZoneCounts(zone, own, now)
 	}
-	l.told[n.Settings.Zone] = now
+	l.lastSent[n.Settings.Zone] = now
 }
 
-func (l *loads) send(zone string, counts []board.Count, now clock.Instant) {
+// send sends the counts of one zone to its duty holder, in several messages if needed.
+
+func (l *loadExchange) sendZoneCounts(zone string, counts []board.Count, now clock.Instant) {
 	n := l.node
-	owner := n.leaseRows.owner(zone)
-	addr := n.leaseRows.addr(owner)
-	for i, part := range parts(counts) {
+	owner := n.leaseCache.owner(zone)
+	addr := n.leaseCache.addr(owner)
+	for i, part := range splitCounts(counts) {
 		m := news.InFlight{Node: n.Settings.VM, Zone: zone, Further: i > 0, Counts: part}
 		switch {
 		case owner == n.Settings.VM:
-			l.note(&m, now)
+			l.recordCounts(&m, now)
 		case addr != "":
 			n.send(news.Message{InFlight: &m}, addr)
 		}
 	}
 }
 
-// note takes up a node's count of a zone whose duty this node holds.
-func (l *loads) note(m *news.InFlight, now clock.Instant) {
-	if !l.node.holds(m.Zone) {
+// recordCounts records a node's counts for a zone whose duty this node holds.
+func (l *loadExchange) recordCounts(m *news.InFlight, now clock.Instant) {
+	if !l.node.holdsDuty(m.Zone) {
 		return
 	}
 	l.mu.Lock()
@@ -154,52 +160,53 @@
 	b.Note(m.Node, m.Counts, m.Further, now)
 }
 
-// show tells the sums to the nodes of the zones whose duty this node holds.
-func (l *loads) show() {
+// publishBoards publishes the sums to the nodes of each zone whose duty this node holds.
+func (l *loadExchange) publishBoards() {
 	n := l.node
 	now := n.Clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for zone, b := range l.boards {
-		if !n.holds(zone) {
+		if !n.holdsDuty(zone) {
 			delete(l.boards, zone)
-			delete(l.shown, zone)
+			delete(l.published, zone)
 			continue
 		}
 		sums, known := b.Sums(now)
 		if !known {
 			continue
 		}
-		last := l.shown[zone]
-		next := shown{last.whole, sums}
-		out := changed(last.counts, sums)
-		if now.Sub(last.whole) >= boardWhole {
-			next.whole, out = now, withEnds(last.counts, sums)
+		last := l.published[zone]
+		next := publishedBoard{last.fullAt, sums}
+		out := changedCounts(last.counts, sums)
+		if now.Sub(last.fullAt) >= fullBoardInterval {
+			next.fullAt, out = now, withEmptied(last.counts, sums)
 		}
-		l.shown[zone] = next
+		l.published[zone] = next
 		if len(out) > 0 {
-			l.publish(zone, out)
+			l.publishBoard(zone, out)
 		}
 	}
 }
 
-// publish tells a board in as many messages as it takes, and takes it up here.
-func (l *loads) publish(zone string, counts []board.Count) {
+// publishBoard sends a board to the zone's nodes, in several messages if needed, and
+// applies it here.
+func (l *loadExchange) publishBoard(zone string, counts []board.Count) {
 	n := l.node
 	for _, c := range counts {
 		n.tracker.TakeBoard(c)
 	}
-	peers := n.leaseRows.zonePeers(n.Settings.VM, zone)
-	for _, part := range parts(counts) {
+	peers := n.leaseCache.zonePeers(n.Settings.VM, zone)
+	for _, part := range splitCounts(counts) {
 		n.send(news.Message{Board: part}, peers...)
 	}
 }
 
-// showMeans tells the other zones' holders how loaded the zones are whose duty this node
-// holds, and the zone's nodes what it knows of all. A node knows another zone's heads by
-// its own few requests alone: to it they would seem free, and it would send there while
-// its own zone has more room.
-func (l *loads) showMeans() {
+// sendMeans sends the mean loads of the zones whose duty this node holds to the holders of
+// other zones, and all known mean loads to the zone's nodes. A node knows another zone's
+// heads only from its own few requests; without the means they would seem idle, and it
+// would send requests there while its own zone has more free slots.
+func (l *loadExchange) sendMeans() {
 	n := l.node
 	now := n.Clock.Now()
 	for _, zone := range l.heldZones() {
@@ -207,31 +214,31 @@
 		sums, _ := l.boards[zone].Sums(now)
 		l.mu.Unlock()
 		own := board.Means(zone, sums, n.headsOf(zone))
-		l.takeMeans(own, now)
+		l.recordMeans(own, now)
 		for _, other := range n.Settings.Zones {
-			owner := n.leaseRows.owner(other)
-			if addr := n.leaseRows.addr(owner); other != zone && owner != n.Settings.VM && addr != "" {
+			owner := n.leaseCache.owner(other)
+			if addr := n.leaseCache.addr(owner); other != zone && owner != n.Settings.VM && addr != "" {
 				n.send(news.Message{Means: own}, addr)
 			}
 		}
-		n.send(news.Message{Means: l.knownMeans(now)}, n.leaseRows.zonePeers(n.Settings.VM, zone)...)
+		n.send(news.Message{Means: l.currentMeans(now)}, n.leaseCache.zonePeers(n.Settings.VM, zone)...)
 	}
 }
 
-// heldZones returns the zones whose boards this node keeps.
-func (l *loads) heldZones() []string {
+// heldZones returns the zones with a board whose duty this node holds.
+func (l *loadExchange) heldZones() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []string
 	for zone := range l.boards {
-		if l.node.holds(zone) {
+		if l.node.holdsDuty(zone) {
 			out = append(out, zone)
 		}
 	}
 	return out
 }
 
-// headsOf returns the heads in a zone that take requests.
+// headsOf returns the heads in a zone that accept requests.
 func (n *Node) headsOf(zone string) []*roster.Endpoint {
 	var out []*roster.Endpoint
 	n.roster.current.Load().All(func(e *roster.Endpoint) {
@@ -242,7 +249,7 @@
 	return out
 }
 
-func (l *loads) takeMeans(means []board.Mean, now clock.Instant) {
+func (l *loadExchange) recordMeans(means []board.Mean, now clock.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range means {
@@ -250,12 +257,12 @@
 	}
 }
 
-func (l *loads) knownMeans(now clock.Instant) []board.Mean {
+func (l *loadExchange) currentMeans(now clock.Instant) []board.Mean {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []board.Mean
 	for k, m := range l.means {
-		if now.Sub(m.at) > meanFor {
+		if now.Sub(m.at) > meanTTL {
 			delete(l.means, k)
 			continue
 		}
@@ -264,19 +271,20 @@
 	return out
 }
 
-// meanOf returns how loaded a zone's heads of a model are; the zero value: not known.
-func (l *loads) meanOf(zone, model string) board.Mean {
+// meanOf returns the mean load of a zone's heads for a model; the zero value means unknown.
+func (l *loadExchange) meanOf(zone, model string) board.Mean {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m, ok := l.means[meanKey{zone, model}]
-	if !ok || l.node.Clock.Now().Sub(m.at) > meanFor {
+	if !ok || l.node.Clock.Now().Sub(m.at) > meanTTL {
 		return board.Mean{}
 	}
 	return m.Mean
 }
 
-// withEnds adds heads at which nothing is in flight any more.
-func withEnds(before, now []board.Count) []board.Count {
+// withEmptied returns the counts in now, and zero counts for heads that had requests in before
+// only.
+func withEmptied(before, now []board.Count) []board.Count {
 	have := map[roster.ID]bool{}
 	for _, c := range now {
 		have[c.ID] = true
@@ -290,14 +298,14 @@
 	return out
 }
 
-// changed returns what of a board differs from the one before.
-func changed(before, now []board.Count) []board.Count {
+// changedCounts returns the counts that differ from those of the board before.
+func changedCounts(before, now []board.Count) []board.Count {
 	was := make(map[roster.ID]board.Count, len(before))
 	for _, c := range before {
 		was[c.ID] = c
 	}
 	var out []board.Count
-	for _, c := range withEnds(before, now) {
+	for _, c := range withEmptied(before, now) {
 		if was[c.ID] != c {
 			out = append(out, c)
 		}
@@ -305,18 +313,19 @@
 	return out
 }
 
-// parts splits counts so that each part fits a message; no counts are one empty part.
-func parts(counts []board.Count) [][]board.Count {
-	const room = news.MaxMessage - 100 // for the rest of the message
+// splitCounts splits counts into parts that each fit one message; without counts it returns
+// one empty part.
+func splitCounts(counts []board.Count) [][]board.Count {
+	const limit = news.MaxMessage - 100 // the rest is for the message's other fields
 	var out [][]board.Count
 	var part []board.Count
 	size := 0
 	for _, c := range counts {
 		raw, err := json.Marshal(c)
 		if err != nil {
-			continue // a count of an id and two numbers always encodes
+			continue // unreachable: an id and two numbers can always be encoded
 		}
-		if size+len(raw)+1 > room {
+		if size+len(raw)+1 > limit {
 			out, part, size = append(out, part), nil, 0
 		}
 		part, size = append(part, c), size+len(raw)+1
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -11,7 +11,8 @@
 	"chervilloom/internal/roster"
 )
 
-// registerGauges shows what the node knows and how old it is.
+// registerGauges registers the metrics of the configuration, the endpoint list, the duties
+// and the feed.
 func (n *Node) registerGauges(reg prometheus.Registerer) {
 	gauge := func(name, help string, value func() float64) {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
@@ -26,13 +27,13 @@
 		return n.Clock.Now().Sub(n.roster.current.Load().Asked).Seconds()
 	})
 	gauge("chervilloom_roster_heads", "Heads of groups that take requests, as this node knows them.", n.countHeads)
-	n.roster.rejects = prometheus.NewCounter(prometheus.CounterOpts{
+	n.roster.rejectCounter = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "chervilloom_roster_rejected_total", Help: "Entries of the list that named no endpoint to use, each read anew.",
 	})
-	reg.MustRegister(n.roster.rejects)
+	reg.MustRegister(n.roster.rejectCounter)
 	gauge("chervilloom_duty_held_zones", "Availability zones whose groups this node runs.", n.countDuties)
 	gauge("chervilloom_feed_following", "1 while another node keeps this one up to date.", func() float64 {
-		if n.follower.following() {
+		if n.follower.isFollowing() {
 			return 1
 		}
 		return 0
@@ -60,8 +61,8 @@
 	return float64(held)
 }
 
-// serveMetrics serves the registry beside the clients' address; a port that is
-// taken costs the metrics, not the node.
+// serveMetrics serves the registry on the clients' address. If the port is in use, the node
+// runs without a metrics server.
 func (n *Node) serveMetrics(reg *prometheus.Registry) *http.Server {
 	s := &http.Server{ReadHeaderTimeout: headerTimeout, Handler: promhttp.HandlerFor(reg, promhttp.HandlerOpts{})}
 	host, _, err := net.SplitHostPort(n.Settings.Front)
@@ -70,12 +71,12 @@
 	}
 	ln, err := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(n.MetricsPort)))
 	if err != nil {
-		n.Log.Warn("metrics are not served", "port", n.MetricsPort, "err", err)
+		n.Log.Warn("metrics server not started", "port", n.MetricsPort, "err", err)
 		return s
 	}
 	go func() {
 		if err := s.Serve(ln); err != http.ErrServerClosed {
-			n.Log.Warn("metrics are no longer served", "err", err)
+			n.Log.Warn("metrics server stopped", "err", err)
 		}
 	}()
 	return s
--- a/internal/entry/pressure.go
+++ b/internal/entry/pressure.go
@@ -10,21 +10,21 @@
 	"chervilloom/internal/roster"
 )
 
-func (n *Node) newPressure() *backpressure.Guard {
+func (n *Node) newBackpressureGuard() *backpressure.Guard {
 	return backpressure.New(backpressure.Options{
 		Node: n.Settings.VM, Clock: n.Clock, Log: n.Log, Registerer: n.Registry,
-		Order: n.pressureOrder, Announce: n.announcePressure, Leaves: n.endpointLeaves,
+		Order: n.backpressureOrder, Announce: n.announceBackpressure, Leaves: n.handleEndpointLeaving,
 	})
 }
 
-// pressureOrder returns the nodes in rendezvous order for an endpoint, those of its zone
-// first: they reach it also while the zone is cut off.
-func (n *Node) pressureOrder(id backpressure.ID) []string {
+// backpressureOrder returns the nodes in rendezvous order for an endpoint. Nodes of its zone
+// come first because they can reach it even if the zone is partitioned from the others.
+func (n *Node) backpressureOrder(id backpressure.ID) []string {
 	var zone string
 	if e := n.roster.current.Load().Get(roster.ID(id)); e != nil {
 		zone = e.Zone
 	}
-	near, far := n.leaseRows.nodesBeside(zone, n.Settings.VM, n.Settings.Zone)
+	near, far := n.leaseCache.nodesByZone(zone, n.Settings.VM, n.Settings.Zone)
 	return slices.Concat(rendezvous(id, near), rendezvous(id, far))
 }
 
@@ -40,27 +40,27 @@
 	return out
 }
 
-// announcePressure tells all nodes. The end of a limit is told twice: whoever misses it
-// holds requests back for longer than the endpoint needs.
-func (n *Node) announcePressure(m backpressure.Notice) {
+// announceBackpressure sends a notice to all nodes. The end of a limit is sent twice: a node
+// that misses it would hold requests back for longer than necessary.
+func (n *Node) announceBackpressure(m backpressure.Notice) {
 	if m.Ended {
-		n.spread(news.Message{Pressure: &m})
+		n.broadcast(news.Message{Pressure: &m})
 	}
-	n.spread(news.Message{Pressure: &m})
+	n.broadcast(news.Message{Pressure: &m})
 }
 
-func (n *Node) listed(id backpressure.ID) bool {
+func (n *Node) isListed(id backpressure.ID) bool {
 	return n.roster.current.Load().Get(roster.ID(id)) != nil
 }
 
-// endpointLeaves has all nodes leave an endpoint out that said that it leaves: the list may
-// tell it later, or be out of reach.
-func (n *Node) endpointLeaves(id backpressure.ID) {
+// handleEndpointLeaving removes an endpoint that reported its shutdown from selection at all
+// nodes: the endpoint list may show it later or be unavailable.
+func (n *Node) handleEndpointLeaving(id backpressure.ID) {
 	e := n.roster.current.Load().Get(roster.ID(id))
 	if e == nil || !e.Usable() {
-		return // the list told it, or another node
+		return // known already from the list or another node
 	}
 	leaves := []roster.ID{e.ID}
-	n.roster.leaving(leaves, nil)
-	n.spread(news.Message{Leaving: leaves})
+	n.roster.markLeaving(leaves, nil)
+	n.broadcast(news.Message{Leaving: leaves})
 }
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -8,41 +8,40 @@
 	"chervilloom/internal/roster"
 )
 
-// quarantinePrefix begins the keys of the rows that name quarantined requests. They stand
-// among the leases, so that the reads and questions that are made anyway carry them to
-// every node, also to one that starts after all others lost power, and to one that a lost
-// packet left out: within 1.6 s by the pauses of a holder's reads and its followers'
-// questions.
+// quarantinePrefix is the key prefix of the rows of quarantined requests. They are in the
+// same table as the leases, so that the regular reads and feed answers carry them to every
+// node, also to one that starts after a power loss of all nodes or that missed a packet:
+// within 1.6 s by the intervals of a duty holder's reads and its followers' questions.
 const quarantinePrefix = "quarantine/"
 
-func (n *Node) newGuard() *quarantine.Guard {
+func (n *Node) newQuarantineGuard() *quarantine.Guard {
 	return (&quarantine.Guard{
 		Node: n.Settings.VM, Clock: n.Clock, Log: n.Log,
-		Tell:     func(m quarantine.Message) { n.send(news.Message{Quarantine: &m}, n.talliers()...) },
+		Tell:     func(m quarantine.Message) { n.send(news.Message{Quarantine: &m}, n.tallyAddrs()...) },
 		Announce: n.announceQuarantine,
-		Keep:     func(v quarantine.Verdict) { go n.keepQuarantined(v) },
-		Drop:     func(fp quarantine.Fingerprint) { go n.quarantined.Drop(context.Background(), fp) },
-		Try:      func(ctx context.Context, v quarantine.Verdict) (bool, error) { return n.quarantined.Try(ctx, v) },
-		Ended: func(endpoint string) { // requests that come now needn't find it gone themselves
+		Keep:     func(v quarantine.Verdict) { go n.writeQuarantineRow(v) },
+		Drop:     func(fp quarantine.Fingerprint) { go n.quarantineRows.Drop(context.Background(), fp) },
+		Try:      func(ctx context.Context, v quarantine.Verdict) (bool, error) { return n.quarantineRows.Try(ctx, v) },
+		Ended: func(endpoint string) { // new requests avoid the endpoint without a failed attempt
 			n.tracker.Suspect(roster.ID(endpoint))
-			n.lookSoon()
+			n.refreshSoon()
 		},
 	}).Init(n.Registry)
 }
 
-// talliers returns the addresses of the nodes that tally ends: all nodes of zones with
-// few, and the holder of the duty of each zone with many. Each of them gets everything,
-// so that one that is frozen or ends takes nothing away, and a zone that is cut off still
-// has its own.
-func (n *Node) talliers() []string {
+// tallyAddrs returns the addresses of the nodes that count endpoint failures: all nodes of
+// zones with few nodes, and the duty holder of each zone with many. Each of them gets all
+// reports, so that the failure of one loses nothing and a zone that is partitioned from the
+// others still has its own.
+func (n *Node) tallyAddrs() []string {
 	var out []string
 	for _, zone := range n.Settings.Zones {
-		if peers := n.leaseRows.zonePeers(n.Settings.VM, zone); len(peers) <= directPeers {
+		if peers := n.leaseCache.zonePeers(n.Settings.VM, zone); len(peers) <= maxDirectPeers {
 			out = append(out, peers...)
 			continue
 		}
-		if owner := n.leaseRows.owner(zone); owner != n.Settings.VM {
-			if addr := n.leaseRows.addr(owner); addr != "" {
+		if owner := n.leaseCache.owner(zone); owner != n.Settings.VM {
+			if addr := n.leaseCache.addr(owner); addr != "" {
 				out = append(out, addr)
 			}
 		}
@@ -50,43 +49,45 @@
 	return out
 }
 
-// announceQuarantine tells all nodes, twice: a packet that is lost leaves a zone or a node
-// with what the rows tell a second later.
+// announceQuarantine sends a message to all nodes twice: after a lost packet a zone or a
+// node would learn it only from the rows, a second later.
 func (n *Node) announceQuarantine(m quarantine.Message) {
 	for range 2 {
-		n.spread(news.Message{Quarantine: &m})
+		n.broadcast(news.Message{Quarantine: &m})
 	}
 }
 
-// keepQuarantined writes the request's row, unless one stands that says as much: the nodes
-// that tally find the same within a few milliseconds.
-func (n *Node) keepQuarantined(v quarantine.Verdict) {
-	n.quarantined.Keep(context.Background(), v, n.leaseRows.row(n.quarantined.Key(v.Fingerprint)), n.quarantine.Knows)
+// writeQuarantineRow writes the request's row unless an equivalent one exists: all tallying
+// nodes reach the same verdict within a few milliseconds.
+func (n *Node) writeQuarantineRow(v quarantine.Verdict) {
+	n.quarantineRows.Keep(context.Background(), v, n.leaseCache.cachedRow(n.quarantineRows.Key(v.Fingerprint)), n.quarantineGuard.Knows)
 }
 
-// keepAllQuarantined writes the rows that never stood, for instance because the store was
-// away when the requests were found, and deletes those whose time is over. A row that stood
-// and is gone was lifted, by another node or by hand. One node does it: the first zone's
-// holder.
-func (n *Node) keepAllQuarantined() {
-	banned := n.quarantine.Banned()
-	if len(banned) == 0 || !n.keepsQuarantine() {
+// syncQuarantineRows writes the rows that were never stored, for instance because the store
+// was unavailable, and deletes expired ones. A stored row that has disappeared was lifted
+// by another node or by an operator and is not written again. Only the holder of the first
+// zone's duty does this.
+func (n *Node) syncQuarantineRows() {
+	banned := n.quarantineGuard.Banned()
+	if len(banned) == 0 || !n.maintainsQuarantineRows() {
 		return
 	}
 	for _, b := range banned {
 		switch {
 		case b.Over():
-			n.quarantined.Drop(context.Background(), b.Fingerprint)
+			n.quarantineRows.Drop(context.Background(), b.Fingerprint)
 		case !b.Kept:
-			n.keepQuarantined(b.Verdict)
+			n.writeQuarantineRow(b.Verdict)
 		}
 	}
 }
 
-func (n *Node) keepsQuarantine() bool {
+// maintainsQuarantineRows reports whether this node holds the duty of the first zone that
+// has a holder.
+func (n *Node) maintainsQuarantineRows() bool {
 	for _, zone := range n.Settings.Zones {
-		if owner := n.leaseRows.owner(zone); owner != "" {
-			return owner == n.Settings.VM && n.holds(zone)
+		if owner := n.leaseCache.owner(zone); owner != "" {
+			return owner == n.Settings.VM && n.holdsDuty(zone)
 		}
 	}
 	return false
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -21,30 +21,30 @@
 	"chervilloom/internal/quarantine"
 )
 
-// harmful is the fingerprint of the request that ends endpoints.
+// harmful is the fingerprint of a request that crashes endpoints.
 var harmful = quarantine.Of("org", "POST", "h", "/x", []byte("crash"))
 
-// outbreak is a harmful request on its way through a fleet.
+// outbreak simulates a harmful request that is sent to the nodes of a fleet.
 type outbreak struct {
-	*paper
-	clients  *rand.Rand
-	ends     int
-	attempts int
-	only     string // zone in which clients send it; empty: any
+	*simFleet
+	clients    *rand.Rand
+	crashes    int
+	attempts   int
+	clientZone string // zone in which clients send it; empty: all
 }
 
 func newOutbreak(t *testing.T, zones, perZone int, lost float64) *outbreak {
-	o := &outbreak{paper: newPaper(t, zones, perZone, lost), clients: rand.New(rand.NewPCG(3, 4))}
+	o := &outbreak{simFleet: newSimFleet(t, zones, perZone, lost), clients: rand.New(rand.NewPCG(3, 4))}
 	for _, n := range o.nodes {
-		n.quarantine.Dial = func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
+		n.quarantineGuard.Dial = func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
 	}
 	return o
 }
 
-// attempt is a client attempt at a node that refuses it or ends two endpoints under it,
-// each with innocent requests of five other nodes. Whoever was at the first goes on at
-// another endpoint than the harmful request, as most do.
-func (o *outbreak) attempt(t *testing.T) {
+// sendHarmful sends the request to a random node, which refuses it or loses two endpoints to
+// it, each with harmless requests of five other nodes. After the first crash most of those
+// are retried at another endpoint than the harmful request.
+func (o *outbreak) sendHarmful(t *testing.T) {
 	names := slices.Sorted(maps.Keys(o.nodes))
 	pick := func(only string) *Node {
 		for {
@@ -55,50 +55,50 @@
 		}
 	}
 	o.attempts++
-	n := pick(o.only)
+	n := pick(o.clientZone)
 	for range 2 {
-		if _, refused := n.quarantine.Refused(t.Context(), harmful); refused {
+		if _, refused := n.quarantineGuard.Refused(t.Context(), harmful); refused {
 			return
 		}
-		o.ends++
-		end := fmt.Sprintf("e%d", o.ends)
-		n.quarantine.Broke(end, "", harmful, quarantine.AttemptID(fmt.Sprint(o.attempts)))
+		o.crashes++
+		end := fmt.Sprintf("e%d", o.crashes)
+		n.quarantineGuard.Broke(end, "", harmful, quarantine.AttemptID(fmt.Sprint(o.attempts)))
 		for i := range 5 {
 			innocent := quarantine.Of("org", "POST", "h", "/x", fmt.Appendf(nil, "%s-%d", end, i))
-			pick("").quarantine.Broke(end, "", innocent, uint32(i))
+			pick("").quarantineGuard.Broke(end, "", innocent, uint32(i))
 		}
-		synctest.Wait() // until the looks at the endpoints are over
-		o.pass(200 * time.Millisecond)
+		synctest.Wait() // until the endpoint checks are complete
+		o.advance(200 * time.Millisecond)
 	}
 }
 
-// pass lets time go on at all nodes.
-func (o *outbreak) pass(d time.Duration) {
+// advance advances the clock and runs the quarantine ticks of all nodes.
+func (o *outbreak) advance(d time.Duration) {
 	const look = 50 * time.Millisecond
 	for range d / look {
 		o.clock.Advance(look)
 		for _, n := range o.nodes {
-			n.quarantine.Tick()
+			n.quarantineGuard.Tick()
 		}
 	}
 }
 
-// refusing counts the nodes that refuse it.
-func (o *outbreak) refusing() int {
+// countRefusing returns the number of nodes that refuse the request.
+func (o *outbreak) countRefusing() int {
 	k := 0
 	for _, n := range o.nodes {
-		if _, refused := n.quarantine.Refused(context.Background(), harmful); refused {
+		if _, refused := n.quarantineGuard.Refused(context.Background(), harmful); refused {
 			k++
 		}
 	}
 	return k
 }
 
-// A request that ends endpoints comes at any node of 6, 81 and 295. No node sees more than
-// a part of it, and the nodes that tally hear of all. After three ends, and a few more that
-// tell it from the others, every node refuses it; with one packet in twenty lost those
-// that missed it have it from the rows that they read or are told anyway.
-func TestHarmfulRequestIsKnownAtEveryNode(t *testing.T) {
+// A harmful request arrives at random nodes of 6, 81 and 295. No node sees more than a part
+// of its attempts, but the tallying nodes get all reports. Every node must refuse it after
+// three crashes and a few more that distinguish it from other requests. With 5% packet loss
+// the nodes that missed it get it from the rows of the regular reads.
+func TestHarmfulRequestRefusedByAllNodes(t *testing.T) {
 	for _, c := range []struct {
 		zones, perZone int
 		lost           float64
@@ -108,23 +108,23 @@
 				is := is.New(t)
 				o := newOutbreak(t, c.zones, c.perZone, c.lost)
 				for range 10 {
-					o.attempt(t)
+					o.sendHarmful(t)
 				}
-				if o.ends > 6 {
-					t.Errorf("%d endpoints ended", o.ends)
+				if o.crashes > 6 {
+					t.Errorf("%d endpoints crashed", o.crashes)
 				}
-				if got := o.refusing(); float64(got) < 0.98*float64(len(o.nodes)) {
+				if got := o.countRefusing(); float64(got) < 0.98*float64(len(o.nodes)) {
 					t.Errorf("%d of %d nodes refuse it", got, len(o.nodes))
 				}
-				o.readRows(t)
-				is.Equal(o.refusing(), len(o.nodes))
+				o.distributeRows(t)
+				is.Equal(o.countRefusing(), len(o.nodes))
 			})
 		})
 	}
 }
 
-// readRows has every node read the rows, or be told them, with the one that is kept.
-func (o *outbreak) readRows(t *testing.T) {
+// distributeRows gives every node the lease rows including the row of the harmful request.
+func (o *outbreak) distributeRows(t *testing.T) {
 	t.Helper()
 	raw, err := json.Marshal(quarantine.Verdict{Fingerprint: harmful, Ends: 4, Attempts: 2})
 	if err != nil {
@@ -134,13 +134,13 @@
 		Table: table.TableLeases, Key: quarantinePrefix + string(harmful), Version: 7, Value: raw,
 	})
 	for _, n := range o.nodes {
-		n.leaseRows.take(rows, 0)
+		n.leaseCache.applyRows(rows, 0)
 	}
 }
 
-// The node that holds a zone's duty is frozen, or has just ended, and hears nothing: the
-// other zones' holders have heard the same and find the request.
-func TestHarmfulRequestIsFoundWithoutAHolder(t *testing.T) {
+// The holder of a zone's duty is suspended or has just ended and receives no reports. The
+// holders of the other zones have the same reports and must reach the verdict.
+func TestHarmfulRequestFoundWithoutDutyHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOutbreak(t, 3, 27, 0)
 		frozen := o.nodes["z0-0"]
@@ -152,17 +152,17 @@
 			}
 		}
 		for range 10 {
-			o.attempt(t)
+			o.sendHarmful(t)
 		}
-		if o.ends > 6 || o.refusing() < len(o.nodes) {
-			t.Errorf("%d endpoints ended, %d of %d nodes refuse it", o.ends, o.refusing(), len(o.nodes))
+		if o.crashes > 6 || o.countRefusing() < len(o.nodes) {
+			t.Errorf("%d endpoints crashed, %d of %d nodes refuse it", o.crashes, o.countRefusing(), len(o.nodes))
 		}
 	})
 }
 
-// A zone is cut off from the others. Its nodes find the request by what they see, the
-// others know nothing of it; when the cut ends they have it from the rows.
-func TestZoneThatIsCutOffCountsForItself(t *testing.T) {
+// A zone is partitioned from the others. Its nodes reach the verdict by their own reports;
+// the other nodes don't know of it until they read the rows after the partition.
+func TestPartitionedZoneTalliesAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		o := newOutbreak(t, 3, 2, 0)
@@ -172,37 +172,37 @@
 				send(m, slices.DeleteFunc(to, func(addr string) bool { return o.nodes[addr].Settings.Zone != zone })...)
 			}
 		}
-		o.only = "z1"
+		o.clientZone = "z1"
 		for range 10 {
-			o.attempt(t)
+			o.sendHarmful(t)
 		}
-		is.True(o.ends <= 6)
-		is.Equal(o.refusing(), 2)
-		o.readRows(t)
-		is.Equal(o.refusing(), len(o.nodes))
+		is.True(o.crashes <= 6)
+		is.Equal(o.countRefusing(), 2)
+		o.distributeRows(t)
+		is.Equal(o.countRefusing(), len(o.nodes))
 	})
 }
 
-// A node starts while a request is quarantined, or all nodes do after all of them lost
-// power. It refuses the request from its first reading of the rows on, which it needs
-// before it is ready; a row that names no request changes nothing.
-func TestStartingNodeKnowsQuarantinedRequests(t *testing.T) {
+// A node starts while a request is quarantined, or all nodes restart after a power loss. It
+// must refuse the request from its first read of the rows, which precedes readiness. An
+// invalid row must have no effect.
+func TestStartingNodeReadsQuarantineRows(t *testing.T) {
 	is := is.New(t)
-	p := newPaper(t, 1, 2, 0)
+	p := newSimFleet(t, 1, 2, 0)
 	n := p.nodes["z0-1"]
-	o := &outbreak{paper: p}
-	is.Equal(o.refusing(), 0)
-	o.readRows(t)
-	is.Equal(o.refusing(), 2)
+	o := &outbreak{simFleet: p}
+	is.Equal(o.countRefusing(), 0)
+	o.distributeRows(t)
+	is.Equal(o.countRefusing(), 2)
 	broken := []table.Row{{Table: table.TableLeases, Key: quarantinePrefix + "other", Version: 1, Value: []byte("{}")}}
-	n.leaseRows.take(broken, 0)
-	is.Equal(len(n.quarantine.Banned()), 1)
-	is.Equal(n.leaseRows.owner(quarantinePrefix+"other"), "") // nor does it name a duty
+	n.leaseCache.applyRows(broken, 0)
+	is.Equal(len(n.quarantineGuard.Banned()), 1)
+	is.Equal(n.leaseCache.owner(quarantinePrefix+"other"), "") // the row is not taken for a duty's lease either
 }
 
-// One endpoint of 22 requests ends. What the nodes tell of it is few messages, whatever
-// the size of the fleet: some 22 nodes tell the holders of five zones, twice.
-func TestEvidenceCostsFewMessages(t *testing.T) {
+// An endpoint with 22 requests crashes. The number of reports must not depend on the size
+// of the fleet: some 22 nodes send each report to the holders of five zones, twice.
+func TestFailureReportsTakeFewMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOutbreak(t, 5, 59, 0)
 		clear(o.sent)
@@ -211,10 +211,10 @@
 			if i++; i > 22 {
 				break
 			}
-			n.quarantine.Broke("e", "", quarantine.Of("org", "POST", "h", "/x", fmt.Append(nil, i)), uint32(i))
+			n.quarantineGuard.Broke("e", "", quarantine.Of("org", "POST", "h", "/x", fmt.Append(nil, i)), uint32(i))
 		}
 		synctest.Wait()
-		o.pass(time.Second)
+		o.advance(time.Second)
 		sum := 0
 		for _, k := range o.sent {
 			sum += k
@@ -225,29 +225,29 @@
 	})
 }
 
-// The store was away when a request was found: the first zone's holder writes its row once
-// the store is back. An operator deletes the row to lift the quarantine: nobody writes it
-// again, and every node lets the request go.
-func TestRowOfAQuarantinedRequestIsWrittenOnce(t *testing.T) {
+// The store was unavailable at the time of the verdict: the first zone's holder writes the
+// row after the recovery. When an operator deletes the row to lift the quarantine, no node
+// may write it again, and every node must accept the request.
+func TestQuarantineRowWrittenOnce(t *testing.T) {
 	is := is.New(t)
 	store := &fakeStore{}
-	n := testNode(store, clock.NewManual(clock.Instant(time.Hour)))
-	n.holds = func(string) bool { return true }
-	n.leaseRows.take([]table.Row{ownerRow("a", "me")}, 0)
-	n.quarantine.Hear(quarantine.Message{Node: "x", Found: []quarantine.Verdict{{Fingerprint: harmful, Ends: 3, Attempts: 3}}})
-	n.keepAllQuarantined()
+	n := newTestNode(store, clock.NewManual(clock.Instant(time.Hour)))
+	n.holdsDuty = func(string) bool { return true }
+	n.leaseCache.applyRows([]table.Row{ownerRow("a", "me")}, 0)
+	n.quarantineGuard.Hear(quarantine.Message{Node: "x", Found: []quarantine.Verdict{{Fingerprint: harmful, Ends: 3, Attempts: 3}}})
+	n.syncQuarantineRows()
 	is.Equal(store.calls, 1)
 	raw, err := json.Marshal(quarantine.Verdict{Fingerprint: harmful})
 	is.NoErr(err)
 	row := table.Row{Table: table.TableLeases, Key: quarantinePrefix + string(harmful), Version: 7, Value: raw}
-	n.leaseRows.take([]table.Row{ownerRow("a", "me"), row}, 0)
-	n.keepAllQuarantined()
+	n.leaseCache.applyRows([]table.Row{ownerRow("a", "me"), row}, 0)
+	n.syncQuarantineRows()
 	is.Equal(store.calls, 1)
-	for range 3 { // it is deleted, and read so for seconds
-		n.leaseRows.take([]table.Row{ownerRow("a", "me")}, 0)
-		n.keepAllQuarantined()
+	for range 3 { // the row stays deleted over several reads
+		n.leaseCache.applyRows([]table.Row{ownerRow("a", "me")}, 0)
+		n.syncQuarantineRows()
 		n.Clock.(*clock.Manual).Advance(4 * time.Second)
 	}
 	is.Equal(store.calls, 1)
-	is.Equal(len(n.quarantine.Banned()), 0)
+	is.Equal(len(n.quarantineGuard.Banned()), 0)
 }
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Settings are what a process is told about itself and the platform.
+// Settings are the parameters of a node and the limits that the platform sets.
 type Settings struct {
 	VM          string
 	Zone        string
 	Zones       []string
-	Cores       float64 // this VM's part of a core, or how many; 0: untold
-	Front       string  // address for clients
-	Peer        string  // address for the other nodes
-	Ready       string  // address that the balancer asks for readiness
-	Bootstrap   bool    // the whole system starts for the first time
+	Cores       float64 // size of this VM in cores, possibly a fraction; 0: unknown
+	Front       string  // listen address for clients
+	Peer        string  // listen address for other nodes
+	Ready       string  // listen address for the load balancer's readiness probe
+	Bootstrap   bool    // the whole system is started for the first time
 	Store       string  // address of the store
-	Strict      bool    // a revoked key must not be served after RevokeAfter, in touch or not
+	Strict      bool    // a revoked key must be rejected after RevokeAfter even without a connection to the store
 	RevokeAfter time.Duration
-	// ConfigWithin is the time in which a change of the configuration must be in
-	// force on nodes that reach the store.
+	// ConfigWithin is the time within which a configuration change must be in force on
+	// nodes that can reach the store.
 	ConfigWithin time.Duration
 	Grace        time.Duration // from SIGTERM to SIGKILL
-	RetryRatio   float64       // repeats that all nodes together may send, per request
-	RetrySlack   float64       // and beyond that, in each RetryWindow
+	RetryRatio   float64       // retries by all nodes together, per request
+	RetrySlack   float64       // additional retries by all nodes together, per RetryWindow
 	RetryWindow  time.Duration
 	LoadWindow   time.Duration
 }
--- a/internal/entry/start.go
+++ b/internal/entry/start.go
@@ -6,46 +6,48 @@
 )
 
 const (
-	// seekFor is how long a node that starts looks for one to follow before it reads
-	// the store itself: a lease that is free is taken within a second.
-	seekFor = 1200 * time.Millisecond
-	// seekPause is the pause between two looks meanwhile.
-	seekPause = 50 * time.Millisecond
+	// seekDuration is how long a starting node looks for a node to follow before it reads the
+	// store itself: a free lease is acquired within a second.
+	seekDuration = 1200 * time.Millisecond
+	// seekInterval is the polling interval during that time.
+	seekInterval = 50 * time.Millisecond
 )
 
-// seeking reports whether a node that has just started leaves the store to others. At
-// the start of 295 nodes each of them read configuration, endpoints (three pages) and
-// leases until it knew whom to follow, some 13 calls a node by the pauses of its reads. A few nodes read at once
-// instead: there each call is needed sooner and there are few.
-func (n *Node) seeking() bool {
-	if n.Clock.Now().Sub(n.began) >= seekFor || n.config.current.Load() != nil {
+// isSeeking reports whether this node has just started and leaves reading the store to
+// others. When 295 nodes started at once, each read the configuration, the endpoints (three
+// pages) and the leases until it knew which node to follow: some 13 calls a node by the
+// intervals of its reads. In a small fleet each node reads at once, because the data is
+// needed sooner and the calls are few.
+func (n *Node) isSeeking() bool {
+	if n.Clock.Now().Sub(n.startedAt) >= seekDuration || n.config.current.Load() != nil {
 		return false
 	}
-	if !n.leaseRows.known() {
-		return true // one read of the leases tells how many nodes there are
+	if !n.leaseCache.hasRows() {
+		return true // one read of the leases is needed to know the number of nodes
 	}
-	if n.rank(n.Settings.Zone) == rankFirst || n.leaseRows.owner(n.Settings.Zone) == n.Settings.VM {
+	if n.rank(n.Settings.Zone) == rankFirst || n.leaseCache.owner(n.Settings.Zone) == n.Settings.VM {
 		return false
 	}
-	return n.Settings.Bootstrap || n.shares(n.Settings.Zone)
+	return n.Settings.Bootstrap || n.usesBoard(n.Settings.Zone)
 }
 
-// leavesStore reports whether the configuration comes from another node.
-func (n *Node) leavesStore() bool { return n.follower.following() || n.seeking() }
+// isConfigFed reports whether the configuration comes from another node.
+func (n *Node) isConfigFed() bool { return n.follower.isFollowing() || n.isSeeking() }
 
-// leavesList reports whether the endpoints come from another node, which tells only of
-// those that take requests. Who holds a duty plans by all of them.
-func (n *Node) leavesList() bool { return n.leavesStore() && !n.holdsAny() }
+// isRosterFed reports whether the endpoints come from another node. Such a list contains
+// only endpoints that accept requests, while a duty holder plans with all of them and reads
+// the store.
+func (n *Node) isRosterFed() bool { return n.isConfigFed() && !n.holdsAnyDuty() }
 
-// holdsAny reports whether this node holds the duty of some zone.
-func (n *Node) holdsAny() bool { return slices.ContainsFunc(n.Settings.Zones, n.holds) }
+// holdsAnyDuty reports whether this node holds the duty of any zone.
+func (n *Node) holdsAnyDuty() bool { return slices.ContainsFunc(n.Settings.Zones, n.holdsDuty) }
 
-// leavesLeases reports whether the lease rows come from another node. Without the own
-// zone's holder those that are to be the next one read them: what another zone's holder
-// tells is a second older. The small ones of many wait for it.
-func (n *Node) leavesLeases() bool {
-	if n.follower.followingOwn() {
+// areLeasesFed reports whether the lease rows come from another node. While the own zone
+// has no holder, its candidates read the rows themselves, because those from another zone's
+// holder are a second older. Small nodes of a zone with larger ones don't.
+func (n *Node) areLeasesFed() bool {
+	if n.follower.isFollowingOwnZone() {
 		return true
 	}
-	return n.follower.following() && n.rank(n.Settings.Zone) >= rankSmall
+	return n.follower.isFollowing() && n.rank(n.Settings.Zone) >= rankSmall
 }
--- a/internal/entry/sweep.go
+++ b/internal/entry/sweep.go
@@ -6,8 +6,9 @@
 	"chervilloom/internal/roster"
 )
 
-// sweep closes old connections, tells the ejector whom there is to choose from, forgets what
-// endpoints that are gone said of their load, and keeps the rows of quarantined requests.
+// sweep closes idle connections, updates the ejector's candidates, drops the load state of
+// endpoints that are no longer listed, and maintains the rows of quarantined requests and
+// of this node.
 func (n *Node) sweep() {
 	n.pool.Sweep()
 	var ids []retry.ID
@@ -17,7 +18,7 @@
 		}
 	})
 	n.forwarder.Ejector.SetCandidates(ids)
-	n.pressure.Sweep(n.listed)
-	n.keepAllQuarantined()
-	n.keepAnnounced()
+	n.backpressureGuard.Sweep(n.isListed)
+	n.syncQuarantineRows()
+	n.rewriteMissingRow()
 }
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -27,52 +27,51 @@
 	Endpoints(ctx context.Context) (roster.Listing, error)
 }
 
-// The pace of the reads. A key may be served for revokeMargin less than the
-// platform's bound after the start of the last read that confirmed it. With
-// these times a node that asks another one stays fresh over two lost answers in
-// a row: what it is told is up to 1.6 s old, and it asks every 0.9 s; 5 s are
-// both users' bound.
+// Intervals and timeouts of the reads. A key may be accepted for revokeMargin less than the
+// platform's bound after the start of the last read that confirmed it. With these values a
+// node that follows another one stays fresh over two lost answers in a row: the state it
+// receives is up to 1.6 s old, and it asks every 0.9 s; the bound of both users is 5 s.
 const (
-	configWait   = 800 * time.Millisecond // how long a read waits for a change
-	configLimit  = 600 * time.Millisecond // for the answer beyond that
-	configPause  = 500 * time.Millisecond // after a read that failed
-	revokeMargin = 400 * time.Millisecond
+	configWait       = 800 * time.Millisecond // long-poll time of a read
+	configTimeout    = 600 * time.Millisecond // additional time for the answer
+	configRetryDelay = 500 * time.Millisecond // delay after a failed read
+	revokeMargin     = 400 * time.Millisecond
 
-	rosterPause = time.Second            // between two reads of the list
-	rosterAgain = 300 * time.Millisecond // at least between two
-	rosterDown  = 400 * time.Millisecond // and beyond that after one that failed
-	rosterLimit = 700 * time.Millisecond // for the answer
+	rosterInterval    = time.Second            // interval between two reads of the list
+	minRosterInterval = 300 * time.Millisecond // least interval between two reads
+	rosterRetryDelay  = 400 * time.Millisecond // additional delay after a failed read
+	rosterTimeout     = 700 * time.Millisecond // timeout of a read
 
-	idlePause = 200 * time.Millisecond // while another node keeps this one up to date
+	fedInterval = 200 * time.Millisecond // polling interval while another node keeps this one up to date
 )
 
-// configWatcher keeps the newest configuration.
+// configWatcher keeps the newest configuration up to date.
 type configWatcher struct {
 	source  ConfigurationSource
 	clock   clock.Clock
 	log     *slog.Logger
-	mu      sync.Mutex // held while a document is put into force
+	mu      sync.Mutex // held while a document is applied
 	current atomic.Pointer[catalog.Catalog]
-	// confirmed is the start of the last read that shows the configuration in
-	// force at that time.
+	// confirmed is the start of the last read that returned the configuration in force at
+	// that time.
 	confirmed atomic.Int64
-	// idle reports whether another node keeps the configuration up to date.
-	idle func() bool
-	// heard is the newest version that another node was heard to have.
-	heard atomic.Uint64
-	// askOthers asks the nodes that read the store what they have in force, before this
-	// node believes its first document; nil: nobody is asked.
-	askOthers func(context.Context)
-	backoff   backoff
+	// isFedByPeer reports whether another node keeps the configuration up to date.
+	isFedByPeer func() bool
+	// peerVersion is the newest version that another node reported.
+	peerVersion atomic.Uint64
+	// askDutyHolders asks the nodes that read the store for their configuration before this
+	// node applies its first document; nil: no node is asked.
+	askDutyHolders func(context.Context)
+	backoff        backoff
 }
 
 func (w *configWatcher) run(ctx context.Context) error {
 	var cursor catalog.Cursor
 	known, down, behind := false, false, false
 	for ctx.Err() == nil {
-		if w.idle() {
-			known = false // changes since then came from elsewhere
-			clock.Sleep(ctx, idlePause)
+		if w.isFedByPeer() {
+			known = false // changes in the meantime were received from another node
+			clock.Sleep(ctx, fedInterval)
 			continue
 		}
 		asked := w.clock.Now()
@@ -90,54 +89,54 @@
 			if errors.As(err, &invalid) {
 				known = false
 			}
-			clock.Sleep(ctx, w.backoff.failed(configPause))
+			clock.Sleep(ctx, w.backoff.recordFailure(configRetryDelay))
 			continue
 		}
-		w.backoff.succeeded()
+		w.backoff.reset()
 		if down {
 			w.log.Info("configuration is read again", "version", w.version())
 		}
 		down = false
-		if w.current.Load() == nil && change.Document != nil && w.askOthers != nil {
-			w.askOthers(ctx)
+		if w.current.Load() == nil && change.Document != nil && w.askDutyHolders != nil {
+			w.askDutyHolders(ctx)
 		}
 		before := known
-		cursor, known = change.Cursor, w.shows(change.Document, known)
+		cursor, known = change.Cursor, w.showsNewest(change.Document, known)
 		if known {
 			w.confirm(change.Document, asked)
 			behind = false
 			continue
 		}
 		if !behind && change.Document != nil {
-			w.log.Warn("the store shows an older configuration than is in force; it confirms nothing", "shown", change.Document.Version, "version", w.version(), "heard", w.heard.Load(), "watched", before)
+			w.log.Warn("the store returned an older configuration than the one in force; not used as a confirmation", "shown", change.Document.Version, "version", w.version(), "heard", w.peerVersion.Load(), "watched", before)
 		}
 		behind = change.Document != nil
 		if before && !behind {
-			continue // another node was told of a newer one before this watch was: read it at once
+			continue // another node reported a newer version before this watch did: read it now
 		}
-		clock.Sleep(ctx, configPause) // none was ever written, or the newest is yet to come back
+		clock.Sleep(ctx, configRetryDelay) // no document was written yet, or the newest one has to be restored first
 	}
 	return nil
 }
 
-// shows reports whether a read shows the newest configuration that this node knows of: a
-// newer one, or the one in force. A watch that went on shows that by its silence. A table
-// that came back from an older copy shows an older document until the operator has
-// written it again; were that taken for a confirmation, a key that the newer one takes
-// away would be served for as long.
-func (w *configWatcher) shows(doc *catalog.Document, watched bool) bool {
-	newest := max(w.version(), w.heard.Load())
+// showsNewest reports whether a read returned the newest configuration known to this node: a
+// newer one, or the one in force. An uninterrupted watch without a change confirms it as
+// well. A table restored from an older copy returns an older document until the operator
+// has written the newest one again; were that accepted as a confirmation, a key that the
+// newest document revokes would be accepted for as long.
+func (w *configWatcher) showsNewest(doc *catalog.Document, watched bool) bool {
+	newest := max(w.version(), w.peerVersion.Load())
 	if doc == nil {
 		return watched && w.version() >= newest
 	}
 	return doc.Version >= newest
 }
 
-// hear takes up which version another node has in force.
-func (w *configWatcher) hear(version uint64) {
+// recordPeerVersion records the version that another node has in force.
+func (w *configWatcher) recordPeerVersion(version uint64) {
 	for {
-		old := w.heard.Load()
-		if version <= old || w.heard.CompareAndSwap(old, version) {
+		old := w.peerVersion.Load()
+		if version <= old || w.peerVersion.CompareAndSwap(old, version) {
 			return
 		}
 	}
@@ -145,16 +144,16 @@
 
 func (w *configWatcher) read(ctx context.Context, cursor catalog.Cursor, known bool) (catalog.Change, error) {
 	if !known {
-		ctx, cancel := context.WithTimeout(ctx, configLimit)
+		ctx, cancel := context.WithTimeout(ctx, configTimeout)
 		defer cancel()
 		return w.source.Configuration(ctx)
 	}
-	ctx, cancel := context.WithTimeout(ctx, configWait+configLimit)
+	ctx, cancel := context.WithTimeout(ctx, configWait+configTimeout)
 	defer cancel()
 	return w.source.AwaitConfiguration(ctx, cursor, configWait)
 }
 
-// apply puts a document into force unless an equal or newer one is.
+// apply puts a document into force unless an equal or newer one already is.
 func (w *configWatcher) apply(doc *catalog.Document) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -163,15 +162,15 @@
 	}
 	next, err := catalog.New(*doc)
 	if err != nil {
-		w.log.Error("configuration not taken; the last good one stays in force", "version", doc.Version, "err", err)
+		w.log.Error("configuration rejected; the last valid one stays in force", "version", doc.Version, "err", err)
 		return
 	}
 	w.log.Info("configuration in force", "version", doc.Version, "before", w.version(), "routes", len(doc.Routes))
 	w.current.Store(next)
 }
 
-// confirm notes that a read that began at asked showed the configuration in
-// force, with the document if it is a newer one.
+// confirm records that a read started at asked confirmed the configuration in force. A
+// newer document is applied first.
 func (w *configWatcher) confirm(doc *catalog.Document, asked clock.Instant) {
 	w.apply(doc)
 	for {
@@ -189,46 +188,46 @@
 	return 0
 }
 
-// age is how long ago the configuration was last confirmed.
+// age returns the time since the configuration was last confirmed.
 func (w *configWatcher) age(now clock.Instant) time.Duration {
 	return now.Sub(clock.Instant(w.confirmed.Load()))
 }
 
-// rosterWatcher keeps the newest list of endpoints.
+// rosterWatcher keeps the newest list of endpoints up to date.
 type rosterWatcher struct {
-	source  EndpointSource
-	clock   clock.Clock
-	log     *slog.Logger
-	mu      sync.Mutex // held while the next roster is made
-	current atomic.Pointer[roster.Roster]
-	wake    chan struct{}
-	idle    func() bool // another node keeps the list up to date
-	// leaves is told that the list shows endpoints to leave or to be gone, and which of
-	// these take requests; nil: nobody.
-	leaves func(leaving, gone []roster.ID)
-	// rejects counts entries that name no endpoint to use; nil: nobody counts.
-	rejects prometheus.Counter
-	told    map[string]bool // keys of rejected entries that were logged
-	backoff backoff
+	source      EndpointSource
+	clock       clock.Clock
+	log         *slog.Logger
+	mu          sync.Mutex // held while the next roster is built
+	current     atomic.Pointer[roster.Roster]
+	wake        chan struct{}
+	isFedByPeer func() bool // reports whether another node keeps the list up to date
+	// onLeaving is called when a list shows that usable endpoints are draining or no longer
+	// listed, with those of them that accept requests; nil: no call.
+	onLeaving func(leaving, gone []roster.ID)
+	// rejectCounter counts invalid entries of the list; nil: not counted.
+	rejectCounter prometheus.Counter
+	loggedRejects map[string]bool // keys of rejected entries that were logged
+	backoff       backoff
 }
 
-// mostTold bounds the lines about rejected entries; the metric counts all.
-const mostTold = 50
+// maxLoggedRejects limits the log lines about rejected entries; the metric counts all.
+const maxLoggedRejects = 50
 
-// noteRejected logs each rejected entry once.
+// noteRejected counts rejected entries and logs each key once.
 func (w *rosterWatcher) noteRejected(rejected []roster.Rejected) {
 	for _, r := range rejected {
-		if w.rejects != nil {
-			w.rejects.Inc()
+		if w.rejectCounter != nil {
+			w.rejectCounter.Inc()
 		}
-		if w.told[r.Key] || len(w.told) >= mostTold {
+		if w.loggedRejects[r.Key] || len(w.loggedRejects) >= maxLoggedRejects {
 			continue
 		}
-		if w.told == nil {
-			w.told = map[string]bool{}
+		if w.loggedRejects == nil {
+			w.loggedRejects = map[string]bool{}
 		}
-		w.told[r.Key] = true
-		w.log.Warn("entry names no endpoint to use", "key", r.Key, "reason", r.Reason)
+		w.loggedRejects[r.Key] = true
+		w.log.Warn("endpoint entry rejected", "key", r.Key, "reason", r.Reason)
 	}
 }
 
@@ -238,8 +237,8 @@
 	return w
 }
 
-// soon asks for a read before the next one is due.
-func (w *rosterWatcher) soon() {
+// refreshSoon triggers a read before the next one is due.
+func (w *rosterWatcher) refreshSoon() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
@@ -250,13 +249,13 @@
 	var recovered clock.Instant
 	down := false
 	for ctx.Err() == nil {
-		if w.idle() {
+		if w.isFedByPeer() {
 			down = false
-			w.await(ctx, idlePause)
+			w.await(ctx, fedInterval)
 			continue
 		}
 		asked := w.clock.Now()
-		rctx, cancel := context.WithTimeout(ctx, rosterLimit)
+		rctx, cancel := context.WithTimeout(ctx, rosterTimeout)
 		list, err := w.source.Endpoints(rctx)
 		cancel()
 		switch {
@@ -273,27 +272,29 @@
 				w.log.Info("endpoints are read again", "endpoints", len(list.Endpoints))
 			}
 			down = false
-			w.backoff.succeeded()
-			w.take(list, asked, recovered)
+			w.backoff.reset()
+			w.applyList(list, asked, recovered)
 		}
 		w.pause(ctx, down)
 	}
 	return nil
 }
 
-func (w *rosterWatcher) take(list roster.Listing, asked, recovered clock.Instant) {
+// applyList merges a list that this node read at asked into the roster.
+func (w *rosterWatcher) applyList(list roster.Listing, asked, recovered clock.Instant) {
 	w.noteRejected(list.Rejected)
 	w.mu.Lock()
 	old := w.current.Load()
 	next := roster.Merge(old, list, asked, recovered)
 	w.current.Store(next)
 	w.mu.Unlock()
-	if w.leaves != nil {
-		w.tellLeaving(old, next)
+	if w.onLeaving != nil {
+		w.reportLeaving(old, next)
 	}
 }
 
-func (w *rosterWatcher) tellLeaving(old, next *roster.Roster) {
+// reportLeaving calls onLeaving if usable endpoints of old are draining or missing in next.
+func (w *rosterWatcher) reportLeaving(old, next *roster.Roster) {
 	var leaving, gone []roster.ID
 	left := false
 	old.All(func(e *roster.Endpoint) {
@@ -311,20 +312,20 @@
 		}
 	})
 	if left {
-		w.leaves(leaving, gone)
+		w.onLeaving(leaving, gone)
 	}
 }
 
-// leaving takes up that endpoints leave, or are listed no more.
-func (w *rosterWatcher) leaving(leaving, gone []roster.ID) {
+// markLeaving marks endpoints as draining or removes them.
+func (w *rosterWatcher) markLeaving(leaving, gone []roster.ID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.current.Store(w.current.Load().Leaving(leaving, gone))
 }
 
-// takeFrom takes up a list that another node read at asked, unless this node
-// knows a newer one.
-func (w *rosterWatcher) takeFrom(list roster.Listing, asked clock.Instant) {
+// applyPeerList merges a list that another node read at asked, unless this node has a newer
+// one.
+func (w *rosterWatcher) applyPeerList(list roster.Listing, asked clock.Instant) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	old := w.current.Load()
@@ -335,25 +336,26 @@
 	w.current.Store(roster.Merge(old, list, asked, 0))
 }
 
-// hint takes up what a node tells of an endpoint.
-func (w *rosterWatcher) hint(h roster.Hint) {
+// applyHint applies a hint about an endpoint to the roster.
+func (w *rosterWatcher) applyHint(h roster.Hint) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.current.Store(w.current.Load().With(h, w.clock.Now()))
 }
 
+// pause waits until the next read is due.
 func (w *rosterWatcher) pause(ctx context.Context, down bool) {
-	if !clock.Sleep(ctx, rosterAgain) {
+	if !clock.Sleep(ctx, minRosterInterval) {
 		return
 	}
 	if down {
-		clock.Sleep(ctx, w.backoff.failed(rosterDown))
+		clock.Sleep(ctx, w.backoff.recordFailure(rosterRetryDelay))
 		return
 	}
-	w.await(ctx, rosterPause-rosterAgain)
+	w.await(ctx, rosterInterval-minRosterInterval)
 }
 
-// await waits until a read is asked for, for d at most.
+// await waits for at most d, or until a read is requested.
 func (w *rosterWatcher) await(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
