--- a/internal/route/affinity.go
+++ b/internal/route/affinity.go
@@ -2,48 +2,50 @@
 
 import "chervilloom/internal/engine"
 
+// Confidence that a candidate's cache holds a prefix, by source.
 const (
-	trustCached = 0.95 // cache events tell of the prefix
-	trustRecent = 0.9  // this node sent the prefix there lately
-	trustHome   = 0.4  // nobody knows of the prefix; all nodes send it there
-	homeBound   = 1.25 // load over the mean up to which the home is preferred
+	cachedConfidence = 0.95 // a cache event reported the prefix
+	recentConfidence = 0.9  // this node recently sent the prefix there
+	homeConfidence   = 0.4  // no information; all nodes send the prefix to the same group
+	homeMaxLoadRatio = 1.25 // the home is preferred up to this multiple of the mean load
 )
 
-// creditPrefixes adds the time to compute what of the prompt is not cached to
-// the cost of each candidate. It is a hint: a full cache holder loses against
-// a free group as soon as waiting costs more than computing the prompt.
-func (d *decision) creditPrefixes(cands []candidate, mean float64) {
-	d.creditRecent(cands)
-	near := nearEqual * d.c.lanes[cands[0].entry].service
-	home := d.home(cands)
-	d.creditPrefix(&cands[home], true, mean)
+// addPrefillCosts adds the time to compute the uncached part of the prompt to the
+// cost of each candidate. A full group that caches the prompt loses against a free
+// one as soon as the wait exceeds the time to compute the prompt.
+func (d *decision) addPrefillCosts(cands []candidate, mean float64) {
+	d.setRecentShares(cands)
+	near := costTolerance * d.c.entryStats[cands[0].entry].serviceTime
+	home := d.homeCandidate(cands)
+	d.addPrefillCost(&cands[home], true, mean)
 	least := cands[home].cost
 	for i := range cands {
 		k := &cands[i]
-		if i == home || k.cost > least+near { // too dear even with all of the prompt cached
+		if i == home || k.cost > least+near { // too expensive even with a fully cached prompt
 			continue
 		}
-		d.creditPrefix(k, false, mean)
+		d.addPrefillCost(k, false, mean)
 		least = min(least, k.cost)
 	}
 }
 
-func (d *decision) creditPrefix(k *candidate, home bool, mean float64) {
-	k.share = max(k.share, trustCached*d.match(d.t.entries[k.entry].group.Prefixes))
-	if k.share > 0 {
+func (d *decision) addPrefillCost(k *candidate, home bool, mean float64) {
+	k.cachedShare = max(k.cachedShare, cachedConfidence*d.cachedShare(d.t.entries[k.entry].group.Prefixes))
+	if k.cachedShare > 0 {
 		k.reason = reasonPrefix
 	}
-	if home && k.share < trustHome && k.load <= homeBound*mean+1 {
-		k.share, k.reason = trustHome, reasonHome
+	if home && k.cachedShare < homeConfidence && k.expectedLoad <= homeMaxLoadRatio*mean+1 {
+		k.cachedShare, k.reason = homeConfidence, reasonHome
 	}
-	k.uncached = float64(d.f.PromptTokens) * (1 - k.share)
-	k.cost += k.uncached * d.c.lanes[k.entry].prefill
+	k.uncachedTokens = float64(d.f.PromptTokens) * (1 - k.cachedShare)
+	k.cost += k.uncachedTokens * d.c.entryStats[k.entry].prefillPerToken
 }
 
-// match returns the share of the prompt whose prefix is in the set. A cache that
-// holds a prefix holds the shorter ones too, so the longest is found by halving,
-// after the two ends, which settle most cases.
-func (d *decision) match(set map[uint64]struct{}) float64 {
+// cachedShare returns the share of the prompt whose prefixes are in the set. A
+// cache that contains a prefix also contains all shorter ones, so the longest is
+// found by binary search. The first and the last prefix decide most cases and are
+// checked before.
+func (d *decision) cachedShare(set map[uint64]struct{}) float64 {
 	if len(set) == 0 {
 		return 0
 	}
@@ -63,81 +65,81 @@
 			hi = mid - 1
 		}
 	}
-	return coverage(lo, n)
+	return coveredShare(lo, n)
 }
 
-// covered holds the bytes that the first n prefixes of a prompt cover: blocks
-// grow with their distance from the start, so that the number of prefixes alone
-// would make a match of the first half look like half of a long prompt.
-var covered = func() (c [engine.MaxPrefixes + 1]float64) {
+// coveredBytes is the number of bytes that the first n prefixes of a prompt cover.
+// Blocks grow with their distance from the start, so the number of prefixes alone
+// would overstate a match at the start of a long prompt.
+var coveredBytes = func() (c [engine.MaxPrefixes + 1]float64) {
 	for n := range c {
 		c[n] = float64(engine.PrefixBytes(n))
 	}
 	return c
 }()
 
-// coverage returns the share of a prompt of n prefixes that the first lo cover.
-func coverage(lo, n int) float64 {
-	return covered[min(lo, engine.MaxPrefixes)] / covered[min(n, engine.MaxPrefixes)]
+// coveredShare returns the share of a prompt of n prefixes that the first lo cover.
+func coveredShare(lo, n int) float64 {
+	return coveredBytes[min(lo, engine.MaxPrefixes)] / coveredBytes[min(n, engine.MaxPrefixes)]
 }
 
-// creditRecent gives the candidates their share of the prompt that this node
-// sent there lately, whose cache events may still be on their way.
-func (d *decision) creditRecent(cands []candidate) {
+// setRecentShares sets the cached share of candidates to which this node recently
+// sent the same prefix; their cache events may not have arrived yet.
+func (d *decision) setRecentShares(cands []candidate) {
 	for n := len(d.f.Prefix); n > 0; n-- {
-		s := d.c.recentAt(d.f.Prefix[n-1])
+		s := d.c.recentDestination(d.f.Prefix[n-1])
 		if s == nil {
 			continue
 		}
 		for i := range cands {
-			if d.c.lanes[cands[i].entry].s == s {
-				cands[i].share = max(cands[i].share, trustRecent*coverage(n, len(d.f.Prefix)))
+			if d.c.entryStats[cands[i].entry].state == s {
+				cands[i].cachedShare = max(cands[i].cachedShare, recentConfidence*coveredShare(n, len(d.f.Prefix)))
 			}
 		}
 	}
 }
 
-// home returns the candidate that comes first in rendezvous order for the
-// prompt's leading prefix: the same on every node, whatever each knows.
-func (d *decision) home(cands []candidate) int {
+// homeCandidate returns the candidate with the highest rendezvous weight for the
+// prompt's first prefix. All nodes compute the same one without exchanging state.
+func (d *decision) homeCandidate(cands []candidate) int {
 	best, most := 0, uint64(0)
 	for i := range cands {
-		if w := d.affinity(d.t.entries[cands[i].entry].hash); w >= most {
+		if w := d.rendezvousWeight(d.t.entries[cands[i].entry].hash); w >= most {
 			best, most = i, w
 		}
 	}
 	return best
 }
 
-func (d *decision) affinity(name uint64) uint64 { return mix(d.f.Prefix[0] ^ name) }
+func (d *decision) rendezvousWeight(name uint64) uint64 { return splitMix64(d.f.Prefix[0] ^ name) }
 
-// prefixPlaces adds the entries of a large pool where the prompt's prefix is
-// looked for first: those that this node sent it to and its rendezvous home.
-func (d *decision) prefixPlaces(into []candidate) []candidate {
-	const places = scanLimit - sampleSize - 1
-	for n := len(d.f.Prefix); n > 0 && len(into) < places; n-- {
-		s := d.c.recentAt(d.f.Prefix[n-1])
-		if s == nil || !d.local(s) || has(into, s.entry) {
+// addPrefixCandidates adds the entries of a large pool that are likely to cache
+// the prompt's prefix: those that this node sent it to, and its rendezvous home.
+func (d *decision) addPrefixCandidates(cands []candidate) []candidate {
+	const places = fullScanLimit - sampleSize - 1
+	for n := len(d.f.Prefix); n > 0 && len(cands) < places; n-- {
+		s := d.c.recentDestination(d.f.Prefix[n-1])
+		if s == nil || !d.isLocal(s) || containsEntry(cands, s.entryIndex) {
 			continue
 		}
-		into = d.consider(into, s.entry, reasonPrefix)
+		cands = d.addCandidate(cands, s.entryIndex, reasonPrefix)
 	}
 	best, most := d.p.local[0], uint64(0)
 	for k, name := range d.p.hashes {
-		if w := d.affinity(name); w >= most && d.can(d.p.local[k]) {
+		if w := d.rendezvousWeight(name); w >= most && d.isEligible(d.p.local[k]) {
 			best, most = d.p.local[k], w
 		}
 	}
-	if !has(into, best) {
-		into = d.consider(into, best, reasonHome)
+	if !containsEntry(cands, best) {
+		cands = d.addCandidate(cands, best, reasonHome)
 	}
-	return into
+	return cands
 }
 
-// local reports whether the state is that of an entry of this pool.
-func (d *decision) local(s *state) bool {
-	i := s.entry
-	if i < 0 || int(i) >= len(d.c.lanes) || d.c.lanes[i].s != s {
+// isLocal reports whether the state belongs to a local entry of this pool.
+func (d *decision) isLocal(s *state) bool {
+	i := s.entryIndex
+	if i < 0 || int(i) >= len(d.c.entryStats) || d.c.entryStats[i].state != s {
 		return false
 	}
 	for _, j := range d.p.local {
@@ -148,7 +150,7 @@
 	return false
 }
 
-func has(cands []candidate, entry int32) bool {
+func containsEntry(cands []candidate, entry int32) bool {
 	for i := range cands {
 		if cands[i].entry == entry {
 			return true
@@ -157,8 +159,8 @@
 	return false
 }
 
-// mix is the finaliser of SplitMix64.
-func mix(x uint64) uint64 {
+// splitMix64 is the finaliser of SplitMix64.
+func splitMix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
--- a/internal/route/baseline.go
+++ b/internal/route/baseline.go
@@ -1,38 +1,39 @@
 package route
 
-// baseline chooses by one of the policies that the weighted one is compared
-// with. All of them stay in the own zone while the reports show room there.
+// baseline selects a destination by one of the policies that the weighted policy
+// is compared with. They use this zone as long as the reports show free slots in
+// it.
 func (d *decision) baseline() (Choice, Refusal) {
-	if d.f.Hops == 0 && len(d.p.remote) > 0 && d.reportedFull() {
+	if d.f.Hops == 0 && len(d.p.remote) > 0 && d.isReportedFull() {
 		if z := d.baselineZone(); z >= 0 {
-			return d.toNode(z, reasonPolicy), Accepted
+			return d.nodeChoice(z, reasonPolicy), Accepted
 		}
 	}
 	i := d.baselineEntry()
 	if i < 0 {
-		return d.elsewhere()
+		return d.routeToOtherZone()
 	}
-	return d.toEntry(i, reasonPolicy), Accepted
+	return d.entryChoice(i, reasonPolicy), Accepted
 }
 
 func (d *decision) baselineEntry() int32 {
 	switch d.t.policy {
 	case RoundRobin:
-		return d.firstFrom(d.ps.turn)
+		return d.nextEligible(d.ps.nextTurn)
 	case LeastReported:
 		return d.leastReported()
 	case TwoChoices:
 		return d.twoChoices()
 	default:
-		return d.drawEntry()
+		return d.randomEntry()
 	}
 }
 
-// drawEntry draws one of the entries that can take the request.
-func (d *decision) drawEntry() int32 {
+// randomEntry returns a random eligible entry, or -1.
+func (d *decision) randomEntry() int32 {
 	best, seen := int32(-1), 0
 	for _, i := range d.p.local {
-		if !d.can(i) {
+		if !d.isEligible(i) {
 			continue
 		}
 		seen++
@@ -43,11 +44,11 @@
 	return best
 }
 
-// firstFrom returns the first entry from the cursor on that can take it.
-func (d *decision) firstFrom(turn int) int32 {
+// nextEligible returns the first eligible entry from position turn on, or -1.
+func (d *decision) nextEligible(turn int) int32 {
 	n := len(d.p.local)
 	for k := range n {
-		if i := d.p.local[(turn+k)%n]; d.can(i) {
+		if i := d.p.local[(turn+k)%n]; d.isEligible(i) {
 			return i
 		}
 	}
@@ -57,10 +58,10 @@
 func (d *decision) leastReported() int32 {
 	best := int32(-1)
 	for _, i := range d.p.local {
-		if !d.can(i) {
+		if !d.isEligible(i) {
 			continue
 		}
-		if best < 0 || d.reported(i) < d.reported(best) {
+		if best < 0 || d.reportedLoad(i) < d.reportedLoad(best) {
 			best = i
 		}
 	}
@@ -68,42 +69,42 @@
 }
 
 func (d *decision) twoChoices() int32 {
-	a, b := d.drawEntry(), d.drawEntry()
-	if a >= 0 && d.reported(b) < d.reported(a) {
+	a, b := d.randomEntry(), d.randomEntry()
+	if a >= 0 && d.reportedLoad(b) < d.reportedLoad(a) {
 		return b
 	}
 	return a
 }
 
-func (d *decision) reported(i int32) int {
+func (d *decision) reportedLoad(i int32) int {
 	l := &d.t.entries[i].load
 	return l.Running + l.Waiting
 }
 
-// reportedFull reports whether the own zone has no free slot by the reports.
-func (d *decision) reportedFull() bool {
+// isReportedFull reports whether the reports show no free slot in this zone.
+func (d *decision) isReportedFull() bool {
 	load, slots := 0.0, 0.0
 	for _, i := range d.p.local {
-		if d.can(i) {
-			load += float64(d.reported(i))
+		if d.isEligible(i) {
+			load += float64(d.reportedLoad(i))
 			slots += d.t.entries[i].slots
 		}
 	}
 	return load >= slots
 }
 
-// baselineZone returns the remote pool by the same policy, or -1 when none has
-// room by the reports.
+// baselineZone returns the index of the remote pool chosen by the same policy, or
+// -1 if none has free slots according to the reports.
 func (d *decision) baselineZone() int {
 	best, seen := -1, 0
 	for i := range d.p.remote {
-		if !d.reachable(i) || d.ps.room[i] <= 0 {
+		if !d.isReachable(i) || d.ps.freeSlots[i] <= 0 {
 			continue
 		}
 		seen++
 		switch d.t.policy {
 		case LeastReported, TwoChoices:
-			if best < 0 || d.ps.room[i] > d.ps.room[best] {
+			if best < 0 || d.ps.freeSlots[i] > d.ps.freeSlots[best] {
 				best = i
 			}
 		default:
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -9,25 +9,25 @@
 	"chervilloom/internal/view"
 )
 
-var sizes = []struct{ groups, endpoints, nodes int }{
+var benchSizes = []struct{ groups, endpoints, nodes int }{
 	{12, 55, 6},
 	{36, 250, 90},
 	{75, 600, 370},
 }
 
-func name(groups, endpoints, nodes int) string {
+func sizeName(groups, endpoints, nodes int) string {
 	return fmt.Sprintf("groups=%d/endpoints=%d/nodes=%d", groups, endpoints, nodes)
 }
 
-// BenchmarkDecide measures the widest decision: every group and endpoint is in
-// the own zone and carries the target; prompts have eight prefixes, which half
-// of the groups hold in full.
+// BenchmarkDecide measures the decision with the most candidates: every group and
+// endpoint is in this zone and carries the target. Prompts have eight prefixes,
+// all of which half of the groups cache.
 func BenchmarkDecide(b *testing.B) {
 	prefix := make([]uint64, 8)
 	for i := range prefix {
-		prefix[i] = mix(uint64(i + 1))
+		prefix[i] = splitMix64(uint64(i + 1))
 	}
-	for _, sz := range sizes {
+	for _, sz := range benchSizes {
 		s := fleetOf(sz.groups, sz.endpoints, sz.nodes)
 		warmCaches(s, prefix)
 		for _, c := range []struct {
@@ -37,9 +37,9 @@
 			{"model", Facts{Target: fleet.Target{Model: "m"}, Prefix: prefix, PromptTokens: 1500}},
 			{"service", Facts{Service: "counter"}},
 		} {
-			b.Run(c.kind+"/"+name(sz.groups, sz.endpoints, sz.nodes), func(b *testing.B) {
+			b.Run(c.kind+"/"+sizeName(sz.groups, sz.endpoints, sz.nodes), func(b *testing.B) {
 				t, counters := Compile(s), NewCounters()
-				counters.align(t, start)
+				counters.bindTable(t, start)
 				rng := rand.New(rand.NewPCG(1, 1))
 				b.ReportAllocs()
 				for b.Loop() {
@@ -57,7 +57,7 @@
 	for i := range s.Groups {
 		set := make(map[uint64]struct{}, 4096)
 		for j := range 4096 {
-			set[mix(uint64(i*5000+j+100))] = struct{}{}
+			set[splitMix64(uint64(i*5000+j+100))] = struct{}{}
 		}
 		if i%2 == 0 {
 			for _, h := range prefix {
@@ -69,13 +69,13 @@
 }
 
 func BenchmarkCompileAndAlign(b *testing.B) {
-	for _, sz := range sizes {
+	for _, sz := range benchSizes {
 		s := fleetOf(sz.groups, sz.endpoints, sz.nodes)
-		b.Run(name(sz.groups, sz.endpoints, sz.nodes), func(b *testing.B) {
+		b.Run(sizeName(sz.groups, sz.endpoints, sz.nodes), func(b *testing.B) {
 			c := NewCounters()
 			b.ReportAllocs()
 			for b.Loop() {
-				c.align(Compile(s), start)
+				c.bindTable(Compile(s), start)
 			}
 		})
 	}
--- a/internal/route/counters.go
+++ b/internal/route/counters.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	latencyGain  = 0.15 // weight of a new sample in a latency average
-	failureGain  = 0.2
-	priorService = 2 * time.Second
-	priorPrefill = 1.0 / 4000 // seconds a prompt token
-	recentSlots  = 4096
+	minSampleWeight        = 0.15 // minimum weight of a new sample in a latency average
+	failureSampleWeight    = 0.2
+	defaultServiceTime     = 2 * time.Second
+	defaultPrefillPerToken = 1.0 / 4000 // seconds per prompt token
+	recentPrefixSlots      = 4096
 )
 
-// Counters is what a node has learned from its own requests. Decide reads it;
-// only align, begin, end and chosen write it.
+// Counters holds the statistics of a node's own requests. Decide only reads it;
+// bindTable, begin, end and recordChoice write it.
 type Counters struct {
-	states  map[stateKey]*state
-	classes map[classKey]*class
-	pools   map[poolKey]*poolState
-	recent  []recentPrefix
+	states         map[stateKey]*state
+	classes        map[classKey]*class
+	pools          map[poolKey]*poolState
+	recentPrefixes []recentPrefix
 
-	table     *Table // that the slices below are aligned with
-	lanes     []lane
-	kins      []kinMean
-	nodes     []*state
-	byClass   []*class
-	poolState []*poolState
-	scratch   []float64
+	table      *Table // the table that the slices below are bound to
+	entryStats []entryStats
+	peerSets   []peerSetLoad
+	nodes      []*state
+	byClass    []*class
+	poolState  []*poolState
+	scratch    []float64
 }
 
 type stateKey struct {
@@ -42,64 +42,65 @@
 	name string
 }
 
-// state is kept for each group, endpoint, node, and zone of a pool.
+// state holds the counters of a group, an endpoint, a node, or a pool in another
+// zone.
 type state struct {
-	inflight int
-	own      int           // for a zone: in flight when its reports were true
-	begun    clock.Instant // newest begin
-	past     history
-	life     life
-	since    clock.Instant // seen able to serve in this life
-	seen     clock.Instant // last in a table
-	ramped   bool          // no slow start
-
-	perToken  float64 // seconds, moving average
-	firstByte float64 // seconds, moving average
-	excess    float64 // seconds by which first bytes came later than expected
-	failing   float64 // share of failures, moving average
-	samples   int
-	sampled   clock.Instant
-	entry     int32 // in the table in use
-}
-
-// class holds what is common to the endpoints of one model or plain service.
+	inflight         int
+	inflightAtReport int           // remote pools: requests in flight at the time of the reports
+	lastBegin        clock.Instant // when this node last sent a request there
+	inflightHistory  history
+	instance         instance
+	servingSince     clock.Instant // first seen able to serve in this instance
+	lastSeen         clock.Instant // last time it was in a table
+	skipSlowStart    bool          // seen in the first table after a node start
+
+	perToken        float64 // seconds, moving average
+	firstByte       float64 // seconds, moving average
+	firstByteExcess float64 // seconds of first byte over the expectation, moving average
+	failureShare    float64 // share of failed requests, moving average
+	samples         int
+	lastSample      clock.Instant
+	entryIndex      int32 // index in the bound table
+}
+
+// class holds statistics common to the endpoints of one model or plain service.
 type class struct {
-	service  float64 // seconds from begin to end, moving average
-	tokens   float64 // answer tokens, moving average
-	prefill  float64 // seconds per uncached prompt token, moving average
-	perToken float64 // median over its endpoints, seconds
-	first    float64 // median over its endpoints, seconds
-	excess   float64 // median over its endpoints, seconds
-	samples  int
+	serviceTime     float64 // seconds from begin to end, moving average
+	meanTokens      float64 // answer tokens, moving average
+	prefillPerToken float64 // seconds per uncached prompt token, moving average
+	medianPerToken  float64 // median over the endpoints, seconds
+	medianFirstByte float64 // median over the endpoints, seconds
+	medianExcess    float64 // median over the endpoints, seconds
+	samples         int
 }
 
-// poolState is kept for each target and plain service.
+// poolState holds the counters of one target or plain service.
 type poolState struct {
-	turn     int  // round robin's cursor
-	spilling bool // the own zone was found full and has not emptied enough since
-	remotes  []*state
-	room     []float64 // free slots by remote zone when the table was compiled
+	nextTurn  int  // next position for round robin
+	spilling  bool // this zone was full and its load is not below spillLeave yet
+	remotes   []*state
+	freeSlots []float64 // free slots per remote zone at compilation
 }
 
 type recentPrefix struct {
 	hash uint64
-	on   *state
+	dest *state
 }
 
 // NewCounters returns empty counters.
 func NewCounters() *Counters {
 	return &Counters{
-		states:  make(map[stateKey]*state),
-		classes: make(map[classKey]*class),
-		pools:   make(map[poolKey]*poolState),
-		recent:  make([]recentPrefix, recentSlots),
+		states:         make(map[stateKey]*state),
+		classes:        make(map[classKey]*class),
+		pools:          make(map[poolKey]*poolState),
+		recentPrefixes: make([]recentPrefix, recentPrefixSlots),
 	}
 }
 
 func (c *Counters) state(k stateKey) *state {
 	s, ok := c.states[k]
 	if !ok {
-		s = &state{entry: -1}
+		s = &state{entryIndex: -1}
 		c.states[k] = s
 	}
 	return s
@@ -112,43 +113,44 @@
 	return stateKey{ToEndpoint, string(e.vm.Record.VM)}
 }
 
-// restart begins another life: the latencies of the last one say nothing of
-// this one. What is in flight stays counted until it ends.
-func (s *state) restart(l life, now clock.Instant, first bool) {
-	*s = state{inflight: s.inflight, begun: s.begun, past: s.past, life: l, since: now, ramped: first}
+// reset clears the statistics for a new instance, as latencies of the previous
+// one do not apply. Requests in flight stay counted until they end.
+func (s *state) reset(l instance, now clock.Instant, skipSlowStart bool) {
+	*s = state{inflight: s.inflight, lastBegin: s.lastBegin, inflightHistory: s.inflightHistory, instance: l, servingSince: now, skipSlowStart: skipSlowStart}
 }
 
-// begin charges a request to its destination.
+// begin counts a request as in flight at its destination.
 func (c *Counters) begin(ch Choice, now clock.Instant) {
-	if s := c.charged(ch); s != nil {
-		s.change(now, +1)
-		s.begun = now
+	if s := c.stateOf(ch); s != nil {
+		s.addInflight(now, +1)
+		s.lastBegin = now
 	}
-	if ch.via != nil {
-		ch.via.change(now, +1)
+	if ch.zonePool != nil {
+		ch.zonePool.addInflight(now, +1)
 	}
 }
 
-// end takes the request off again and learns from it.
+// end removes the request from the in-flight counts and records its result.
 func (c *Counters) end(ch Choice, r Result, now clock.Instant) {
-	if ch.via != nil {
-		ch.via.change(now, -1)
+	if ch.zonePool != nil {
+		ch.zonePool.addInflight(now, -1)
 	}
-	s := c.charged(ch)
+	s := c.stateOf(ch)
 	if s == nil {
 		return
 	}
-	s.change(now, -1)
-	s.learn(ch, r, now)
+	s.addInflight(now, -1)
+	s.recordResult(ch, r, now)
 	if cl := c.classOf(ch); cl != nil && r.OK {
-		cl.learn(ch, r)
+		cl.recordResult(ch, r)
 	}
 }
 
-// charged finds the counters of a choice, also of one made by hand.
-func (c *Counters) charged(ch Choice) *state {
-	if ch.on != nil {
-		return ch.on
+// stateOf returns the counters of a choice, including one that was not made by
+// Decide.
+func (c *Counters) stateOf(ch Choice) *state {
+	if ch.dest != nil {
+		return ch.dest
 	}
 	switch {
 	case ch.Kind == ToGroup && ch.Group != nil:
@@ -171,79 +173,80 @@
 	return nil
 }
 
-// change moves the number in flight. An End without a Begin must not drive it
-// under zero: the endpoint would look idle for ever.
-func (s *state) change(now clock.Instant, by int) {
+// addInflight changes the number of requests in flight. The count stays at or
+// above zero: after an End without a Begin the endpoint would look idle forever.
+func (s *state) addInflight(now clock.Instant, by int) {
 	before := s.inflight
 	s.inflight = max(0, before+by)
-	s.past.set(now, before, s.inflight)
+	s.inflightHistory.record(now, before, s.inflight)
 }
 
-func (s *state) learn(ch Choice, r Result, now clock.Instant) {
+func (s *state) recordResult(ch Choice, r Result, now clock.Instant) {
 	switch {
 	case r.Failed:
-		s.failing += failureGain * (1 - s.failing)
-		s.sampled = now
+		s.failureShare += failureSampleWeight * (1 - s.failureShare)
+		s.lastSample = now
 		return
 	case !r.OK:
 		return
 	}
-	s.failing -= failureGain * s.failing
-	gain := s.gain(now)
+	s.failureShare -= failureSampleWeight * s.failureShare
+	gain := s.sampleWeight(now)
 	s.firstByte += gain * (r.FirstByte.Seconds() - s.firstByte)
-	s.excess += gain * ((r.FirstByte - ch.est.wait).Seconds() - s.excess)
+	s.firstByteExcess += gain * ((r.FirstByte - ch.expected.firstByteWait).Seconds() - s.firstByteExcess)
 	if r.Tokens > 1 {
 		s.perToken += gain * (perToken(r) - s.perToken)
 	}
 	s.samples++
-	s.sampled = now
+	s.lastSample = now
 }
 
-// gain returns the weight of a new sample. It grows with the time since the last
-// one: what an endpoint was like before a pause says little of it now.
-func (s *state) gain(now clock.Instant) float64 {
-	pause := float64(now.Sub(s.sampled)) / float64(recovery)
-	return max(latencyGain, min(pause, 1), 1/float64(s.samples+1))
+// sampleWeight returns the weight of a new sample. It grows with the time since
+// the last sample, as older samples say little about the endpoint's current speed.
+func (s *state) sampleWeight(now clock.Instant) float64 {
+	pause := float64(now.Sub(s.lastSample)) / float64(demotionRecovery)
+	return max(minSampleWeight, min(pause, 1), 1/float64(s.samples+1))
 }
 
 func perToken(r Result) float64 {
 	return max(0, (r.Total-r.FirstByte).Seconds()) / float64(r.Tokens-1)
 }
 
-func (cl *class) learn(ch Choice, r Result) {
-	gain := max(latencyGain/4, 1/float64(cl.samples+1))
+func (cl *class) recordResult(ch Choice, r Result) {
+	gain := max(minSampleWeight/4, 1/float64(cl.samples+1))
 	cl.samples++
-	cl.service += gain * (r.Total.Seconds() - cl.service)
-	cl.tokens += gain * (float64(r.Tokens) - cl.tokens)
-	if ch.est.queued || ch.est.uncached < 64 {
+	cl.serviceTime += gain * (r.Total.Seconds() - cl.serviceTime)
+	cl.meanTokens += gain * (float64(r.Tokens) - cl.meanTokens)
+	if ch.expected.queued || ch.expected.uncachedTokens < 64 {
 		return
 	}
-	cl.prefill += gain * (r.FirstByte.Seconds()/ch.est.uncached - cl.prefill)
+	cl.prefillPerToken += gain * (r.FirstByte.Seconds()/ch.expected.uncachedTokens - cl.prefillPerToken)
 }
 
-// chosen notes a choice: round robin moves on, and the prompt's prefixes are on
-// their way into the cache of the chosen group, whose cache events come late.
-func (c *Counters) chosen(f *Facts, ch Choice) {
+// recordChoice advances round robin and records where the prompt's prefixes were
+// sent: the group's cache events arrive later.
+func (c *Counters) recordChoice(f *Facts, ch Choice) {
 	if _, i := c.table.pool(f); c.table.policy == RoundRobin {
-		c.poolState[i].turn++
+		c.poolState[i].nextTurn++
 	}
 	if ch.Kind != ToGroup {
 		return
 	}
 	for _, h := range f.Prefix {
-		c.recent[h%recentSlots] = recentPrefix{hash: h, on: ch.on}
+		c.recentPrefixes[h%recentPrefixSlots] = recentPrefix{hash: h, dest: ch.dest}
 	}
 }
 
-// recentAt returns where this node last sent a prompt with the prefix, or nil.
-func (c *Counters) recentAt(hash uint64) *state {
-	if r := &c.recent[hash%recentSlots]; r.hash == hash {
-		return r.on
+// recentDestination returns where this node last sent a prompt with the prefix,
+// or nil.
+func (c *Counters) recentDestination(hash uint64) *state {
+	if r := &c.recentPrefixes[hash%recentPrefixSlots]; r.hash == hash {
+		return r.dest
 	}
 	return nil
 }
 
-// InFlight returns how many requests this node has at a group.
+// InFlight returns the number of requests that this node has in flight at a group.
 func (c *Counters) InFlight(id fleet.GroupID) int {
 	if s, ok := c.states[stateKey{ToGroup, string(id)}]; ok {
 		return s.inflight
--- a/internal/route/decide.go
+++ b/internal/route/decide.go
@@ -6,18 +6,18 @@
 	"chervilloom/internal/clock"
 )
 
-// The reasons of choices.
+// Reasons of choices, as shown in explanations.
 const (
 	reasonWait    = "least expected wait in the own zone"
 	reasonPrefix  = "the prompt's prefix is cached there and it has room"
 	reasonHome    = "the prompt's prefix belongs there and it has room"
 	reasonSample  = "least expected wait of a random sample"
 	reasonSpill   = "the own zone is full; drawn by room among the other zones"
-	reasonNowhere = "nothing in the own zone can take it"
+	reasonNoLocal = "nothing in the own zone can take it"
 	reasonPolicy  = "chosen by the baseline policy"
 )
 
-// decision is one call of Decide.
+// decision holds the inputs of one call of Decide.
 type decision struct {
 	t   *Table
 	c   *Counters
@@ -28,9 +28,9 @@
 	ps  *poolState
 }
 
-// Decide chooses a destination for a request. The counters must be aligned with
-// the table. It changes nothing but the random source; the Refusal is Accepted
-// when there is a choice.
+// Decide selects a destination for a request. The counters must be bound to the
+// table. It changes only the random source. The Refusal is Accepted if a
+// destination was found.
 func Decide(t *Table, c *Counters, f *Facts, now clock.Instant, rng *rand.Rand) (Choice, Refusal) {
 	p, i := t.pool(f)
 	if p == nil {
@@ -43,29 +43,29 @@
 	return d.baseline()
 }
 
-// can reports whether an entry of the own zone may be chosen.
-func (d *decision) can(i int32) bool {
-	if !d.now.Before(d.c.lanes[i].freshUntil) {
+// isEligible reports whether an entry of this zone is fresh and was not tried.
+func (d *decision) isEligible(i int32) bool {
+	if !d.now.Before(d.c.entryStats[i].freshUntil) {
 		return false
 	}
-	return len(d.f.Tried) == 0 || !d.f.triedEntry(&d.t.entries[i])
+	return len(d.f.Tried) == 0 || !d.f.hasTriedEntry(&d.t.entries[i])
 }
 
-// refuse finds the reason why nothing was found.
-func (d *decision) refuse() Refusal {
+// refusalReason returns why no destination was found.
+func (d *decision) refusalReason() Refusal {
 	switch {
 	case d.p.ready == 0:
 		return NoneWhole
 	case d.f.Hops > 0 && len(d.p.local) == 0:
 		return NoneInZone
-	case d.anyFreshLocal() || d.f.Hops == 0 && d.anyFreshRemote():
+	case d.hasFreshLocal() || d.f.Hops == 0 && d.hasFreshRemote():
 		return AllTried
 	default:
 		return AllStale
 	}
 }
 
-func (d *decision) anyFreshLocal() bool {
+func (d *decision) hasFreshLocal() bool {
 	for _, i := range d.p.local {
 		if d.now.Before(d.t.entries[i].freshUntil) {
 			return true
@@ -74,27 +74,28 @@
 	return false
 }
 
-func (d *decision) anyFreshRemote() bool {
+func (d *decision) hasFreshRemote() bool {
 	for i := range d.p.remote {
-		if d.anyFresh(d.p.remote[i].entries) && len(d.t.zones[d.p.remote[i].zone].nodes) > 0 {
+		if d.hasFreshEntry(d.p.remote[i].entries) && len(d.t.zones[d.p.remote[i].zone].nodes) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// elsewhere is the way out when nothing in the own zone can take the request.
-func (d *decision) elsewhere() (Choice, Refusal) {
-	if z := d.anyZone(); z >= 0 {
-		return d.toNode(z, reasonNowhere), Accepted
+// routeToOtherZone selects a node of another zone when no entry of this zone is
+// eligible. Without one it returns the refusal.
+func (d *decision) routeToOtherZone() (Choice, Refusal) {
+	if z := d.roomiestZone(); z >= 0 {
+		return d.nodeChoice(z, reasonNoLocal), Accepted
 	}
-	return Choice{}, d.refuse()
+	return Choice{}, d.refusalReason()
 }
 
-// toEntry makes the choice of an entry of the own zone.
-func (d *decision) toEntry(i int32, reason string) Choice {
+// entryChoice returns the choice of an entry of this zone.
+func (d *decision) entryChoice(i int32, reason string) Choice {
 	e := &d.t.entries[i]
-	ch := Choice{Kind: ToGroup, Group: e.group, VM: e.vm, Reason: reason, on: d.c.lanes[i].s}
+	ch := Choice{Kind: ToGroup, Group: e.group, VM: e.vm, Reason: reason, dest: d.c.entryStats[i].state}
 	if e.vm != nil {
 		ch.Kind = ToEndpoint
 	}
--- a/internal/route/driver_test.go
+++ b/internal/route/driver_test.go
@@ -15,7 +15,7 @@
 	"chervilloom/internal/view"
 )
 
-// The lags of the driver.
+// Intervals and delays of the simulation.
 const (
 	reportEvery = 500 * time.Millisecond
 	reportLagLo = 200 * time.Millisecond
@@ -25,64 +25,64 @@
 	eventsEvery = time.Second
 	eventsLagLo = time.Second
 	eventsLagHi = 3 * time.Second
-	eventsLost  = 0.15 // of the batches
-	zoneHop     = 3 * time.Millisecond
-	cutTimeout  = 500 * time.Millisecond // until a call into a cut-off zone fails
-	deadAfter   = 3 * time.Second        // until its nodes are seen as dead
+	eventsLost  = 0.15 // share of the batches
+	zoneLatency = 3 * time.Millisecond
+	cutTimeout  = 500 * time.Millisecond // until a call into a disconnected zone fails
+	deadAfter   = 3 * time.Second        // until the nodes of a disconnected zone are seen as dead
 	warmUp      = 15 * time.Second
 	runTime     = 120 * time.Second
 	maxTries    = 4
 )
 
-// scenario is one case that the policies are measured in.
+// scenario is a workload in which the policies are compared.
 type scenario struct {
 	name   string
-	zones  []int // groups in each
-	nodes  int   // in each zone
+	zones  []int // groups per zone
+	nodes  int   // per zone
 	rate   []float64
-	cache  int // blocks
+	cache  int // prefix cache size in blocks
 	call   func(w *world) *request.Request
 	script func(w *world)
 }
 
-// world drives the pure policy: routers that see lagging facts of fake engines.
+// world simulates routers that see lagging reports of fake engines.
 type world struct {
-	agenda
-	sc      *scenario
-	rng     *rand.Rand // of the traffic
-	noise   *rand.Rand // of the lags
-	engines []*fakeEngine
-	nodes   []*fakeNode
-	cut     map[fleet.AvailabilityZone]bool
-	current string
-	talks   []talk
-	out     tally
+	eventQueue
+	scenario      *scenario
+	rng           *rand.Rand // for the traffic
+	noise         *rand.Rand // for the delays
+	engines       []*fakeEngine
+	nodes         []*fakeNode
+	cut           map[fleet.AvailabilityZone]bool
+	current       string
+	conversations []openConversation
+	results       runResults
 }
 
-// fakeNode is an entry node with its own lagging belief.
+// fakeNode is an entry node with its own lagging view.
 type fakeNode struct {
 	vm     fleet.VM
 	zone   fleet.AvailabilityZone
 	router *Router
-	groups []view.Group // as last heard
+	groups []view.Group // as last reported
 	nodes  []view.Node
 	snap   *view.Snapshot
 	index  *prefix.Index
 }
 
-// tally is what a run gives.
-type tally struct {
-	ttft    []float64 // milliseconds
-	cached  int
-	prompt  int
-	herd    []float64
-	refused int
-	remote  int
+// runResults collects the results of a run.
+type runResults struct {
+	ttft      []float64 // milliseconds
+	cached    int
+	prompt    int
+	imbalance []float64
+	refused   int
+	remote    int
 }
 
 func newWorld(sc *scenario, policy string, seed uint64) *world {
 	w := &world{
-		agenda: agenda{now: clock.NewManual(start)}, sc: sc, current: "v1",
+		eventQueue: eventQueue{now: clock.NewManual(start)}, scenario: sc, current: "v1",
 		rng: rand.New(rand.NewPCG(seed, 1)), noise: rand.New(rand.NewPCG(seed, 2)),
 		cut: make(map[fleet.AvailabilityZone]bool),
 	}
@@ -98,7 +98,7 @@
 	for z, r := range sc.rate {
 		w.arrivals(fleet.AvailabilityZone(fmt.Sprintf("z%d", z+1)), r)
 	}
-	w.every(100*time.Millisecond, 0, w.sampleHerd)
+	w.every(100*time.Millisecond, 0, w.sampleImbalance)
 	if sc.script != nil {
 		sc.script(w)
 	}
@@ -109,12 +109,12 @@
 	for i := range groups {
 		e := &fakeEngine{
 			id: fleet.GroupID(fmt.Sprintf("%s-g%02d", zone, i)), zone: zone, version: "v1",
-			adapters: []string{"a"}, generation: 1, whole: true, slow: 1, a: &w.agenda, cache: lru{limit: w.sc.cache},
+			adapters: []string{"a"}, generation: 1, whole: true, slow: 1, events: &w.eventQueue, cache: lru{limit: w.scenario.cache},
 		}
 		e.cache.clear()
 		w.engines = append(w.engines, e)
 	}
-	for i := range w.sc.nodes {
+	for i := range w.scenario.nodes {
 		vm := fleet.VM(fmt.Sprintf("%s-n%d", zone, i))
 		w.nodes = append(w.nodes, &fakeNode{
 			vm: vm, zone: zone, index: prefix.New(0),
@@ -153,13 +153,13 @@
 	return g
 }
 
-// startEngine sends load reports and cache events to every node of the zone,
-// each with its own lag; other zones hear of the load later.
+// startEngine sends load reports to every node and cache events to the nodes of
+// the zone, each with its own delay. Load reports to other zones take longer.
 func (w *world) startEngine(i int, e *fakeEngine) {
 	w.every(reportEvery, uniform(w.noise, 0, reportEvery), func() {
 		load, at := e.report(), w.now.Now()
 		for _, n := range w.nodes {
-			w.tell(n, e, func() { n.groups[i].Load, n.groups[i].LoadAt = load, max(at, n.groups[i].LoadAt) })
+			w.deliverReport(n, e, func() { n.groups[i].Load, n.groups[i].LoadAt = load, max(at, n.groups[i].LoadAt) })
 		}
 	})
 	w.every(eventsEvery, uniform(w.noise, 0, eventsEvery), func() {
@@ -167,25 +167,25 @@
 		e.cache.events = nil
 		for _, n := range w.nodes {
 			if n.zone == e.zone {
-				w.tellCache(n, e, events, gen)
+				w.deliverCacheEvents(n, e, events, gen)
 			}
 		}
 	})
 }
 
-func (w *world) tell(n *fakeNode, e *fakeEngine, do func()) {
+func (w *world) deliverReport(n *fakeNode, e *fakeEngine, do func()) {
 	lag := uniform(w.noise, reportLagLo, reportLagHi)
 	if n.zone != e.zone {
 		lag += reportLagLo
 	}
 	w.after(lag, func() {
-		if n.zone == e.zone || !w.apart(n.zone, e.zone) {
+		if n.zone == e.zone || !w.isDisconnected(n.zone, e.zone) {
 			do()
 		}
 	})
 }
 
-func (w *world) tellCache(n *fakeNode, e *fakeEngine, events []engine.CacheEvent, gen fleet.Generation) {
+func (w *world) deliverCacheEvents(n *fakeNode, e *fakeEngine, events []engine.CacheEvent, gen fleet.Generation) {
 	if w.noise.Float64() < eventsLost {
 		return
 	}
@@ -196,9 +196,11 @@
 	})
 }
 
-func (w *world) apart(a, b fleet.AvailabilityZone) bool { return a != b && (w.cut[a] || w.cut[b]) }
+func (w *world) isDisconnected(a, b fleet.AvailabilityZone) bool {
+	return a != b && (w.cut[a] || w.cut[b])
+}
 
-// setWhole changes a group's state; the nodes hear of it a little later.
+// setWhole changes a group's state; the nodes see it after wholeLag.
 func (w *world) setWhole(i int, whole bool) {
 	e := w.engines[i]
 	e.whole = whole
@@ -215,7 +217,8 @@
 	}
 }
 
-// cutZone parts a zone from the others, or joins it again; membership follows.
+// cutZone disconnects a zone from the others or reconnects it. The nodes' view of
+// the membership changes after deadAfter.
 func (w *world) cutZone(zone fleet.AvailabilityZone, cut bool) {
 	w.cut[zone] = cut
 	state := view.NodeAlive
@@ -242,8 +245,8 @@
 	}
 	var next func()
 	next = func() {
-		req := w.sc.call(w)
-		w.attempt(at[w.rng.IntN(len(at))], &try{req: req, at: w.now.Now(), tokens: answerTokens(w.rng)})
+		req := w.scenario.call(w)
+		w.send(at[w.rng.IntN(len(at))], &simRequest{req: req, at: w.now.Now(), tokens: answerTokens(w.rng)})
 		w.after(seconds(w.rng.ExpFloat64()/rate), next)
 	}
 	w.after(seconds(w.rng.ExpFloat64()/rate), next)
@@ -254,18 +257,18 @@
 	return max(2, int(math.Exp(4.1+0.75*rng.NormFloat64())))
 }
 
-// try is a request on its way.
-type try struct {
+// simRequest is a request in progress.
+type simRequest struct {
 	req    *request.Request
 	at     clock.Instant
 	tokens int
 	tried  []Tried
 }
 
-func (w *world) attempt(n *fakeNode, t *try) {
+func (w *world) send(n *fakeNode, t *simRequest) {
 	ch, err := n.router.Pick(t.req, n.snap, w.now.Now(), t.tried)
 	if err != nil || len(t.tried) >= maxTries {
-		w.out.refused++
+		w.results.refused++
 		return
 	}
 	n.router.Begin(ch)
@@ -276,17 +279,17 @@
 	}
 	w.serve(n, ch, t, began, func(Result) {}, func() {
 		t.tried = append(t.tried, Tried{Group: ch.Group.ID})
-		w.after(time.Millisecond, func() { w.attempt(n, t) })
+		w.after(time.Millisecond, func() { w.send(n, t) })
 	})
 }
 
-// serve runs the request at the chosen engine, which refuses when it is not in
-// the generation that the node believes in.
-func (w *world) serve(n *fakeNode, ch Choice, t *try, began clock.Instant, over func(Result), refused func()) {
+// serve runs the request on the chosen engine. The engine refuses it if its
+// generation differs from the one in the node's view.
+func (w *world) serve(n *fakeNode, ch Choice, t *simRequest, began clock.Instant, onDone func(Result), onRefused func()) {
 	e := w.engine(ch.Group.ID)
 	if !e.whole || e.generation != ch.Group.Generation {
 		n.router.End(ch, Result{})
-		refused()
+		onRefused()
 		return
 	}
 	res := Result{OK: true, Tokens: t.tokens}
@@ -298,56 +301,57 @@
 		done: func() {
 			res.Total = w.now.Now().Sub(began)
 			n.router.End(ch, res)
-			over(res)
+			onDone(res)
 		},
 	})
 }
 
-func (w *world) forward(n *fakeNode, ch Choice, t *try, began clock.Instant) {
+func (w *world) forward(n *fakeNode, ch Choice, t *simRequest, began clock.Instant) {
 	to := w.node(ch.Node)
 	fail := func() {
 		n.router.End(ch, Result{Failed: true})
 		t.tried = append(t.tried, Tried{Node: ch.Node})
-		w.attempt(n, t)
+		w.send(n, t)
 	}
-	if w.apart(n.zone, to.zone) {
+	if w.isDisconnected(n.zone, to.zone) {
 		w.after(cutTimeout, fail)
 		return
 	}
-	w.after(zoneHop, func() {
+	w.after(zoneLatency, func() {
 		passed := *t.req
 		passed.Hops = 1
 		there, err := to.router.Pick(&passed, to.snap, w.now.Now(), nil)
 		if err != nil {
-			w.after(zoneHop, fail)
+			w.after(zoneLatency, fail)
 			return
 		}
-		w.out.remote++
+		w.results.remote++
 		to.router.Begin(there)
 		w.serve(to, there, t, began, func(r Result) { n.router.End(ch, r) }, fail)
 	})
 }
 
-func (w *world) count(t *try, cached int) {
+func (w *world) count(t *simRequest, cached int) {
 	if t.at < start+clock.Instant(warmUp) {
 		return
 	}
-	w.out.ttft = append(w.out.ttft, float64(w.now.Now().Sub(t.at))/float64(time.Millisecond))
-	w.out.cached += cached
-	w.out.prompt += len(t.req.Prefix)
+	w.results.ttft = append(w.results.ttft, float64(w.now.Now().Sub(t.at))/float64(time.Millisecond))
+	w.results.cached += cached
+	w.results.prompt += len(t.req.Prefix)
 }
 
-// sampleHerd compares the fullest group with the mean, zone by zone.
-func (w *world) sampleHerd() {
-	for z := range w.sc.zones {
+// sampleImbalance records the ratio of the fullest group's load to the mean, by
+// zone.
+func (w *world) sampleImbalance() {
+	for z := range w.scenario.zones {
 		most, sum, n := 0, 0, 0
 		for _, e := range w.engines {
-			if e.zone == w.nodes[z*w.sc.nodes].zone && e.whole {
+			if e.zone == w.nodes[z*w.scenario.nodes].zone && e.whole {
 				most, sum, n = max(most, e.busy()), sum+e.busy(), n+1
 			}
 		}
 		if sum > 0 && w.now.Now() > start+clock.Instant(warmUp) {
-			w.out.herd = append(w.out.herd, float64(most*n)/float64(sum))
+			w.results.imbalance = append(w.results.imbalance, float64(most*n)/float64(sum))
 		}
 	}
 }
--- a/internal/route/engine_test.go
+++ b/internal/route/engine_test.go
@@ -11,8 +11,8 @@
 	"chervilloom/internal/fleet"
 )
 
-// agenda runs functions in order of their virtual time.
-type agenda struct {
+// eventQueue is an event queue that runs functions in order of virtual time.
+type eventQueue struct {
 	now   *clock.Manual
 	queue []event
 	count int
@@ -24,11 +24,11 @@
 	do    func()
 }
 
-func (a *agenda) Len() int           { return len(a.queue) }
-func (a *agenda) Less(i, j int) bool { return a.queue[i].before(&a.queue[j]) }
-func (a *agenda) Swap(i, j int)      { a.queue[i], a.queue[j] = a.queue[j], a.queue[i] }
-func (a *agenda) Push(x any)         { a.queue = append(a.queue, x.(event)) }
-func (a *agenda) Pop() any {
+func (a *eventQueue) Len() int           { return len(a.queue) }
+func (a *eventQueue) Less(i, j int) bool { return a.queue[i].before(&a.queue[j]) }
+func (a *eventQueue) Swap(i, j int)      { a.queue[i], a.queue[j] = a.queue[j], a.queue[i] }
+func (a *eventQueue) Push(x any)         { a.queue = append(a.queue, x.(event)) }
+func (a *eventQueue) Pop() any {
 	e := a.queue[len(a.queue)-1]
 	a.queue = a.queue[:len(a.queue)-1]
 	return e
@@ -38,12 +38,12 @@
 	return e.at < o.at || e.at == o.at && e.order < o.order
 }
 
-func (a *agenda) after(d time.Duration, do func()) {
+func (a *eventQueue) after(d time.Duration, do func()) {
 	a.count++
 	heap.Push(a, event{a.now.Now().Add(d), a.count, do})
 }
 
-func (a *agenda) every(d time.Duration, phase time.Duration, do func()) {
+func (a *eventQueue) every(d time.Duration, phase time.Duration, do func()) {
 	var again func()
 	again = func() {
 		do()
@@ -52,7 +52,7 @@
 	a.after(phase, again)
 }
 
-func (a *agenda) run(until clock.Instant) {
+func (a *eventQueue) run(until clock.Instant) {
 	for len(a.queue) > 0 && a.queue[0].at <= until {
 		e := heap.Pop(a).(event)
 		a.now.Advance(e.at.Sub(a.now.Now()))
@@ -60,16 +60,16 @@
 	}
 }
 
-// The speeds of the fake engine.
+// Speeds of the fake engine.
 const (
 	blockTokens    = 128
 	prefillPerTok  = 200 * time.Microsecond
 	decodePerTok   = 12 * time.Millisecond
-	decodeCrowding = 0.5 // how much a full batch slows a token
+	decodeCrowding = 0.5 // slowdown of a token in a full batch
 	engineSlots    = 8
 )
 
-// job is one call inside an engine.
+// job is a call that runs on an engine.
 type job struct {
 	prefix []uint64
 	tokens int
@@ -77,8 +77,8 @@
 	done   func()
 }
 
-// fakeEngine stands for a serving group: slots with a queue, prefill by uncached
-// tokens, an LRU prefix cache and a speed that falls as the batch fills.
+// fakeEngine simulates a serving group: slots with a queue, prefill of uncached
+// tokens, an LRU prefix cache, and a decode speed that drops as the batch fills.
 type fakeEngine struct {
 	id         fleet.GroupID
 	zone       fleet.AvailabilityZone
@@ -88,11 +88,11 @@
 	whole      bool
 	slow       float64
 
-	a          *agenda
+	events     *eventQueue
 	running    int
 	prefilling int
 	queue      []job
-	rate       float64 // tokens a second of all that decode now
+	rate       float64 // tokens per second of all decoding jobs
 	cache      lru
 }
 
@@ -111,12 +111,12 @@
 	uncached := (len(j.prefix) - cached) * blockTokens
 	prefill := float64(uncached) * prefillPerTok.Seconds() * e.slow * (1 + 0.5*float64(e.prefilling-1))
 	perTok := decodePerTok.Seconds() * e.slow * (1 + decodeCrowding*float64(e.running)/engineSlots)
-	e.a.after(seconds(prefill+perTok), func() {
+	e.events.after(seconds(prefill+perTok), func() {
 		e.prefilling--
 		e.cache.store(j.prefix)
 		j.first(cached)
 		e.rate += 1 / perTok
-		e.a.after(seconds(perTok*float64(j.tokens-1)), func() {
+		e.events.after(seconds(perTok*float64(j.tokens-1)), func() {
 			e.rate = max(0, e.rate-1/perTok)
 			e.finish(j)
 		})
@@ -139,10 +139,10 @@
 	return fleet.Load{Running: e.running, Waiting: len(e.queue), Slots: engineSlots, TokensPerSecond: e.rate}
 }
 
-// lru is a prefix cache of a fixed number of blocks that publishes events.
+// lru is a prefix cache with a fixed number of blocks that publishes events.
 type lru struct {
 	limit    int
-	order    list.List // front: used last
+	order    list.List // front: most recently used
 	at       map[uint64]*list.Element
 	sequence uint64
 	events   []engine.CacheEvent
@@ -157,8 +157,8 @@
 	return len(prefix)
 }
 
-// store keeps the shorter prefixes in front of the longer ones: a longer one is
-// of no use without them.
+// store keeps shorter prefixes more recent than longer ones, because a longer one
+// cannot be used without them.
 func (c *lru) store(prefix []uint64) {
 	for i := len(prefix) - 1; i >= 0; i-- {
 		h := prefix[i]
--- a/internal/route/facts.go
+++ b/internal/route/facts.go
@@ -5,23 +5,23 @@
 	"chervilloom/internal/request"
 )
 
-// Facts is what a decision looks at in a request.
+// Facts holds the properties of a request that a decision uses.
 type Facts struct {
 	Target       fleet.Target
-	Service      string   // not empty: a plain-service call
-	Prefix       []uint64 // hashes of the prompt's growing prefixes, shortest first
+	Service      string   // set for a plain-service call
+	Prefix       []uint64 // hashes of the prompt's prefixes, shortest first
 	PromptTokens int
-	Hops         int // over 0: the own zone only
+	Hops         int // above 0: only this zone may be chosen
 	Tried        []Tried
 }
 
-// FactsOf reads the facts of a request.
+// FactsOf returns the facts of a request.
 func FactsOf(req *request.Request, tried []Tried) Facts {
 	f := Facts{Hops: req.Hops, Tried: tried}
 	if req.Stage == request.StageKey {
-		// The holder of a key or ticket chooses as if a caller had asked it: its
-		// availability zone may lack what the request needs. It passes the
-		// request on as StageDispatch, so that no request goes in circles.
+		// The node that holds a key or ticket routes like the first node, because
+		// its zone may not carry what the request needs. It forwards the request
+		// as StageDispatch, which prevents routing loops.
 		f.Hops = 0
 	}
 	if req.Class == request.ClassModel {
@@ -34,8 +34,8 @@
 	return f
 }
 
-// triedEntry reports whether the request has been to the entry.
-func (f *Facts) triedEntry(e *entry) bool {
+// hasTriedEntry reports whether the entry is among the tried destinations.
+func (f *Facts) hasTriedEntry(e *entry) bool {
 	for i := range f.Tried {
 		t := &f.Tried[i]
 		if e.group != nil {
@@ -51,7 +51,7 @@
 	return false
 }
 
-func (f *Facts) triedNode(n fleet.VM) bool {
+func (f *Facts) hasTriedNode(n fleet.VM) bool {
 	for i := range f.Tried {
 		if f.Tried[i].Node == n {
 			return true
--- a/internal/route/fixtures_test.go
+++ b/internal/route/fixtures_test.go
@@ -60,7 +60,7 @@
 	return &request.Request{ID: "r", Class: request.ClassModel, Target: tg}
 }
 
-func lookup() *request.Request {
+func lookupRequest() *request.Request {
 	return &request.Request{ID: "r", Class: request.ClassLookup, Service: "counter"}
 }
 
@@ -68,8 +68,8 @@
 	return New(Options{Self: fleet.Node{VM: "self", Incarnation: 1}, Zone: "z1", Seed: 1, Clock: now})
 }
 
-// fleetOf builds a fleet in which every group is in the own zone: the widest
-// choice that a decision can have.
+// fleetOf returns a snapshot in which every group and endpoint is in this zone, so
+// that a decision has the most candidates.
 func fleetOf(groups, endpoints, nodes int) *view.Snapshot {
 	s := snapshot("weighted")
 	for i := range groups {
--- a/internal/route/late_test.go
+++ b/internal/route/late_test.go
@@ -9,9 +9,9 @@
 	"chervilloom/internal/clock"
 )
 
-// lookups has the callers of one node send lookups, one after the other, and counts
-// what each endpoint gets. The endpoints' reports are as new as each request.
-func lookups(is *is.I, r *Router, now *clock.Manual, endpoints []string, n int, took func(vm string, nth int) time.Duration) map[string]int {
+// sendLookups sends n lookups of one node, one after the other, and returns the
+// number that each endpoint got. Each request sees fresh reports of the endpoints.
+func sendLookups(is *is.I, r *Router, now *clock.Manual, endpoints []string, n int, latency func(vm string, nth int) time.Duration) map[string]int {
 	is.Helper()
 	got := map[string]int{}
 	for range n {
@@ -22,11 +22,11 @@
 			e.Probe.Answered, e.LoadAt = now.Now(), now.Now()
 			s.VMs = append(s.VMs, e)
 		}
-		ch, err := r.Pick(lookup(), s, now.Now(), nil)
+		ch, err := r.Pick(lookupRequest(), s, now.Now(), nil)
 		is.True(err == nil)
 		vm := string(ch.VM.Record.VM)
 		r.Begin(ch)
-		first := took(vm, got[vm])
+		first := latency(vm, got[vm])
 		got[vm]++
 		now.Advance(first)
 		r.End(ch, Result{OK: true, FirstByte: first, Total: first})
@@ -35,8 +35,9 @@
 	return got
 }
 
-// Guards against a new endpoint that gets no requests because its first answers were late.
-func TestEndpointWithLateFirstAnswersGetsItsShare(t *testing.T) {
+// Guards against a new endpoint that gets no requests because its first answers
+// were slow.
+func TestEndpointWithSlowFirstAnswersGetsItsShare(t *testing.T) {
 	is := is.New(t)
 	now := clock.NewManual(start)
 	r, late := router(now), minSamples
@@ -49,14 +50,14 @@
 		}
 		return 400 * time.Microsecond
 	}
-	lookups(is, r, now, []string{"old"}, 200, took)
-	lookups(is, r, now, []string{"old", "new"}, 2000, took) // 11 s: slow start and the late answers
+	sendLookups(is, r, now, []string{"old"}, 200, took)
+	sendLookups(is, r, now, []string{"old", "new"}, 2000, took) // 11 s: covers slow start and the slow answers
 	late = 0
-	got := lookups(is, r, now, []string{"old", "new"}, 1000, took)
+	got := sendLookups(is, r, now, []string{"old", "new"}, 1000, took)
 	is.True(got["new"] >= 400)
 }
 
-// Guards against an endpoint that is clearly slow and still gets an equal share.
+// Guards against a clearly slower endpoint that still gets an equal share.
 func TestSlowEndpointIsDemoted(t *testing.T) {
 	is := is.New(t)
 	now := clock.NewManual(start)
@@ -66,6 +67,6 @@
 		}
 		return 5 * time.Millisecond
 	}
-	got := lookups(is, router(now), now, []string{"fast", "slow"}, 1000, took)
+	got := sendLookups(is, router(now), now, []string{"fast", "slow"}, 1000, took)
 	is.True(got["slow"] <= 20)
 }
--- a/internal/route/metrics.go
+++ b/internal/route/metrics.go
@@ -2,14 +2,14 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// meter counts choices and refusals. The children are looked up once: a lookup
-// by label allocates.
-type meter struct {
+// metrics counts choices and refusals. The counters are looked up once, as a
+// lookup by label allocates.
+type metrics struct {
 	choices  [ToNode + 1]prometheus.Counter
 	refusals [refusals]prometheus.Counter
 }
 
-func newMeter(reg prometheus.Registerer) *meter {
+func newMetrics(reg prometheus.Registerer) *metrics {
 	choices := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "chervilloom_route_choices_total",
 		Help: "Requests routed, by kind of destination.",
@@ -21,7 +21,7 @@
 	if reg != nil {
 		reg.MustRegister(choices, refused)
 	}
-	m := &meter{}
+	m := &metrics{}
 	for k := range m.choices {
 		m.choices[k] = choices.WithLabelValues(Kind(k).String())
 	}
@@ -31,5 +31,5 @@
 	return m
 }
 
-func (m *meter) chosen(k Kind)       { m.choices[k].Inc() }
-func (m *meter) refused(why Refusal) { m.refusals[why].Inc() }
+func (m *metrics) countChoice(k Kind)       { m.choices[k].Inc() }
+func (m *metrics) countRefusal(why Refusal) { m.refusals[why].Inc() }
--- a/internal/route/policy_test.go
+++ b/internal/route/policy_test.go
@@ -11,9 +11,9 @@
 	"chervilloom/internal/view"
 )
 
-// answers sends n requests one after the other, each with the time that its
-// group needs for a token, and returns how many each group got.
-func answers(r *Router, now *clock.Manual, s *view.Snapshot, n int, perToken func(fleet.GroupID) (time.Duration, bool)) map[fleet.GroupID]int {
+// sendModelRequests sends n requests one after the other, each with the time per
+// token of its group, and returns the number that each group got.
+func sendModelRequests(r *Router, now *clock.Manual, s *view.Snapshot, n int, perToken func(fleet.GroupID) (time.Duration, bool)) map[fleet.GroupID]int {
 	got := make(map[fleet.GroupID]int)
 	for range n {
 		fresh := *s
@@ -40,9 +40,9 @@
 	return s
 }
 
-// One group of three becomes five times slower than its peers and reports no
-// more load than they do. Callers wait five times longer for every third
-// answer. It is demoted, and gets its share again after it has recovered.
+// One of three groups becomes five times slower but reports the same load as its
+// peers, so every third answer takes five times longer. The group must be demoted
+// and get its share again after it has recovered.
 func TestStragglerIsDemotedAndRecovers(t *testing.T) {
 	is := is.New(t)
 	now := clock.NewManual(start)
@@ -54,41 +54,41 @@
 		return 10 * time.Millisecond, true
 	}
 	even := func(fleet.GroupID) (time.Duration, bool) { return 10 * time.Millisecond, true }
-	answers(r, now, s, 60, slow)
-	is.True(answers(r, now, s, 60, slow)["g2"] <= 2)
-	now.Advance(recovery)
-	answers(r, now, s, 100, even)
-	is.True(answers(r, now, s, 300, even)["g2"] >= 80)
+	sendModelRequests(r, now, s, 60, slow)
+	is.True(sendModelRequests(r, now, s, 60, slow)["g2"] <= 2)
+	now.Advance(demotionRecovery)
+	sendModelRequests(r, now, s, 100, even)
+	is.True(sendModelRequests(r, now, s, 300, even)["g2"] >= 80)
 }
 
 // A group refuses or fails every request within a millisecond. It never has
-// anything in flight, looks idle and would be sent everything.
-func TestFailingGroupDoesNotDrawRequests(t *testing.T) {
+// requests in flight, looks idle and would attract all of them.
+func TestFailingGroupGetsFewRequests(t *testing.T) {
 	is := is.New(t)
 	now := clock.NewManual(start)
 	r, s := router(now), threeGroups()
 	s.Groups[0].Load.Running, s.Groups[2].Load.Running = 4, 4
 	fails := func(id fleet.GroupID) (time.Duration, bool) { return 10 * time.Millisecond, id != "g2" }
-	got := answers(r, now, s, 100, fails)
+	got := sendModelRequests(r, now, s, 100, fails)
 	is.True(got["g2"] <= 10)
 }
 
-// A group comes back whole with nothing in flight and a cold cache. Every node
-// would send it all requests at once.
-func TestNewlyWholeGroupStartsSlowly(t *testing.T) {
+// A group becomes whole again with no requests in flight and a cold cache. Without
+// slow start every node would send it all requests at once.
+func TestNewlyWholeGroupUsesSlowStart(t *testing.T) {
 	is := is.New(t)
 	now := clock.NewManual(start)
 	r, s := router(now), threeGroups()
 	s.Groups[1].Whole = false
 	even := func(fleet.GroupID) (time.Duration, bool) { return 10 * time.Millisecond, true }
-	answers(r, now, s, 10, even)
+	sendModelRequests(r, now, s, 10, even)
 	s.Groups[1].Whole = true
 	for i := range s.Groups {
 		s.Groups[i].Load.Running = 1
 	}
-	early := answers(r, now, s, 30, even)["g2"]
-	now.Advance(slowStart)
-	late := answers(r, now, s, 30, even)["g2"]
+	early := sendModelRequests(r, now, s, 30, even)["g2"]
+	now.Advance(slowStartDuration)
+	late := sendModelRequests(r, now, s, 30, even)["g2"]
 	is.True(early < late)
 	is.True(late >= 8)
 }
@@ -107,14 +107,15 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			is.New(t).Equal(spills(c.before, c.load, 100), c.want)
+			is.New(t).Equal(shouldSpill(c.before, c.load, 100), c.want)
 		})
 	}
 }
 
-// Two other zones have three free slots and one. What leaves a full zone is
-// shared out in that proportion; all of it to the emptier one would fill it.
-func TestSpillIsInProportionToRoom(t *testing.T) {
+// Two other zones have three free slots and one. The requests that leave a full
+// zone must be split in that proportion; sending all of them to the emptier zone
+// would fill it.
+func TestSpillIsProportionalToFreeSlots(t *testing.T) {
 	is := is.New(t)
 	s := snapshot("")
 	s.Groups = []view.Group{group("g1", "z1", 30), group("g2", "z2", 5), group("g3", "z3", 7)}
@@ -130,9 +131,9 @@
 	is.True(got["n3"] > 60 && got["n3"] < 140)
 }
 
-// The whole zone's prompts begin alike, and no cache events come. The home of
-// the prefix gets them until it has a quarter more than its peers.
-func TestHomeIsBoundedByLoad(t *testing.T) {
+// All prompts of the zone share a prefix, and no cache events arrive. The prefix's
+// home must not get requests beyond a quarter more load than its peers.
+func TestPrefixHomeIsLimitedByLoad(t *testing.T) {
 	is := is.New(t)
 	now := clock.NewManual(start)
 	r, s := router(now), threeGroups()
@@ -148,13 +149,13 @@
 	}
 }
 
-// The default policy has a better tail than the two strongest baselines in the
-// cases of the driver. The runs are seeded: the figures are the same every time.
+// The default policy must have lower tail latency than the two strongest baselines
+// in the simulated scenarios. The runs are seeded and deterministic.
 func TestWeightedBeatsBaselines(t *testing.T) {
 	for i := range scenarios {
 		sc := &scenarios[i]
 		if sc.name == "many-nodes" {
-			continue // a long run of what prefix-heavy shows; it is in the benchmark
+			continue // takes long and shows the same as prefix-heavy; covered by the benchmark
 		}
 		t.Run(sc.name, func(t *testing.T) {
 			t.Parallel()
@@ -172,8 +173,8 @@
 }
 
 // Blocks of a long prompt grow with their distance from the start. A group that
-// holds 32 of 40 prefixes holds 8 KiB of 130 KiB, not four fifths of the prompt.
-func TestMatchCountsBytesNotPrefixes(t *testing.T) {
+// caches 32 of 40 prefixes has 8 KiB of 130 KiB, not four fifths of the prompt.
+func TestCachedShareCountsBytesNotPrefixes(t *testing.T) {
 	is := is.New(t)
 	req := modelRequest(fleet.Target{Model: "m"})
 	set := make(map[uint64]struct{})
@@ -185,23 +186,23 @@
 	}
 	f := FactsOf(req, nil)
 	d := decision{f: &f}
-	is.True(d.match(set) < 0.1)
-	is.Equal(d.match(map[uint64]struct{}{}), 0.0)
+	is.True(d.cachedShare(set) < 0.1)
+	is.Equal(d.cachedShare(map[uint64]struct{}{}), 0.0)
 	set[40] = struct{}{}
-	is.Equal(d.match(set), 1.0)
+	is.Equal(d.cachedShare(set), 1.0)
 }
 
-// A member of a group is replaced; its leader has not restarted. The cache of
-// the new generation is cold: it starts slowly like a new group.
-func TestNewGenerationStartsSlowly(t *testing.T) {
+// A member of a group is replaced and the leader does not restart. The cache of the
+// new generation is cold, so the group must start slowly like a new one.
+func TestNewGenerationUsesSlowStart(t *testing.T) {
 	is := is.New(t)
 	now := clock.NewManual(start)
 	r, s := router(now), threeGroups()
 	even := func(fleet.GroupID) (time.Duration, bool) { return 10 * time.Millisecond, true }
-	answers(r, now, s, 10, even)
+	sendModelRequests(r, now, s, 10, even)
 	s.Groups[1].Generation++
 	for i := range s.Groups {
 		s.Groups[i].Load.Running = 1
 	}
-	is.True(answers(r, now, s, 30, even)["g2"] < 8)
+	is.True(sendModelRequests(r, now, s, 30, even)["g2"] < 8)
 }
--- a/internal/route/property_test.go
+++ b/internal/route/property_test.go
@@ -60,7 +60,7 @@
 
 func drawRequest(t *rapid.T) *request.Request {
 	if rapid.Bool().Draw(t, "lookup") {
-		return lookup()
+		return lookupRequest()
 	}
 	req := modelRequest(fleet.Target{Model: "m", Version: rapid.SampledFrom([]string{"", "v1", "v2"}).Draw(t, "version")})
 	req.Hops = rapid.IntRange(0, 1).Draw(t, "hops")
@@ -69,31 +69,31 @@
 	return req
 }
 
-// rules says by the letter, without any index, what may be chosen.
-type rules struct {
+// choiceRules states which destinations may be chosen, without using an index.
+type choiceRules struct {
 	s     *view.Snapshot
 	req   *request.Request
 	tried []Tried
 	now   clock.Instant
 }
 
-func (r *rules) group(g *view.Group) bool {
+func (r *choiceRules) group(g *view.Group) bool {
 	return g.Zone == r.s.Zone && g.Whole && g.Phase == fleet.PhaseServing && r.now.Before(g.FreshUntil) &&
 		g.Carries(r.req.Target, "v1") && !slices.Contains(r.tried, Tried{Group: g.ID})
 }
 
-func (r *rules) endpoint(v *view.VM) bool {
+func (r *choiceRules) endpoint(v *view.VM) bool {
 	return v.Record.Zone == r.s.Zone && !v.Leaving && v.Record.Service == r.req.Service &&
 		v.Probe.Fresh(r.now, defaultProbeFresh) && !slices.Contains(r.tried, Tried{VM: v.Record.VM})
 }
 
-func (r *rules) node(n *view.Node) bool {
+func (r *choiceRules) node(n *view.Node) bool {
 	return r.req.Hops == 0 && n.Zone != r.s.Zone && n.State == view.NodeAlive && !n.Draining &&
-		!slices.Contains(r.tried, Tried{Node: n.VM}) && r.carried(n.Zone)
+		!slices.Contains(r.tried, Tried{Node: n.VM}) && r.zoneCarries(n.Zone)
 }
 
-func (r *rules) carried(zone fleet.AvailabilityZone) bool {
-	until := func(at clock.Instant) bool { return r.now.Before(at.Add(remoteSlack)) }
+func (r *choiceRules) zoneCarries(zone fleet.AvailabilityZone) bool {
+	until := func(at clock.Instant) bool { return r.now.Before(at.Add(remoteGrace)) }
 	if r.req.Class == request.ClassModel {
 		return slices.ContainsFunc(r.s.Groups, func(g view.Group) bool {
 			return g.Zone == zone && g.Whole && g.Phase == fleet.PhaseServing && until(g.FreshUntil) && g.Carries(r.req.Target, "v1")
@@ -104,7 +104,7 @@
 	})
 }
 
-func (r *rules) allows(ch Choice) bool {
+func (r *choiceRules) allows(ch Choice) bool {
 	switch ch.Kind {
 	case ToGroup:
 		return ch.VM == nil && ch.Node == "" && r.req.Class == request.ClassModel && r.group(ch.Group)
@@ -116,7 +116,7 @@
 	}
 }
 
-func (r *rules) anything() bool {
+func (r *choiceRules) allowsAny() bool {
 	local := slices.ContainsFunc(r.s.VMs, func(v view.VM) bool { return r.endpoint(&v) })
 	if r.req.Class == request.ClassModel {
 		local = slices.ContainsFunc(r.s.Groups, func(g view.Group) bool { return r.group(&g) })
@@ -124,10 +124,10 @@
 	return local || slices.ContainsFunc(r.s.Nodes, func(n view.Node) bool { return r.node(&n) })
 }
 
-// Every choice is allowed by the letter of the rules, and none is refused while
-// the rules allow one, also for the fourth try of a request and on a node that
-// has requests in flight.
-func TestChoicesKeepTheRules(t *testing.T) {
+// Every choice must satisfy the rules, and no request may be refused while the
+// rules allow a destination. This includes the fourth attempt of a request and
+// nodes that have requests in flight.
+func TestChoicesFollowTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, now := drawSnapshot(t), clock.NewManual(start)
 		r := router(now)
@@ -136,20 +136,20 @@
 				r.Begin(ch)
 			}
 		}
-		check := rules{s: s, req: drawRequest(t), now: start}
+		check := choiceRules{s: s, req: drawRequest(t), now: start}
 		for range 4 {
 			ch, err := r.Pick(check.req, s, start, check.tried)
 			if err != nil {
-				if check.anything() {
-					t.Fatalf("refused (%v) while something may be chosen", err)
+				if check.allowsAny() {
+					t.Fatalf("refused (%v) although a destination is allowed", err)
 				}
 				if err.RetryAfter <= 0 {
-					t.Fatal("refused without a time to come back")
+					t.Fatal("refusal without a retry delay")
 				}
 				return
 			}
 			if !check.allows(ch) {
-				t.Fatalf("chose %v %+v against the rules", ch.Kind, ch)
+				t.Fatalf("choice %v %+v is not allowed", ch.Kind, ch)
 			}
 			check.tried = append(check.tried, triedOf(ch))
 		}
@@ -167,8 +167,8 @@
 	}
 }
 
-// Counters stay at or over zero and end at zero whatever the order of begins,
-// ends, ends without a begin, and new lives of a group.
+// Counters must never drop below zero for any order of begins, ends, ends without
+// a begin, and restarts of a group.
 func TestInFlightIsNeverNegative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := clock.NewManual(start)
@@ -198,17 +198,17 @@
 			}
 			for _, st := range r.counters.states {
 				if st.inflight < 0 {
-					t.Fatal("negative")
+					t.Fatal("negative number of requests in flight")
 				}
 			}
 		}
 	})
 }
 
-// Most of a large zone is stale after a break of the network. A sample of it
-// finds nothing, and a node that leaves it at that refuses callers although one
-// group could serve them.
-func TestLargePoolIsSearchedWhole(t *testing.T) {
+// After a network partition most of a large zone is stale. If a random sample finds
+// no eligible entry, the whole pool must be searched; otherwise the node refuses
+// callers although one group could serve them.
+func TestLargePoolIsSearchedCompletely(t *testing.T) {
 	is := is.New(t)
 	s := fleetOf(60, 60, 0)
 	for i := range 59 {
@@ -222,7 +222,7 @@
 		ch, err := r.Pick(modelRequest(fleet.Target{Model: "m"}), s, start, nil)
 		is.True(err == nil)
 		is.Equal(ch.Group.ID, s.Groups[59].ID)
-		ch, err = r.Pick(lookup(), s, start, nil)
+		ch, err = r.Pick(lookupRequest(), s, start, nil)
 		is.True(err == nil)
 		is.Equal(ch.VM.Record.VM, s.VMs[59].Record.VM)
 	}
--- a/internal/route/refusal.go
+++ b/internal/route/refusal.go
@@ -7,17 +7,17 @@
 	"chervilloom/internal/outcome"
 )
 
-// Refusal says why no destination was found.
+// Refusal is the reason why no destination was found.
 type Refusal int
 
-// The reasons for a refusal.
+// Reasons for a refusal.
 const (
-	Accepted    Refusal = iota // not refused
+	Accepted    Refusal = iota // a destination was found
 	NoneCarries                // nothing carries the target or service
-	NoneWhole                  // what carries it is not whole, or leaving
-	AllStale                   // no fresh word from what carries it
-	AllTried                   // what carries it was tried for this request
-	NoneInZone                 // the request may not leave the zone, and nothing here carries it
+	NoneWhole                  // every group or endpoint that carries it is not whole or is leaving
+	AllStale                   // no recent probe answer from any destination that carries it
+	AllTried                   // every destination that carries it was tried for this request
+	NoneInZone                 // the request may not leave the zone, and nothing in the zone carries it
 	refusals
 )
 
@@ -32,8 +32,8 @@
 	after   time.Duration
 }
 
-// The times to come back tell what has to happen first: a probe round, a repair
-// with a spare, or a whole load of weights.
+// refusalTexts holds message, remedy and retry delay by reason. The delays are the
+// time of a probe round, a group repair with a spare, or a full load of weights.
 var refusalTexts = [refusals]refusalText{
 	NoneCarries: {"nothing that serves carries %s", "ask for another version or adapter, or come back when it is loaded", 15 * time.Second},
 	NoneWhole:   {"no serving group of %s is whole", "come back when the group is repaired", 5 * time.Second},
@@ -42,10 +42,10 @@
 	NoneInZone:  {"nothing in this availability zone carries %s", "send the request to another availability zone", 2 * time.Second},
 }
 
-// noCapacity returns the caller's error for a refusal. Its outcome speaks of
-// this pick alone; a caller that has tried before knows of the earlier tries.
-func noCapacity(r Refusal, what string) *outcome.Error {
+// noCapacity returns the caller's error for a refusal. Its outcome covers only
+// this call of Pick; the caller keeps track of earlier attempts.
+func noCapacity(r Refusal, destination string) *outcome.Error {
 	t := refusalTexts[r]
-	e := outcome.New(outcome.NoCapacity, outcome.NotRun, fmt.Sprintf(t.message, what), t.remedy)
+	e := outcome.New(outcome.NoCapacity, outcome.NotRun, fmt.Sprintf(t.message, destination), t.remedy)
 	return e.After(t.after)
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -14,7 +14,7 @@
 	"chervilloom/internal/view"
 )
 
-// Options sets up a Router.
+// Options configures a Router.
 type Options struct {
 	Self       fleet.Node
 	Zone       fleet.AvailabilityZone
@@ -23,77 +23,77 @@
 	Registerer prometheus.Registerer // nil: no metrics
 }
 
-// Router chooses destinations for the requests of one node. It is safe for
+// Router selects destinations for the requests of one node. It is safe for
 // concurrent use.
 type Router struct {
-	clock clock.Clock
-	meter *meter
+	clock   clock.Clock
+	metrics *metrics
 
-	compiling sync.Mutex // one table at a time; taken before mu
+	compileMu sync.Mutex // serialises table compilation; locked before mu
 
 	mu       sync.Mutex
 	counters *Counters
 	rng      *rand.Rand
 }
 
-// New returns a Router that has learned nothing yet.
+// New returns a Router with empty counters.
 func New(o Options) *Router {
 	if o.Clock == nil {
 		o.Clock = clock.Boot{}
 	}
-	who := xxhash.Sum64String(o.Self.String() + "@" + string(o.Zone))
+	selfHash := xxhash.Sum64String(o.Self.String() + "@" + string(o.Zone))
 	return &Router{
 		clock:    o.Clock,
-		meter:    newMeter(o.Registerer),
+		metrics:  newMetrics(o.Registerer),
 		counters: NewCounters(),
-		rng:      rand.New(rand.NewPCG(o.Seed, who)),
+		rng:      rand.New(rand.NewPCG(o.Seed, selfHash)),
 	}
 }
 
-// Pick chooses a destination that is not in tried. The error is NoCapacity with
-// its reason and when to come back. It speaks of this pick alone: its outcome
-// is NotRun also when an earlier try of the request ran.
+// Pick selects a destination that is not in tried. On failure it returns a
+// NoCapacity error with a reason and a retry delay. The error covers only this
+// call: its outcome is NotRun even if an earlier attempt of the request ran.
 func (r *Router) Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []Tried) (Choice, *outcome.Error) {
 	f := FactsOf(req, tried)
 	ch, why := r.decide(&f, snap, now)
 	if why != Accepted {
-		r.meter.refused(why)
-		return Choice{}, noCapacity(why, f.what())
+		r.metrics.countRefusal(why)
+		return Choice{}, noCapacity(why, f.destinationName())
 	}
-	r.meter.chosen(ch.Kind)
+	r.metrics.countChoice(ch.Kind)
 	return ch, nil
 }
 
 func (r *Router) decide(f *Facts, snap *view.Snapshot, now clock.Instant) (Choice, Refusal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.needs(snap) {
+	if r.isNewer(snap) {
 		r.mu.Unlock()
 		r.compile(snap, now)
 		r.mu.Lock()
 	}
 	ch, why := Decide(r.counters.table, r.counters, f, now, r.rng)
 	if why == Accepted {
-		r.counters.chosen(f, ch)
+		r.counters.recordChoice(f, ch)
 	}
 	return ch, why
 }
 
-// needs reports whether the snapshot is newer than the table. A caller that
-// comes late with an older snapshot gets the newest table: compiling back and
-// forth for callers that overtake each other would cost more than it is worth.
-func (r *Router) needs(snap *view.Snapshot) bool {
+// isNewer reports whether the snapshot is newer than the compiled table. A caller
+// with an older snapshot uses the current table: recompiling for callers that
+// overtake each other would be too expensive.
+func (r *Router) isNewer(snap *view.Snapshot) bool {
 	t := r.counters.table
 	return t == nil || t.snap != snap && !snap.At.Before(t.snap.At)
 }
 
-// compile makes the table outside mu, so that requests that begin and end do
-// not wait for it. Callers that bring the same snapshot meanwhile wait here.
+// compile builds the table without holding mu, so that begin and end of other
+// requests are not blocked. Concurrent callers with the same snapshot wait here.
 func (r *Router) compile(snap *view.Snapshot, now clock.Instant) {
-	r.compiling.Lock()
-	defer r.compiling.Unlock()
+	r.compileMu.Lock()
+	defer r.compileMu.Unlock()
 	r.mu.Lock()
-	done := !r.needs(snap)
+	done := !r.isNewer(snap)
 	r.mu.Unlock()
 	if done {
 		return
@@ -101,10 +101,11 @@
 	t := Compile(snap)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counters.align(t, now)
+	r.counters.bindTable(t, now)
 }
 
-// Begin charges a request to its destination. Call it when the request leaves.
+// Begin counts a request as in flight at its destination. Call it when the
+// request is sent.
 func (r *Router) Begin(ch Choice) {
 	now := r.clock.Now()
 	r.mu.Lock()
@@ -112,8 +113,8 @@
 	r.counters.begin(ch, now)
 }
 
-// End takes the request off again, once for each Begin, and learns from how it
-// ended.
+// End removes the request from the in-flight count and updates the averages from
+// its result. It must be called once for each Begin.
 func (r *Router) End(ch Choice, res Result) {
 	now := r.clock.Now()
 	r.mu.Lock()
@@ -121,14 +122,16 @@
 	r.counters.end(ch, res, now)
 }
 
-// InFlight returns how many requests of this node are at the group.
+// InFlight returns the number of requests that this node has in flight at the
+// group.
 func (r *Router) InFlight(id fleet.GroupID) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counters.InFlight(id)
 }
 
-func (f *Facts) what() string {
+// destinationName returns the plain service or the target of the request.
+func (f *Facts) destinationName() string {
 	if f.Service != "" {
 		return f.Service
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -25,10 +25,10 @@
 		groups []view.Group
 		want   fleet.GroupID
 	}{
-		{"no version is the current one", fleet.Target{Model: "m"}, []view.Group{group("g1", "z1", 7), v2}, "g1"},
-		{"a version is taken by name", fleet.Target{Model: "m", Version: "v2"}, []view.Group{group("g1", "z1", 0), v2}, "g2"},
-		{"an adapter must be there", fleet.Target{Model: "m", Adapter: "a"}, []view.Group{bare, group("g1", "z1", 7)}, "g1"},
-		{"the own zone goes first", fleet.Target{Model: "m"}, []view.Group{group("far", "z2", 0), group("g1", "z1", 5)}, "g1"},
+		{"no version means the current one", fleet.Target{Model: "m"}, []view.Group{group("g1", "z1", 7), v2}, "g1"},
+		{"explicit version", fleet.Target{Model: "m", Version: "v2"}, []view.Group{group("g1", "z1", 0), v2}, "g2"},
+		{"group must carry the adapter", fleet.Target{Model: "m", Adapter: "a"}, []view.Group{bare, group("g1", "z1", 7)}, "g1"},
+		{"own zone is preferred", fleet.Target{Model: "m"}, []view.Group{group("far", "z2", 0), group("g1", "z1", 5)}, "g1"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -59,9 +59,9 @@
 	}{
 		{"nothing carries it", nil, modelRequest(fleet.Target{Model: "m"}), nil, NoneCarries},
 		{"not whole", []view.Group{broken}, modelRequest(fleet.Target{Model: "m"}), nil, NoneWhole},
-		{"stale at the instant itself", []view.Group{stale}, modelRequest(fleet.Target{Model: "m"}), nil, AllStale},
+		{"stale exactly at the limit", []view.Group{stale}, modelRequest(fleet.Target{Model: "m"}), nil, AllStale},
 		{"tried", []view.Group{group("g1", "z1", 0)}, modelRequest(fleet.Target{Model: "m"}), []Tried{{Group: "g1"}}, AllTried},
-		{"passed on once already", []view.Group{group("g1", "z2", 0)}, &request.Request{Class: request.ClassModel, Target: fleet.Target{Model: "m"}, Hops: 1}, nil, NoneInZone},
+		{"already forwarded once", []view.Group{group("g1", "z2", 0)}, &request.Request{Class: request.ClassModel, Target: fleet.Target{Model: "m"}, Hops: 1}, nil, NoneInZone},
 	}
 	for _, c := range cases {
 		for _, p := range policyNames {
@@ -100,15 +100,15 @@
 	leaving, silent := service("s1", "z1", 0), service("s2", "z1", 0)
 	leaving.Leaving, silent.Probe.Failing = true, start
 	s.VMs = []view.VM{leaving, silent, service("s3", "z1", 5)}
-	ch, err := router(clock.NewManual(start)).Pick(lookup(), s, start, nil)
+	ch, err := router(clock.NewManual(start)).Pick(lookupRequest(), s, start, nil)
 	is.True(err == nil)
 	is.Equal(ch.Kind, ToEndpoint)
 	is.Equal(ch.VM.Record.VM, fleet.VM("s3"))
 }
 
-// Six nodes read a report that says "idle" of one group. A node that goes on
-// trusting it after it has sent requests there piles them up until the next
-// report. Its own requests must count at once.
+// A report shows one of three groups as idle. A node that ignores the requests it
+// has sent since would send all of them there until the next report, so its own
+// requests must count immediately.
 func TestOwnRequestsCountBeforeTheNextReport(t *testing.T) {
 	is := is.New(t)
 	now := clock.NewManual(start)
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestReportHoldsOwnRequests(t *testing.T) {
+func TestOwnRequestsAreSubtractedFromReport(t *testing.T) {
 	is := is.New(t)
 	now := clock.NewManual(start)
 	r := router(now)
@@ -142,12 +142,12 @@
 	later.Groups = []view.Group{group("g1", "z1", 5)}
 	later.Groups[0].LoadAt = now.Now()
 	_, _ = r.Pick(modelRequest(fleet.Target{Model: "m"}), later, now.Now(), nil)
-	is.Equal(r.counters.lanes[0].others, 2.0) // five reported, three of them ours
+	is.Equal(r.counters.entryStats[0].othersLoad, 2.0) // five reported, three of them from this node
 }
 
-// Many requests arrive while new snapshots come in. A group that the newest
-// snapshot calls broken must not be chosen by a caller that brings it.
-func TestConcurrentPicksSeeTheirSnapshot(t *testing.T) {
+// Requests arrive while snapshots are replaced. A caller must not get a group that
+// its own, newest snapshot shows as not whole.
+func TestConcurrentPicksUseTheirSnapshot(t *testing.T) {
 	is := is.New(t)
 	r := router(clock.NewManual(start))
 	var wg sync.WaitGroup
@@ -160,7 +160,7 @@
 				s.Groups[1].Whole = false
 				ch, err := r.Pick(modelRequest(fleet.Target{Model: "m"}), s, start, nil)
 				if err != nil || ch.Group.ID != "g1" {
-					t.Error("chose a broken group")
+					t.Error("refused, or a group that is not whole was chosen")
 					return
 				}
 				r.Begin(ch)
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -12,46 +12,46 @@
 
 const (
 	defaultProbeFresh = 1500 * time.Millisecond
-	// remoteSlack is how long past its freshness a destination of another zone
-	// still counts as room there. The node that is asked checks the freshness
-	// itself, next to the members; the slack only keeps facts of a zone that
-	// was cut off from being believed for ever.
-	remoteSlack = 15 * time.Second
-	// defaultSlots stands for an endpoint that reports no slots.
+	// remoteGrace extends the freshness of remote entries when their free slots are
+	// counted. The remote node checks freshness itself, close to the members; the
+	// grace period only limits how long data of a disconnected zone is used.
+	remoteGrace = 15 * time.Second
+	// defaultSlots is assumed for an endpoint that reports no slots.
 	defaultSlots = 8
 )
 
-// Table is a snapshot compiled for decisions. It is read-only once compiled.
+// Table is a snapshot indexed for decisions. It is read-only after Compile.
 type Table struct {
 	snap     *view.Snapshot
 	policy   Policy
-	peers    int // other entry nodes that send to this zone's endpoints
+	peers    int // other live nodes in this zone, which send to the same endpoints
 	entries  []entry
 	nodes    []nodeEntry
 	zones    []zoneEntry
 	classes  []classKey
-	kins     int // sets of entries that share their load
+	peerSets int // number of peer sets
 	pools    []pool
 	targets  map[fleet.Target]int32
 	services map[string]int32
 }
 
-// entry is a group or endpoint that may be chosen while it is fresh.
+// entry is a group or endpoint that can be chosen until freshUntil.
 type entry struct {
 	group      *view.Group // nil for an endpoint
 	vm         *view.VM    // nil for a group
-	life       life
+	instance   instance
 	hash       uint64
 	class      int32
-	kin        int32
+	peerSet    int32
 	freshUntil clock.Instant
 	load       fleet.Load
 	loadAt     clock.Instant
 	slots      float64
 }
 
-// life is what an entry's counters are about; with another one they start afresh.
-type life struct {
+// instance identifies the process that an entry's counters describe. When it
+// changes, the counters are reset.
+type instance struct {
 	boot       fleet.BootID
 	generation fleet.Generation
 }
@@ -63,31 +63,31 @@
 
 type zoneEntry struct {
 	name  fleet.AvailabilityZone
-	nodes []int32 // alive, not draining
+	nodes []int32 // alive and not draining
 }
 
-// classKey names the endpoints whose speeds are compared with each other.
+// classKey identifies a set of endpoints whose speeds are compared.
 type classKey struct {
 	kind Kind
 	name string // model or plain service
 }
 
-// kinKey names the entries among which the same requests are shared out.
-type kinKey struct {
+// peerSetKey identifies a set of entries that share the same requests.
+type peerSetKey struct {
 	class   int32
 	zone    fleet.AvailabilityZone
 	version string
 }
 
-// pool is everything that can answer one target or plain service.
+// pool lists the entries that serve one target or plain service.
 type pool struct {
-	kind   Kind
-	name   string
-	known  int      // destinations that carry it, whole or not
-	ready  int      // of those, whole and not leaving
-	local  []int32  // entries of the own zone
-	hashes []uint64 // of the names of local
-	remote []remotePool
+	kind     Kind
+	name     string
+	carriers int      // destinations that carry it, in any state
+	ready    int      // number of those that are able to serve
+	local    []int32  // entries in this zone
+	hashes   []uint64 // name hashes of the local entries
+	remote   []remotePool
 }
 
 type remotePool struct {
@@ -108,7 +108,7 @@
 		fresh = snap.Config.Policy.ProbeFresh.Or(defaultProbeFresh)
 	}
 	t.addNodes(snap)
-	c := compiler{table: t, classes: make(map[classKey]int32), kins: make(map[kinKey]int32), fresh: fresh}
+	c := compiler{table: t, classes: make(map[classKey]int32), peerSets: make(map[peerSetKey]int32), probeFresh: fresh}
 	for i := range snap.Groups {
 		c.addGroup(&snap.Groups[i])
 	}
@@ -146,15 +146,15 @@
 	return int32(len(t.zones) - 1)
 }
 
-// compiler holds what is needed only while a table is made.
+// compiler holds the state needed only during compilation.
 type compiler struct {
-	table   *Table
-	classes map[classKey]int32
-	kins    map[kinKey]int32
-	fresh   time.Duration
+	table      *Table
+	classes    map[classKey]int32
+	peerSets   map[peerSetKey]int32
+	probeFresh time.Duration
 }
 
-func (c *compiler) class(k classKey) int32 {
+func (c *compiler) classIndex(k classKey) int32 {
 	if i, ok := c.classes[k]; ok {
 		return i
 	}
@@ -164,12 +164,12 @@
 	return i
 }
 
-func (c *compiler) kin(k kinKey) int32 {
-	i, ok := c.kins[k]
+func (c *compiler) peerSetIndex(k peerSetKey) int32 {
+	i, ok := c.peerSets[k]
 	if !ok {
-		i = int32(len(c.kins))
-		c.kins[k] = i
-		c.table.kins = len(c.kins)
+		i = int32(len(c.peerSets))
+		c.peerSets[k] = i
+		c.table.peerSets = len(c.peerSets)
 	}
 	return i
 }
@@ -178,40 +178,40 @@
 	if g.Phase == fleet.PhaseDissolved {
 		return
 	}
-	at := int32(-1)
+	index := int32(-1)
 	if g.Phase == fleet.PhaseServing && g.Whole && len(g.Members) > 0 {
-		at = int32(len(c.table.entries))
-		class := c.class(classKey{ToGroup, g.Model})
+		index = int32(len(c.table.entries))
+		class := c.classIndex(classKey{ToGroup, g.Model})
 		c.table.entries = append(c.table.entries, entry{
 			group:      g,
-			life:       life{g.Members[0].Boot, g.Generation},
+			instance:   instance{g.Members[0].Boot, g.Generation},
 			hash:       xxhash.Sum64String(string(g.ID)),
 			class:      class,
-			kin:        c.kin(kinKey{class, g.Zone, g.Version}),
+			peerSet:    c.peerSetIndex(peerSetKey{class, g.Zone, g.Version}),
 			freshUntil: g.FreshUntil,
 			load:       g.Load,
 			loadAt:     g.LoadAt,
 			slots:      slotsOf(g.Load),
 		})
 	}
-	c.addTarget(fleet.Target{Model: g.Model, Version: g.Version}, g, at)
+	c.addTarget(fleet.Target{Model: g.Model, Version: g.Version}, g, index)
 	for _, a := range g.Adapters {
-		c.addTarget(fleet.Target{Model: g.Model, Adapter: a, Version: g.Version}, g, at)
+		c.addTarget(fleet.Target{Model: g.Model, Adapter: a, Version: g.Version}, g, index)
 	}
 }
 
-// addTarget files the group under the version it carries and, when that is the
-// model's current one, under the empty version as well.
-func (c *compiler) addTarget(tg fleet.Target, g *view.Group, at int32) {
-	c.file(c.targetPool(tg), g.Zone, at)
-	if c.current(tg.Model) != tg.Version {
+// addTarget adds the group to the pool of its version and, if that is the model's
+// current version, also to the pool of the empty version.
+func (c *compiler) addTarget(tg fleet.Target, g *view.Group, index int32) {
+	c.addToPool(c.targetPool(tg), g.Zone, index)
+	if c.currentVersion(tg.Model) != tg.Version {
 		return
 	}
 	tg.Version = ""
-	c.file(c.targetPool(tg), g.Zone, at)
+	c.addToPool(c.targetPool(tg), g.Zone, index)
 }
 
-func (c *compiler) current(model string) string {
+func (c *compiler) currentVersion(model string) string {
 	if c.table.snap.Config == nil {
 		return ""
 	}
@@ -226,23 +226,23 @@
 	if v.Record.Kind != fleet.KindService {
 		return
 	}
-	at := int32(-1)
+	index := int32(-1)
 	if !v.Leaving && v.Record.State != fleet.StateLeaving && v.Probe.Answered != 0 && v.Probe.Failing == 0 {
-		at = int32(len(c.table.entries))
-		class := c.class(classKey{ToEndpoint, v.Record.Service})
+		index = int32(len(c.table.entries))
+		class := c.classIndex(classKey{ToEndpoint, v.Record.Service})
 		c.table.entries = append(c.table.entries, entry{
 			vm:         v,
-			life:       life{boot: v.Load.Boot},
+			instance:   instance{boot: v.Load.Boot},
 			hash:       xxhash.Sum64String(string(v.Record.VM)),
 			class:      class,
-			kin:        c.kin(kinKey{class, v.Record.Zone, ""}),
-			freshUntil: v.Probe.Answered.Add(c.fresh + 1), // Fresh holds at the limit itself
+			peerSet:    c.peerSetIndex(peerSetKey{class, v.Record.Zone, ""}),
+			freshUntil: v.Probe.Answered.Add(c.probeFresh + 1), // Probe.Fresh includes the limit
 			load:       v.Load,
 			loadAt:     v.LoadAt,
 			slots:      slotsOf(v.Load),
 		})
 	}
-	c.file(c.servicePool(v.Record.Service), v.Record.Zone, at)
+	c.addToPool(c.servicePool(v.Record.Service), v.Record.Zone, index)
 }
 
 func slotsOf(l fleet.Load) float64 {
@@ -275,29 +275,30 @@
 	return int32(len(c.table.pools) - 1)
 }
 
-// file puts entry at (-1: carried but not able to serve) into the pool.
-func (c *compiler) file(p *pool, zone fleet.AvailabilityZone, at int32) {
-	p.known++
-	if at < 0 {
+// addToPool adds an entry to the pool. An index of -1 stands for a destination
+// that carries the target but cannot serve now.
+func (c *compiler) addToPool(p *pool, zone fleet.AvailabilityZone, index int32) {
+	p.carriers++
+	if index < 0 {
 		return
 	}
 	p.ready++
 	if zone == c.table.snap.Zone {
-		p.local = append(p.local, at)
-		p.hashes = append(p.hashes, c.table.entries[at].hash)
+		p.local = append(p.local, index)
+		p.hashes = append(p.hashes, c.table.entries[index].hash)
 		return
 	}
 	z := c.table.zoneIndex(zone)
 	for i := range p.remote {
 		if p.remote[i].zone == z {
-			p.remote[i].entries = append(p.remote[i].entries, at)
+			p.remote[i].entries = append(p.remote[i].entries, index)
 			return
 		}
 	}
-	p.remote = append(p.remote, remotePool{zone: z, entries: []int32{at}})
+	p.remote = append(p.remote, remotePool{zone: z, entries: []int32{index}})
 }
 
-// pool returns what can answer the request, or nil.
+// pool returns the pool for the request and its index, or nil if there is none.
 func (t *Table) pool(f *Facts) (*pool, int32) {
 	var (
 		i  int32
@@ -314,10 +315,10 @@
 	return &t.pools[i], i
 }
 
-// Policy names a way of choosing.
+// Policy is a routing policy.
 type Policy int
 
-// The policies. Weighted is the default; the others are baselines.
+// Routing policies. Weighted is the default; the others are baselines.
 const (
 	Weighted Policy = iota
 	Random
@@ -331,8 +332,8 @@
 // String returns the name used in the configuration document.
 func (p Policy) String() string { return policyNames[p] }
 
-// ParsePolicy reads config.Policy.Routing. Unknown names stand for the default;
-// the document's check refuses them before they get here.
+// ParsePolicy parses config.Policy.Routing. It returns Weighted for an unknown
+// name; validation of the document rejects those earlier.
 func ParsePolicy(name string) Policy {
 	for i, n := range policyNames {
 		if n == name {
--- a/internal/route/types.go
+++ b/internal/route/types.go
@@ -1,16 +1,17 @@
-// Package route decides which serving group, plain-service endpoint or node of
-// another availability zone gets a request.
+// Package route selects the destination of a request: a serving group, a
+// plain-service endpoint, or a node of another availability zone.
 //
-// Decide is pure: a compiled snapshot, counters, facts of the request, the time
-// and a random source go in, a choice with its reason comes out. Router wraps
-// it for concurrent use. A decision takes no locks besides the Router's own,
-// does no I/O and allocates nothing.
+// Decide is a pure function of a compiled snapshot, counters, request facts, the
+// time and a random source; it returns a choice and its reason. Router wraps it
+// for concurrent use. A decision takes no lock besides the Router's own, does no
+// I/O and does not allocate.
 //
-// Load reports lag, and every node reads the same ones. A node that trusts them
-// raw sends everything to the group that was idle a second ago, and so do its
-// peers. The weighted policy therefore takes its own share out of a report,
-// adds what it has in flight now, discounts the rest by age and chooses at
-// random between near-equals.
+// Load reports lag, and every node reads the same reports. If nodes routed on raw
+// reports, all of them would send every request to the group that was idle a
+// second ago. The weighted policy therefore subtracts this node's own requests
+// from a report, adds the node's current in-flight requests, discounts the
+// remaining load by the report's age, and chooses at random among candidates of
+// nearly equal cost.
 package route
 
 import (
@@ -20,13 +21,13 @@
 	"chervilloom/internal/view"
 )
 
-// Kind says where a choice sends a request.
+// Kind is the type of destination of a choice.
 type Kind int
 
 // The kinds of choice.
 const (
-	ToGroup    Kind = iota // a serving group of the own availability zone
-	ToEndpoint             // a plain-service endpoint of the own availability zone
+	ToGroup    Kind = iota // a serving group in this availability zone
+	ToEndpoint             // a plain-service endpoint in this availability zone
 	ToNode                 // an entry node of another availability zone
 )
 
@@ -42,8 +43,8 @@
 	}
 }
 
-// Choice is where a request goes and why. Exactly one of Group, VM and Node is
-// set, as Kind says.
+// Choice is the destination of a request and the reason for it. Kind determines
+// which one of Group, VM and Node is set.
 type Choice struct {
 	Kind   Kind
 	Group  *view.Group
@@ -51,32 +52,32 @@
 	Node   fleet.VM
 	Reason string
 
-	on  *state // counters that the request is charged to
-	via *state // for ToNode: counters of the pool in the other zone
-	est estimate
+	dest     *state // counters of the destination
+	zonePool *state // for ToNode: counters of the pool in the other zone
+	expected estimate
 }
 
-// Tried names a destination that this request shall not get again. Only the
-// fields that are set count.
+// Tried identifies a destination that must not be chosen again for this request.
+// Empty fields match nothing.
 type Tried struct {
 	VM    fleet.VM
 	Group fleet.GroupID
 	Node  fleet.VM
 }
 
-// Result is how a request ended at its destination.
+// Result is the outcome of a request at its destination.
 type Result struct {
-	OK        bool // the answer was whole
-	Failed    bool // the destination is to blame
+	OK        bool // the complete answer was received
+	Failed    bool // the failure is attributed to the destination
 	FirstByte time.Duration
 	Total     time.Duration
 	Tokens    int // answer tokens; 0 for plain services
 }
 
-// estimate is what was expected of a choice when it was made; End compares it
-// with what came.
+// estimate is the expectation at the time of the choice; end compares it with
+// the measured result.
 type estimate struct {
-	uncached float64       // prompt tokens expected to be computed
-	wait     time.Duration // expected time to the first byte
-	queued   bool          // the destination was expected to be full
+	uncachedTokens float64       // prompt tokens expected to need prefill
+	firstByteWait  time.Duration // expected time to the first byte
+	queued         bool          // the destination was expected to have no free slot
 }
