--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,13 +1,13 @@
-// Package admit decides which requests go on to an endpoint now, which wait and
-// which are refused.
+// Package admit decides which requests proceed to an endpoint now, which are
+// queued and which are refused.
 //
-// Plain service calls and model calls have a lane each, with its own goroutine,
-// so that a lookup never waits behind a model call. The lookup lane has no
-// queue: rate and concurrency of each organisation are bounded. The model lane
-// has a concurrency limit for each set of groups, and a bounded queue that is
-// fair between organisations and knows the deadlines: what cannot be answered
-// in time is refused the moment that is known, "not run", with the time to come
-// back after.
+// Plain-service calls and model calls have separate lanes, each with its own
+// goroutine, so a lookup never waits behind a model call. The lookup lane limits
+// the rate and concurrency of each organisation; a call without a free slot waits
+// a short time for one. The model lane has a concurrency limit per set of groups
+// and a bounded queue that is fair between organisations and aware of deadlines:
+// a request that cannot be answered in time is refused as soon as this is known,
+// with outcome "not run" and a retry delay.
 //
 // The decisions are made by Models and Lookups, which are pure state machines.
 package admit
@@ -36,25 +36,25 @@
 	"chervilloom/internal/view"
 )
 
-// planEvery is how often the limits are worked out anew.
+// planEvery is the interval at which the limits are recomputed.
 const planEvery = 250 * time.Millisecond
 
-// Usage tells this node's part of an organisation's rate caps.
+// Usage provides this node's share of each organisation's rate caps.
 type Usage interface {
-	// Shares returns the parts, 0 to 1, of the caps on model requests and on
+	// Shares returns the shares, 0 to 1, of the caps on model requests and on
 	// lookups.
 	Shares(org fleet.Organisation) (model, lookups float64)
-	// Count adds one request that the organisation made at this node, whatever
-	// became of it.
+	// Count adds one request that the organisation made at this node, whether or
+	// not it was admitted.
 	Count(org fleet.Organisation, class request.Class)
 }
 
-// Options is what an Admitter needs.
+// Options configures an Admitter.
 type Options struct {
 	View       view.Source
 	Clock      clock.Clock
-	Usage      Usage                 // nil: this node may use all of every cap
-	Log        *slog.Logger          // nil: none
+	Usage      Usage                 // nil: this node may use every cap in full
+	Log        *slog.Logger          // nil: no logging
 	Registerer prometheus.Registerer // nil: no metrics
 	Recorder   explain.Recorder      // nil: no explanations
 }
@@ -66,45 +66,45 @@
 	lookups *lane
 	metrics *metrics
 	tracer  trace.Tracer
-	looked  atomic.Pointer[looked]
+	checked atomic.Pointer[checkedSnapshot]
 
-	planning sync.Mutex      // held while limits are worked out and handed over
-	empty    map[string]bool // pools and services that nothing serves
+	planning        sync.Mutex      // held while limits are computed and passed to the lanes
+	withoutCapacity map[string]bool // pools and services without capacity
 }
 
-// New returns an Admitter. Its filter answers only while Run runs.
+// New returns an Admitter. Its filter decides only while Run is running.
 func New(o Options) *Admitter {
 	if o.Usage == nil {
-		o.Usage = wholeCaps{}
+		o.Usage = fullCaps{}
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	a := &Admitter{
-		opts:    o,
-		models:  newLane("model", NewModels(), o.Clock),
-		lookups: newLane("lookup", NewLookups(), o.Clock),
-		metrics: newMetrics(o.Registerer),
-		tracer:  otel.Tracer("chervilloom/admit"),
-		empty:   make(map[string]bool),
+		opts:            o,
+		models:          newLane("model", NewModels(), o.Clock),
+		lookups:         newLane("lookup", NewLookups(), o.Clock),
+		metrics:         newMetrics(o.Registerer),
+		tracer:          otel.Tracer("chervilloom/admit"),
+		withoutCapacity: make(map[string]bool),
 	}
-	a.metrics.watch(o.Registerer, a.models, a.lookups)
+	a.metrics.registerGauges(o.Registerer, a.models, a.lookups)
 	if p := a.plan(); p != nil {
-		// Before any goroutine runs: a request that comes first would be told
-		// that the node knows no configuration.
-		a.models.step(replan(p))
-		a.lookups.step(replan(p))
+		// Done before any goroutine runs. Otherwise the first request could be
+		// refused because the node has no configuration yet.
+		a.models.step(replanMessage(p))
+		a.lookups.step(replanMessage(p))
 	}
 	return a
 }
 
-type wholeCaps struct{}
+type fullCaps struct{}
 
-func (wholeCaps) Shares(fleet.Organisation) (float64, float64) { return 1, 1 }
-func (wholeCaps) Count(fleet.Organisation, request.Class)      {}
+func (fullCaps) Shares(fleet.Organisation) (float64, float64) { return 1, 1 }
+func (fullCaps) Count(fleet.Organisation, request.Class)      {}
 
-// Run decides until ctx ends. It must outlive the requests: those that wait
-// when it ends are refused as shutting down.
+// Run processes requests until ctx ends. It must outlive the requests: those that
+// are queued when it ends are refused as shutting down.
 func (a *Admitter) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { a.models.run(ctx) })
@@ -113,31 +113,31 @@
 	wg.Wait()
 }
 
-// look has the limits worked out before a request is judged when a group or
-// endpoint came or went since they were. Until the regular time the first
-// requests after a group came back, or after a node's start, would be refused
-// although a group is there for them.
-func (a *Admitter) look() {
+// refreshPlan recomputes the limits before a request is decided if the number of
+// serving groups or endpoints has changed. Otherwise the first requests after a
+// group's recovery or a node's start would be refused until the next periodic
+// update, although a group is available.
+func (a *Admitter) refreshPlan() {
 	snap := a.opts.View.Snapshot()
-	old := a.looked.Load()
+	old := a.checked.Load()
 	if old != nil && old.snap == snap {
 		return
 	}
-	n := serving(snap)
-	a.looked.Store(&looked{snap, n})
-	if old == nil || old.serves != n {
+	n := countServing(snap)
+	a.checked.Store(&checkedSnapshot{snap, n})
+	if old == nil || old.serving != n {
 		a.replan()
 	}
 }
 
-// looked is the snapshot that look saw last, and what served in it.
-type looked struct {
-	snap   *view.Snapshot
-	serves int
+// checkedSnapshot is the snapshot that refreshPlan last checked.
+type checkedSnapshot struct {
+	snap    *view.Snapshot
+	serving int // number of serving groups and endpoints
 }
 
-// serving counts what takes requests.
-func serving(s *view.Snapshot) int {
+// countServing returns the number of groups and endpoints that accept requests.
+func countServing(s *view.Snapshot) int {
 	n := 0
 	for i := range s.Groups {
 		if s.Groups[i].Whole && s.Groups[i].Phase == fleet.PhaseServing {
@@ -152,13 +152,13 @@
 	return n
 }
 
-// plan works out the limits of the newest snapshot; nil when it holds no
+// plan computes the limits from the newest snapshot. It returns nil if that has no
 // configuration.
 func (a *Admitter) plan() *Plan {
 	return PlanOf(a.opts.View.Snapshot(), a.opts.Usage.Shares)
 }
 
-// replan gives both lanes the newest limits and returns when they have them.
+// replan passes the newest limits to both lanes and returns when they are applied.
 func (a *Admitter) replan() {
 	a.planning.Lock()
 	defer a.planning.Unlock()
@@ -167,25 +167,24 @@
 		return
 	}
 	a.logChanges(p)
-	a.models.tellAndWait(*replan(p))
-	a.lookups.tellAndWait(*replan(p))
+	a.models.sendAndWait(*replanMessage(p))
+	a.lookups.sendAndWait(*replanMessage(p))
 }
 
-// logChanges tells when nothing serves a pool or service any more, and when
-// something does again.
+// logChanges logs when a pool or service loses its last slot or has slots again.
 func (a *Admitter) logChanges(p *Plan) {
 	for _, pools := range [][]Pool{p.Pools, p.Services} {
 		for i := range pools {
 			c := &pools[i]
-			if empty := c.Total == 0; empty != a.empty[c.Name] {
-				a.empty[c.Name] = empty
+			if empty := c.Total == 0; empty != a.withoutCapacity[c.Name] {
+				a.withoutCapacity[c.Name] = empty
 				a.opts.Log.Info("capacity changed", "pool", c.Name, "slots", c.Total, "share", c.Share)
 			}
 		}
 	}
 }
 
-func replan(p *Plan) *message { return &message{event: Event{Kind: Replan, Plan: p}} }
+func replanMessage(p *Plan) *message { return &message{event: Event{Kind: Replan, Plan: p}} }
 
 // Filter returns the admission step of the request path.
 func (a *Admitter) Filter() filter.Filter {
@@ -198,9 +197,8 @@
 
 func (a *Admitter) serve(ctx context.Context, req *request.Request, w answer.Writer, next filter.Handler) {
 	if req.ResumeID != "" {
-		// It goes on with a stream that was admitted when it began and holds its
-		// slot still; it never starts one. Refused here, the caller would lose
-		// the rest of the answer.
+		// A resume continues a stream that was admitted before and still occupies
+		// its slot. Refusing it would lose the rest of the answer.
 		next.Serve(ctx, req, w)
 		return
 	}
@@ -208,12 +206,12 @@
 	if req.Class == request.ClassModel {
 		l = a.models
 	}
-	a.look()
+	a.refreshPlan()
 	arrival := arrivalOf(req)
 	if !arrival.Admitted {
 		a.opts.Usage.Count(req.Organisation, req.Class)
 	}
-	c, d := a.ask(ctx, l, req, &arrival)
+	c, d := a.decide(ctx, l, req, &arrival)
 	if d.Verdict == Refuse {
 		a.opts.Log.Info("request not admitted", "request", req.ID, "lane", l.name, "organisation", req.Organisation,
 			"reason", d.Reason, "limit", d.Limit, "in_progress", d.InProgress, "share", d.Share, "waiting", d.Waiting,
@@ -223,10 +221,10 @@
 		w.Finish(answer.End{Error: refusal(&d)})
 		return
 	}
-	from := a.opts.Clock.Now()
-	meter := &meter{next: w, clock: a.opts.Clock, from: from, stream: req.Stream}
+	start := a.opts.Clock.Now()
+	meter := &meter{next: w, clock: a.opts.Clock, start: start, stream: req.Stream}
 	defer func() {
-		l.tell(message{event: Event{Kind: Finish, Completion: meter.completion()}, call: c})
+		l.send(message{event: Event{Kind: Finish, Completion: meter.completion()}, call: c})
 	}()
 	if ctx.Err() != nil {
 		meter.Finish(answer.End{Error: callerGone()})
@@ -235,9 +233,9 @@
 	next.Serve(ctx, req, meter)
 }
 
-// arrivalOf returns what the lanes need to know of req. A request that another
-// node passed on for dispatch was admitted there; one passed on for its key was
-// not, because keys are looked up before admission.
+// arrivalOf returns the arrival event data of req. A request forwarded by another
+// node for dispatch was admitted there. One forwarded for its key was not, because
+// keys are looked up before admission.
 func arrivalOf(req *request.Request) Arrival {
 	return Arrival{
 		Organisation: req.Organisation,
@@ -251,13 +249,14 @@
 	}
 }
 
-// ask gets the decision and tells it to the operator's side.
-func (a *Admitter) ask(ctx context.Context, l *lane, req *request.Request, arrival *Arrival) (*call, Decision) {
+// decide requests a decision from the lane and records it for explanations, metrics
+// and tracing.
+func (a *Admitter) decide(ctx context.Context, l *lane, req *request.Request, arrival *Arrival) (*call, Decision) {
 	ctx, span := a.tracer.Start(ctx, "admit")
 	defer span.End()
-	c, d := l.ask(ctx, arrival, func(q Decision) { a.note(req, l, &q) })
-	a.note(req, l, &d)
-	a.metrics.decided(l.name, &d)
+	c, d := l.decide(ctx, arrival, func(q Decision) { a.recordDecision(req, l, &q) })
+	a.recordDecision(req, l, &d)
+	a.metrics.countDecision(l.name, &d)
 	span.SetAttributes(
 		attribute.String("admit.verdict", d.Verdict.String()),
 		attribute.String("admit.reason", string(d.Reason)),
@@ -266,7 +265,7 @@
 	return c, d
 }
 
-func (a *Admitter) note(req *request.Request, l *lane, d *Decision) {
+func (a *Admitter) recordDecision(req *request.Request, l *lane, d *Decision) {
 	if a.opts.Recorder == nil {
 		return
 	}
@@ -291,7 +290,7 @@
 	return outcome.New(outcome.CallerGone, outcome.NotRun, "the caller left before the request was sent on", "send it again if it is still wanted")
 }
 
-// refusal is the caller's form of a decision that is not Admit.
+// refusal returns the caller's error for a decision other than Admit.
 func refusal(d *Decision) *outcome.Error {
 	if d.Verdict == Withdrawn {
 		return callerGone()
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -25,11 +25,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-type fixedView struct{ s *view.Snapshot }
+type fixedView struct{ snap *view.Snapshot }
 
-func (v fixedView) Snapshot() *view.Snapshot { return v.s }
+func (v fixedView) Snapshot() *view.Snapshot { return v.snap }
 
-// testSnapshot is a node alone in zone "a" with one group of the given slots.
+// testSnapshot returns the snapshot of a single node in zone "a" with one group of
+// the given number of slots.
 func testSnapshot(slots int) *view.Snapshot {
 	return &view.Snapshot{
 		Self: fleet.Node{VM: "entry-1", Incarnation: 1}, Zone: "a", Revision: 1,
@@ -50,7 +51,7 @@
 	}
 }
 
-// recordedAnswer is the end of the answer to one request.
+// recordedAnswer records the end of an answer.
 type recordedAnswer struct {
 	once sync.Once
 	done chan struct{}
@@ -64,49 +65,50 @@
 	r.once.Do(func() { r.end = e; close(r.done) })
 }
 
-// endpoint is the rest of the path: it holds each request until let go.
+// endpoint is the last handler of the path. It blocks each request until release is
+// closed.
 type endpoint struct {
-	came chan string
-	let  chan struct{}
+	arrivals chan string
+	release  chan struct{}
 }
 
 func newEndpoint() *endpoint {
-	return &endpoint{came: make(chan string, 100), let: make(chan struct{})}
+	return &endpoint{arrivals: make(chan string, 100), release: make(chan struct{})}
 }
 
 func (e *endpoint) Serve(ctx context.Context, req *request.Request, w answer.Writer) {
-	e.came <- req.ID
-	<-e.let
+	e.arrivals <- req.ID
+	<-e.release
 	_ = w.Start(answer.Head{Status: 200})
 	w.Finish(answer.End{Whole: true})
 }
 
 type rig struct {
-	path  filter.Handler
-	end   *endpoint
-	notes *explain.Store
-	clock *clock.Manual
-	stop  func() // ends Run and waits for it
+	path     filter.Handler
+	endpoint *endpoint
+	recorder *explain.Store
+	clock    *clock.Manual
+	stop     func() // ends Run and waits for it
 }
 
 func startRig(t *testing.T, s *view.Snapshot) *rig {
 	t.Helper()
-	return startRigOn(t, fixedView{s})
+	return startRigWithView(t, fixedView{s})
 }
 
-func startRigOn(t *testing.T, src view.Source) *rig {
+func startRigWithView(t *testing.T, src view.Source) *rig {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &rig{end: newEndpoint(), notes: explain.NewStore("entry-1", 100, 10), clock: clock.NewManual(1e9)}
+	r := &rig{endpoint: newEndpoint(), recorder: explain.NewStore("entry-1", 100, 10), clock: clock.NewManual(1e9)}
 	a := New(Options{
 		View: src, Clock: r.clock, Log: slog.New(slog.DiscardHandler),
-		Registerer: prometheus.NewRegistry(), Recorder: r.notes,
+		Registerer: prometheus.NewRegistry(), Recorder: r.recorder,
 	})
 	var wg sync.WaitGroup
 	wg.Go(func() { a.Run(ctx) })
 	r.stop = func() { cancel(); wg.Wait() }
 	t.Cleanup(r.stop)
-	r.path = filter.Chain(r.end, a.Filter())
+	r.path = filter.Chain(r.endpoint, a.Filter())
 	return r
 }
 
@@ -124,34 +126,33 @@
 	return w
 }
 
-// A clerk looks up a fee while every slot of the model engines is taken and
-// more model calls wait. The lookup goes to its service at once: it has a lane
-// of its own and waits behind no model call.
-func TestLookupPassesWaitingModelCalls(t *testing.T) {
+// All slots of the model engines are in use and more model calls are queued. A
+// lookup must proceed immediately, because it has its own lane.
+func TestLookupDoesNotWaitForModelCalls(t *testing.T) {
 	is := is.New(t)
 	r := startRig(t, testSnapshot(1))
 	first := r.send(t.Context(), modelRequest("m1"))
-	is.Equal(<-r.end.came, "m1")
+	is.Equal(<-r.endpoint.arrivals, "m1")
 	second := r.send(t.Context(), modelRequest("m2"))
 	r.waitFor(t, "m2", "queue")
 
 	lookup := r.send(t.Context(), lookupRequest("l1"))
-	is.Equal(<-r.end.came, "l1")
+	is.Equal(<-r.endpoint.arrivals, "l1")
 
-	close(r.end.let)
+	close(r.endpoint.release)
 	for _, a := range []*recordedAnswer{first, second, lookup} {
 		<-a.done
 		is.True(a.end.Whole)
 	}
 }
 
-// waitFor returns when the decision about the request was noted.
+// waitFor blocks until the decision about the request is recorded.
 func (r *rig) waitFor(t *testing.T, id, decision string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	for ctx.Err() == nil {
-		for _, s := range r.notes.Steps(id) {
+		for _, s := range r.recorder.Steps(id) {
 			if s.Decision == decision {
 				return
 			}
@@ -161,13 +162,13 @@
 	t.Fatalf("request %s was not decided %q", id, decision)
 }
 
-// A clerk closes the window while the request waits for a slot. The request
-// leaves the queue and is told as not run; the slot goes to the next in line.
-func TestCallerLeavesQueue(t *testing.T) {
+// A caller disconnects while its request is queued. The request must leave the
+// queue with outcome "not run", and the slot must go to the next one.
+func TestCancelledRequestLeavesQueue(t *testing.T) {
 	is := is.New(t)
 	r := startRig(t, testSnapshot(1))
 	first := r.send(t.Context(), modelRequest("m1"))
-	is.Equal(<-r.end.came, "m1")
+	is.Equal(<-r.endpoint.arrivals, "m1")
 	ctx, leave := context.WithCancel(t.Context())
 	second := r.send(ctx, modelRequest("m2"))
 	r.waitFor(t, "m2", "queue")
@@ -179,17 +180,16 @@
 	is.Equal(second.end.Error.Kind, outcome.CallerGone)
 	is.Equal(second.end.Error.Outcome, outcome.NotRun)
 
-	close(r.end.let)
+	close(r.endpoint.release)
 	<-first.done
 	<-third.done
 	is.True(third.end.Whole)
-	is.Equal(<-r.end.came, "m3")
+	is.Equal(<-r.endpoint.arrivals, "m3")
 }
 
-// Every group of a model is gone for longer than a late probe explains. The
-// caller is told at once that nothing serves the model, that the request did
-// not run and when to come back.
-func TestNothingServes(t *testing.T) {
+// Every group of a model is lost for longer than capacityGrace. The caller must get
+// "no capacity" with outcome "not run" and a retry delay.
+func TestLostGroupsRefuseWithNoCapacity(t *testing.T) {
 	is := is.New(t)
 	s := testSnapshot(1)
 	s.Groups = nil
@@ -203,9 +203,9 @@
 	is.True(w.end.Error.RetryAfter > 0)
 }
 
-// A lookup whose organisation holds its part of the slots is refused, not
-// queued, and the slots left are for other organisations.
-func TestLookupsOfOneOrganisationLeaveRoom(t *testing.T) {
+// An organisation that uses its share of the slots must have further lookups
+// refused, so that the other slots are left to other organisations.
+func TestLookupsOfOneOrganisationLeaveSlots(t *testing.T) {
 	is := is.New(t)
 	r := startRig(t, testSnapshot(1))
 	held := 0
@@ -213,7 +213,7 @@
 	for range 8 {
 		w := r.send(t.Context(), lookupRequest("l"))
 		select {
-		case <-r.end.came:
+		case <-r.endpoint.arrivals:
 			held++
 		case <-w.done:
 			refused = w
@@ -226,8 +226,8 @@
 	other := lookupRequest("o")
 	other.Organisation = "south"
 	w := r.send(t.Context(), other)
-	is.Equal(<-r.end.came, "o")
-	close(r.end.let)
+	is.Equal(<-r.endpoint.arrivals, "o")
+	close(r.endpoint.release)
 	<-w.done
 	is.True(w.end.Whole)
 	is.True(held < 8)
@@ -238,17 +238,17 @@
 
 func (v *changingView) Snapshot() *view.Snapshot { return v.now.Load() }
 
-// A group that was gone for long comes back, and a clerk's call arrives before
-// the next regular look at the limits. It is admitted: the limits follow the
-// groups that serve, not only the clock, which stands still here.
-func TestAGroupThatComesBackIsUsedAtOnce(t *testing.T) {
+// A lost group comes back, and a call arrives before the next periodic update of
+// the limits. It must be admitted: the limits also follow the serving groups,
+// not only the clock, which is stopped here.
+func TestRecoveredGroupIsUsedAtOnce(t *testing.T) {
 	is := is.New(t)
 	gone := testSnapshot(1)
 	gone.Groups[0].Whole = false
 	src := &changingView{}
 	src.now.Store(gone)
-	r := startRigOn(t, src)
-	close(r.end.let)
+	r := startRigWithView(t, src)
+	close(r.endpoint.release)
 	first := r.send(t.Context(), modelRequest("first"))
 	r.waitFor(t, "first", "queue")
 	r.clock.Advance(capacityGrace)
--- a/internal/admit/baseline_test.go
+++ b/internal/admit/baseline_test.go
@@ -6,7 +6,7 @@
 )
 
 // fifo is the baseline without fairness and deadlines: one queue in order of
-// arrival, as many in progress as there are slots.
+// arrival, with as many requests in progress as there are slots.
 type fifo struct {
 	slots    int
 	inflight int
@@ -28,8 +28,8 @@
 	return out
 }
 
-// buckets is the baseline that only caps each organisation's rate, at its share
-// of the engines' capacity; what passes waits inside the engines.
+// buckets is the baseline that only limits each organisation's rate, to its share
+// of the engines' capacity. Admitted requests queue inside the engines.
 type buckets struct {
 	rates map[fleet.Organisation]float64
 	orgs  map[fleet.Organisation]*bucket
@@ -46,7 +46,7 @@
 		k.setRate(now, b.rates[name])
 		b.orgs[name] = k
 	}
-	if !k.has(now) {
+	if !k.hasToken(now) {
 		return append(out, Decision{Handle: ev.Handle, Verdict: Refuse})
 	}
 	k.take()
--- a/internal/admit/bench_test.go
+++ b/internal/admit/bench_test.go
@@ -12,7 +12,7 @@
 	"chervilloom/internal/view"
 )
 
-// benchPlan has the given number of organisations and one pool.
+// benchPlan returns a plan with the given number of organisations and one pool.
 func benchPlan(orgs, slots int) (*Plan, []fleet.Organisation) {
 	p := &Plan{
 		QueueLimit: defaultQueueLimit,
@@ -30,7 +30,7 @@
 
 var benchSizes = []int{10, 50, 200}
 
-// BenchmarkLookup is one lookup: admitted and ended.
+// BenchmarkLookup measures the admission and the end of a lookup.
 func BenchmarkLookup(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("organisations=", n), func(b *testing.B) {
@@ -40,7 +40,8 @@
 	}
 }
 
-// BenchmarkModelRoom is one model call that finds a free slot: admitted and ended.
+// BenchmarkModelRoom measures the admission and the end of a model call that finds
+// a free slot.
 func BenchmarkModelRoom(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("organisations=", n), func(b *testing.B) {
@@ -50,7 +51,7 @@
 	}
 }
 
-func benchAdmit(b *testing.B, core stepper, orgs int) {
+func benchAdmit(b *testing.B, core stateMachine, orgs int) {
 	plan, names := benchPlan(orgs, 64)
 	out := core.Step(simStart, &Event{Kind: Replan, Plan: plan}, nil)
 	b.ReportAllocs()
@@ -64,8 +65,8 @@
 	}
 }
 
-// BenchmarkModelQueue is one model call under load: queued behind others, and
-// the next one admitted when a request ends.
+// BenchmarkModelQueue measures a model call under load: it is queued, and the next
+// queued one is admitted when a request ends.
 func BenchmarkModelQueue(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("organisations=", n), func(b *testing.B) { benchQueue(b, n, 128) })
@@ -97,8 +98,8 @@
 	}
 }
 
-// BenchmarkModelFull is one model call that is refused because the queue is
-// full: the organisation furthest over its share is looked for.
+// BenchmarkModelFull measures the refusal of a model call because the queue is
+// full, including the search for the organisation that is most over its share.
 func BenchmarkModelFull(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("organisations=", n), func(b *testing.B) {
@@ -116,7 +117,7 @@
 				a.Arrival.Organisation = names[i%n]
 				out = core.Step(simStart, &a, out[:0])
 				if out[0].Verdict != Refuse {
-					b.Fatal("not refused")
+					b.Fatal("request with a full queue was not refused")
 				}
 				a.Handle = out[0].Handle
 			}
@@ -124,7 +125,7 @@
 	}
 }
 
-// BenchmarkSweep is one look at the whole queue of 256.
+// BenchmarkSweep measures a sweep of a full queue of 256.
 func BenchmarkSweep(b *testing.B) {
 	plan, names := benchPlan(10, 1)
 	core := NewModels()
@@ -139,7 +140,8 @@
 	}
 }
 
-// BenchmarkLane is one decision with the way to the lane's goroutine and back.
+// BenchmarkLane measures a decision including the exchange with the lane's
+// goroutine.
 func BenchmarkLane(b *testing.B) {
 	plan, names := benchPlan(10, 1024)
 	core := NewLookups()
@@ -152,14 +154,15 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			c, _ := l.ask(ctx, &a, nil)
-			l.tell(message{event: Event{Kind: Finish, Completion: Completion{Total: time.Millisecond, Answered: true}}, call: c})
+			c, _ := l.decide(ctx, &a, nil)
+			l.send(message{event: Event{Kind: Finish, Completion: Completion{Total: time.Millisecond, Answered: true}}, call: c})
 		}
 	})
 }
 
-// BenchmarkPlan works out the limits of a snapshot: today's sizes, and 200
-// organisations, 20 models of 3 versions and 5 adapters, 600 VMs and 370 nodes.
+// BenchmarkPlan measures the computation of the limits for two sizes: a current
+// installation, and a fleet of 600 VMs (120 groups and 120 service VMs) and 370
+// nodes with 200 organisations and 20 models of 3 versions and 5 adapters.
 func BenchmarkPlan(b *testing.B) {
 	for _, c := range []struct {
 		name                                  string
@@ -172,7 +175,7 @@
 			s := planSnapshot(c.orgs, c.models, c.groups, c.services, c.nodes)
 			b.ReportAllocs()
 			for b.Loop() {
-				PlanOf(s, wholeCaps{}.Shares)
+				PlanOf(s, fullCaps{}.Shares)
 			}
 		})
 	}
@@ -204,7 +207,8 @@
 	return s
 }
 
-// BenchmarkReplan gives a lane the limits of 200 organisations.
+// BenchmarkReplan measures the update of a lane with the limits of 200
+// organisations.
 func BenchmarkReplan(b *testing.B) {
 	plan, _ := benchPlan(200, 64)
 	core := NewModels()
--- a/internal/admit/caps_test.go
+++ b/internal/admit/caps_test.go
@@ -14,32 +14,32 @@
 	"chervilloom/internal/usage"
 )
 
-// capNode is one node as far as an organisation's rate cap is concerned.
+// capNode is the part of a node that enforces an organisation's rate cap.
 type capNode struct {
-	node  fleet.Node
-	usage *usage.State
-	lane  *Lookups
-	next  Handle
-	asked int // since the last tick
+	node              fleet.Node
+	usage             *usage.State
+	lane              *Lookups
+	next              Handle
+	requestsSinceTick int
 }
 
 const (
-	capOrg   fleet.Organisation = "o"
-	capLimit                    = 40.0 // lookups a second over all nodes
+	testOrg  fleet.Organisation = "o"
+	capLimit                    = 40.0 // lookups per second over all nodes
 	capStep                     = 50 * time.Millisecond
 )
 
-// plan gives the node's lane its present part of the cap.
+// plan updates the lane with the node's current share of the cap.
 func (n *capNode) plan(now clock.Instant) {
-	_, share := n.usage.Shares(capOrg)
+	_, share := n.usage.Shares(testOrg)
 	wide := Pool{Name: "p", Share: 1e6, Total: 1e6}
-	p := &Plan{Organisations: []Organisation{{Name: capOrg, Weight: 1, Lookups: capLimit * share}}, Services: []Pool{wide}}
+	p := &Plan{Organisations: []Organisation{{Name: testOrg, Weight: 1, Lookups: capLimit * share}}, Services: []Pool{wide}}
 	n.lane.Step(now, &Event{Kind: Replan, Plan: p}, nil)
 }
 
-func (n *capNode) ask(now clock.Instant) bool {
-	n.asked++
-	out := n.lane.Step(now, &Event{Kind: Arrive, Handle: n.next, Arrival: Arrival{Organisation: capOrg, Service: "p"}}, nil)
+func (n *capNode) sendLookup(now clock.Instant) bool {
+	n.requestsSinceTick++
+	out := n.lane.Step(now, &Event{Kind: Arrive, Handle: n.next, Arrival: Arrival{Organisation: testOrg, Service: "p"}}, nil)
 	if out[0].Verdict != Admit {
 		return false
 	}
@@ -47,30 +47,31 @@
 	return true
 }
 
-// capFleet is some nodes that share the cap. Even and odd nodes can be cut off
-// from each other.
+// capFleet is a set of nodes that share the cap. Even and odd nodes can be
+// partitioned from each other.
 type capFleet struct {
-	now             clock.Instant
-	nodes           []*capNode
-	cut             bool
-	asked, admitted int
+	now                clock.Instant
+	nodes              []*capNode
+	partitioned        bool
+	requests, admitted int
 }
 
 func newCapFleet(count int) *capFleet {
 	f := &capFleet{now: simStart}
 	for i := range count {
 		n := &capNode{node: fleet.Node{VM: fleet.VM(fmt.Sprint("entry-", i)), Incarnation: 1}, usage: usage.NewState(), lane: NewLookups()}
-		n.usage.Configure([]usage.Organisation{{Name: capOrg, Lookups: capLimit}})
+		n.usage.Configure([]usage.Organisation{{Name: testOrg, Lookups: capLimit}})
 		f.nodes = append(f.nodes, n)
 	}
-	f.declare(false)
+	f.setMembership(false)
 	return f
 }
 
-func (f *capFleet) beyond(i, j int) bool { return f.cut && i%2 != j%2 }
+func (f *capFleet) isPartitioned(i, j int) bool { return f.partitioned && i%2 != j%2 }
 
-// declare lets every node hold those of the other half for dead, or nobody.
-func (f *capFleet) declare(dead bool) {
+// setMembership sets the membership of every node: the nodes of the other half
+// are dead, or all are alive.
+func (f *capFleet) setMembership(dead bool) {
 	for i, n := range f.nodes {
 		var peers []usage.Peer
 		for j, o := range f.nodes {
@@ -83,14 +84,15 @@
 	}
 }
 
-// run lets time pass; arrivals draws how many requests come to a node in a step.
+// run advances the time; arrivals returns the number of requests to a node per
+// step.
 func (f *capFleet) run(d time.Duration, arrivals func(node int) int) {
 	for range int(d / capStep) {
 		f.now = f.now.Add(capStep)
 		for i, n := range f.nodes {
 			for range arrivals(i) {
-				f.asked++
-				if n.ask(f.now) {
+				f.requests++
+				if n.sendLookup(f.now) {
 					f.admitted++
 				}
 			}
@@ -106,72 +108,72 @@
 
 func (f *capFleet) tick(i int) {
 	n := f.nodes[i]
-	asked := usage.Count{Lookups: n.asked}
-	n.asked = 0
+	asked := usage.Count{Lookups: n.requestsSinceTick}
+	n.requestsSinceTick = 0
 	m := n.usage.Tick(f.now, func(fleet.Organisation) usage.Count { return asked })
 	if m == nil {
 		return
 	}
 	for j, o := range f.nodes {
-		if j != i && !f.beyond(i, j) {
+		if j != i && !f.isPartitioned(i, j) {
 			o.usage.Receive(f.now, n.node, m)
 		}
 	}
 }
 
-// Callers of one organisation flood nodes that split into two halves and heal,
-// with messages between halves lost. Over the whole time the nodes together
-// admit no more than the cap, once more the cap for the time in which the split
-// was not noticed yet, and what the buckets hold at the start: two seconds of
-// the cap, and one request for each node at least.
-func TestCapHoldsOverAllNodes(t *testing.T) {
+// Callers of one organisation flood nodes that are partitioned into two halves and
+// reconnected, with messages between the halves lost. Over the whole time the nodes
+// together may admit at most the cap, plus the cap for the time in which the
+// partition was not detected or is being healed, plus the initial tokens: two
+// seconds of the cap, and at least one request per node.
+func TestCapIsEnforcedAcrossNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newCapFleet(rapid.IntRange(2, 5).Draw(t, "nodes"))
 		rate := make([]int, len(f.nodes))
-		move := func() {
+		drawRates := func() {
 			for i := range rate {
 				rate[i] = rapid.SampledFrom([]int{0, 0, 1, 5, 20}).Draw(t, "rate")
 			}
 		}
 		arrivals := func(i int) int { return rate[i] }
-		move()
+		drawRates()
 		f.run(10*time.Second, arrivals)
-		move()
-		f.cut = true
+		drawRates()
+		f.partitioned = true
 		unnoticed := time.Duration(rapid.IntRange(1, 6).Draw(t, "unnoticed")) * time.Second
 		f.run(unnoticed, arrivals)
-		f.declare(true)
+		f.setMembership(true)
 		f.run(10*time.Second, arrivals)
-		move()
-		f.cut = false
-		f.declare(false)
+		drawRates()
+		f.partitioned = false
+		f.setMembership(false)
 		f.run(10*time.Second, arrivals)
 
 		healing := usage.Holdoff + 2*usage.TickEvery
 		allowed := capLimit*f.now.Sub(simStart).Seconds() + capLimit*(unnoticed+healing).Seconds()
 		allowed += burstSeconds*capLimit + float64(len(f.nodes))
 		if float64(f.admitted) > allowed {
-			t.Fatalf("%d admitted where %.0f are allowed", f.admitted, allowed)
+			t.Fatalf("%d requests admitted, at most %.0f allowed", f.admitted, allowed)
 		}
 	})
 }
 
-// An organisation asks for four fifths of its cap over six nodes, with Poisson
-// arrivals. Few of its requests are refused, also when half of them come to one
-// node, and some more when that node changes every half minute: a share follows
-// its callers within some seconds.
-func TestCapLetsThroughWhatIsUnderIt(t *testing.T) {
+// An organisation uses four fifths of its cap over six nodes, with Poisson
+// arrivals. Few of its requests may be refused, also when half of them go to one
+// node. Some more may be when that node changes every half minute, because a
+// share follows its callers within some seconds.
+func TestCapAdmitsLoadBelowIt(t *testing.T) {
 	is := is.New(t)
 	const nodes, length = 6, 3 * time.Minute
 	perStep := 0.8 * capLimit * capStep.Seconds()
 	for _, c := range []struct {
 		name string
 		part func(node, busy int) float64
-		most float64 // of the requests refused
+		most float64 // share of the requests that may be refused
 	}{
 		{"even", func(int, int) float64 { return 1.0 / nodes }, 0.02},
-		{"half at one node", func(i, _ int) float64 { return hotPart(i == 0, nodes) }, 0.05},
-		{"half at one node, moving", func(i, busy int) float64 { return hotPart(i == busy, nodes) }, 0.2},
+		{"half at one node", func(i, _ int) float64 { return loadShare(i == 0, nodes) }, 0.05},
+		{"half at one node, moving", func(i, busy int) float64 { return loadShare(i == busy, nodes) }, 0.2},
 	} {
 		refused, asked := 0, 0
 		for seed := range uint64(simSeeds) {
@@ -180,8 +182,8 @@
 			for busy := range int(length / (30 * time.Second)) {
 				f.run(30*time.Second, func(i int) int { return poisson(r, perStep*c.part(i, busy%nodes)) })
 			}
-			refused += f.asked - f.admitted
-			asked += f.asked
+			refused += f.requests - f.admitted
+			asked += f.requests
 		}
 		share := float64(refused) / float64(asked)
 		t.Logf("%s: %.2f%% of %d refused", c.name, 100*share, asked)
@@ -189,14 +191,14 @@
 	}
 }
 
-func hotPart(hot bool, nodes int) float64 {
+func loadShare(hot bool, nodes int) float64 {
 	if hot {
 		return 0.5
 	}
 	return 0.5 / float64(nodes-1)
 }
 
-// poisson draws the number of events of a Poisson process of a small mean.
+// poisson draws a Poisson-distributed number with a small mean.
 func poisson(r *rand.Rand, mean float64) (n int) {
 	for at := r.ExpFloat64(); at < mean; at += r.ExpFloat64() {
 		n++
--- a/internal/admit/estimate.go
+++ b/internal/admit/estimate.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// promptWeight is the cost of a prompt token in output tokens: engines read
-	// a prompt in large batches and write an answer token by token.
-	promptWeight = 0.125
-	// unboundedTokens is the length taken for an answer that the caller did not
-	// bound, until answers have been seen.
-	unboundedTokens = 256
-	// sampleDecay forgets all but about the last hundred samples.
+	// promptTokenCost is the cost of a prompt token in output tokens: engines
+	// process a prompt in large batches and generate the answer token by token.
+	promptTokenCost = 0.125
+	// defaultAnswerTokens is the assumed length of an answer that the caller did
+	// not limit, until such answers have been measured.
+	defaultAnswerTokens = 256
+	// sampleDecay gives the samples a memory of about the last hundred.
 	sampleDecay = 0.99
-	// minSamples is how many answers are seen before estimates refuse anybody.
+	// minSamples is the number of answers before estimates cause refusals.
 	minSamples = 8
 )
 
-// estimator learns how long a request of a given cost takes, as a line fitted
-// to the newest samples.
+// estimator estimates the duration of a request from its cost by linear regression
+// over recent samples.
 type estimator struct {
 	n, x, y, xx, xy float64 // decayed sums over samples (cost, seconds)
-	tokens          float64 // mean length of streams whose caller gave no bound
-	fixed, perCost  float64 // the line, seconds
+	tokens          float64 // mean length of streams without a limit
+	fixed, perCost  float64 // intercept and slope, seconds
 }
 
 // cost returns the expected work of a request in output tokens.
@@ -32,14 +32,14 @@
 	if maxTokens <= 0 {
 		out = e.tokens
 		if out == 0 {
-			out = unboundedTokens
+			out = defaultAnswerTokens
 		}
 	}
-	return 1 + float64(promptTokens)*promptWeight + out
+	return 1 + float64(promptTokens)*promptTokenCost + out
 }
 
-// sample takes a request that was answered whole.
-func (e *estimator) sample(cost float64, total time.Duration) {
+// addSample adds a completely answered request.
+func (e *estimator) addSample(cost float64, total time.Duration) {
 	y := total.Seconds()
 	e.n = e.n*sampleDecay + 1
 	e.x = e.x*sampleDecay + cost
@@ -49,8 +49,8 @@
 	e.fit()
 }
 
-// length takes the length of a stream whose caller gave no bound.
-func (e *estimator) length(tokens int) {
+// addLength adds the length of a stream without a limit.
+func (e *estimator) addLength(tokens int) {
 	if e.tokens == 0 {
 		e.tokens = float64(tokens)
 		return
@@ -58,8 +58,8 @@
 	e.tokens += (float64(tokens) - e.tokens) * (1 - sampleDecay) * 5
 }
 
-// fit solves the least squares. A slope that is not positive, or costs that do
-// not differ, leave the mean as the estimate for every cost.
+// fit computes the least-squares line. If the slope is not positive or the costs do
+// not differ, the mean is the estimate for every cost.
 func (e *estimator) fit() {
 	mean := e.y / e.n
 	e.fixed, e.perCost = mean, 0
@@ -78,22 +78,22 @@
 	e.fixed, e.perCost = fixed, slope
 }
 
-// known reports whether enough answers were seen.
-func (e *estimator) known() bool { return e.n >= minSamples*0.95 }
+// isReliable reports whether there are enough samples for an estimate.
+func (e *estimator) isReliable() bool { return e.n >= minSamples*0.95 }
 
-// service returns the expected time from admission to the whole answer; 0 when
-// not known.
-func (e *estimator) service(cost float64) time.Duration {
-	if !e.known() {
+// serviceTime returns the expected time from admission to the complete answer,
+// or 0 if not known.
+func (e *estimator) serviceTime(cost float64) time.Duration {
+	if !e.isReliable() {
 		return 0
 	}
 	return time.Duration((e.fixed + e.perCost*cost) * float64(time.Second))
 }
 
-// drain returns how much cost per second leaves a queue that is served by
-// limit slots; +Inf when not known.
-func (e *estimator) drain(limit float64) float64 {
-	if !e.known() || e.y == 0 {
+// drainRate returns the cost per second at which limit slots serve a queue, or
+// +Inf if not known.
+func (e *estimator) drainRate(limit float64) float64 {
+	if !e.isReliable() || e.y == 0 {
 		return math.Inf(1)
 	}
 	return limit * e.x / e.y
--- a/internal/admit/event.go
+++ b/internal/admit/event.go
@@ -8,25 +8,24 @@
 	"chervilloom/internal/outcome"
 )
 
-// Handle names one request within a lane. The driver of the lane chooses it: a
-// small number that no request in the lane holds. It is free again after a
-// Refuse or Withdrawn decision, or after the Finish event of an admitted
-// request.
+// Handle identifies a request within a lane. The lane's driver assigns it: a small
+// number that no other request in the lane uses. It is free again after a Refuse or
+// Withdrawn decision, or after the Finish event of an admitted request.
 type Handle int32
 
-// EventKind is what happened.
+// EventKind is the type of an event.
 type EventKind uint8
 
-// The kinds of event.
+// Kinds of events.
 const (
-	Arrive   EventKind = iota + 1 // a request came; Arrival is set
+	Arrive   EventKind = iota + 1 // a request arrived; Arrival is set
 	Finish                        // an admitted request ended; Completion is set
-	Withdraw                      // the caller of a request left
-	Tick                          // time passed
+	Withdraw                      // the caller of a request disconnected
+	Tick                          // periodic check of the queue
 	Replan                        // the limits changed; Plan is set
 )
 
-// Event is one thing that happened to a lane.
+// Event is an input to a lane.
 type Event struct {
 	Kind       EventKind
 	Handle     Handle // Arrive, Finish and Withdraw
@@ -35,35 +34,34 @@
 	Plan       *Plan
 }
 
-// Arrival is what a lane needs to know of a request.
+// Arrival holds the properties of a request that a lane uses.
 type Arrival struct {
 	Organisation fleet.Organisation
 	Target       fleet.Target  // model lane only
 	Service      string        // lookup lane only
-	Priority     int           // larger goes first within the organisation
+	Priority     int           // higher is served first within the organisation
 	Deadline     clock.Instant // 0: none
 	PromptTokens int
-	MaxTokens    int // 0: not bounded by the caller
-	// Admitted is set when another node admitted the request already: it is
-	// not counted against the organisation again.
+	MaxTokens    int // 0: not limited by the caller
+	// Admitted is set if another node has already admitted the request. It is not
+	// counted against the organisation again.
 	Admitted bool
 }
 
-// Completion is how an admitted request ended.
+// Completion is the result of an admitted request.
 type Completion struct {
-	FirstToken time.Duration // from admission to the first event; 0: not a stream, or none came
+	FirstToken time.Duration // from admission to the first stream event; 0: not a stream, or no event
 	Total      time.Duration // from admission to the end
-	Tokens     int           // events of the stream; 0: not a stream
-	Answered   bool          // a whole answer was given: the durations are a fair sample
-	Shed       bool          // the endpoints refused it for want of room
+	Tokens     int           // stream events; 0: not a stream
+	Answered   bool          // the answer was complete, so the durations are valid samples
+	Shed       bool          // the endpoints refused it for lack of capacity
 }
 
-// Verdict is what becomes of a request.
+// Verdict is the result of a decision.
 type Verdict uint8
 
-// The verdicts. Queue is followed by exactly one of the others; Refuse and
-// Withdrawn are final; Admit is final for the caller of Step and ends with a
-// Finish event.
+// Verdicts. Queue is followed by exactly one of the others. Refuse and Withdrawn
+// are final. Admit is final for the caller of Step and ends with a Finish event.
 const (
 	Admit Verdict = iota + 1
 	Queue
@@ -86,41 +84,41 @@
 	return "unknown"
 }
 
-// Reason is why a verdict was given. The set is closed: reasons are metric
+// Reason is the reason for a verdict. The set is closed, because reasons are metric
 // labels.
 type Reason string
 
-// The reasons.
+// Reasons for verdicts.
 const (
 	ReasonRoom          Reason = "room"           // a slot was free
-	ReasonTurn          Reason = "turn"           // its turn came
-	ReasonAdmitted      Reason = "admitted"       // another node admitted it
-	ReasonBusy          Reason = "busy"           // all slots are taken
-	ReasonRate          Reason = "rate"           // the organisation's rate is used up
-	ReasonConcurrency   Reason = "concurrency"    // the organisation has too many in progress
-	ReasonSaturated     Reason = "saturated"      // the lane has too many in progress
+	ReasonTurn          Reason = "turn"           // it reached the head of the queue and a slot was free
+	ReasonAdmitted      Reason = "admitted"       // another node has admitted it
+	ReasonBusy          Reason = "busy"           // all slots are in use
+	ReasonRate          Reason = "rate"           // the organisation's rate cap is used up
+	ReasonConcurrency   Reason = "concurrency"    // the organisation has too many requests in progress
+	ReasonSaturated     Reason = "saturated"      // too many requests are in progress
 	ReasonDeadline      Reason = "deadline"       // it cannot be answered in time
 	ReasonExpired       Reason = "expired"        // its deadline has passed
 	ReasonQueueFull     Reason = "queue-full"     // the queue is full and the organisation is furthest over its share
-	ReasonOrganisation  Reason = "organisation"   // the organisation's part of the queue is full
+	ReasonOrganisation  Reason = "organisation"   // the organisation's share of the queue is full
 	ReasonNoCapacity    Reason = "no-capacity"    // nothing serves the target
-	ReasonCallerGone    Reason = "caller-gone"    // the caller left
+	ReasonCallerGone    Reason = "caller-gone"    // the caller disconnected
 	ReasonLaneFull      Reason = "lane-full"      // the lane's ring is full
 	ReasonShuttingDown  Reason = "shutting-down"  // the lane has stopped
-	ReasonNotConfigured Reason = "not-configured" // no configuration is known yet
+	ReasonNotConfigured Reason = "not-configured" // no configuration has been received
 )
 
-// Decision is what a lane decided about one request.
+// Decision is a lane's decision about one request.
 type Decision struct {
 	Handle     Handle
 	Verdict    Verdict
 	Kind       outcome.Kind  // Refuse only
-	RetryAfter time.Duration // Refuse only; 0: no advice
+	RetryAfter time.Duration // Refuse only; 0: none
 	Reason     Reason
 	Wait       time.Duration // estimated on Queue and Refuse, measured on Admit
-	Service    time.Duration // estimated time from admission to the whole answer
-	Waiting    int           // requests in the queue when it was decided
-	Limit      int           // concurrency limit when it was decided
-	InProgress int           // requests in progress when it was decided
-	Share      int           // slots that are this node's when all nodes are equally busy
+	Service    time.Duration // estimated time from admission to the complete answer
+	Waiting    int           // queued requests at the time of the decision
+	Limit      int           // concurrency limit at the time of the decision
+	InProgress int           // requests in progress at the time of the decision
+	Share      int           // this node's slots if all nodes are equally loaded
 }
--- a/internal/admit/flow.go
+++ b/internal/admit/flow.go
@@ -5,37 +5,37 @@
 	"chervilloom/internal/fleet"
 )
 
-// org is what a lane keeps of an organisation.
+// org is the model lane's state of an organisation.
 type org struct {
 	name    fleet.Organisation
 	weight  float64
 	bucket  bucket
 	queued  int
-	flows   []*flow // one for each pool asked for
-	planned bool    // named by the newest plan
+	flows   []*flow // one per requested pool
+	planned bool    // in the newest plan
 }
 
-// flow is the requests of one organisation for one pool. It is served by
-// start-time fair queueing: each request takes cost/weight of virtual time, and
-// the flow whose next request starts earliest goes first. An organisation that
-// was idle starts at the pool's present virtual time, so it neither saves up
+// flow holds the requests of one organisation for one pool. Flows are served by
+// start-time fair queueing: each request uses cost/weight of virtual time, and the
+// flow whose next request has the earliest start is served first. An idle
+// organisation starts at the pool's current virtual time, so it neither saves up
 // credit nor waits behind the backlog of a larger one.
 type flow struct {
-	org      *org
-	pool     *pool
-	inflight int
-	finish   float64 // virtual time at which the last admitted request ends
-	start    float64 // virtual time at which the head starts; set while queued
-	first    Handle  // queued requests in order of priority, then arrival
-	last     Handle
-	queued   int
-	cost     float64 // of the queued requests
-	pace     pace    // at which it is served while it waits
-	at       int     // place in the pool's heap; -1: nothing queued
+	org        *org
+	pool       *pool
+	inflight   int
+	lastFinish float64 // virtual time at which the last admitted request ends
+	nextStart  float64 // virtual time at which the head starts; set while queued
+	first      Handle  // queued requests by priority, then arrival
+	last       Handle
+	queued     int
+	queuedCost float64   // cost of the queued requests
+	rateMeter  rateMeter // service rate while requests are queued
+	heapIndex  int       // index in the pool's heap; -1 if nothing is queued
 }
 
-// none ends the lists of handles.
-const none Handle = -1
+// noHandle is the nil handle.
+const noHandle Handle = -1
 
 func (o *org) flow(p *pool) *flow {
 	for _, f := range o.flows {
@@ -43,23 +43,23 @@
 			return f
 		}
 	}
-	f := &flow{org: o, pool: p, first: none, last: none, at: -1}
+	f := &flow{org: o, pool: p, first: noHandle, last: noHandle, heapIndex: -1}
 	o.flows = append(o.flows, f)
 	return f
 }
 
-// entry is one request that is queued or in progress.
+// entry is a request that is queued or in progress.
 type entry struct {
-	state    entryState
-	flow     *flow
-	cost     float64
-	came     clock.Instant
-	deadline clock.Instant
-	priority int
-	charged  bool // a token of the organisation's bucket was taken
-	bounded  bool // the caller bounded the length of the answer
-	next     Handle
-	prev     Handle
+	state         entryState
+	flow          *flow
+	cost          float64
+	arrived       clock.Instant
+	deadline      clock.Instant
+	priority      int
+	tokenTaken    bool // a token was taken from the organisation's bucket
+	lengthLimited bool // the caller limited the length of the answer
+	next          Handle
+	prev          Handle
 }
 
 type entryState uint8
@@ -71,54 +71,54 @@
 	entryRelayed // running, admitted by another node
 )
 
-// heap of flows by start.
+// Heap of flows by nextStart.
 
-func (p *pool) push(f *flow) {
-	f.at = len(p.ready)
+func (p *pool) pushFlow(f *flow) {
+	f.heapIndex = len(p.ready)
 	p.ready = append(p.ready, f)
 	p.weight += f.org.weight
-	p.up(f.at)
+	p.siftUp(f.heapIndex)
 }
 
-func (p *pool) remove(f *flow) {
-	i, end := f.at, len(p.ready)-1
+func (p *pool) removeFlow(f *flow) {
+	i, end := f.heapIndex, len(p.ready)-1
 	p.swap(i, end)
 	p.ready[end] = nil
 	p.ready = p.ready[:end]
-	f.at = -1
+	f.heapIndex = -1
 	p.weight -= f.org.weight
 	if i < end {
-		p.down(i)
-		p.up(i)
+		p.siftDown(i)
+		p.siftUp(i)
 	}
 }
 
-// startOf returns the virtual time at which the next request of f starts. A flow
-// may run ahead of its share by the pool's allowance: an organisation that asks
-// for less than its share, but in bursts, does not wait behind one that asks
-// for more all the time. The latter has used up its allowance once and for all.
-func (p *pool) startOf(f *flow) float64 { return max(p.virtual, f.finish-p.allowance) }
-
-// restart moves a waiting flow to the place of its next request. A flow that
-// kept its old place after a request was admitted would go first for ever, and
-// every other organisation would starve.
-func (p *pool) restart(f *flow) {
-	if f.at < 0 {
+// startTime returns the virtual start time of the next request of f. A flow may run
+// ahead of its share by the pool's allowance, so an organisation that stays below
+// its share but sends bursts does not wait behind one that is always above it. The
+// latter has used up its allowance.
+func (p *pool) startTime(f *flow) float64 { return max(p.virtualTime, f.lastFinish-p.allowance) }
+
+// requeueFlow updates the heap position of a waiting flow for its next request.
+// A flow that kept its position after an admission would always be served first
+// and starve the others.
+func (p *pool) requeueFlow(f *flow) {
+	if f.heapIndex < 0 {
 		return
 	}
-	f.start = p.startOf(f)
-	p.down(f.at)
+	f.nextStart = p.startTime(f)
+	p.siftDown(f.heapIndex)
 }
 
 func (p *pool) swap(i, j int) {
 	p.ready[i], p.ready[j] = p.ready[j], p.ready[i]
-	p.ready[i].at, p.ready[j].at = i, j
+	p.ready[i].heapIndex, p.ready[j].heapIndex = i, j
 }
 
-func (p *pool) up(i int) {
+func (p *pool) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
-		if p.ready[parent].start <= p.ready[i].start {
+		if p.ready[parent].nextStart <= p.ready[i].nextStart {
 			return
 		}
 		p.swap(i, parent)
@@ -126,16 +126,16 @@
 	}
 }
 
-func (p *pool) down(i int) {
+func (p *pool) siftDown(i int) {
 	for {
 		c := 2*i + 1
 		if c >= len(p.ready) {
 			return
 		}
-		if c+1 < len(p.ready) && p.ready[c+1].start < p.ready[c].start {
+		if c+1 < len(p.ready) && p.ready[c+1].nextStart < p.ready[c].nextStart {
 			c++
 		}
-		if p.ready[i].start <= p.ready[c].start {
+		if p.ready[i].nextStart <= p.ready[c].nextStart {
 			return
 		}
 		p.swap(i, c)
--- a/internal/admit/lane.go
+++ b/internal/admit/lane.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// ringSize is how many arrivals may wait for a lane's goroutine. A decision
-	// takes about a microsecond, so a full ring means that the node's
-	// processors are used up: the arrival is refused at once, "not run".
+	// ringSize is the capacity for arrivals that wait for the lane's goroutine. A
+	// decision takes about a microsecond, so a full ring means that the node's
+	// CPUs are saturated. The arrival is then refused at once, "not run".
 	ringSize = 4096
-	// endsSize is how many other events may wait. When it is full the sender
-	// waits for room: a lost Finish would hold a slot for ever. The lane's
-	// goroutine never waits for a sender, so there is no circle.
-	endsSize = 1024
+	// eventsSize is the capacity for all other events. Senders block when it is
+	// full, because a lost Finish would occupy a slot forever. This cannot
+	// deadlock: the lane's goroutine never waits for a sender.
+	eventsSize = 1024
 )
 
-// core is the pure part of a lane.
+// core is the pure state machine of a lane.
 type core interface {
 	Step(now clock.Instant, ev *Event, out []Decision) []Decision
 	Waiting() int
@@ -29,45 +29,45 @@
 
 // message carries an event to the lane's goroutine.
 type message struct {
-	event Event
-	call  *call         // nil: Tick and Replan
-	done  chan struct{} // closed when the event was taken; may be nil
+	event     Event
+	call      *call         // nil for Tick and Replan
+	processed chan struct{} // closed when the event was processed; may be nil
 }
 
-// call is the lane's side of one request.
+// call is the lane's record of one request. handle and left are accessed only by
+// the lane's goroutine.
 type call struct {
-	handle  Handle // none until it has arrived
-	left    bool   // withdrawn before it arrived
-	decided chan Decision
-	// handle and left belong to the lane's goroutine.
+	handle    Handle // noHandle until the request has arrived
+	withdrawn bool   // withdrawn before it arrived
+	decisions chan Decision
 }
 
-// lane owns a core and feeds it from a ring. Its goroutine is the only one that
-// touches the core.
+// lane feeds a core with events from a ring and a channel. Only its goroutine
+// accesses the core.
 type lane struct {
-	name    string
-	core    core
-	clock   clock.Clock
-	ring    *ring.Queue[message] // arrivals
-	ends    chan message         // all other events
-	stopped chan struct{}
-	calls   []*call  // by handle
-	free    []Handle // handles not in use
-	out     []Decision
-	held    atomic.Int64 // handles in use
-	waiting atomic.Int64 // requests that wait
+	name         string
+	core         core
+	clock        clock.Clock
+	ring         *ring.Queue[message] // arrivals
+	events       chan message         // all other events
+	stopped      chan struct{}
+	calls        []*call  // by handle
+	freeHandles  []Handle // unused handles
+	out          []Decision
+	handlesInUse atomic.Int64
+	waiting      atomic.Int64 // queued requests
 }
 
 func newLane(name string, c core, clk clock.Clock) *lane {
 	return &lane{
 		name: name, core: c, clock: clk,
 		ring:    ring.NewQueue[message](ringSize),
-		ends:    make(chan message, endsSize),
+		events:  make(chan message, eventsSize),
 		stopped: make(chan struct{}),
 	}
 }
 
-// run decides until ctx ends. Requests that wait then are refused.
+// run processes events until ctx ends. Requests still queued then are refused.
 func (l *lane) run(ctx context.Context) {
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
@@ -77,29 +77,30 @@
 		case <-ctx.Done():
 			return
 		case m := <-l.ring.C():
-			l.takeEnds()
+			l.drainEvents()
 			l.step(&m)
-		case m := <-l.ends:
+		case m := <-l.events:
 			l.step(&m)
 		case <-tick.C:
-			l.takeEnds()
+			l.drainEvents()
 			l.step(&message{event: Event{Kind: Tick}})
 		}
 	}
 }
 
-// takeEnds takes the ends that are at hand. After a node stood still both rings are full:
-// arrivals that were judged first would be refused for slots that are free.
-func (l *lane) takeEnds() {
-	for range len(l.ends) {
-		m := <-l.ends
+// drainEvents processes the other events that are already in the channel. After a
+// pause of the node both queues are full, and arrivals decided first would be
+// refused although slots are free.
+func (l *lane) drainEvents() {
+	for range len(l.events) {
+		m := <-l.events
 		l.step(&m)
 	}
 }
 
 func (l *lane) step(m *message) {
-	if m.done != nil {
-		defer close(m.done)
+	if m.processed != nil {
+		defer close(m.processed)
 	}
 	if m.call != nil && !l.enter(m) {
 		return
@@ -109,48 +110,46 @@
 		l.deliver(&l.out[i])
 	}
 	if m.event.Kind == Finish {
-		l.put(m.call.handle)
+		l.freeHandle(m.call.handle)
 	}
-	l.held.Store(int64(len(l.calls) - len(l.free)))
+	l.handlesInUse.Store(int64(len(l.calls) - len(l.freeHandles)))
 	l.waiting.Store(int64(l.core.Waiting()))
 }
 
-// enter sets the event's handle. It reports false when there is nothing to
-// decide.
+// enter sets the event's handle. It returns false if the event needs no decision.
 func (l *lane) enter(m *message) bool {
 	c := m.call
 	switch {
-	case m.event.Kind == Arrive && c.left:
-		c.decided <- Decision{Verdict: Withdrawn, Reason: ReasonCallerGone}
+	case m.event.Kind == Arrive && c.withdrawn:
+		c.decisions <- Decision{Verdict: Withdrawn, Reason: ReasonCallerGone}
 		return false
 	case m.event.Kind == Arrive:
-		c.handle = l.take(c)
-	case c.handle == none:
-		// Withdraw came by the other ring and overtook Arrive. Lost here, the
-		// request would wait in the queue for a caller who has left.
-		c.left = true
+		c.handle = l.allocHandle(c)
+	case c.handle == noHandle:
+		// Withdraw overtook Arrive through the other queue. If it were dropped,
+		// the request would stay queued after its caller has left.
+		c.withdrawn = true
 		return false
 	case l.calls[c.handle] != c:
-		return false // its final decision was on the way already; the handle may be another's by now
+		return false // already decided; the handle may have been reused
 	}
 	m.event.Handle = c.handle
 	return true
 }
 
-// deliver tells the request what was decided. A call's channel holds the two
-// decisions that a request gets at most before it leaves the lane, so this
-// never blocks.
+// deliver sends the decision to the request. It never blocks: a request gets at
+// most two decisions before it leaves the lane, and its channel has room for both.
 func (l *lane) deliver(d *Decision) {
-	l.calls[d.Handle].decided <- *d
+	l.calls[d.Handle].decisions <- *d
 	if d.Verdict == Refuse || d.Verdict == Withdrawn {
-		l.put(d.Handle)
+		l.freeHandle(d.Handle)
 	}
 }
 
-func (l *lane) take(c *call) Handle {
-	if n := len(l.free); n > 0 {
-		h := l.free[n-1]
-		l.free = l.free[:n-1]
+func (l *lane) allocHandle(c *call) Handle {
+	if n := len(l.freeHandles); n > 0 {
+		h := l.freeHandles[n-1]
+		l.freeHandles = l.freeHandles[:n-1]
 		l.calls[h] = c
 		return h
 	}
@@ -158,49 +157,49 @@
 	return Handle(len(l.calls) - 1)
 }
 
-func (l *lane) put(h Handle) {
+func (l *lane) freeHandle(h Handle) {
 	l.calls[h] = nil
-	l.free = append(l.free, h)
+	l.freeHandles = append(l.freeHandles, h)
 }
 
-// ask puts a request to the lane and returns the final decision about it. When
-// ctx ends the request is withdrawn; it may have been admitted just before.
-func (l *lane) ask(ctx context.Context, a *Arrival, onQueue func(Decision)) (*call, Decision) {
-	c := &call{handle: none, decided: make(chan Decision, 2)}
+// decide submits a request to the lane and returns the final decision. When ctx
+// ends the request is withdrawn, but it may have been admitted just before.
+func (l *lane) decide(ctx context.Context, a *Arrival, onQueue func(Decision)) (*call, Decision) {
+	c := &call{handle: noHandle, decisions: make(chan Decision, 2)}
 	if !l.ring.Offer(message{event: Event{Kind: Arrive, Arrival: *a}, call: c}) {
 		return c, Decision{Verdict: Refuse, Kind: outcome.Overloaded, Reason: ReasonLaneFull, RetryAfter: time.Second}
 	}
 	done := ctx.Done()
 	for {
 		select {
-		case d := <-c.decided:
+		case d := <-c.decisions:
 			if d.Verdict != Queue {
 				return c, d
 			}
 			onQueue(d)
 		case <-done:
-			done = nil // the lane answers with Withdrawn, or has admitted it
-			l.tell(message{event: Event{Kind: Withdraw}, call: c})
+			done = nil // the lane replies with Withdrawn, or has already admitted it
+			l.send(message{event: Event{Kind: Withdraw}, call: c})
 		case <-l.stopped:
 			return c, Decision{Verdict: Refuse, Kind: outcome.ShuttingDown, Reason: ReasonShuttingDown, RetryAfter: time.Second}
 		}
 	}
 }
 
-// tell puts an event that must not be lost.
-func (l *lane) tell(m message) {
+// send sends an event to the lane and blocks while the channel is full.
+func (l *lane) send(m message) {
 	select {
-	case l.ends <- m:
+	case l.events <- m:
 	case <-l.stopped:
 	}
 }
 
-// tellAndWait puts an event and returns when the lane has taken it.
-func (l *lane) tellAndWait(m message) {
-	m.done = make(chan struct{})
-	l.tell(m)
+// sendAndWait sends an event and returns when the lane has processed it.
+func (l *lane) sendAndWait(m message) {
+	m.processed = make(chan struct{})
+	l.send(m)
 	select {
-	case <-m.done:
+	case <-m.processed:
 	case <-l.stopped:
 	}
 }
--- a/internal/admit/lane_test.go
+++ b/internal/admit/lane_test.go
@@ -27,11 +27,11 @@
 func (c *countedAnswer) Frame(answer.Frame) error { return nil }
 func (c *countedAnswer) Finish(e answer.End)      { c.finished++; c.end = e }
 
-// Hundreds of callers come at once and many of them leave at any moment: before
-// a decision, in the queue, at their turn. Each gets exactly one final answer,
-// what is told as not run never reached the endpoint, and all slots are free in
-// the end.
-func TestCallersComeAndGo(t *testing.T) {
+// Hundreds of callers arrive at once and many disconnect at any time: before a
+// decision, in the queue, or while being admitted. Each must get exactly one final
+// answer, requests answered as "not run" must not reach the endpoint, and all slots
+// must be free in the end.
+func TestConcurrentArrivalsAndCancellations(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	a := New(Options{View: fixedView{testSnapshot(3)}, Clock: clock.Boot{}})
@@ -80,57 +80,57 @@
 	}
 	ends, stop := context.WithTimeout(t.Context(), 30*time.Second)
 	defer stop()
-	for (a.models.held.Load() > 0 || a.lookups.held.Load() > 0) && ends.Err() == nil {
+	for (a.models.handlesInUse.Load() > 0 || a.lookups.handlesInUse.Load() > 0) && ends.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	is.NoErr(ends.Err())
 }
 
-// The node's process ends while requests wait. They are told that they did not
-// run and may be sent elsewhere; nobody waits for ever.
-func TestStopAnswersWhoWaits(t *testing.T) {
+// The node stops while requests are queued. They must be answered as "not run", so
+// that they can be sent elsewhere and no caller blocks forever.
+func TestStopRefusesQueuedRequests(t *testing.T) {
 	is := is.New(t)
 	r := startRig(t, testSnapshot(1))
 	held := r.send(t.Context(), modelRequest("m1"))
-	is.Equal(<-r.end.came, "m1")
+	is.Equal(<-r.endpoint.arrivals, "m1")
 	waiting := r.send(t.Context(), modelRequest("m2"))
 	r.waitFor(t, "m2", "queue")
 	r.stop()
 	<-waiting.done
 	is.Equal(waiting.end.Error.Kind, outcome.ShuttingDown)
 	is.Equal(waiting.end.Error.Outcome, outcome.NotRun)
-	close(r.end.let)
+	close(r.endpoint.release)
 	<-held.done
 	is.True(held.end.Whole)
 }
 
-// The lane's goroutine does not keep up and its ring is full. The request is
-// refused at once, "not run".
+// The lane's goroutine falls behind and its ring is full. A request must be refused
+// at once, "not run".
 func TestFullRingRefuses(t *testing.T) {
 	is := is.New(t)
-	l := newLane("model", NewModels(), clock.NewManual(simStart)) // nothing takes from the ring
+	l := newLane("model", NewModels(), clock.NewManual(simStart)) // no goroutine reads the ring
 	for l.ring.Offer(message{}) {
 	}
-	_, d := l.ask(t.Context(), &Arrival{}, nil)
+	_, d := l.decide(t.Context(), &Arrival{}, nil)
 	is.Equal(d.Verdict, Refuse)
 	is.Equal(d.Reason, ReasonLaneFull)
 	is.Equal(refusal(&d).Outcome, outcome.NotRun)
 }
 
-// A caller comes back for the rest of a stream while all slots are taken and
-// others wait. It goes on at once: the stream holds its slot already.
+// A caller resumes a stream while all slots are in use and others are queued. It
+// must proceed at once, because the stream still occupies its slot.
 func TestResumeDoesNotWait(t *testing.T) {
 	is := is.New(t)
 	r := startRig(t, testSnapshot(1))
 	held := r.send(t.Context(), modelRequest("m1"))
-	is.Equal(<-r.end.came, "m1")
+	is.Equal(<-r.endpoint.arrivals, "m1")
 	waiting := r.send(t.Context(), modelRequest("m2"))
 	r.waitFor(t, "m2", "queue")
 	resume := modelRequest("m3")
 	resume.ResumeID = "stream:7"
 	resumed := r.send(t.Context(), resume)
-	is.Equal(<-r.end.came, "m3")
-	close(r.end.let)
+	is.Equal(<-r.endpoint.arrivals, "m3")
+	close(r.endpoint.release)
 	for _, a := range []*recordedAnswer{held, waiting, resumed} {
 		<-a.done
 		is.True(a.end.Whole)
--- a/internal/admit/limiter.go
+++ b/internal/admit/limiter.go
@@ -7,66 +7,66 @@
 )
 
 const (
-	// windowLength and windowSamples are the least length and the least number
-	// of samples of one window of latencies.
-	windowLength  = time.Second
-	windowSamples = 64
-	// windowsKept is how many windows the lowest mean is looked for in.
-	windowsKept = 30
-	// latencyTolerance is how far the recent latency may be over the lowest
-	// window's mean before the endpoints are taken to be queueing.
+	// minWindowDuration and minWindowSamples are the minimum duration and the
+	// minimum number of samples of a latency window.
+	minWindowDuration = time.Second
+	minWindowSamples  = 64
+	// windowCapacity is the number of windows over which the lowest mean is taken.
+	windowCapacity = 30
+	// latencyTolerance is the ratio of recent latency to the lowest window mean
+	// above which the endpoints are assumed to be queueing.
 	latencyTolerance = 2.0
-	// latencySlack is allowed on top: small services jitter by this much.
+	// latencySlack is allowed in addition: latencies of small services jitter by
+	// this much.
 	latencySlack = 0.002 // seconds
-	// recentWeight is the weight of a new sample in the recent latency.
-	recentWeight = 0.03
-	// cutPause is the least time between two cuts: a cut shows its effect only
-	// when the requests before it have ended.
-	cutPause = 250 * time.Millisecond
-	// gentleCut and hardCut shrink the limit of a node within and above its
-	// share of the slots, so that nodes above their share give way first.
-	gentleCut = 0.9
-	hardCut   = 0.7
-	// returnSteps is how many slots are added for each limit answers below the
-	// share.
-	returnSteps = 4.0
-	// floorOfShare is the part of its share that latency and load reports
-	// cannot take from a node: both are also raised by a change of the
-	// requests' sizes.
-	floorOfShare = 0.5
-	// waitingTolerance is the part of the slots that may wait inside the
-	// endpoints. Nodes that share endpoints without talking hit some of them
-	// at the same time.
+	// recentSampleWeight is the weight of a new sample in the recent latency.
+	recentSampleWeight = 0.03
+	// minCutInterval is the minimum time between two cuts: a cut takes effect
+	// only after earlier requests have ended.
+	minCutInterval = 250 * time.Millisecond
+	// cutWithinShare and cutAboveShare are the factors by which a node's limit
+	// is cut when it is within and above its share, so that nodes above their
+	// share yield first.
+	cutWithinShare = 0.9
+	cutAboveShare  = 0.7
+	// raiseBelowShare is the number of slots added per limit answers while the
+	// limit is below the share.
+	raiseBelowShare = 4.0
+	// minShareKept is the part of its share that a node keeps in spite of latency
+	// and load reports, because both also rise when requests get larger.
+	minShareKept = 0.5
+	// waitingTolerance is the part of the slots that may be queued inside the
+	// endpoints. Nodes that share endpoints without coordination sometimes send to
+	// the same one at the same time.
 	waitingTolerance = 0.1
 )
 
-// limiter is a pool's concurrency limit. It starts at the node's share of the
-// slots and goes up while requests wait here and nothing waits in the
-// endpoints, at most to all slots: what other nodes leave idle is used. It goes
-// down when latencies rise, when the endpoints report that requests wait in
-// them, and when they refuse.
+// limiter is a pool's adaptive concurrency limit. It starts at the node's share of
+// the slots. It rises, up to all slots, while requests are queued here and none
+// inside the endpoints, to use what other nodes leave idle. It is cut when
+// latencies rise, when endpoints report queued requests, and when they refuse.
 type limiter struct {
-	limit    float64
-	share    float64
-	total    float64
-	reported clock.Instant // of the newest load report seen
-	cutAt    clock.Instant
+	limit      float64
+	share      float64
+	total      float64
+	lastReport clock.Instant // time of the newest load report used
+	lastCut    clock.Instant
 
-	recent    float64 // decayed mean latency, seconds
-	began     clock.Instant
-	sum       float64
-	n         int
-	means     [windowsKept]float64 // 0: none yet
-	at        int
-	lowest    float64 // of means; 0: none yet
-	shedFloor bool    // endpoints refused since the last raise: the floor is 1
+	recentLatency float64 // exponential moving average of latency, seconds
+	windowStart   clock.Instant
+	windowSum     float64
+	windowCount   int
+	windowMeans   [windowCapacity]float64 // 0: empty
+	nextWindow    int
+	lowestMean    float64 // lowest of windowMeans; 0: none yet
+	floorLifted   bool    // endpoints refused since the last raise: the floor is 1 slot
 }
 
-// resize takes the slots of a new plan.
+// resize applies the slots of a new plan.
 func (l *limiter) resize(now clock.Instant, c *Pool) {
 	l.total = c.Total
 	if c.Total <= 0 {
-		return // limit and share are kept for the time when endpoints are back
+		return // keep limit and share until endpoints are available again
 	}
 	switch {
 	case l.limit == 0:
@@ -76,10 +76,10 @@
 	}
 	l.share = c.Share
 	l.clamp()
-	if !c.Reported.After(l.reported) {
+	if !c.Reported.After(l.lastReport) {
 		return
 	}
-	l.reported = c.Reported
+	l.lastReport = c.Reported
 	if float64(c.Waiting) > max(1, c.Total*waitingTolerance) {
 		l.cut(now)
 	}
@@ -87,8 +87,8 @@
 
 func (l *limiter) clamp() {
 	floor := 1.0
-	if !l.shedFloor {
-		floor = max(1, l.share*floorOfShare)
+	if !l.floorLifted {
+		floor = max(1, l.share*minShareKept)
 	}
 	if l.total > 0 {
 		l.limit = min(l.limit, l.total)
@@ -96,16 +96,15 @@
 	l.limit = max(floor, l.limit)
 }
 
-// sample takes the latency of one request, in seconds: time to the first token
-// of a stream, time to the answer of a lookup. waiting is set when requests
-// wait for a slot here.
-func (l *limiter) sample(now clock.Instant, latency float64, waiting bool) {
-	if l.recent == 0 {
-		l.recent = latency
-	}
-	l.recent += (latency - l.recent) * recentWeight
-	l.window(now, latency)
-	if l.lowest > 0 && l.recent > l.lowest*latencyTolerance+latencySlack {
+// addSample adds the latency of a request in seconds: time to the first token of a
+// stream, or to the answer of a lookup. waiting is set if requests are queued here.
+func (l *limiter) addSample(now clock.Instant, latency float64, waiting bool) {
+	if l.recentLatency == 0 {
+		l.recentLatency = latency
+	}
+	l.recentLatency += (latency - l.recentLatency) * recentSampleWeight
+	l.addToWindow(now, latency)
+	if l.lowestMean > 0 && l.recentLatency > l.lowestMean*latencyTolerance+latencySlack {
 		l.cut(now)
 		return
 	}
@@ -114,56 +113,56 @@
 	}
 }
 
-func (l *limiter) window(now clock.Instant, latency float64) {
-	if l.n == 0 {
-		l.began = now
+func (l *limiter) addToWindow(now clock.Instant, latency float64) {
+	if l.windowCount == 0 {
+		l.windowStart = now
 	}
-	l.sum += latency
-	l.n++
-	if l.n < windowSamples || now.Sub(l.began) < windowLength {
+	l.windowSum += latency
+	l.windowCount++
+	if l.windowCount < minWindowSamples || now.Sub(l.windowStart) < minWindowDuration {
 		return
 	}
-	l.means[l.at] = l.sum / float64(l.n)
-	l.at = (l.at + 1) % windowsKept
-	l.sum, l.n = 0, 0
-	l.lowest = 0
-	for _, m := range l.means {
-		if m > 0 && (l.lowest == 0 || m < l.lowest) {
-			l.lowest = m
+	l.windowMeans[l.nextWindow] = l.windowSum / float64(l.windowCount)
+	l.nextWindow = (l.nextWindow + 1) % windowCapacity
+	l.windowSum, l.windowCount = 0, 0
+	l.lowestMean = 0
+	for _, m := range l.windowMeans {
+		if m > 0 && (l.lowestMean == 0 || m < l.lowestMean) {
+			l.lowestMean = m
 		}
 	}
 }
 
-// raise adds one slot for each limit answers, and more below the share.
+// raise adds one slot per limit answers, and more below the share.
 func (l *limiter) raise() {
 	step := 1.0
 	if l.limit < l.share {
-		step = returnSteps
+		step = raiseBelowShare
 	}
 	l.limit += step / max(1, l.limit)
-	if l.limit >= l.share*floorOfShare {
-		l.shedFloor = false
+	if l.limit >= l.share*minShareKept {
+		l.floorLifted = false
 	}
 	l.clamp()
 }
 
 func (l *limiter) cut(now clock.Instant) {
-	pause := max(cutPause, time.Duration(l.recent*float64(time.Second)))
-	if l.cutAt != 0 && now.Sub(l.cutAt) < pause {
+	pause := max(minCutInterval, time.Duration(l.recentLatency*float64(time.Second)))
+	if l.lastCut != 0 && now.Sub(l.lastCut) < pause {
 		return
 	}
-	l.cutAt = now
+	l.lastCut = now
 	if l.limit > l.share {
-		l.limit = max(l.limit*hardCut, l.share*gentleCut)
+		l.limit = max(l.limit*cutAboveShare, l.share*cutWithinShare)
 	} else {
-		l.limit *= gentleCut
+		l.limit *= cutWithinShare
 	}
 	l.clamp()
 }
 
-// shed takes a refusal by the endpoints for want of room. It is the surest sign
-// of all and may bring the limit down to one.
-func (l *limiter) shed(now clock.Instant) {
-	l.shedFloor = true
+// cutOnRefusal handles a refusal by the endpoints for lack of capacity. It is
+// the strongest overload signal and may reduce the limit to one slot.
+func (l *limiter) cutOnRefusal(now clock.Instant) {
+	l.floorLifted = true
 	l.cut(now)
 }
--- a/internal/admit/lookupqueue_test.go
+++ b/internal/admit/lookupqueue_test.go
@@ -11,8 +11,8 @@
 	"chervilloom/internal/outcome"
 )
 
-// lookups is a lane whose service has a few slots for this node.
-type lookups struct {
+// lookupsDriver drives a Lookups whose service has a few slots at this node.
+type lookupsDriver struct {
 	*Lookups
 	now  clock.Instant
 	next Handle
@@ -20,30 +20,30 @@
 
 const lookupSlotsHere = 4
 
-func newLookups(orgs ...fleet.Organisation) *lookups {
+func newLookups(orgs ...fleet.Organisation) *lookupsDriver {
 	p := &Plan{Services: []Pool{{Name: "fees", Share: lookupSlotsHere, Total: lookupSlotsHere}}}
 	for _, o := range orgs {
 		p.Organisations = append(p.Organisations, Organisation{Name: o, Weight: 1})
 	}
-	l := &lookups{Lookups: NewLookups(), now: simStart}
+	l := &lookupsDriver{Lookups: NewLookups(), now: simStart}
 	l.step(&Event{Kind: Replan, Plan: p})
 	return l
 }
 
-func (l *lookups) step(ev *Event) []Decision { return l.Step(l.now, ev, nil) }
+func (l *lookupsDriver) step(ev *Event) []Decision { return l.Step(l.now, ev, nil) }
 
-func (l *lookups) arrive(o fleet.Organisation) Decision {
+func (l *lookupsDriver) arrive(o fleet.Organisation) Decision {
 	h := l.next
 	l.next++
 	return l.step(&Event{Kind: Arrive, Handle: h, Arrival: Arrival{Organisation: o, Service: "fees"}})[0]
 }
 
-func (l *lookups) finish(h Handle) []Decision {
+func (l *lookupsDriver) finish(h Handle) []Decision {
 	return l.step(&Event{Kind: Finish, Handle: h, Completion: Completion{Total: time.Millisecond, Answered: true}})
 }
 
-// Guards against calls that are refused for a second although slots free within
-// milliseconds.
+// Guards against calls that are refused with a retry delay of a second although
+// slots become free within milliseconds.
 func TestLookupWaitsForASlot(t *testing.T) {
 	is := is.New(t)
 	l := newLookups("north")
@@ -51,7 +51,7 @@
 		is.Equal(l.arrive("north").Verdict, Admit)
 	}
 	is.Equal(l.arrive("north").Verdict, Queue)
-	l.now = l.now.Add(lookupWait / 2)
+	l.now = l.now.Add(maxLookupWait / 2)
 	is.Equal(len(l.step(&Event{Kind: Tick})), 0)
 	got := l.finish(0)
 	is.Equal(len(got), 1)
@@ -60,27 +60,28 @@
 	is.Equal(l.Waiting(), 0)
 }
 
-// Guards against calls that wait where no slot becomes free, and against one that is refused
-// after the node stood still although a slot is free by then.
-func TestLookupWaitEnds(t *testing.T) {
+// Guards against calls that stay queued although no slot becomes free, and
+// against a call that is refused after a pause of the node although a slot is
+// free by then.
+func TestLookupWaitIsLimited(t *testing.T) {
 	is := is.New(t)
 	l := newLookups("north")
 	for range lookupSlotsHere + 1 {
 		l.arrive("north")
 	}
-	l.now = l.now.Add(lookupWait)
+	l.now = l.now.Add(maxLookupWait)
 	got := l.step(&Event{Kind: Tick})
 	is.Equal(got[0].Verdict, Refuse)
 	is.Equal(got[0].Reason, ReasonSaturated)
 
 	is.Equal(l.arrive("north").Verdict, Queue)
-	l.now = l.now.Add(10 * lookupWait)
+	l.now = l.now.Add(10 * maxLookupWait)
 	is.Equal(l.finish(0)[0].Verdict, Admit)
 }
 
-// Guards against a call that is held although the service is too slow for it to get a slot
-// in time.
-func TestLookupIsRefusedAtOnceWhereTheServiceIsSlow(t *testing.T) {
+// Guards against a call that is queued although the service is too slow to free a
+// slot in time.
+func TestLookupIsRefusedAtOnceIfServiceIsSlow(t *testing.T) {
 	is := is.New(t)
 	l := newLookups("north")
 	for range lookupSlotsHere {
@@ -93,8 +94,9 @@
 	is.Equal(d.Kind, outcome.Overloaded)
 }
 
-// Guards against an organisation that fills the queue and leaves nothing to the others.
-func TestLookupQueueLeavesRoomToOthers(t *testing.T) {
+// Guards against an organisation that fills the queue and leaves no places to
+// others.
+func TestLookupQueueLeavesPlacesToOthers(t *testing.T) {
 	is := is.New(t)
 	l := newLookups("north", "south")
 	for range lookupSlotsHere / 2 {
@@ -111,8 +113,8 @@
 	is.Equal(l.arrive("south").Verdict, Queue)
 }
 
-// Guards against a call that keeps its place after its caller has left.
-func TestLookupLeavesTheQueue(t *testing.T) {
+// Guards against a call that stays queued after its caller has left.
+func TestCancelledLookupLeavesQueue(t *testing.T) {
 	is := is.New(t)
 	l := newLookups("north")
 	for range lookupSlotsHere + 1 {
@@ -123,22 +125,22 @@
 	is.Equal(len(l.finish(0)), 0)
 }
 
-// Guards against arrivals that are refused for want of slots whose ends are at hand, after
-// the node stood still.
-func TestEndsAreTakenBeforeArrivals(t *testing.T) {
+// Guards against arrivals that are refused for lack of slots after a pause of the
+// node, although events that free slots are already in the channel.
+func TestEventsAreProcessedBeforeArrivals(t *testing.T) {
 	is := is.New(t)
 	core := &recorder{}
 	l := newLane("lookup", core, clock.NewManual(simStart))
-	first := &call{handle: l.take(&call{})}
+	first := &call{handle: l.allocHandle(&call{})}
 	l.calls[first.handle] = first
-	l.ends <- message{event: Event{Kind: Finish}, call: first}
-	l.takeEnds()
-	l.step(&message{event: Event{Kind: Arrive}, call: &call{handle: none, decided: make(chan Decision, 2)}})
+	l.events <- message{event: Event{Kind: Finish}, call: first}
+	l.drainEvents()
+	l.step(&message{event: Event{Kind: Arrive}, call: &call{handle: noHandle, decisions: make(chan Decision, 2)}})
 	is.Equal(core.kinds, []EventKind{Finish, Arrive})
-	is.Equal(len(l.ends), 0)
+	is.Equal(len(l.events), 0)
 }
 
-// recorder is a core that admits everything and notes what came.
+// recorder is a core that admits everything and records the kinds of events.
 type recorder struct{ kinds []EventKind }
 
 func (r *recorder) Step(_ clock.Instant, ev *Event, out []Decision) []Decision {
--- a/internal/admit/lookups.go
+++ b/internal/admit/lookups.go
@@ -9,28 +9,27 @@
 )
 
 const (
-	// reserveFactor bounds an organisation's lookups in progress, above its
-	// weighted part of the slots, to this many times the slots that are free.
-	// One organisation alone then fills half of the slots and leaves half to
-	// others at once; k greedy ones leave 1/(1+k). Without it one
-	// organisation's burst takes every slot, and the counters of another are
-	// refused.
-	reserveFactor = 1.0
-	// lookupRetry is the advice given when the lookups in progress are too many:
-	// slots are free again within milliseconds, and Retry-After has no smaller
-	// value than a second.
-	lookupRetry = time.Second
+	// freeSlotsFactor limits an organisation's lookups in progress, above its
+	// weighted share of the slots, to this multiple of the free slots. A single
+	// organisation can then fill half of the slots; with k organisations that use
+	// all they can, 1/(1+k) of the slots stays free. Without this limit a burst of
+	// one organisation would take every slot and the others would be refused.
+	freeSlotsFactor = 1.0
+	// lookupRetryAfter is the retry delay when too many lookups are in progress.
+	// Slots become free within milliseconds, but one second is the smallest
+	// value of Retry-After.
+	lookupRetryAfter = time.Second
 )
 
-// Lookups decides about plain service calls. A call that has no slot waits a moment
-// for one, and is refused where that can't be expected.
+// Lookups decides about plain-service calls. A call without a free slot waits a
+// short time for one, or is refused if none is expected in time.
 type Lookups struct {
-	plan     *Plan
-	orgs     map[fleet.Organisation]*lookupOrg
-	services map[string]*service
-	weight   float64 // of all organisations of the plan
-	entries  []lookupEntry
-	waiting  int
+	plan        *Plan
+	orgs        map[fleet.Organisation]*lookupOrg
+	services    map[string]*service
+	totalWeight float64 // sum over the plan's organisations
+	entries     []lookupEntry
+	waiting     int
 }
 
 type lookupOrg struct {
@@ -41,39 +40,39 @@
 	planned  bool
 }
 
-// service is the slots of one plain service.
+// service holds the slots of one plain service.
 type service struct {
 	limiter  limiter
 	inflight int
-	queue    []waitingLookup // in the order in which they came
+	queue    []waitingLookup // in order of arrival
 	total    float64
 	planned  bool
 }
 
-// waitingLookup is a call that waits for a slot.
+// waitingLookup is a call that is queued for a slot.
 type waitingLookup struct {
 	handle   Handle
 	org      *lookupOrg // nil: admitted by another node
-	came     clock.Instant
-	deadline clock.Instant // of the caller; 0: none
+	queuedAt clock.Instant
+	deadline clock.Instant // the caller's; 0: none
 }
 
-// late reports whether the caller can't be served in time.
-func (w *waitingLookup) late(now clock.Instant) bool {
+// isExpired reports whether the call's deadline has passed.
+func (w *waitingLookup) isExpired(now clock.Instant) bool {
 	return w.deadline != 0 && !now.Before(w.deadline)
 }
 
 type lookupEntry struct {
 	org     *lookupOrg // nil: admitted by another node
-	service *service   // nil: the handle is free
+	service *service   // nil: the handle is unused
 }
 
-// NewLookups returns a lane that refuses everything until its first plan.
+// NewLookups returns a Lookups that refuses everything until its first plan.
 func NewLookups() *Lookups {
 	return &Lookups{orgs: make(map[fleet.Organisation]*lookupOrg), services: make(map[string]*service)}
 }
 
-// Step takes one event and appends to out the decisions that follow from it.
+// Step processes one event and appends the resulting decisions to out.
 func (l *Lookups) Step(now clock.Instant, ev *Event, out []Decision) []Decision {
 	switch ev.Kind {
 	case Arrive:
@@ -97,42 +96,42 @@
 	return out
 }
 
-// Waiting returns how many calls wait for a slot.
+// Waiting returns the number of queued calls.
 func (l *Lookups) Waiting() int { return l.waiting }
 
 func (l *Lookups) arrive(now clock.Instant, h Handle, a *Arrival) Decision {
 	if l.plan == nil {
-		return Decision{Handle: h, Verdict: Refuse, Kind: outcome.NoCapacity, Reason: ReasonNotConfigured, RetryAfter: noCapacityRetry}
+		return Decision{Handle: h, Verdict: Refuse, Kind: outcome.NoCapacity, Reason: ReasonNotConfigured, RetryAfter: noCapacityRetryAfter}
 	}
 	s := l.services[a.Service]
 	if s == nil || !s.planned || s.total == 0 {
-		return Decision{Handle: h, Verdict: Refuse, Kind: outcome.NoCapacity, Reason: ReasonNoCapacity, RetryAfter: noCapacityRetry}
+		return Decision{Handle: h, Verdict: Refuse, Kind: outcome.NoCapacity, Reason: ReasonNoCapacity, RetryAfter: noCapacityRetryAfter}
 	}
 	d := s.decision(h, Admit, ReasonRoom)
 	if a.Deadline != 0 && !now.Before(a.Deadline) {
 		return d.refuse(outcome.DeadlineExceeded, ReasonExpired, 0)
 	}
-	full := len(s.queue) > 0 || !s.room()
+	full := len(s.queue) > 0 || !s.hasSlot()
 	if a.Admitted {
 		if full {
-			return l.wait(now, s, waitingLookup{handle: h, deadline: a.Deadline})
+			return l.waitOrRefuse(now, s, waitingLookup{handle: h, deadline: a.Deadline})
 		}
 		d.Reason = ReasonAdmitted
-		l.take(h, nil, s)
+		l.addInProgress(h, nil, s)
 		return d
 	}
 	o := l.org(a.Organisation)
-	if !o.bucket.has(now) {
-		return d.refuse(outcome.OverLimit, ReasonRate, o.bucket.book(now))
+	if !o.bucket.hasToken(now) {
+		return d.refuse(outcome.OverLimit, ReasonRate, o.bucket.nextRetryAfter(now))
 	}
 	if full {
-		return l.wait(now, s, waitingLookup{handle: h, org: o, deadline: a.Deadline})
+		return l.waitOrRefuse(now, s, waitingLookup{handle: h, org: o, deadline: a.Deadline})
 	}
-	if float64(o.inflight[s]) >= l.most(o, s) {
-		return d.refuse(outcome.Overloaded, ReasonConcurrency, lookupRetry)
+	if float64(o.inflight[s]) >= l.maxInProgress(o, s) {
+		return d.refuse(outcome.Overloaded, ReasonConcurrency, lookupRetryAfter)
 	}
 	o.bucket.take()
-	l.take(h, o, s)
+	l.addInProgress(h, o, s)
 	return d
 }
 
@@ -143,22 +142,22 @@
 	}
 }
 
-// room reports whether a slot is free.
-func (s *service) room() bool { return float64(s.inflight)+1 <= s.limiter.limit }
+// hasSlot reports whether a slot is free.
+func (s *service) hasSlot() bool { return float64(s.inflight)+1 <= s.limiter.limit }
 
-// most returns how many calls of o may be in progress at s.
-func (l *Lookups) most(o *lookupOrg, s *service) float64 {
+// maxInProgress returns the number of calls that o may have in progress at s.
+func (l *Lookups) maxInProgress(o *lookupOrg, s *service) float64 {
 	free := s.limiter.limit - float64(s.inflight)
-	return max(s.limiter.limit*o.weight/max(l.weight, o.weight), reserveFactor*free)
+	return max(s.limiter.limit*o.weight/max(l.totalWeight, o.weight), freeSlotsFactor*free)
 }
 
-// refuse turns d into a refusal.
+// refuse returns d as a refusal.
 func (d Decision) refuse(k outcome.Kind, r Reason, after time.Duration) Decision {
 	d.Verdict, d.Kind, d.Reason, d.RetryAfter = Refuse, k, r, after
 	return d
 }
 
-func (l *Lookups) take(h Handle, o *lookupOrg, s *service) {
+func (l *Lookups) addInProgress(h Handle, o *lookupOrg, s *service) {
 	for int(h) >= len(l.entries) {
 		l.entries = append(l.entries, lookupEntry{})
 	}
@@ -169,7 +168,8 @@
 	}
 }
 
-// finish returns the service that has a slot more.
+// finish releases a call's slot and returns its service, or nil if the handle is
+// unused.
 func (l *Lookups) finish(now clock.Instant, h Handle, c *Completion) *service {
 	e := &l.entries[h]
 	if e.service == nil {
@@ -179,10 +179,10 @@
 	busy := len(s.queue) > 0 || float64(s.inflight)*2 >= s.limiter.limit
 	s.inflight--
 	if c.Answered {
-		s.limiter.sample(now, c.Total.Seconds(), busy)
+		s.limiter.addSample(now, c.Total.Seconds(), busy)
 	}
 	if c.Shed {
-		s.limiter.shed(now)
+		s.limiter.cutOnRefusal(now)
 	}
 	if e.org != nil {
 		e.org.inflight[e.service]--
@@ -205,16 +205,16 @@
 	for _, o := range l.orgs {
 		o.planned = false
 	}
-	l.weight = 0
+	l.totalWeight = 0
 	for i := range plan.Organisations {
 		c := &plan.Organisations[i]
-		l.weight += c.Weight
+		l.totalWeight += c.Weight
 		o := l.org(c.Name)
 		o.planned, o.weight = true, c.Weight
 		o.bucket.setRate(now, c.Lookups)
 	}
 	for name, o := range l.orgs {
-		if !o.planned && !o.busy() {
+		if !o.planned && !o.hasRequests() {
 			delete(l.orgs, name)
 		}
 	}
@@ -226,11 +226,12 @@
 		s.planned = true
 		s.resize(now, &plan.Services[i])
 	}
-	l.dropServices()
+	l.removeUnplannedServices()
 }
 
-// dropServices forgets the services that are gone and answer nothing any more.
-func (l *Lookups) dropServices() {
+// removeUnplannedServices removes services that are not in the plan and have no
+// calls.
+func (l *Lookups) removeUnplannedServices() {
 	for name, s := range l.services {
 		if s.planned || s.inflight > 0 || len(s.queue) > 0 {
 			continue
@@ -243,7 +244,7 @@
 	}
 }
 
-// resize takes the service's part of a new plan.
+// resize applies the service's part of a new plan.
 func (s *service) resize(now clock.Instant, c *Pool) {
 	s.total = c.Total
 	s.limiter.resize(now, c)
@@ -258,7 +259,7 @@
 	return s
 }
 
-func (o *lookupOrg) busy() bool {
+func (o *lookupOrg) hasRequests() bool {
 	for s, n := range o.inflight {
 		if n > 0 || o.waiting[s] > 0 {
 			return true
--- a/internal/admit/metrics.go
+++ b/internal/admit/metrics.go
@@ -25,21 +25,21 @@
 	}
 }
 
-func (m *metrics) decided(lane string, d *Decision) {
+func (m *metrics) countDecision(lane string, d *Decision) {
 	m.decisions.WithLabelValues(lane, d.Verdict.String(), string(d.Reason)).Inc()
 	if d.Verdict == Admit {
 		m.wait.WithLabelValues(lane).Observe(d.Wait.Seconds())
 	}
 }
 
-// watch shows how many requests each lane holds.
-func (m *metrics) watch(r prometheus.Registerer, lanes ...*lane) {
+// registerGauges registers gauges for the number of requests in each lane.
+func (m *metrics) registerGauges(r prometheus.Registerer, lanes ...*lane) {
 	f := promauto.With(r)
 	for _, l := range lanes {
 		labels := prometheus.Labels{"lane": l.name}
 		f.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "chervilloom_admit_in_progress_requests", Help: "Requests that wait or are in progress.", ConstLabels: labels,
-		}, func() float64 { return float64(l.held.Load()) })
+		}, func() float64 { return float64(l.handlesInUse.Load()) })
 		f.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "chervilloom_admit_waiting_requests", Help: "Requests that wait for a slot.", ConstLabels: labels,
 		}, func() float64 { return float64(l.waiting.Load()) })
--- a/internal/admit/models.go
+++ b/internal/admit/models.go
@@ -9,64 +9,63 @@
 )
 
 const (
-	// waitMargin is by how much a new request's estimated wait is stretched
-	// before it is held against its deadline. Without it the queue settles
-	// where every admitted request ends right at its deadline, and half of
-	// them miss it.
-	waitMargin = 2
-	// capacityGrace is how long requests are held when the last group of their
-	// target is gone: a late probe looks the same for a moment.
+	// waitSafetyFactor multiplies a new request's estimated wait before it is
+	// compared with the deadline. Without it the queue settles where every
+	// admitted request ends close to its deadline and half of them miss it.
+	waitSafetyFactor = 2
+	// capacityGrace is how long requests stay queued after the last group of their
+	// target is lost, because a late probe looks the same for a short time.
 	capacityGrace = 2 * time.Second
-	// noCapacityRetry is the advice given when nothing serves a target: about
-	// the time in which a group is repaired with a spare.
-	noCapacityRetry = 5 * time.Second
-	// tickEvery is the longest time between two looks at the whole queue.
+	// noCapacityRetryAfter is the retry delay when nothing serves a target:
+	// about the time in which a group is repaired with a spare.
+	noCapacityRetryAfter = 5 * time.Second
+	// tickEvery is the maximum interval between two sweeps of the queue.
 	tickEvery = 50 * time.Millisecond
-	// allowanceSeconds is how much of its share, in time, an organisation may
-	// use ahead when it was idle.
-	allowanceSeconds = 8.0
-	// usualWeight is the weight of the newest admission in the mean weight of the
-	// organisations that wait.
-	usualWeight = 0.05
+	// burstAllowanceSeconds is how far, in seconds of its share, an organisation
+	// that was idle may run ahead.
+	burstAllowanceSeconds = 8.0
+	// weightSampleWeight is the weight of a new sample in the average weight of the
+	// waiting organisations.
+	weightSampleWeight = 0.05
 	// organisationQueueShare is the part of the queue that one organisation may
-	// fill.
+	// use.
 	organisationQueueShare = 0.5
 )
 
-// Models decides about the requests of the model lane. It holds no clock, lock
-// or goroutine: its driver gives it one event at a time.
+// Models decides about the requests of the model lane. It has no clock, lock or
+// goroutine: its driver passes it one event at a time.
 type Models struct {
-	plan    *Plan
-	orgs    map[fleet.Organisation]*org
-	inOrder []*org // the same, in the order of the plan
-	targets map[fleet.Target]*pool
-	entries []entry
-	queued  int
-	weight  float64 // of all organisations of the plan
-	active  []*pool // pools of the newest plan and those that still have requests
+	plan        *Plan
+	orgs        map[fleet.Organisation]*org
+	inOrder     []*org // the same organisations in the order of the plan
+	targets     map[fleet.Target]*pool
+	entries     []entry
+	queued      int
+	totalWeight float64 // sum over the plan's organisations
+	active      []*pool // pools of the newest plan, and older ones that still have requests
 }
 
 // pool is a set of endpoints with one concurrency limit and one fair queue.
 type pool struct {
-	name      string
-	limiter   limiter
-	estimate  estimator
-	inflight  int // admitted here
-	relayed   int // admitted by other nodes
-	virtual   float64
-	allowance float64       // virtual time that a flow may run ahead
-	ready     []*flow       // heap by start: flows with queued requests
-	weight    float64       // of the flows in ready
-	usual     float64       // decayed mean of weight
-	pace      pace          // at which the queue is served
-	cost      float64       // of all queued requests
-	total     float64       // slots in reach
-	lost      clock.Instant // since when total is 0; 0: it is not
-	booked    clock.Instant // the latest time given to a refused caller
-	planned   bool
+	name        string
+	limiter     limiter
+	estimate    estimator
+	inflight    int // admitted by this node
+	relayed     int // admitted by other nodes
+	virtualTime float64
+	allowance   float64       // virtual time by which a flow may run ahead
+	ready       []*flow       // heap of flows with queued requests, by nextStart
+	weight      float64       // sum over the flows in ready
+	usualWeight float64       // moving average of weight
+	rateMeter   rateMeter     // service rate of the queue
+	queuedCost  float64       // sum over the queued requests
+	total       float64       // slots available to this node
+	emptySince  clock.Instant // when total became 0; 0: it is not
+	lastRetryAt clock.Instant // latest assigned retry time
+	planned     bool
 }
 
-// NewModels returns a lane that refuses everything until its first plan.
+// NewModels returns a Models that refuses everything until its first plan.
 func NewModels() *Models {
 	return &Models{
 		orgs:    make(map[fleet.Organisation]*org),
@@ -74,8 +73,8 @@
 	}
 }
 
-// Step takes one event and appends to out the decisions that follow from it,
-// about the event's own request and about others.
+// Step processes one event and appends the resulting decisions to out, about the
+// event's own request and about others.
 func (m *Models) Step(now clock.Instant, ev *Event, out []Decision) []Decision {
 	switch ev.Kind {
 	case Arrive:
@@ -105,25 +104,25 @@
 
 func (m *Models) arrive(now clock.Instant, h Handle, a *Arrival, out []Decision) []Decision {
 	if m.plan == nil {
-		return append(out, Decision{Handle: h, Verdict: Refuse, Kind: outcome.NoCapacity, Reason: ReasonNotConfigured, RetryAfter: noCapacityRetry})
+		return append(out, Decision{Handle: h, Verdict: Refuse, Kind: outcome.NoCapacity, Reason: ReasonNotConfigured, RetryAfter: noCapacityRetryAfter})
 	}
 	p := m.targets[a.Target]
-	if p == nil || p.gone(now) {
-		return append(out, Decision{Handle: h, Verdict: Refuse, Kind: outcome.NoCapacity, Reason: ReasonNoCapacity, RetryAfter: noCapacityRetry})
+	if p == nil || p.isGone(now) {
+		return append(out, Decision{Handle: h, Verdict: Refuse, Kind: outcome.NoCapacity, Reason: ReasonNoCapacity, RetryAfter: noCapacityRetryAfter})
 	}
 	if a.Deadline != 0 && !now.Before(a.Deadline) {
 		return append(out, p.decision(h, Refuse, outcome.DeadlineExceeded, ReasonExpired))
 	}
 	e := m.entry(h)
 	*e = entry{
-		flow:     m.org(a.Organisation).flow(p),
-		cost:     p.estimate.cost(a.PromptTokens, a.MaxTokens),
-		came:     now,
-		deadline: a.Deadline,
-		priority: a.Priority,
-		bounded:  a.MaxTokens > 0,
-		next:     none,
-		prev:     none,
+		flow:          m.org(a.Organisation).flow(p),
+		cost:          p.estimate.cost(a.PromptTokens, a.MaxTokens),
+		arrived:       now,
+		deadline:      a.Deadline,
+		priority:      a.Priority,
+		lengthLimited: a.MaxTokens > 0,
+		next:          noHandle,
+		prev:          noHandle,
 	}
 	if a.Admitted {
 		return m.arriveRelayed(now, h, e, out)
@@ -131,15 +130,15 @@
 	return m.arriveOwn(now, h, e, out)
 }
 
-// arriveRelayed admits a request that another node admitted, unless this node's
-// part of the system is full beyond all of its slots: the sender then has the
-// truth at once and may try elsewhere.
+// arriveRelayed admits a request that another node has admitted, unless all
+// slots of the pool are in use. The sender then learns it at once and can try
+// elsewhere.
 func (m *Models) arriveRelayed(now clock.Instant, h Handle, e *entry, out []Decision) []Decision {
 	p := e.flow.pool
 	if float64(p.inflight+p.relayed) >= p.total {
 		e.state = entryFree
 		d := p.decision(h, Refuse, outcome.Overloaded, ReasonSaturated)
-		d.RetryAfter = p.slotTime(now)
+		d.RetryAfter = p.timeToSlot(now)
 		return append(out, d)
 	}
 	e.state = entryRelayed
@@ -149,52 +148,52 @@
 
 func (m *Models) arriveOwn(now clock.Instant, h Handle, e *entry, out []Decision) []Decision {
 	p, o := e.flow.pool, e.flow.org
-	if !o.bucket.has(now) {
+	if !o.bucket.hasToken(now) {
 		d := p.decision(h, Refuse, outcome.OverLimit, ReasonRate)
-		d.RetryAfter = o.bucket.book(now)
+		d.RetryAfter = o.bucket.nextRetryAfter(now)
 		return append(out, d)
 	}
-	if len(p.ready) == 0 && p.room() {
+	if len(p.ready) == 0 && p.hasSlot() {
 		o.bucket.take()
-		e.charged = true
+		e.tokenTaken = true
 		return append(out, m.admit(now, h, ReasonRoom))
 	}
-	if d, late := m.late(now, h, e); late {
+	if d, late := m.refuseIfLate(now, h, e); late {
 		return append(out, d)
 	}
-	victim, reason := m.makeRoom(h, e)
+	victim, reason := m.selectEviction(h, e)
 	if victim == h {
 		return append(out, m.refuseFull(now, h, e, reason))
 	}
-	if victim != none {
+	if victim != noHandle {
 		out = m.refuseQueued(now, victim, outcome.Overloaded, reason, out)
 	}
 	o.bucket.take()
-	e.charged = true
+	e.tokenTaken = true
 	m.enqueue(now, h, e)
 	d := p.decision(h, Queue, "", ReasonBusy)
-	d.Wait = p.wait(now, e.flow, e.flow.cost-e.cost)
+	d.Wait = p.wait(now, e.flow, e.flow.queuedCost-e.cost)
 	d.Waiting = m.queued
-	d.Service = p.estimate.service(e.cost)
+	d.Service = p.estimate.serviceTime(e.cost)
 	return append(out, d)
 }
 
-// late refuses a request that would not be answered by its deadline if it were
-// queued now.
-func (m *Models) late(now clock.Instant, h Handle, e *entry) (Decision, bool) {
+// refuseIfLate refuses a request that would miss its deadline if it were queued
+// now. It returns false if the request is not late.
+func (m *Models) refuseIfLate(now clock.Instant, h Handle, e *entry) (Decision, bool) {
 	if e.deadline == 0 {
 		return Decision{}, false
 	}
 	p := e.flow.pool
-	wait, service := p.tailWait(now, e.flow), p.estimate.service(e.cost)
+	wait, service := p.tailWait(now, e.flow), p.estimate.serviceTime(e.cost)
 	left := e.deadline.Sub(now)
-	need := time.Duration(float64(wait)*waitMargin) + service
+	need := time.Duration(float64(wait)*waitSafetyFactor) + service
 	if need <= left {
 		return Decision{}, false
 	}
 	d := p.decision(h, Refuse, outcome.Overloaded, ReasonDeadline)
 	d.Wait, d.Service, d.Waiting = wait, service, m.queued
-	d.RetryAfter = p.book(now, need-left, e.cost)
+	d.RetryAfter = p.nextRetryAfter(now, need-left, e.cost)
 	return d, true
 }
 
@@ -203,26 +202,26 @@
 	d := p.decision(h, Refuse, outcome.Overloaded, reason)
 	d.Wait = p.tailWait(now, e.flow)
 	d.Waiting = m.queued
-	d.RetryAfter = p.book(now, p.slotTime(now), e.cost)
+	d.RetryAfter = p.nextRetryAfter(now, p.timeToSlot(now), e.cost)
 	return d
 }
 
-// admit gives a slot to the request h, which is not queued.
+// admit gives a slot to request h, which must not be queued.
 func (m *Models) admit(now clock.Instant, h Handle, reason Reason) Decision {
 	e := &m.entries[h]
 	f, p := e.flow, e.flow.pool
-	p.virtual = p.startOf(f)
-	f.finish = max(p.virtual, f.finish) + e.cost/f.org.weight
-	p.restart(f)
-	f.pace.serve(now, e.cost)
-	p.pace.serve(now, e.cost)
-	p.usual += (p.weight - p.usual) * usualWeight
+	p.virtualTime = p.startTime(f)
+	f.lastFinish = max(p.virtualTime, f.lastFinish) + e.cost/f.org.weight
+	p.requeueFlow(f)
+	f.rateMeter.add(now, e.cost)
+	p.rateMeter.add(now, e.cost)
+	p.usualWeight += (p.weight - p.usualWeight) * weightSampleWeight
 	e.state = entryRunning
 	p.inflight++
 	f.inflight++
 	d := p.decision(h, Admit, "", reason)
-	d.Wait = now.Sub(e.came)
-	d.Service = p.estimate.service(e.cost)
+	d.Wait = now.Sub(e.arrived)
+	d.Service = p.estimate.serviceTime(e.cost)
 	d.Waiting = m.queued
 	return d
 }
@@ -240,18 +239,18 @@
 		return out
 	}
 	if c.FirstToken > 0 {
-		p.limiter.sample(now, c.FirstToken.Seconds(), len(p.ready) > 0)
+		p.limiter.addSample(now, c.FirstToken.Seconds(), len(p.ready) > 0)
 	} else if c.Answered && len(p.ready) > 0 {
 		p.limiter.raise()
 	}
 	if c.Shed {
-		p.limiter.shed(now)
+		p.limiter.cutOnRefusal(now)
 	}
 	if c.Answered {
-		p.estimate.sample(e.cost, c.Total)
-		p.allowance = p.estimate.drain(p.limiter.limit) * allowanceSeconds / m.weight
-		if !e.bounded && c.Tokens > 0 {
-			p.estimate.length(c.Tokens)
+		p.estimate.addSample(e.cost, c.Total)
+		p.allowance = p.estimate.drainRate(p.limiter.limit) * burstAllowanceSeconds / m.totalWeight
+		if !e.lengthLimited && c.Tokens > 0 {
+			p.estimate.addLength(c.Tokens)
 		}
 	}
 	e.state = entryFree
@@ -264,16 +263,16 @@
 	}
 	e := &m.entries[h]
 	m.dequeue(h, e)
-	m.release(e)
+	m.freeEntry(e)
 	d := e.flow.pool.decision(h, Withdrawn, "", ReasonCallerGone)
-	d.Wait = now.Sub(e.came)
+	d.Wait = now.Sub(e.arrived)
 	return append(out, d)
 }
 
-// release forgets a request that was queued and did not run.
-func (m *Models) release(e *entry) {
-	if e.charged {
-		e.flow.org.bucket.giveBack()
+// freeEntry frees the entry of a queued request that did not run.
+func (m *Models) freeEntry(e *entry) {
+	if e.tokenTaken {
+		e.flow.org.bucket.refund()
 	}
 	e.state = entryFree
 }
@@ -282,25 +281,25 @@
 	e := &m.entries[h]
 	p := e.flow.pool
 	m.dequeue(h, e)
-	m.release(e)
+	m.freeEntry(e)
 	d := p.decision(h, Refuse, k, reason)
-	d.Wait = now.Sub(e.came)
-	d.Service = p.estimate.service(e.cost)
+	d.Wait = now.Sub(e.arrived)
+	d.Service = p.estimate.serviceTime(e.cost)
 	d.Waiting = m.queued
-	d.RetryAfter = noCapacityRetry
+	d.RetryAfter = noCapacityRetryAfter
 	if k != outcome.NoCapacity {
-		d.RetryAfter = p.book(now, p.tailWait(now, e.flow), e.cost)
+		d.RetryAfter = p.nextRetryAfter(now, p.tailWait(now, e.flow), e.cost)
 	}
 	return append(out, d)
 }
 
-// dispatch gives free slots to the queue.
+// dispatch gives free slots to queued requests.
 func (m *Models) dispatch(now clock.Instant, p *pool, out []Decision) []Decision {
-	for len(p.ready) > 0 && p.room() {
+	for len(p.ready) > 0 && p.hasSlot() {
 		f := p.ready[0]
 		h := f.first
 		e := &m.entries[h]
-		if p.hopeless(now, e, 0) {
+		if p.wouldMissDeadline(now, e, 0) {
 			out = m.refuseQueued(now, h, outcome.Overloaded, ReasonDeadline, out)
 			continue
 		}
@@ -310,11 +309,11 @@
 	return out
 }
 
-// sweep refuses the queued requests that cannot be answered in time any more
-// and gives free slots to the others.
+// sweep refuses queued requests that can no longer be answered in time and gives
+// free slots to the others.
 func (m *Models) sweep(now clock.Instant, out []Decision) []Decision {
 	for _, p := range m.active {
-		if p.gone(now) {
+		if p.isGone(now) {
 			out = m.refuseAll(now, p, out)
 			continue
 		}
@@ -328,10 +327,10 @@
 
 func (m *Models) sweepFlow(now clock.Instant, f *flow, out []Decision) []Decision {
 	ahead := 0.0
-	for h := f.first; h != none; {
+	for h := f.first; h != noHandle; {
 		e := &m.entries[h]
 		next := e.next
-		if f.pool.hopeless(now, e, f.pool.wait(now, f, ahead)) {
+		if f.pool.wouldMissDeadline(now, e, f.pool.wait(now, f, ahead)) {
 			out = m.refuseQueued(now, h, outcome.Overloaded, ReasonDeadline, out)
 		} else {
 			ahead += e.cost
--- a/internal/admit/models_test.go
+++ b/internal/admit/models_test.go
@@ -13,13 +13,13 @@
 	"chervilloom/internal/outcome"
 )
 
-// machine drives Models with random events and keeps its own books.
-type machine struct {
+// modelsDriver drives Models with random events and tracks the expected state.
+type modelsDriver struct {
 	core    *Models
 	now     clock.Instant
 	plan    Plan
-	state   map[Handle]Verdict // of the requests in the lane: Queue or Admit
-	own     map[Handle]bool    // charged to their organisation
+	state   map[Handle]Verdict // requests in the lane: Queue or Admit, 0 before a decision
+	own     map[Handle]bool    // counted against their organisation
 	orgOf   map[Handle]fleet.Organisation
 	next    Handle
 	free    []Handle
@@ -27,19 +27,19 @@
 }
 
 const (
-	machineRate  = 5.0 // cap of organisation "capped"
-	machineQueue = 8
+	cappedRate       = 5.0 // cap of organisation "capped", requests per second
+	driverQueueLimit = 8
 )
 
-func newMachine() *machine {
-	m := &machine{
+func newModelsDriver() *modelsDriver {
+	m := &modelsDriver{
 		core: NewModels(), now: simStart, state: map[Handle]Verdict{}, own: map[Handle]bool{},
 		orgOf: map[Handle]fleet.Organisation{}, charged: map[fleet.Organisation]int{},
 	}
 	m.plan = Plan{
-		QueueLimit: machineQueue,
+		QueueLimit: driverQueueLimit,
 		Organisations: []Organisation{
-			{Name: "small", Weight: 1}, {Name: "large", Weight: 4}, {Name: "capped", Weight: 1, Rate: machineRate},
+			{Name: "small", Weight: 1}, {Name: "large", Weight: 4}, {Name: "capped", Weight: 1, Rate: cappedRate},
 		},
 		Pools:   []Pool{{Name: "p", Share: 2, Total: 4}, {Name: "q", Share: 1, Total: 2}},
 		Targets: []TargetPool{{Target: fleet.Target{Model: "p"}}, {Target: fleet.Target{Model: "q"}, Pool: 1}},
@@ -47,17 +47,17 @@
 	return m
 }
 
-func (m *machine) step(t *rapid.T, ev Event) {
+func (m *modelsDriver) step(t *rapid.T, ev Event) {
 	out := m.core.Step(m.now, &ev, nil)
 	for i := range out {
-		m.take(t, &out[i])
+		m.recordDecision(t, &out[i])
 	}
 	m.check(t)
 }
 
-// take checks that each request gets one final decision, and at most one Queue
-// before it.
-func (m *machine) take(t *rapid.T, d *Decision) {
+// recordDecision checks that each request gets one final decision, and at most one
+// Queue before it.
+func (m *modelsDriver) recordDecision(t *rapid.T, d *Decision) {
 	was, in := m.state[d.Handle]
 	if !in {
 		t.Fatalf("decision %v about handle %d that is not in the lane", d, d.Handle)
@@ -83,19 +83,19 @@
 		if d.RetryAfter < 0 || d.RetryAfter > maxRetryAfter {
 			t.Fatalf("Retry-After of %s", d.RetryAfter)
 		}
-		m.forget(d.Handle)
+		m.freeHandle(d.Handle)
 	case Withdrawn:
-		m.forget(d.Handle)
+		m.freeHandle(d.Handle)
 	}
 }
 
-func (m *machine) forget(h Handle) {
+func (m *modelsDriver) freeHandle(h Handle) {
 	delete(m.state, h)
 	m.free = append(m.free, h)
 }
 
-// check holds the lane against what must be true after every event.
-func (m *machine) check(t *rapid.T) {
+// check verifies the invariants of the lane after an event.
+func (m *modelsDriver) check(t *rapid.T) {
 	queued := 0
 	perOrg := map[fleet.Organisation]int{}
 	for h, v := range m.state {
@@ -108,33 +108,33 @@
 		}
 	}
 	if queued != m.core.Waiting() {
-		t.Fatalf("%d wait, the lane says %d", queued, m.core.Waiting())
+		t.Fatalf("%d requests are queued, the lane reports %d", queued, m.core.Waiting())
 	}
-	if queued > machineQueue {
+	if queued > driverQueueLimit {
 		t.Fatalf("queue of %d over the limit", queued)
 	}
 	for o, n := range perOrg {
-		if n > machineQueue/2 {
-			t.Fatalf("%s has %d queued", o, n)
+		if n > driverQueueLimit/2 {
+			t.Fatalf("organisation %s has %d queued", o, n)
 		}
 	}
 	for _, p := range m.core.active {
-		if len(p.ready) > 0 && p.room() {
+		if len(p.ready) > 0 && p.hasSlot() {
 			t.Fatalf("pool %s has a free slot and a queue", p.name)
 		}
 		for i := 1; i < len(p.ready); i++ {
-			if p.ready[(i-1)/2].start > p.ready[i].start {
+			if p.ready[(i-1)/2].nextStart > p.ready[i].nextStart {
 				t.Fatalf("heap out of order")
 			}
 		}
 	}
-	allowed := burstOf(machineRate) + machineRate*m.now.Sub(simStart).Seconds()
+	allowed := burstSize(cappedRate) + cappedRate*m.now.Sub(simStart).Seconds()
 	if float64(m.charged["capped"]) > allowed+1e-6 {
-		t.Fatalf("%d admitted of an organisation that may have %.2f", m.charged["capped"], allowed)
+		t.Fatalf("%d requests of a capped organisation admitted, at most %.2f allowed", m.charged["capped"], allowed)
 	}
 }
 
-func (m *machine) arrive(t *rapid.T) {
+func (m *modelsDriver) arrive(t *rapid.T) {
 	h := m.next
 	if n := len(m.free); n > 0 {
 		h, m.free = m.free[n-1], m.free[:n-1]
@@ -156,7 +156,7 @@
 	m.step(t, Event{Kind: Arrive, Handle: h, Arrival: a})
 }
 
-func (m *machine) pick(t *rapid.T, v Verdict) (Handle, bool) {
+func (m *modelsDriver) drawHandle(t *rapid.T, v Verdict) (Handle, bool) {
 	var all []Handle
 	for h := Handle(0); h < m.next; h++ {
 		if m.state[h] == v {
@@ -169,8 +169,8 @@
 	return rapid.SampledFrom(all).Draw(t, "handle"), true
 }
 
-func (m *machine) finish(t *rapid.T) {
-	h, ok := m.pick(t, Admit)
+func (m *modelsDriver) finish(t *rapid.T) {
+	h, ok := m.drawHandle(t, Admit)
 	if !ok {
 		return
 	}
@@ -180,11 +180,11 @@
 		Shed:     rapid.IntRange(0, 9).Draw(t, "shed") == 0,
 	}
 	c.FirstToken = c.Total / 4
-	m.forget(h)
+	m.freeHandle(h)
 	m.step(t, Event{Kind: Finish, Handle: h, Completion: c})
 }
 
-func (m *machine) replan(t *rapid.T) {
+func (m *modelsDriver) replan(t *rapid.T) {
 	p := m.plan
 	p.Pools = append([]Pool(nil), p.Pools...)
 	for i := range p.Pools {
@@ -196,20 +196,20 @@
 	m.step(t, Event{Kind: Replan, Plan: &p})
 }
 
-// Whatever comes in whatever order: every request gets exactly one final
-// decision, no slot is free while a request that fits waits, the queue and each
-// organisation's part of it are bounded, and no organisation is admitted past
-// its rate.
-func TestModelsKeepTheirBooks(t *testing.T) {
+// For any order of events, every request must get exactly one final decision, no
+// slot may be free while a request that fits is queued, the queue and each
+// organisation's part of it must be bounded, and no organisation may exceed its
+// rate.
+func TestModelsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMachine()
+		m := newModelsDriver()
 		m.step(t, Event{Kind: Replan, Plan: &m.plan})
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive":  m.arrive,
 			"arrive2": m.arrive,
 			"finish":  m.finish,
 			"withdraw": func(t *rapid.T) {
-				if h, ok := m.pick(t, Queue); ok {
+				if h, ok := m.drawHandle(t, Queue); ok {
 					m.step(t, Event{Kind: Withdraw, Handle: h})
 				}
 			},
@@ -222,14 +222,14 @@
 	})
 }
 
-// A large organisation keeps the queue full at all times. A small one that asks
-// once in a while is served after a bounded number of the large one's requests:
-// those of one round by weight, and those that the large one may run ahead when
-// the flood begins. One request takes a second here.
+// A large organisation keeps the queue full. A request of a small one must be
+// served after a bounded number of the large one's requests: one round by
+// weight, plus the allowance of the large one at the start of the overload. Each
+// request takes a second here.
 func TestNoStarvation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weight := rapid.IntRange(1, 50).Draw(t, "weight")
-		m := newMachine()
+		m := newModelsDriver()
 		m.plan.Organisations = []Organisation{{Name: "small", Weight: 1}, {Name: "large", Weight: float64(weight)}}
 		m.plan.Pools = []Pool{{Name: "p", Share: 1, Total: 1}}
 		m.plan.Targets = m.plan.Targets[:1]
@@ -245,7 +245,7 @@
 			send("large")
 		}
 		passed, turns := 0, rapid.IntRange(0, 50).Draw(t, "turns")
-		small := none
+		small := noHandle
 		for turn := 0; ; turn++ {
 			if turn == turns {
 				small = send("small")
@@ -257,20 +257,20 @@
 				return
 			}
 			send("large")
-			if small != none {
+			if small != noHandle {
 				passed++
 			}
-			if passed > weight+1+int(allowanceSeconds) {
-				t.Fatalf("%d requests of the large organisation went before the small one's", passed)
+			if passed > weight+1+int(burstAllowanceSeconds) {
+				t.Fatalf("%d requests of the large organisation were served before the small one's", passed)
 			}
 		}
 	})
 }
 
-// The queue is full of one organisation's requests when a smaller one's comes.
-// The newest of the large one's goes; its caller is told at once that it did
-// not run. Never is a request of the smaller one given up for the larger.
-func TestFullQueueGivesUpTheLargest(t *testing.T) {
+// The queue is full of one organisation's requests when a smaller one's arrives.
+// The newest request of the larger one must be refused, "not run". A request of
+// the smaller one must never be evicted for the larger.
+func TestFullQueueEvictsFromLargestBacklog(t *testing.T) {
 	is := is.New(t)
 	m := NewModels()
 	plan := &Plan{
@@ -296,18 +296,18 @@
 	is.Equal(verdicts(send("big", 0)), "0 admit room;")
 	is.Equal(verdicts(send("big", 0)), "1 queue busy;")
 	is.Equal(verdicts(send("big", 0)), "2 queue busy;")
-	is.Equal(verdicts(send("big", 0)), "3 refuse organisation;")              // half of the queue is the most for one
-	is.Equal(verdicts(send("big", 1)), "2 refuse organisation;4 queue busy;") // its own more important one takes the place
+	is.Equal(verdicts(send("big", 0)), "3 refuse organisation;")              // an organisation may use half of the queue
+	is.Equal(verdicts(send("big", 1)), "2 refuse organisation;4 queue busy;") // evicted by a request of higher priority
 	is.Equal(verdicts(send("mid", 0)), "5 queue busy;")
 	is.Equal(verdicts(send("small", 0)), "6 queue busy;")
-	is.Equal(verdicts(send("small", 0)), "7 refuse queue-full;")              // as large a backlog as the largest: itself
-	is.Equal(verdicts(send("other", 0)), "1 refuse queue-full;8 queue busy;") // priority 0 goes before priority 1
+	is.Equal(verdicts(send("small", 0)), "7 refuse queue-full;")              // the backlog would equal the largest: refused itself
+	is.Equal(verdicts(send("other", 0)), "1 refuse queue-full;8 queue busy;") // priority 0 is evicted before priority 1
 	is.Equal(verdicts(send("other", 0)), "9 refuse queue-full;")
 }
 
-// Another node admitted the request and passed it on. It counts against no
-// organisation here, but is refused, "not run", when all slots are taken, so
-// that the sender may try elsewhere.
+// A request that another node admitted and forwarded is not counted against its
+// organisation here. It must be refused, "not run", when all slots are in use, so
+// that the sender can try elsewhere.
 func TestRelayedRequests(t *testing.T) {
 	is := is.New(t)
 	m := NewModels()
@@ -322,16 +322,16 @@
 		return m.Step(simStart, &Event{Kind: Arrive, Handle: h, Arrival: Arrival{Organisation: "o", Target: simTarget, Admitted: admitted}}, nil)[0]
 	}
 	is.Equal(arrive(0, true).Reason, ReasonAdmitted)
-	is.Equal(arrive(1, false).Reason, ReasonRoom) // the one token is still there
+	is.Equal(arrive(1, false).Reason, ReasonRoom) // the relayed request used no token
 	full := arrive(2, true)
 	is.Equal(full.Verdict, Refuse)
 	is.Equal(full.Kind, outcome.Overloaded)
 	is.Equal(arrive(3, false).Kind, outcome.OverLimit)
 }
 
-// A group specification is added that serves the same model. The pool's name
-// changes; what waits keeps its place and what runs keeps its slot.
-func TestPoolLivesOnUnderNewName(t *testing.T) {
+// A group specification that serves the same model is added, so the pool's name
+// changes. Queued requests must keep their places and running ones their slots.
+func TestPoolKeepsStateUnderNewName(t *testing.T) {
 	is := is.New(t)
 	m := NewModels()
 	plan := &Plan{
@@ -351,9 +351,9 @@
 	is.Equal(len(m.active), 1)
 }
 
-// Every group of a model is missed for one probe while requests with deadlines
-// wait. They keep their places, and the next one goes on when the group is back;
-// refusing them would turn each late probe into a burst of refusals.
+// All groups of a model miss one probe while requests with deadlines are queued.
+// The requests must stay queued, and the next must proceed when the group is
+// back. Refusing them would turn each late probe into a burst of refusals.
 func TestLateProbeKeepsQueue(t *testing.T) {
 	is := is.New(t)
 	m := NewModels()
@@ -363,7 +363,7 @@
 	}
 	m.Step(simStart, &Event{Kind: Replan, Plan: plan}, nil)
 	now := simStart
-	for h := range Handle(2 * minSamples) { // so that times are known
+	for h := range Handle(2 * minSamples) { // enough samples for estimates
 		m.Step(now, &Event{Kind: Arrive, Handle: h, Arrival: Arrival{Organisation: "o", Target: simTarget}}, nil)
 		now = now.Add(100 * time.Millisecond)
 		m.Step(now, &Event{Kind: Finish, Handle: h, Completion: Completion{Total: 100 * time.Millisecond, Answered: true}}, nil)
--- a/internal/admit/pace.go
+++ b/internal/admit/pace.go
@@ -8,40 +8,41 @@
 )
 
 const (
-	// paceMemory is the time constant of a measured pace.
-	paceMemory = 5.0 // seconds
-	// paceTrust is how long a queue lasts before its pace is believed.
-	paceTrust = time.Second
+	// rateTimeConstant is the time constant of the average rate.
+	rateTimeConstant = 5.0 // seconds
+	// minQueueAge is the age of a queue from which its measured rate is used.
+	minQueueAge = time.Second
 )
 
-// pace measures the cost per second at which a queue is served while it lasts.
-type pace struct {
-	since   clock.Instant // when the queue began; 0: there is none
-	served  float64       // decayed cost admitted since then
-	decayed clock.Instant // when served was true
+// rateMeter measures the cost per second at which a queue is served.
+type rateMeter struct {
+	since       clock.Instant // when the queue became non-empty; 0: it is empty
+	decayedCost float64       // decayed cost admitted since then
+	lastDecay   clock.Instant // time at which decayedCost was updated
 }
 
-// begin starts the measure of a new queue.
-func (p *pace) begin(now clock.Instant) { *p = pace{since: now, decayed: now} }
+// begin starts the measurement of a new queue.
+func (p *rateMeter) begin(now clock.Instant) { *p = rateMeter{since: now, lastDecay: now} }
 
-// end stops it.
-func (p *pace) end() { p.since = 0 }
+// end stops the measurement.
+func (p *rateMeter) end() { p.since = 0 }
 
-// serve counts a request that was admitted.
-func (p *pace) serve(now clock.Instant, cost float64) {
+// add adds an admitted request.
+func (p *rateMeter) add(now clock.Instant, cost float64) {
 	if p.since == 0 {
 		return
 	}
-	p.served = p.served*math.Exp(-now.Sub(p.decayed).Seconds()/paceMemory) + cost
-	p.decayed = now
+	p.decayedCost = p.decayedCost*math.Exp(-now.Sub(p.lastDecay).Seconds()/rateTimeConstant) + cost
+	p.lastDecay = now
 }
 
-// rate returns the pace; 0 when the queue has not lasted long enough to tell.
-func (p *pace) rate(now clock.Instant) float64 {
+// rate returns the cost per second, or 0 if the queue is too young for a
+// measurement.
+func (p *rateMeter) rate(now clock.Instant) float64 {
 	age := now.Sub(p.since)
-	if p.since == 0 || age < paceTrust || p.served == 0 {
+	if p.since == 0 || age < minQueueAge || p.decayedCost == 0 {
 		return 0
 	}
-	kept := math.Exp(-now.Sub(p.decayed).Seconds() / paceMemory)
-	return p.served * kept / (paceMemory * (1 - math.Exp(-age.Seconds()/paceMemory)))
+	kept := math.Exp(-now.Sub(p.lastDecay).Seconds() / rateTimeConstant)
+	return p.decayedCost * kept / (rateTimeConstant * (1 - math.Exp(-age.Seconds()/rateTimeConstant)))
 }
--- a/internal/admit/plan.go
+++ b/internal/admit/plan.go
@@ -11,17 +11,15 @@
 )
 
 const (
-	// defaultQueueLimit is used when the policy gives none.
+	// defaultQueueLimit is used if the policy sets none.
 	defaultQueueLimit = 256
-	// assumedSlots stands for the slots of a group or service VM that has not
-	// reported its load yet.
+	// assumedSlots is used for a group that has not reported its load yet.
 	assumedSlots = 8
-	// assumedServiceSlots stands for the slots of a plain service's VM that
-	// does not report any.
+	// assumedServiceSlots is used for a plain-service VM that reports no slots.
 	assumedServiceSlots = 64
 )
 
-// Plan is the limits of both lanes, worked out from one snapshot.
+// Plan holds the limits of both lanes, computed from one snapshot.
 type Plan struct {
 	Revision      uint64
 	QueueLimit    int
@@ -31,34 +29,34 @@
 	Targets       []TargetPool
 }
 
-// TargetPool says which of a plan's pools serves a target.
+// TargetPool maps a target to the pool that serves it.
 type TargetPool struct {
 	Target fleet.Target
 	Pool   int // index into Plan.Pools
 }
 
-// Organisation is a customer's share at this node.
+// Organisation is an organisation's weight and its rate caps at this node.
 type Organisation struct {
 	Name    fleet.Organisation
 	Weight  float64
-	Rate    float64 // model requests a second at this node; 0: no cap
-	Lookups float64 // plain calls a second at this node; 0: no cap
+	Rate    float64 // model requests per second at this node; 0: no cap
+	Lookups float64 // plain-service calls per second at this node; 0: no cap
 }
 
 // Pool is a set of endpoints that serve the same requests.
 type Pool struct {
 	Name     string
-	Share    float64       // slots that are this node's when all nodes are equally busy
-	Total    float64       // slots in reach of this node
-	Waiting  int           // requests that wait inside the endpoints, by their own reports
-	Reported clock.Instant // when the newest of these reports was true
+	Share    float64       // this node's slots if all nodes are equally loaded
+	Total    float64       // slots available to this node
+	Waiting  int           // requests queued inside the endpoints, as reported
+	Reported clock.Instant // time of the newest report
 }
 
-// Shares gives the part of an organisation's rate caps that this node may use.
+// Shares returns the shares of an organisation's rate caps that this node may use.
 type Shares func(org fleet.Organisation) (model, lookups float64)
 
-// PlanOf works out the limits from a snapshot. It returns nil when the snapshot
-// holds no configuration.
+// PlanOf computes the limits from a snapshot. It returns nil if the snapshot has no
+// configuration.
 func PlanOf(s *view.Snapshot, shares Shares) *Plan {
 	if s.Config == nil {
 		return nil
@@ -70,7 +68,7 @@
 	for i := range s.Config.Organisations {
 		p.Organisations = append(p.Organisations, organisationOf(&s.Config.Organisations[i], shares))
 	}
-	nodes := reachable(s)
+	nodes := countNodes(s)
 	p.addPools(s, nodes)
 	for i := range s.Config.Services {
 		p.Services = append(p.Services, servicePool(s, s.Config.Services[i].Name, nodes))
@@ -84,30 +82,31 @@
 	return Organisation{
 		Name:    name,
 		Weight:  float64(max(1, c.Weight)),
-		Rate:    part(c.Rate, model),
-		Lookups: part(c.Lookups, lookups),
+		Rate:    scaledCap(c.Rate, model),
+		Lookups: scaledCap(c.Lookups, lookups),
 	}
 }
 
-// leastRate keeps a cap from becoming 0, which would stand for no cap.
-const leastRate = 0.001
+// minRate keeps a cap from becoming 0, which would mean no cap.
+const minRate = 0.001
 
-func part(limit, share float64) float64 {
+func scaledCap(limit, share float64) float64 {
 	if limit <= 0 {
 		return 0
 	}
-	return max(leastRate, limit*share)
+	return max(minRate, limit*share)
 }
 
-// nodeCount is the entry nodes that share the endpoints, this one included.
+// nodeCount is the number of entry nodes that share the endpoints, including this
+// one.
 type nodeCount struct {
 	all    int
 	byZone map[fleet.AvailabilityZone]int
 }
 
-// reachable counts the nodes that take requests. A zone without one cannot be
-// reached: its endpoints are asked through its own nodes only.
-func reachable(s *view.Snapshot) nodeCount {
+// countNodes counts the nodes that accept requests. A zone without one is
+// unreachable, because its endpoints are called only through its own nodes.
+func countNodes(s *view.Snapshot) nodeCount {
 	c := nodeCount{all: 1, byZone: map[fleet.AvailabilityZone]int{s.Zone: 1}}
 	for i := range s.Nodes {
 		n := &s.Nodes[i]
@@ -120,10 +119,10 @@
 	return c
 }
 
-// addPools makes one pool for each set of group specifications that some target
-// can be served by. Two targets with the same set compete for the same slots;
-// sets that overlap are kept apart, and what they take from each other is seen
-// by the limit's adaptation.
+// addPools adds one pool for each set of group specifications that can serve
+// some target. Targets with the same set compete for the same slots. Overlapping
+// sets are separate pools; the adaptive limit accounts for the slots they take
+// from each other.
 func (p *Plan) addPools(s *view.Snapshot, nodes nodeCount) {
 	byKey := make(map[string]int)
 	for i := range s.Config.Models {
@@ -138,7 +137,7 @@
 }
 
 func (p *Plan) addTarget(s *view.Snapshot, nodes nodeCount, byKey map[string]int, t fleet.Target, current string) {
-	key := specsOf(s.Config, t)
+	key := poolName(s.Config, t)
 	i, ok := byKey[key]
 	if !ok {
 		i = len(p.Pools)
@@ -154,9 +153,9 @@
 	}
 }
 
-// specsOf names the set of group specifications that can serve t. A target that
-// none can serve has a pool of its own, without slots.
-func specsOf(d *config.Document, t fleet.Target) string {
+// poolName joins the names of the group specifications that can serve t. A target
+// that none can serve gets a pool of its own, without specifications.
+func poolName(d *config.Document, t fleet.Target) string {
 	var names []string
 	for i := range d.Groups {
 		g := &d.Groups[i]
@@ -177,7 +176,7 @@
 	var p Pool
 	for i := range s.Groups {
 		g := &s.Groups[i]
-		if !g.Carries(t, t.Version) || !serves(s, g, nodes) {
+		if !g.Carries(t, t.Version) || !isUsable(s, g, nodes) {
 			continue
 		}
 		slots := g.Load.Slots
@@ -192,9 +191,9 @@
 	return p
 }
 
-// serves reports whether the group takes requests from this node. A group of
+// isUsable reports whether this node can send requests to the group. A group of
 // another zone is reached through that zone's nodes.
-func serves(s *view.Snapshot, g *view.Group, nodes nodeCount) bool {
+func isUsable(s *view.Snapshot, g *view.Group, nodes nodeCount) bool {
 	return g.Whole && (g.Zone == s.Zone || nodes.byZone[g.Zone] > 0)
 }
 
@@ -202,7 +201,7 @@
 	p := Pool{Name: name}
 	for i := range s.VMs {
 		v := &s.VMs[i]
-		if v.Record.Kind != fleet.KindService || v.Record.Service != name || v.Leaving || lost(s, v) {
+		if v.Record.Kind != fleet.KindService || v.Record.Service != name || v.Leaving || isLost(s, v) {
 			continue
 		}
 		slots := v.Load.Slots
@@ -217,8 +216,8 @@
 	return p
 }
 
-// lost reports whether the VM has not answered probes for longer than a late
-// answer explains. VMs that other zones watch are not probed from here.
-func lost(s *view.Snapshot, v *view.VM) bool {
+// isLost reports whether probes of the VM have failed for longer than a late answer
+// explains. VMs that other zones watch are not probed from here.
+func isLost(s *view.Snapshot, v *view.VM) bool {
 	return v.Probe.Failing != 0 && s.At.Sub(v.Probe.Failing) >= capacityGrace
 }
--- a/internal/admit/plan_test.go
+++ b/internal/admit/plan_test.go
@@ -25,8 +25,8 @@
 	return v
 }
 
-// threeZones is a snapshot with much in it that must not count.
-func threeZones() *view.Snapshot {
+// threeZoneSnapshot returns a snapshot with many entries that a plan must ignore.
+func threeZoneSnapshot() *view.Snapshot {
 	now := clock.Instant(time.Minute)
 	node := func(vm fleet.VM, zone fleet.AvailabilityZone, state view.NodeState, draining bool) view.Node {
 		return view.Node{Node: fleet.Node{VM: vm, Incarnation: 1}, Zone: zone, State: state, Draining: draining}
@@ -61,13 +61,12 @@
 	}
 }
 
-// A node works out what it may use: groups that are whole and in a zone with a
-// node that takes requests, services that answer, and its part of them among
-// the nodes that take requests.
+// A plan must count whole groups in zones with a node that accepts requests, and
+// service VMs that answer probes, divided among the nodes that accept requests.
 func TestPlan(t *testing.T) {
 	is := is.New(t)
-	p := PlanOf(threeZones(), func(fleet.Organisation) (float64, float64) { return 0.5, 0 })
-	is.Equal(p.Organisations, []Organisation{{"north", 3, 5, leastRate}, {"south", 1, 0, 0}}) // a share of 0 is no cap taken away
+	p := PlanOf(threeZoneSnapshot(), func(fleet.Organisation) (float64, float64) { return 0.5, 0 })
+	is.Equal(p.Organisations, []Organisation{{"north", 3, 5, minRate}, {"south", 1, 0, 0}}) // a share of 0 must not remove the cap
 	pool := func(target string) Pool {
 		for _, e := range p.Targets {
 			if e.Target.String() == target {
--- a/internal/admit/replan.go
+++ b/internal/admit/replan.go
@@ -5,9 +5,9 @@
 	"chervilloom/internal/fleet"
 )
 
-// replan takes new limits. Requests that are queued or in progress stay with
-// their pool; a pool or organisation that is gone from the plan is kept until
-// the last of them has ended.
+// replan applies new limits. Requests that are queued or in progress stay in their
+// pool. A pool or organisation that is no longer in the plan is kept until its last
+// request has ended.
 func (m *Models) replan(now clock.Instant, plan *Plan) {
 	m.plan = plan
 	m.replanOrganisations(now, plan)
@@ -18,10 +18,10 @@
 	for _, o := range m.inOrder {
 		o.planned = false
 	}
-	m.weight = 0
+	m.totalWeight = 0
 	for i := range plan.Organisations {
 		c := &plan.Organisations[i]
-		m.weight += c.Weight
+		m.totalWeight += c.Weight
 		o := m.org(c.Name)
 		o.planned = true
 		m.setWeight(o, c.Weight)
@@ -29,7 +29,7 @@
 	}
 	kept := m.inOrder[:0]
 	for _, o := range m.inOrder {
-		if o.planned || o.busy() {
+		if o.planned || o.hasRequests() {
 			kept = append(kept, o)
 			continue
 		}
@@ -39,18 +39,20 @@
 	m.inOrder = kept
 }
 
-// setWeight keeps the sums of weights of the pools in which o waits.
+// setWeight changes the weight of o and the weight sums of the pools in which it
+// waits.
 func (m *Models) setWeight(o *org, w float64) {
 	for _, f := range o.flows {
-		if f.at >= 0 {
+		if f.heapIndex >= 0 {
 			f.pool.weight += w - o.weight
 		}
 	}
 	o.weight = w
 }
 
-// busy reports whether a request of the organisation is queued or in progress.
-func (o *org) busy() bool {
+// hasRequests reports whether a request of the organisation is queued or in
+// progress.
+func (o *org) hasRequests() bool {
 	for _, f := range o.flows {
 		if f.queued > 0 || f.inflight > 0 {
 			return true
@@ -59,8 +61,8 @@
 	return false
 }
 
-// org returns the organisation; one that the plan does not name, because it was
-// taken out of the configuration a moment ago, counts with the least weight.
+// org returns the organisation. One that is not in the plan, because it was just
+// removed from the configuration, gets the lowest weight.
 func (m *Models) org(name fleet.Organisation) *org {
 	o := m.orgs[name]
 	if o == nil {
@@ -88,7 +90,7 @@
 	m.targets = make(map[fleet.Target]*pool, len(plan.Targets))
 	for _, t := range plan.Targets {
 		if pools[t.Pool] == nil {
-			pools[t.Pool] = m.succeed(old[t.Target], plan.Pools[t.Pool].Name)
+			pools[t.Pool] = m.poolFor(old[t.Target], plan.Pools[t.Pool].Name)
 		}
 		m.targets[t.Target] = pools[t.Pool]
 	}
@@ -97,13 +99,13 @@
 			p.resize(now, &plan.Pools[i])
 		}
 	}
-	m.dropPools(now)
+	m.removeUnplannedPools(now)
 }
 
-// succeed returns the pool that takes up a target: the one that served it until
-// now when no other target needs that one, so that its queue and its estimates
-// live on under the new name.
-func (m *Models) succeed(before *pool, name string) *pool {
+// poolFor returns the pool for a target under a new name. It reuses the previous
+// pool of the target if no other target needs that, so that its queue and
+// estimates are kept.
+func (m *Models) poolFor(before *pool, name string) *pool {
 	if before != nil && !before.planned {
 		before.name, before.planned = name, true
 		return before
@@ -113,9 +115,9 @@
 	return p
 }
 
-// dropPools closes the pools that the plan does not name and forgets those
-// among them that are empty.
-func (m *Models) dropPools(now clock.Instant) {
+// removeUnplannedPools closes the pools that are not in the plan and removes the
+// empty ones.
+func (m *Models) removeUnplannedPools(now clock.Instant) {
 	kept := m.active[:0]
 	for _, p := range m.active {
 		if !p.planned {
@@ -125,13 +127,13 @@
 			kept = append(kept, p)
 			continue
 		}
-		m.forget(p)
+		m.removeFlows(p)
 	}
 	clear(m.active[len(kept):])
 	m.active = kept
 }
 
-func (m *Models) forget(p *pool) {
+func (m *Models) removeFlows(p *pool) {
 	for _, o := range m.inOrder {
 		for i, f := range o.flows {
 			if f.pool == p {
@@ -142,13 +144,13 @@
 	}
 }
 
-// resize takes the pool's part of a new plan.
+// resize applies the pool's part of a new plan.
 func (p *pool) resize(now clock.Instant, c *Pool) {
 	p.total = c.Total
 	p.limiter.resize(now, c)
 	if c.Total > 0 {
-		p.lost = 0
-	} else if p.lost == 0 {
-		p.lost = max(now, 1)
+		p.emptySince = 0
+	} else if p.emptySince == 0 {
+		p.emptySince = max(now, 1)
 	}
 }
--- a/internal/admit/sim_test.go
+++ b/internal/admit/sim_test.go
@@ -11,88 +11,89 @@
 	"chervilloom/internal/fleet"
 )
 
-// The driver below feeds a lane's pure core from seeded arrivals and from a
-// model of engines with slots and an inner queue. It knows one node only.
+// The simulation drives the pure cores of one or more nodes with seeded arrivals
+// and a model of engines that have slots and an internal queue.
 
-// stepper is what the driver drives: a core or a baseline.
-type stepper interface {
+// stateMachine is the state machine that the simulation drives: a core or a
+// baseline.
+type stateMachine interface {
 	Step(now clock.Instant, ev *Event, out []Decision) []Decision
 }
 
-// load is one organisation's arrivals.
+// simLoad is the arrival rate of one organisation.
 type simLoad struct {
 	org  fleet.Organisation
-	rate float64 // requests a second
+	rate float64 // requests per second
 }
 
-// bench is one run.
-type bench struct {
-	seed     uint64
-	length   time.Duration
-	warm     time.Duration // requests that come before are not counted
-	slots    int           // of the engines, in truth
-	reported float64       // of the engines, as the plan says; 0: slots
-	share    float64       // of this node; 0: all slots
-	queue    int           // 0: default
-	loads    []simLoad
-	weights  map[fleet.Organisation]float64
-	lookup   bool
-	shape    func(r *rand.Rand) simRequest
-	// comeBack says after what time a refused caller sends the request again, up
-	// to tries times in all; nil: never.
-	comeBack func(d *Decision) time.Duration
-	tries    int
-	// surge multiplies all rates from the start until the given time.
+// simConfig configures a simulation run.
+type simConfig struct {
+	seed        uint64
+	duration    time.Duration
+	warmUp      time.Duration // earlier requests are not counted
+	slots       int           // actual slots of the engines
+	reported    float64       // slots in the plan; 0: the actual number
+	share       float64       // slots in this node's share; 0: all
+	queue       int           // queue limit; 0: default
+	loads       []simLoad
+	weights     map[fleet.Organisation]float64
+	lookup      bool
+	drawRequest func(r *rand.Rand) simRequest
+	// retryDelay returns the delay after which a refused caller sends the request
+	// again, up to a total of tries; nil: no retries.
+	retryDelay func(d *Decision) time.Duration
+	tries      int
+	// surge multiplies all rates until surgeUntil.
 	surge      float64
 	surgeUntil time.Duration
-	// slowdown is by how much of its time a request takes longer when all slots
-	// are busy.
+	// slowdown is the relative increase of a request's duration when all slots are
+	// busy.
 	slowdown float64
-	// node picks the node that a request comes to; nil: the first.
+	// node selects the node for a request; nil: the first.
 	node func(r *rand.Rand) int
 }
 
-// simRequest is what the driver knows of a request.
+// simRequest is a simulated request.
 type simRequest struct {
-	org      fleet.Organisation
-	prompt   int
-	bound    int           // max tokens
-	tokens   int           // in truth
-	patience time.Duration // from arrival to deadline; 0: none
-	came     clock.Instant
-	admitted clock.Instant
-	began    clock.Instant
-	counted  bool
-	first    clock.Instant // when it was sent for the first time
-	tries    int
-	node     int
+	org       fleet.Organisation
+	prompt    int
+	maxTokens int           // limit on the answer's tokens
+	tokens    int           // actual tokens of the answer
+	patience  time.Duration // from arrival to deadline; 0: none
+	arrived   clock.Instant
+	admitted  clock.Instant
+	started   clock.Instant
+	counted   bool
+	firstSent clock.Instant // time of the first attempt
+	tries     int
+	node      int
 }
 
-// modelShape draws a request of the model lane: bounds of 32 to 512 tokens, of
-// which 30 to 100 per cent are used, and deadlines of 5 to 15 s.
-func modelShape(r *rand.Rand) simRequest {
+// drawModelRequest draws a request of the model lane: token limits of 32 to 512,
+// of which 30 to 100 percent are used, and deadlines of 5 to 15 s.
+func drawModelRequest(r *rand.Rand) simRequest {
 	bound := 32 << r.IntN(5)
 	return simRequest{
-		prompt:   50 + int(r.ExpFloat64()*400),
-		bound:    bound,
-		tokens:   max(1, int(float64(bound)*(0.3+0.7*r.Float64()))),
-		patience: 5*time.Second + time.Duration(r.Float64()*10*float64(time.Second)),
+		prompt:    50 + int(r.ExpFloat64()*400),
+		maxTokens: bound,
+		tokens:    max(1, int(float64(bound)*(0.3+0.7*r.Float64()))),
+		patience:  5*time.Second + time.Duration(r.Float64()*10*float64(time.Second)),
 	}
 }
 
 const (
 	simPrefill  = 200 * time.Microsecond // per prompt token
 	simPerToken = 12 * time.Millisecond
-	simLookup   = 2 * time.Millisecond // mean of a plain call
+	simLookup   = 2 * time.Millisecond // mean duration of a plain-service call
 )
 
-// prefill and decode are the times the engines take for the request.
+// prefill and decode return the times that the engines need for the request.
 func (q *simRequest) prefill() time.Duration {
 	return 20*time.Millisecond + time.Duration(q.prompt)*simPrefill
 }
 func (q *simRequest) decode() time.Duration { return time.Duration(q.tokens) * simPerToken }
 
-// meanModelService is the mean of prefill and decode over modelShape.
+// meanModelService is the mean of prefill plus decode over drawModelRequest.
 const meanModelService = 110*time.Millisecond + time.Duration(0.65*(32+64+128+256+512)/5*float64(simPerToken))
 
 type simEvent struct {
@@ -101,7 +102,7 @@
 	kind  simKind
 	h     Handle
 	load  int
-	again *simRequest
+	retry *simRequest
 }
 
 type simKind int
@@ -111,7 +112,7 @@
 	simDone
 	simTick
 	simReport
-	simAgain
+	simRetry
 )
 
 type simHeap []simEvent
@@ -132,60 +133,60 @@
 	return x
 }
 
-// tally is what became of one organisation's requests.
-type tally struct {
-	offered, good, late, refused int
-	refusedLater                 int       // of refused: after waiting
-	sends                        int       // tries of all requests
-	inner                        []float64 // seconds in the engines' own queue
-	answered                     []float64 // seconds from the first try to the answer, of the good ones
-	refusedAfter                 []float64 // seconds that these had waited
-	work                         float64   // slot-seconds of the good ones
-	waits                        []float64 // seconds from arrival to the engines' beginning
-	totals                       []float64 // seconds from arrival to the answer
+// orgResults holds the results of one organisation.
+type orgResults struct {
+	offered, inTime, late, refused int
+	refusedAfterWait               int       // part of refused: after queueing
+	sends                          int       // attempts of all requests
+	engineWaits                    []float64 // seconds in the engines' own queue
+	timesToAnswer                  []float64 // seconds from the first attempt to the answer, for good requests
+	refusalWaits                   []float64 // seconds queued before these refusals
+	work                           float64   // slot-seconds of good requests
+	waits                          []float64 // seconds from arrival to the start in the engines
+	totals                         []float64 // seconds from arrival to the answer
 }
 
 type sim struct {
-	bench
-	cores   []stepper // of the nodes that share the engines
-	rng     *rand.Rand
-	now     clock.Instant
-	events  simHeap
-	seq     int
-	open    []*simRequest // by handle
-	free    []Handle
-	busy    int      // slots in use
-	waiting []Handle // queue inside the engines
-	out     []Decision
-	tallies map[fleet.Organisation]*tally
+	simConfig
+	cores    []stateMachine // one per node; the nodes share the engines
+	rng      *rand.Rand
+	now      clock.Instant
+	events   simHeap
+	seq      int
+	requests []*simRequest // by handle
+	free     []Handle
+	busy     int      // slots in use
+	waiting  []Handle // queue inside the engines
+	out      []Decision
+	results  map[fleet.Organisation]*orgResults
 }
 
 const simStart = clock.Instant(time.Second)
 
-func (b bench) run(cores ...stepper) map[fleet.Organisation]*tally {
-	s := &sim{bench: b, cores: cores, rng: rand.New(rand.NewPCG(b.seed, 7)), now: simStart, tallies: map[fleet.Organisation]*tally{}}
+func (b simConfig) run(cores ...stateMachine) map[fleet.Organisation]*orgResults {
+	s := &sim{simConfig: b, cores: cores, rng: rand.New(rand.NewPCG(b.seed, 7)), now: simStart, results: map[fleet.Organisation]*orgResults{}}
 	for i, l := range b.loads {
-		s.tallies[l.org] = &tally{}
+		s.results[l.org] = &orgResults{}
 		s.nextArrival(i)
 	}
 	s.report()
-	s.at(tickEvery, simEvent{kind: simTick})
+	s.schedule(tickEvery, simEvent{kind: simTick})
 	for len(s.events) > 0 {
 		e := heap.Pop(&s.events).(simEvent)
 		s.now = e.at
 		s.handle(e)
 	}
-	return s.tallies
+	return s.results
 }
 
-func (s *sim) at(d time.Duration, e simEvent) {
+func (s *sim) schedule(d time.Duration, e simEvent) {
 	e.at = s.now.Add(d)
 	e.seq = s.seq
 	s.seq++
 	heap.Push(&s.events, e)
 }
 
-func (s *sim) over() bool { return s.now.Sub(simStart) >= s.length }
+func (s *sim) isOver() bool { return s.now.Sub(simStart) >= s.duration }
 
 func (s *sim) nextArrival(load int) {
 	rate := s.loads[load].rate
@@ -193,33 +194,33 @@
 		rate *= s.surge
 	}
 	gap := s.rng.ExpFloat64() / rate
-	s.at(time.Duration(gap*float64(time.Second)), simEvent{kind: simArrive, load: load})
+	s.schedule(time.Duration(gap*float64(time.Second)), simEvent{kind: simArrive, load: load})
 }
 
 func (s *sim) handle(e simEvent) {
 	switch e.kind {
 	case simArrive:
-		if s.over() {
+		if s.isOver() {
 			return
 		}
 		s.nextArrival(e.load)
 		s.arrive(s.loads[e.load].org)
 	case simDone:
-		s.done(e.h)
+		s.finish(e.h)
 	case simTick:
-		s.all(&Event{Kind: Tick})
-		if !s.over() || len(s.waiting) > 0 || s.busy > 0 {
-			s.at(tickEvery, simEvent{kind: simTick})
+		s.stepAll(&Event{Kind: Tick})
+		if !s.isOver() || len(s.waiting) > 0 || s.busy > 0 {
+			s.schedule(tickEvery, simEvent{kind: simTick})
 		}
 	case simReport:
 		s.report()
-	case simAgain:
-		s.send(e.again)
+	case simRetry:
+		s.send(e.retry)
 	}
 }
 
-// report hands in a plan with the engines' load of this moment; the next one
-// follows a second later, as engines report with a lag.
+// report sends a plan with the engines' current load to all nodes. The next one
+// follows a second later, to simulate the lag of reports.
 func (s *sim) report() {
 	reported := s.reported
 	if reported == 0 {
@@ -242,20 +243,20 @@
 		}
 		p.Organisations = append(p.Organisations, Organisation{Name: l.org, Weight: w})
 	}
-	s.all(&Event{Kind: Replan, Plan: p})
-	if !s.over() {
-		s.at(time.Second, simEvent{kind: simReport})
+	s.stepAll(&Event{Kind: Replan, Plan: p})
+	if !s.isOver() {
+		s.schedule(time.Second, simEvent{kind: simReport})
 	}
 }
 
 var simTarget = fleet.Target{Model: "m"}
 
 func (s *sim) arrive(o fleet.Organisation) {
-	q := s.shape(s.rng)
-	q.org, q.first = o, s.now
-	q.counted = s.now.Sub(simStart) >= s.warm
+	q := s.drawRequest(s.rng)
+	q.org, q.firstSent = o, s.now
+	q.counted = s.now.Sub(simStart) >= s.warmUp
 	if q.counted {
-		s.tallies[o].offered++
+		s.results[o].offered++
 	}
 	if s.node != nil {
 		q.node = s.node(s.rng)
@@ -264,30 +265,30 @@
 }
 
 func (s *sim) send(q *simRequest) {
-	q.came = s.now
+	q.arrived = s.now
 	q.tries++
-	s.tallies[q.org].sends++
-	h := s.take(q)
-	a := Arrival{Organisation: q.org, Target: simTarget, Service: "p", PromptTokens: q.prompt, MaxTokens: q.bound}
+	s.results[q.org].sends++
+	h := s.allocHandle(q)
+	a := Arrival{Organisation: q.org, Target: simTarget, Service: "p", PromptTokens: q.prompt, MaxTokens: q.maxTokens}
 	if q.patience > 0 {
 		a.Deadline = s.now.Add(q.patience)
 	}
 	s.step(q.node, &Event{Kind: Arrive, Handle: h, Arrival: a})
 }
 
-func (s *sim) take(q *simRequest) Handle {
+func (s *sim) allocHandle(q *simRequest) Handle {
 	if n := len(s.free); n > 0 {
 		h := s.free[n-1]
 		s.free = s.free[:n-1]
-		s.open[h] = q
+		s.requests[h] = q
 		return h
 	}
-	s.open = append(s.open, q)
-	return Handle(len(s.open) - 1)
+	s.requests = append(s.requests, q)
+	return Handle(len(s.requests) - 1)
 }
 
-// all gives an event to every node.
-func (s *sim) all(ev *Event) {
+// stepAll sends an event to every node.
+func (s *sim) stepAll(ev *Event) {
 	for i := range s.cores {
 		s.step(i, ev)
 	}
@@ -298,54 +299,54 @@
 	for _, d := range slices.Clone(s.out) {
 		switch d.Verdict {
 		case Admit:
-			s.open[d.Handle].admitted = s.now
+			s.requests[d.Handle].admitted = s.now
 			s.waiting = append(s.waiting, d.Handle)
 		case Refuse:
-			q := s.open[d.Handle]
+			q := s.requests[d.Handle]
 			s.free = append(s.free, d.Handle)
-			if s.comeBack != nil && q.tries < s.tries {
-				s.at(s.comeBack(&d), simEvent{kind: simAgain, again: q})
+			if s.retryDelay != nil && q.tries < s.tries {
+				s.schedule(s.retryDelay(&d), simEvent{kind: simRetry, retry: q})
 				continue
 			}
 			if q.counted {
-				t := s.tallies[q.org]
+				t := s.results[q.org]
 				t.refused++
-				if s.now.After(q.came) {
-					t.refusedLater++
-					t.refusedAfter = append(t.refusedAfter, s.now.Sub(q.came).Seconds())
+				if s.now.After(q.arrived) {
+					t.refusedAfterWait++
+					t.refusalWaits = append(t.refusalWaits, s.now.Sub(q.arrived).Seconds())
 				}
 			}
 		}
 	}
-	s.begin()
+	s.startQueued()
 }
 
-// begin gives free slots to the engines' own queue.
-func (s *sim) begin() {
+// startQueued gives free slots to the engines' own queue.
+func (s *sim) startQueued() {
 	for s.busy < s.slots && len(s.waiting) > 0 {
 		h := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		q := s.open[h]
-		q.began = s.now
+		q := s.requests[h]
+		q.started = s.now
 		s.busy++
 		slow := 1 + s.slowdown*float64(s.busy)/float64(s.slots)
 		d := time.Duration(float64(q.prefill()+q.decode()) * slow)
 		if s.lookup {
 			d = time.Duration(s.rng.ExpFloat64() * float64(simLookup))
 		}
-		s.at(d, simEvent{kind: simDone, h: h})
+		s.schedule(d, simEvent{kind: simDone, h: h})
 	}
 }
 
-func (s *sim) done(h Handle) {
-	q := s.open[h]
+func (s *sim) finish(h Handle) {
+	q := s.requests[h]
 	s.busy--
 	s.count(q)
 	s.free = append(s.free, h)
 	c := Completion{Total: s.now.Sub(q.admitted), Answered: true}
 	if !s.lookup {
 		c.Tokens = q.tokens
-		c.FirstToken = q.began.Sub(q.admitted) + q.prefill()
+		c.FirstToken = q.started.Sub(q.admitted) + q.prefill()
 	}
 	s.step(q.node, &Event{Kind: Finish, Handle: h, Completion: c})
 }
@@ -354,20 +355,20 @@
 	if !q.counted {
 		return
 	}
-	t := s.tallies[q.org]
-	t.waits = append(t.waits, q.began.Sub(q.came).Seconds())
-	t.inner = append(t.inner, q.began.Sub(q.admitted).Seconds())
-	t.totals = append(t.totals, s.now.Sub(q.came).Seconds())
-	if q.patience > 0 && s.now.Sub(q.came) > q.patience {
+	t := s.results[q.org]
+	t.waits = append(t.waits, q.started.Sub(q.arrived).Seconds())
+	t.engineWaits = append(t.engineWaits, q.started.Sub(q.admitted).Seconds())
+	t.totals = append(t.totals, s.now.Sub(q.arrived).Seconds())
+	if q.patience > 0 && s.now.Sub(q.arrived) > q.patience {
 		t.late++
 		return
 	}
-	t.good++
-	t.answered = append(t.answered, s.now.Sub(q.first).Seconds())
-	t.work += s.now.Sub(q.began).Seconds()
+	t.inTime++
+	t.timesToAnswer = append(t.timesToAnswer, s.now.Sub(q.firstSent).Seconds())
+	t.work += s.now.Sub(q.started).Seconds()
 }
 
-// quantile returns the q-quantile of v, 0 when v is empty.
+// quantile returns the q-quantile of v, or 0 if v is empty.
 func quantile(v []float64, q float64) float64 {
 	if len(v) == 0 {
 		return 0
