--- a/internal/backpressure/backoffs_test.go
+++ b/internal/backpressure/backoffs_test.go
@@ -44,14 +44,14 @@
 						}
 					}
 				}
-				var asked time.Duration
+				var requested time.Duration
 				if shedding {
-					asked = time.Duration(rng.IntN(4000)) * time.Millisecond
-					windows = append(windows, &window{begin: now.Add(reactionTime), end: now.Add(asked)})
+					requested = time.Duration(rng.IntN(4000)) * time.Millisecond
+					windows = append(windows, &window{begin: now.Add(reactionTime), end: now.Add(requested)})
 				} else {
 					accepted++
 				}
-				schedule(func() { bs.recordAnswer("e", asked, sent, now) })
+				schedule(func() { bs.recordAnswer("e", requested, sent, now) })
 			}
 			for now = simStart; now < simStart.Add(duration); now = now.Add(simStep) {
 				for _, f := range scheduled[now] {
--- a/internal/backpressure/limits.go
+++ b/internal/backpressure/limits.go
@@ -204,10 +204,10 @@
 	return others < l.senders() && l.countBefore(self, now) < l.senders()
 }
 
-// isActive reports whether a node that last announced itself at announced (0: never) counts as a
+// isActive reports whether a node that last announced itself at announcedAt (0: never) counts as a
 // sender.
-func (l *limit) isActive(announced, now clock.Instant) bool {
-	return announced != 0 && now.Sub(announced) < l.announceTimeout()
+func (l *limit) isActive(announcedAt, now clock.Instant) bool {
+	return announcedAt != 0 && now.Sub(announcedAt) < l.announceTimeout()
 }
 
 // countBefore returns how many nodes before this one are active or may still become so, up to
--- a/internal/backpressure/world_test.go
+++ b/internal/backpressure/world_test.go
@@ -152,11 +152,11 @@
 	if !ok {
 		return
 	}
-	sent, life := w.now, n.limits
+	sent, limits := w.now, n.limits
 	w.schedule(time.Duration(1+w.rng.IntN(3))*time.Millisecond, func() {
 		w.recordArrival(n)
 		w.schedule(time.Duration(5+w.rng.IntN(200))*time.Millisecond, func() {
-			if n.limits != life { // the node has restarted
+			if n.limits != limits { // the node has restarted
 				return
 			}
 			var rate *float64
--- a/internal/balance/spread_test.go
+++ b/internal/balance/spread_test.go
@@ -76,16 +76,16 @@
 func (s spreadSimulation) run(requests int) spreadResult {
 	rng := rand.New(rand.NewPCG(7, 11))
 	own := make([][]int, s.nodes) // requests in flight, by node and head
-	known := make([][]loadEstimate, s.nodes)
+	estimates := make([][]loadEstimate, s.nodes)
 	for n := range own {
-		own[n], known[n] = make([]int, s.heads), make([]loadEstimate, s.heads)
+		own[n], estimates[n] = make([]int, s.heads), make([]loadEstimate, s.heads)
 	}
 	heads := make([]simHead, s.heads)
 	rate := s.utilisation * float64(s.heads*s.slots) / meanServiceTime
 	var ends departures
 	var res spreadResult
 	now, nextBoard := 0.0, 0.0
-	sent, counted := 0, 0
+	messages, counted := 0, 0
 	for i := range requests {
 		now += rng.ExpFloat64() / rate
 		for len(ends) > 0 && ends[0].at <= now {
@@ -96,16 +96,16 @@
 		if s.boardInterval > 0 && now >= nextBoard {
 			for n := range own {
 				for h, e := range heads {
-					known[n][h] = loadEstimate{float64(e.running - own[n][h]), now, max(0, e.readUntil-now) * 1000 * tokensReadPerMs, now}
+					estimates[n][h] = loadEstimate{float64(e.running - own[n][h]), now, max(0, e.readUntil-now) * 1000 * tokensReadPerMs, now}
 				}
 			}
 			nextBoard = now + s.boardInterval.Seconds()
-			sent += s.nodes
+			messages += s.nodes
 		}
 		n := rng.IntN(s.nodes)
 		cands := make([]Candidate, s.heads)
 		for h := range cands {
-			b := known[n][h]
+			b := estimates[n][h]
 			cands[h] = Candidate{Load: float64(own[n][h]) + b.load(now), Unread: b.tokens(now), Slots: s.slots, Local: true}
 		}
 		warm := i > requests/4 // the heads have filled up
@@ -135,29 +135,29 @@
 		own[n][h]++
 		heap.Push(&ends, departure{now + meanServiceTime*rng.ExpFloat64(), n, h})
 		if s.boardInterval > 0 {
-			sent += 2 // start and end, to the node that keeps the board
+			messages += 2 // start and end, to the node that keeps the board
 			continue
 		}
-		s.report(rng, known, now, n, h, prompt)
-		known[n][h].others, known[n][h].loadAt = float64(e.running-own[n][h]), now // the answer reports the head's load
-		sent += min(s.reportFanout, s.nodes-1)
+		s.report(rng, estimates, now, n, h, prompt)
+		estimates[n][h].others, estimates[n][h].loadAt = float64(e.running-own[n][h]), now // the answer reports the head's load
+		messages += min(s.reportFanout, s.nodes-1)
 	}
 	for _, sum := range []*float64{&res.overCapacity, &res.refused, &res.meanWait, &res.longWaits} {
 		*sum /= float64(counted)
 	}
-	res.messages = float64(sent) / float64(requests)
+	res.messages = float64(messages) / float64(requests)
 	return res
 }
 
 // report informs some of the other nodes of a request, weighted for all of them.
-func (s spreadSimulation) report(rng *rand.Rand, known [][]loadEstimate, now float64, from, head int, prompt float64) {
+func (s spreadSimulation) report(rng *rand.Rand, estimates [][]loadEstimate, now float64, from, head int, prompt float64) {
 	k := min(s.reportFanout, s.nodes-1)
 	weight := float64(s.nodes-1) / float64(max(1, k))
 	for _, n := range rng.Perm(s.nodes) {
 		if n == from || k == 0 {
 			continue
 		}
-		b := &known[n][head]
+		b := &estimates[n][head]
 		*b = loadEstimate{b.load(now) + weight, now, b.tokens(now) + weight*prompt, now}
 		k--
 	}
@@ -173,20 +173,20 @@
 	for _, zone := range []spreadSimulation{{nodes: 27, heads: 10}, {nodes: 59, heads: 18}, {nodes: 92, heads: 60}} {
 		for _, load := range []float64{0.6, 0.8} {
 			t.Run(fmt.Sprintf("%d nodes, %d heads, load %v", zone.nodes, zone.heads, load), func(t *testing.T) {
-				play := func(s spreadSimulation) spreadResult {
+				simulate := func(s spreadSimulation) spreadResult {
 					s.nodes, s.heads, s.slots, s.utilisation = zone.nodes, zone.heads, 22, load
 					return s.run(20000)
 				}
-				told, crowd := play(spreadSimulation{reportFanout: 24}), play(spreadSimulation{boardInterval: board})
-				two, slow := play(spreadSimulation{boardInterval: board, sampleSize: 2}), play(spreadSimulation{boardInterval: 3 * board, sampleSize: 2})
-				t.Logf("requests reported one by one: %+v", told)
-				t.Logf("board, all heads compared: %+v", crowd)
-				t.Logf("board, two heads compared: %+v; with a board a third as often: %+v", two, slow)
-				if two.overCapacity > 0.01 || two.refused > 0.001 || two.meanWait > 6 {
-					t.Errorf("board, two heads compared: %+v", two)
+				singleReports, wholeBoard := simulate(spreadSimulation{reportFanout: 24}), simulate(spreadSimulation{boardInterval: board})
+				sampledBoard, slowBoard := simulate(spreadSimulation{boardInterval: board, sampleSize: 2}), simulate(spreadSimulation{boardInterval: 3 * board, sampleSize: 2})
+				t.Logf("requests reported one by one: %+v", singleReports)
+				t.Logf("board, all heads compared: %+v", wholeBoard)
+				t.Logf("board, two heads compared: %+v; with a board a third as often: %+v", sampledBoard, slowBoard)
+				if sampledBoard.overCapacity > 0.01 || sampledBoard.refused > 0.001 || sampledBoard.meanWait > 6 {
+					t.Errorf("board, two heads compared: %+v", sampledBoard)
 				}
-				if two.messages > told.messages/2 || two.refused > told.refused || two.meanWait > crowd.meanWait/2 || two.meanWait > slow.meanWait {
-					t.Errorf("board, two heads compared, is worse than another way: %+v", two)
+				if sampledBoard.messages > singleReports.messages/2 || sampledBoard.refused > singleReports.refused || sampledBoard.meanWait > wholeBoard.meanWait/2 || sampledBoard.meanWait > slowBoard.meanWait {
+					t.Errorf("board, two heads compared, is worse than another way: %+v", sampledBoard)
 				}
 			})
 		}
@@ -198,7 +198,7 @@
 // prompts while all of them wait; samples of two over all zones' heads distribute them.
 func TestStreamsOfLostGroupAreDistributed(t *testing.T) {
 	const streams, draws = 40, 200
-	most := func(alike bool) float64 {
+	meanMaximum := func(allZones bool) float64 {
 		rng := rand.New(rand.NewPCG(3, 4))
 		sum := 0.0
 		for range draws {
@@ -210,7 +210,7 @@
 			for range streams {
 				cands := make([]Candidate, len(loads))
 				for h := range cands {
-					cands[h] = Candidate{Load: loads[h], Slots: 48, Local: alike || h < 3}
+					cands[h] = Candidate{Load: loads[h], Slots: 48, Local: allZones || h < 3}
 				}
 				h, _ := Pick(cands, Bounds{Remote: 0.15, Queue: -0.04, Read: 0.25, Sample: 2}, rng.IntN(1<<30))
 				got[h]++
@@ -219,7 +219,7 @@
 		}
 		return sum / draws
 	}
-	before, after := most(false), most(true)
+	before, after := meanMaximum(false), meanMaximum(true)
 	t.Logf("most at one head: %.1f of %d by zone, %.1f over all zones", before, streams, after)
 	if after > streams/4 || after > before/2 {
 		t.Errorf("%.1f of %d streams at one head, %.1f by zone", after, streams, before)
--- a/internal/balance/wave_test.go
+++ b/internal/balance/wave_test.go
@@ -55,10 +55,10 @@
 			Silence: func(roster.ID) time.Duration { return 350 * time.Millisecond },
 		}
 	}
-	queues := make([][]func(), w.heads) // what each engine does after reading each prompt
-	work := make([][]int, w.heads)      // unread tokens of each prompt, by engine
-	var all []*waveRequest
-	read := 0
+	queues := make([][]func(), w.heads)    // what each engine does after reading each prompt
+	unreadTokens := make([][]int, w.heads) // unread tokens of each prompt, by engine
+	var requests []*waveRequest
+	tokensRead := 0
 	send := func(r *waveRequest) {
 		cands := make([]Candidate, w.heads)
 		for h := range cands {
@@ -76,9 +76,9 @@
 		if h < w.deadHeads {
 			return
 		}
-		work[h] = append(work[h], r.promptTokens)
+		unreadTokens[h] = append(unreadTokens[h], r.promptTokens)
 		queues[h] = append(queues[h], func() {
-			read += r.promptTokens
+			tokensRead += r.promptTokens
 			if r.ticket == ticket && r.firstEvent == 0 {
 				r.firstEvent = c.Now()
 				ticket.Event()
@@ -87,32 +87,32 @@
 		})
 	}
 	for now := began; now.Sub(began) < 4*time.Second; now = c.Now() {
-		due := int(float64(w.laterRate) * waveStep.Seconds())
-		switch played := now.Sub(began); {
-		case played < w.arrivalWindow:
-			due *= 4
-		case played > 1500*time.Millisecond:
-			due = 0 // the remaining time is for requests in flight
+		arrivals := int(float64(w.laterRate) * waveStep.Seconds())
+		switch elapsed := now.Sub(began); {
+		case elapsed < w.arrivalWindow:
+			arrivals *= 4
+		case elapsed > 1500*time.Millisecond:
+			arrivals = 0 // the remaining time is for requests in flight
 		}
-		for range due {
+		for range arrivals {
 			r := &waveRequest{arrivedAt: now, node: rng.IntN(w.nodes), promptTokens: 200 + rng.IntN(1200), tried: map[int]bool{}}
-			all = append(all, r)
+			requests = append(requests, r)
 			send(r)
 		}
-		for h := range work {
-			for left := int(waveStep.Milliseconds()) * waveTokensReadPerMs; left > 0 && len(work[h]) > 0; {
-				n := min(left, work[h][0])
+		for h := range unreadTokens {
+			for left := int(waveStep.Milliseconds()) * waveTokensReadPerMs; left > 0 && len(unreadTokens[h]) > 0; {
+				n := min(left, unreadTokens[h][0])
 				left -= n
-				if work[h][0] -= n; work[h][0] == 0 {
+				if unreadTokens[h][0] -= n; unreadTokens[h][0] == 0 {
 					queues[h][0]()
-					work[h], queues[h] = work[h][1:], queues[h][1:]
+					unreadTokens[h], queues[h] = unreadTokens[h][1:], queues[h][1:]
 				}
 			}
 		}
 		for _, t := range trackers {
 			t.Watch()
 		}
-		for _, r := range all {
+		for _, r := range requests {
 			if r.isGivenUp && r.firstEvent == 0 {
 				r.isGivenUp = false
 				r.ticket.End()
@@ -121,18 +121,18 @@
 		}
 		c.Advance(waveStep)
 	}
-	return w.summarise(all, read)
+	return w.summarise(requests, tokensRead)
 }
 
 func headID(h int) roster.ID { return roster.ID(fmt.Sprint("h", h)) }
 
-func (w waveSimulation) summarise(all []*waveRequest, read int) waveResult {
+func (w waveSimulation) summarise(requests []*waveRequest, tokensRead int) waveResult {
 	var res waveResult
-	once, n := 0, 0.0
-	for _, r := range all {
+	promptTokens, n := 0, 0.0
+	for _, r := range requests {
 		n++
 		res.attemptsPerRequest += float64(len(r.tried))
-		once += r.promptTokens
+		promptTokens += r.promptTokens
 		switch took := r.firstEvent.Sub(r.arrivedAt); {
 		case r.firstEvent == 0 || took > 2*time.Second:
 			res.unservedShare++
@@ -141,7 +141,7 @@
 		}
 	}
 	res.attemptsPerRequest, res.inTimeShare, res.unservedShare = res.attemptsPerRequest/n, res.inTimeShare/n, res.unservedShare/n
-	res.rereadShare = max(0, float64(read)/float64(once)-1)
+	res.rereadShare = max(0, float64(tokensRead)/float64(promptTokens)-1)
 	return res
 }
 
--- a/internal/quarantine/checks.go
+++ b/internal/quarantine/checks.go
@@ -61,8 +61,8 @@
 func (g *Guard) Broke(endpoint, addr string, fp Fingerprint, attempt uint32) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if b := g.startCheck(endpoint, addr, fp, attempt); b != nil {
-		g.checksByRequest[fp] = b
+	if check := g.startCheck(endpoint, addr, fp, attempt); check != nil {
+		g.checksByRequest[fp] = check
 	}
 }
 
@@ -81,36 +81,36 @@
 		return nil
 	}
 	now := g.Clock.Now()
-	b := g.checksByEndpoint[endpoint]
-	if b == nil || b.finishedAt != 0 && !b.crashed {
-		if b == nil && len(g.checksByEndpoint) >= maxChecks {
+	check := g.checksByEndpoint[endpoint]
+	if check == nil || check.finishedAt != 0 && !check.crashed {
+		if check == nil && len(g.checksByEndpoint) >= maxChecks {
 			g.metrics.checks.WithLabelValues("skipped").Inc()
 			return nil
 		}
-		b = &endpointCheck{startedAt: now, done: make(chan struct{})}
-		g.checksByEndpoint[endpoint] = b
-		g.work.Go(func() { g.checkEndpoint(b, endpoint, addr) })
+		check = &endpointCheck{startedAt: now, done: make(chan struct{})}
+		g.checksByEndpoint[endpoint] = check
+		g.work.Go(func() { g.checkEndpoint(check, endpoint, addr) })
 	}
-	b.unreported = append(b.unreported, Run{Fingerprint: fp, Attempt: attempt, Sound: g.history.runs(fp)})
-	return b
+	check.unreported = append(check.unreported, Run{Fingerprint: fp, Attempt: attempt, Sound: g.history.runs(fp)})
+	return check
 }
 
 // checkEndpoint checks whether anything still listens at an endpoint, and records the result.
-func (g *Guard) checkEndpoint(b *endpointCheck, endpoint, addr string) {
+func (g *Guard) checkEndpoint(check *endpointCheck, endpoint, addr string) {
 	found := g.probeLiveness(addr)
 	if g.ctx.Err() != nil {
-		close(b.done)
+		close(check.done)
 		return // the guard was closed, so the result is meaningless
 	}
 	g.metrics.checks.WithLabelValues(found.String()).Inc()
 	g.mu.Lock()
-	b.crashed = found == Refused
-	b.finishedAt = g.Clock.Now()
-	requests := len(b.unreported)
+	check.crashed = found == Refused
+	check.finishedAt = g.Clock.Now()
+	requests := len(check.unreported)
 	g.mu.Unlock()
-	close(b.done)
+	close(check.done)
 	g.Log.Info("endpoint checked", "endpoint", endpoint, "addr", addr, "result", found.String(), "requests", requests,
-		"ms", b.finishedAt.Sub(b.startedAt).Milliseconds())
+		"ms", check.finishedAt.Sub(check.startedAt).Milliseconds())
 	if found != Refused {
 		return
 	}
@@ -161,43 +161,43 @@
 // reports whether that endpoint has crashed.
 func (g *Guard) awaitCheck(ctx context.Context, fp Fingerprint) (crashed bool) {
 	g.mu.Lock()
-	b, wait := g.checksByRequest[fp], checkWait
+	check, wait := g.checksByRequest[fp], checkWait
 	if g.tally.Saw(fp) >= minSuspectCrashes {
 		wait = suspectCheckWait
 	}
 	delete(g.checksByRequest, fp)
 	g.mu.Unlock()
-	if b == nil {
+	if check == nil {
 		return false
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case <-b.done:
+	case <-check.done:
 	case <-timer.C:
 		g.Log.Info("request is retried before its endpoint is checked", "fingerprint", fp, "waited_ms", wait.Milliseconds())
 	case <-ctx.Done():
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return b.crashed
+	return check.crashed
 }
 
 // takeUnreportedCrashes returns each run at a crashed endpoint once, and deletes checks that
 // completed more than checkRetention ago. g.mu is held.
 func (g *Guard) takeUnreportedCrashes(now clock.Instant) []End {
 	var crashes []End
-	for endpoint, b := range g.checksByEndpoint {
-		if b.crashed && len(b.unreported) > 0 {
-			crashes = append(crashes, End{endpoint, b.unreported, b.startedAt})
-			b.unreported = nil
+	for endpoint, check := range g.checksByEndpoint {
+		if check.crashed && len(check.unreported) > 0 {
+			crashes = append(crashes, End{endpoint, check.unreported, check.startedAt})
+			check.unreported = nil
 		}
-		if b.finishedAt != 0 && now.Sub(b.finishedAt) > checkRetention {
+		if check.finishedAt != 0 && now.Sub(check.finishedAt) > checkRetention {
 			delete(g.checksByEndpoint, endpoint)
 		}
 	}
-	for fp, b := range g.checksByRequest {
-		if b.finishedAt != 0 && now.Sub(b.finishedAt) > checkRetention {
+	for fp, check := range g.checksByRequest {
+		if check.finishedAt != 0 && now.Sub(check.finishedAt) > checkRetention {
 			delete(g.checksByRequest, fp) // no retry came for it
 		}
 	}
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -66,9 +66,9 @@
 const maxJudgeInterval = 500 * time.Millisecond
 
 // queryWait is how long the other nodes have to report successful runs of a request before it is
-// refused: two of their polling intervals and a round trip. A node that has just started, and likewise the
-// nodes that reported the crashes to it, may have seen no run of a body that clients send all
-// day; without the query all nodes would refuse it briefly.
+// refused: two of their polling intervals and a round trip. A node that has just started, and
+// likewise the nodes that reported the crashes to it, may have seen no run of a body that
+// clients send all day; without the query all nodes would refuse it briefly.
 const queryWait = 100 * time.Millisecond
 
 // Init prepares the guard for use, registers its metrics and returns it. reg may be nil.
@@ -262,7 +262,7 @@
 		if b := g.bans[s.Fingerprint]; b != nil {
 			// The tally may have been cleared: a row that was written while another node lifted
 			// the ban restores it.
-			b.successes.note(m.Node, s.Runs)
+			b.successes.record(m.Node, s.Runs)
 			harmless = b.successes.isHarmless(b.Ends)
 		}
 	}
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -21,7 +21,7 @@
 	minHarmfulAttempts = 2
 	// conclusiveAttempts is how many client attempts distinguish a harmful request at once from
 	// one whose client merely retried. With only two attempts minCrashesFewAttempts crashes are
-	// required, which never happens on a route that lets a request run twice.
+	// required, a number that a route which lets a request run twice never reaches.
 	conclusiveAttempts    = 3
 	minCrashesFewAttempts = 5
 	// minSeenPerMissed is the minimum ratio of crashes seen to crashes missed when there are
@@ -68,11 +68,11 @@
 func (t *Tally) Judge(isKnownHarmful func(Fingerprint) bool, now clock.Instant) []Verdict {
 	found := map[Fingerprint]bool{}
 	var undecided []Fingerprint
-	for fp, s := range t.byFingerprint {
+	for fp, ev := range t.byFingerprint {
 		switch {
 		case isKnownHarmful(fp):
 			found[fp] = true
-		case len(s.crashes) >= minHarmfulCrashes:
+		case len(ev.crashes) >= minHarmfulCrashes:
 			undecided = append(undecided, fp)
 		}
 	}
@@ -96,7 +96,7 @@
 // them.
 type successCounts map[string]int
 
-func (c successCounts) note(node string, runs int) { c[node] = max(c[node], runs) }
+func (c successCounts) record(node string, runs int) { c[node] = max(c[node], runs) }
 
 // isHarmless reports whether the request succeeded too often to be the cause of that many
 // crashes.
@@ -110,10 +110,10 @@
 
 // judgeRequest weighs the crashes of one request that no request in found explains.
 func (t *Tally) judgeRequest(fp Fingerprint, found map[Fingerprint]bool, now clock.Instant) (Verdict, bool) {
-	s := t.byFingerprint[fp]
+	ev := t.byFingerprint[fp]
 	own := t.unexplainedCrashes(fp, found)
-	v := Verdict{Fingerprint: fp, Ends: len(own), Attempts: len(s.attempts)}
-	if v.Ends < minHarmfulCrashes || v.Attempts < minHarmfulAttempts || s.isHarmless() {
+	v := Verdict{Fingerprint: fp, Ends: len(own), Attempts: len(ev.attempts)}
+	if v.Ends < minHarmfulCrashes || v.Attempts < minHarmfulAttempts || ev.isHarmless() {
 		return v, false
 	}
 	third, last := own[minHarmfulCrashes-1], own[len(own)-1]
@@ -137,11 +137,11 @@
 // unexplainedCrashes returns the crashes that the request has seen, without those that a harmful
 // request explains and those that belong to the same loss as another one.
 func (t *Tally) unexplainedCrashes(fp Fingerprint, found map[Fingerprint]bool) []*crash {
-	s := t.byFingerprint[fp]
+	ev := t.byFingerprint[fp]
 	var own []*crash
-	for _, e := range s.crashes {
-		if !t.isExplained(e, found, len(s.crashes)) && !t.isSameLoss(fp, e, own) {
-			own = append(own, e)
+	for _, c := range ev.crashes {
+		if !t.isExplained(c, found, len(ev.crashes)) && !t.isSameLoss(fp, c, own) {
+			own = append(own, c)
 		}
 	}
 	return own
@@ -149,8 +149,8 @@
 
 // isExplained reports whether a harmful request was present at the crash and has seen at least
 // as many crashes as the judged one. A request that has seen more is judged by itself.
-func (t *Tally) isExplained(e *crash, found map[Fingerprint]bool, crashes int) bool {
-	for other := range e.runs {
+func (t *Tally) isExplained(c *crash, found map[Fingerprint]bool, crashes int) bool {
+	for other := range c.runs {
 		if found[other] && len(t.byFingerprint[other].crashes) >= crashes {
 			return true
 		}
@@ -162,8 +162,8 @@
 // of the crashes.
 func (t *Tally) allOthersMissed(fp Fingerprint, own []*crash, margin int) bool {
 	shared := map[Fingerprint]int{}
-	for _, e := range own {
-		for other := range e.runs {
+	for _, c := range own {
+		for other := range c.runs {
 			shared[other]++
 		}
 	}
@@ -178,8 +178,8 @@
 // countMissed counts the crashes without the request between its first and its last one.
 func (t *Tally) countMissed(fp Fingerprint, own []*crash) int {
 	n := 0
-	for _, e := range t.order {
-		if e.runs[fp] == nil && e.at.After(own[0].at) && e.at.Before(own[len(own)-1].at) {
+	for _, c := range t.order {
+		if c.runs[fp] == nil && c.at.After(own[0].at) && c.at.Before(own[len(own)-1].at) {
 			n++
 		}
 	}
@@ -190,12 +190,12 @@
 // endpoints were lost together, or the request was at several of them because its clients had
 // sent it more than once. A single client attempt that meets one crash after the other within a
 // few milliseconds is evidence for each of them.
-func (t *Tally) isSameLoss(fp Fingerprint, e *crash, own []*crash) bool {
+func (t *Tally) isSameLoss(fp Fingerprint, c *crash, own []*crash) bool {
 	simultaneous, chained := false, false
 	for _, o := range own {
-		if isSimultaneous(e, o) {
+		if isSimultaneous(c, o) {
 			simultaneous = true
-			chained = chained || shareAttempt(o.runs[fp], e.runs[fp])
+			chained = chained || shareAttempt(o.runs[fp], c.runs[fp])
 		}
 	}
 	if !simultaneous {
@@ -204,7 +204,7 @@
 	with, without := 0, 0
 	for _, o := range t.order {
 		switch {
-		case !isSimultaneous(e, o):
+		case !isSimultaneous(c, o):
 		case o.runs[fp] != nil:
 			with++
 		default:
@@ -220,10 +220,10 @@
 
 // hasMassLoss reports whether one of the crashes was among massLossCrashes simultaneous ones.
 func (t *Tally) hasMassLoss(own []*crash) bool {
-	return slices.ContainsFunc(own, func(e *crash) bool {
+	return slices.ContainsFunc(own, func(c *crash) bool {
 		n := 0
 		for _, o := range t.order {
-			if isSimultaneous(e, o) {
+			if isSimultaneous(c, o) {
 				n++
 			}
 		}
--- a/internal/quarantine/suspects.go
+++ b/internal/quarantine/suspects.go
@@ -42,13 +42,13 @@
 		}
 	}
 	var out []Verdict
-	for fp, s := range t.byFingerprint {
-		if found[fp] || len(s.crashes) < minSuspectCrashes || s.isHarmless() {
+	for fp, ev := range t.byFingerprint {
+		if found[fp] || len(ev.crashes) < minSuspectCrashes || ev.isHarmless() {
 			continue
 		}
 		own := t.unexplainedCrashes(fp, found)
-		v := Verdict{Fingerprint: fp, Ends: len(own), Attempts: len(s.attempts), Suspect: true}
-		if isSuspicious(v) && own[len(own)-1].at.After(s.releasedAt) {
+		v := Verdict{Fingerprint: fp, Ends: len(own), Attempts: len(ev.attempts), Suspect: true}
+		if isSuspicious(v) && own[len(own)-1].at.After(ev.releasedAt) {
 			out = append(out, v)
 		}
 	}
@@ -61,8 +61,8 @@
 
 // Release removes the request from the suspects until it sees another crash.
 func (t *Tally) Release(fp Fingerprint, now clock.Instant) {
-	if s := t.byFingerprint[fp]; s != nil {
-		s.releasedAt = now
+	if ev := t.byFingerprint[fp]; ev != nil {
+		ev.releasedAt = now
 	}
 }
 
--- a/internal/quarantine/tally.go
+++ b/internal/quarantine/tally.go
@@ -83,19 +83,19 @@
 	if !present && len(known.runs) >= maxRunsPerCrash {
 		return
 	}
-	s := t.byFingerprint[r.Fingerprint]
-	if s == nil {
-		s = &requestEvidence{attempts: map[uint32]bool{}, successes: successCounts{}}
-		t.byFingerprint[r.Fingerprint] = s
+	ev := t.byFingerprint[r.Fingerprint]
+	if ev == nil {
+		ev = &requestEvidence{attempts: map[uint32]bool{}, successes: successCounts{}}
+		t.byFingerprint[r.Fingerprint] = ev
 	}
 	if !present {
-		s.crashes = append(s.crashes, known)
+		ev.crashes = append(ev.crashes, known)
 	}
 	if !slices.Contains(attempts, r.Attempt) {
 		known.runs[r.Fingerprint] = append(attempts, r.Attempt)
-		s.attempts[r.Attempt] = true
+		ev.attempts[r.Attempt] = true
 	}
-	s.successes.note(node, r.Sound)
+	ev.successes.record(node, r.Sound)
 }
 
 // evictOld deletes crashes that are older than crashRetention, and the oldest ones above
@@ -106,9 +106,9 @@
 		t.order = t.order[1:]
 		delete(t.crashes, old.endpoint)
 		for fp := range old.runs {
-			s := t.byFingerprint[fp]
-			s.crashes = slices.DeleteFunc(s.crashes, func(e *crash) bool { return e == old })
-			if len(s.crashes) == 0 {
+			ev := t.byFingerprint[fp]
+			ev.crashes = slices.DeleteFunc(ev.crashes, func(c *crash) bool { return c == old })
+			if len(ev.crashes) == 0 {
 				delete(t.byFingerprint, fp)
 			}
 		}
@@ -117,8 +117,8 @@
 
 // Clear removes a request from all crashes, so that its count starts again.
 func (t *Tally) Clear(fp Fingerprint) {
-	if s := t.byFingerprint[fp]; s != nil {
-		for _, e := range s.crashes {
+	if ev := t.byFingerprint[fp]; ev != nil {
+		for _, e := range ev.crashes {
 			delete(e.runs, fp)
 		}
 		delete(t.byFingerprint, fp)
@@ -127,15 +127,15 @@
 
 // NoteSound records the number of recent successful runs of a request at a node.
 func (t *Tally) NoteSound(node string, fp Fingerprint, runs int) {
-	if s := t.byFingerprint[fp]; s != nil {
-		s.successes.note(node, runs)
+	if ev := t.byFingerprint[fp]; ev != nil {
+		ev.successes.record(node, runs)
 	}
 }
 
 // Saw returns how many crashes the request has seen.
 func (t *Tally) Saw(fp Fingerprint) int {
-	if s := t.byFingerprint[fp]; s != nil {
-		return len(s.crashes)
+	if ev := t.byFingerprint[fp]; ev != nil {
+		return len(ev.crashes)
 	}
 	return 0
 }
--- a/internal/quarantine/world_test.go
+++ b/internal/quarantine/world_test.go
@@ -166,12 +166,12 @@
 }
 
 // startAttempt starts a client attempt at a random node.
-func (w *simulation) startAttempt(fp Fingerprint, harm *harmfulLoad, comeback bool) {
-	if harm == nil {
+func (w *simulation) startAttempt(fp Fingerprint, harmful *harmfulLoad, retries bool) {
+	if harmful == nil {
 		w.innocentAttempts++
 	}
 	f := &simRequest{
-		fp: fp, node: fmt.Sprint(w.rng.IntN(w.nodes)), attempt: w.rng.Uint32(), runsLeft: w.runsPerAttempt, harmful: harm, retries: comeback,
+		fp: fp, node: fmt.Sprint(w.rng.IntN(w.nodes)), attempt: w.rng.Uint32(), runsLeft: w.runsPerAttempt, harmful: harmful, retries: retries,
 		duration: 300*time.Millisecond + time.Duration(w.rng.ExpFloat64()*float64(700*time.Millisecond)),
 	}
 	w.dispatch(f)
@@ -285,7 +285,7 @@
 	w.schedule(endpointRestartTime, func() { h.name, h.up = name, true })
 }
 
-// judgeTally refuses the requests that are found harmful from now on.
+// judgeTally bans the requests that are found harmful, and limits new suspects to one run.
 func (w *simulation) judgeTally() {
 	known := func(f Fingerprint) bool { _, ok := w.bannedAt[f]; return ok }
 	for _, v := range w.tally.Judge(known, clock.Instant(w.now+time.Hour)) {
@@ -328,7 +328,7 @@
 	successes := successCounts{}
 	for node := range w.nodes {
 		name := fmt.Sprint(node)
-		successes.note(name, w.successes[name+"/"+string(fp)])
+		successes.record(name, w.successes[name+"/"+string(fp)])
 		w.tally.NoteSound(name, fp, successes[name])
 	}
 	if successes.isHarmless(w.tally.Saw(fp)) {
@@ -418,20 +418,20 @@
 func TestOnlyHarmfulRequestsAreFound(t *testing.T) {
 	for name := range simulationCases() {
 		t.Run(name, func(t *testing.T) {
-			sent, refused, found, held, ended, most := 0, 0, 0, 0, 0, 0
+			sent, refused, wronglyFound, heldSends, maxCrashedEndpoints, maxLate := 0, 0, 0, 0, 0, 0
 			for seed := range uint64(*simulationSeeds) {
 				w := runCase(name, seed)
 				w.checkSendBound(t, seed)
-				sent, refused, found, held = sent+w.innocentAttempts, refused+len(w.wronglyRefused), found+w.wronglyFound, held+w.heldSends
+				sent, refused, wronglyFound, heldSends = sent+w.innocentAttempts, refused+len(w.wronglyRefused), wronglyFound+w.wronglyFound, heldSends+w.heldSends
 				for _, n := range w.crashes {
-					ended = max(ended, n)
+					maxCrashedEndpoints = max(maxCrashedEndpoints, n)
 				}
 				for _, n := range w.lateSends {
-					most = max(most, n)
+					maxLate = max(maxLate, n)
 				}
 			}
 			t.Logf("of %d innocent requests %d refused, %d found harmful, %d sends delayed; at most %d endpoints crashed under one request, %d sends after the settling time",
-				sent, refused, found, held, ended, most)
+				sent, refused, wronglyFound, heldSends, maxCrashedEndpoints, maxLate)
 			if float64(refused) > maxInnocentRefusedShare*float64(sent) {
 				t.Errorf("%d of %d innocent requests refused", refused, sent)
 			}
