--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -1,6 +1,6 @@
-// Package news carries short messages between the nodes. A message is a hint
-// that saves time: what it tells stands in the platform's list a second later.
-// So each goes out once, as one datagram, and a lost one is not sent again.
+// Package news sends short messages between the nodes. A message only saves time: its
+// content is in the platform's list a second later. Each is therefore sent once, as one UDP
+// datagram, and not retransmitted if it is lost.
 package news
 
 import (
@@ -17,59 +17,60 @@
 	"chervilloom/internal/roster"
 )
 
-// Message is what a node tells the others. Exactly one of its parts is set, beside Relay.
+// Message is one message between nodes. Exactly one of its fields is set, apart from Relay.
 type Message struct {
-	// Relay asks who gets the message to pass it on to the nodes of its zone.
+	// Relay requests that the receiver forward the message to the nodes of its zone.
 	Relay   bool         `json:"relay,omitempty"`
-	Hint    *roster.Hint `json:"hint,omitempty"`    // a head began or ceased to take requests
-	Suspect roster.ID    `json:"suspect,omitempty"` // a head's requests stand still
-	Doubt   roster.ID    `json:"doubt,omitempty"`   // they may, by their pace so far
-	Failed  roster.ID    `json:"failed,omitempty"`  // an endpoint gave no usable answer
-	Leaving []roster.ID  `json:"leaving,omitempty"` // endpoints leave
-	Gone    []roster.ID  `json:"gone,omitempty"`    // endpoints are listed no more
-	Ask     bool         `json:"ask,omitempty"`     // ask for newer endpoints
-	Placed  *Placed      `json:"placed,omitempty"`  // a request was sent to an engine
-	// InFlight is what a node has in flight at a zone's heads, for the holder of the
-	// zone's duty.
+	Hint    *roster.Hint `json:"hint,omitempty"`    // a head started or stopped accepting requests
+	Suspect roster.ID    `json:"suspect,omitempty"` // a head whose requests have stalled
+	Doubt   roster.ID    `json:"doubt,omitempty"`   // a head whose requests may have stalled, judging by their usual pace
+	Failed  roster.ID    `json:"failed,omitempty"`  // an endpoint that gave no usable response
+	Leaving []roster.ID  `json:"leaving,omitempty"` // draining endpoints
+	Gone    []roster.ID  `json:"gone,omitempty"`    // endpoints that are no longer listed
+	Ask     bool         `json:"ask,omitempty"`     // the receiver should poll for newer endpoints
+	Placed  *Placed      `json:"placed,omitempty"`  // requests that were sent to an engine
+	// InFlight contains a node's requests in flight at the heads of a zone, for the holder
+	// of the zone's duty.
 	InFlight *InFlight `json:"inflight,omitempty"`
-	// Board is a part of what all nodes have in flight at a zone's heads.
+	// Board is a part of the requests in flight from all nodes at the heads of a zone.
 	Board []board.Count `json:"board,omitempty"`
-	// Quarantine is of requests that end endpoints.
+	// Quarantine reports requests that terminate endpoints.
 	Quarantine *quarantine.Message `json:"quarantine,omitempty"`
-	// Pressure is of an endpoint that limits what it takes.
+	// Pressure reports the rate limit or backoff of an endpoint.
 	Pressure *backpressure.Notice `json:"pressure,omitempty"`
-	// Means are the mean loads of zones, from their holders.
+	// Means are the mean loads of zones, from the holders of their duties.
 	Means []board.Mean `json:"means,omitempty"`
 }
 
-// InFlight is a node's count at the heads of a zone, in as many messages as it takes.
+// InFlight contains a node's requests in flight at the heads of a zone. They may be split
+// over several messages.
 type InFlight struct {
 	Node    string        `json:"node"`
 	Zone    string        `json:"zone"`
-	Further bool          `json:"further,omitempty"` // adds to the message before
+	Further bool          `json:"further,omitempty"` // the counts continue those of the message before
 	Counts  []board.Count `json:"c"`
 }
 
-// Placed tells of requests that a node has sent to an engine. A node that tells
-// only some of the others counts for those that it doesn't tell.
+// Placed reports requests that a node has sent to an engine. A sender that addresses only a
+// sample of the nodes scales Requests and Tokens up for the others.
 type Placed struct {
 	ID       roster.ID `json:"id"`
 	Requests float64   `json:"n"`
-	Tokens   float64   `json:"tokens"` // of their prompts
+	Tokens   float64   `json:"tokens"` // prompt tokens
 }
 
-// MaxMessage is the size of the largest message, in bytes: it fits one packet.
+// MaxMessage is the maximum size of a message in bytes: it fits into one packet.
 const MaxMessage = 1400
 
 // Mesh sends messages to the other nodes and receives theirs.
 type Mesh struct {
 	Log *slog.Logger
-	// Receive is told of each message.
+	// Receive is called with each received message.
 	Receive func(Message)
 	conn    *net.UDPConn
 }
 
-// Listen opens the node's address, ip:port.
+// Listen binds the node's UDP address, ip:port.
 func (m *Mesh) Listen(addr string) error {
 	at, err := net.ResolveUDPAddr("udp4", addr)
 	if err != nil {
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// Run receives until ctx ends.
+// Run receives messages until ctx is cancelled.
 func (m *Mesh) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { m.conn.Close() })
 	defer stop()
@@ -94,33 +95,33 @@
 			return nil
 		}
 		if err != nil {
-			m.Log.Debug("news not received", "err", err)
+			m.Log.Debug("cannot receive a message", "err", err)
 			continue
 		}
 		var msg Message
 		if err := json.Unmarshal(buf[:n], &msg); err != nil {
-			m.Log.Warn("news not readable", "from", from.String(), "err", err)
+			m.Log.Warn("cannot parse a message", "from", from.String(), "err", err)
 			continue
 		}
 		m.Receive(msg)
 	}
 }
 
-// Send sends a message to some nodes, ip:port each.
+// Send sends a message to the peers, each ip:port. Errors are only logged.
 func (m *Mesh) Send(msg Message, peers ...string) {
-	raw, err := json.Marshal(msg)
-	if err != nil || len(raw) > MaxMessage {
-		m.Log.Error("news not sent", "bytes", len(raw), "err", err)
+	encoded, err := json.Marshal(msg)
+	if err != nil || len(encoded) > MaxMessage {
+		m.Log.Error("message is too large or cannot be encoded", "bytes", len(encoded), "err", err)
 		return
 	}
 	for _, peer := range peers {
 		addr, err := netip.ParseAddrPort(peer)
 		if err != nil {
-			m.Log.Warn("news not sent", "to", peer, "err", err)
+			m.Log.Warn("peer address is invalid", "to", peer, "err", err)
 			continue
 		}
-		if _, err := m.conn.WriteToUDPAddrPort(raw, addr); err != nil {
-			m.Log.Debug("news not sent", "to", peer, "err", err)
+		if _, err := m.conn.WriteToUDPAddrPort(encoded, addr); err != nil {
+			m.Log.Debug("cannot send a message", "to", peer, "err", err)
 		}
 	}
 }
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -10,7 +10,8 @@
 	"chervilloom/internal/roster"
 )
 
-func listen(t *testing.T, receive func(Message)) *Mesh {
+// startMesh starts a mesh on a free port and stops it at the end of the test.
+func startMesh(t *testing.T, receive func(Message)) *Mesh {
 	t.Helper()
 	m := &Mesh{Log: slog.New(slog.DiscardHandler), Receive: receive}
 	if err := m.Listen("127.0.0.1:0"); err != nil {
@@ -26,8 +27,8 @@
 func TestMessageReachesPeers(t *testing.T) {
 	is := is.New(t)
 	got := make(chan Message, 4)
-	b := listen(t, func(m Message) { got <- m })
-	a := listen(t, nil)
+	b := startMesh(t, func(m Message) { got <- m })
+	a := startMesh(t, nil)
 	peers := []string{b.conn.LocalAddr().String(), "no address"}
 	a.Send(Message{Suspect: "e1"}, peers...)
 	is.Equal((<-got).Suspect, roster.ID("e1"))
@@ -36,12 +37,12 @@
 	is.Equal(*(<-got).Hint, hint)
 }
 
-// Anybody may send a datagram to the port. What can't be read changes nothing.
-func TestGarbageIsPassedOver(t *testing.T) {
+// Guards against a malformed datagram that stops the receiver: any host may send to the port.
+func TestMalformedDatagramIsIgnored(t *testing.T) {
 	is := is.New(t)
 	got := make(chan Message, 4)
-	b := listen(t, func(m Message) { got <- m })
-	a := listen(t, nil)
+	b := startMesh(t, func(m Message) { got <- m })
+	a := startMesh(t, nil)
 	_, err := a.conn.WriteTo([]byte("{not json"), b.conn.LocalAddr())
 	is.NoErr(err)
 	a.Send(Message{Suspect: "after"}, b.conn.LocalAddr().String())
