--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -23,14 +23,14 @@
 		want     []Event
 		err      error
 	}{
-		{"one", "id: 1\ndata: a\n\n", []Event{{ID: "1", Data: []byte("a")}}, io.EOF},
+		{"one event", "id: 1\ndata: a\n\n", []Event{{ID: "1", Data: []byte("a")}}, io.EOF},
 		{"crlf and no space", "data:a\r\n\r\n", []Event{{Data: []byte("a")}}, io.EOF},
-		{"comments between", ": hi\n\n:x\ndata: a\n\n", []Event{{Data: []byte("a")}}, io.EOF},
-		{"many lines", "data: a\ndata: b\n\n", []Event{{Data: []byte("a\nb")}}, io.EOF},
-		{"named", "event: error\ndata: x\n\n", []Event{{Name: "error", Data: []byte("x")}}, io.EOF},
+		{"comments", ": hi\n\n:x\ndata: a\n\n", []Event{{Data: []byte("a")}}, io.EOF},
+		{"several data lines", "data: a\ndata: b\n\n", []Event{{Data: []byte("a\nb")}}, io.EOF},
+		{"event name", "event: error\ndata: x\n\n", []Event{{Name: "error", Data: []byte("x")}}, io.EOF},
 		{"ends within an event", "data: a\n", nil, io.ErrUnexpectedEOF},
 		{"ends within a line", "data: a\n\ndata: b", []Event{{Data: []byte("a")}}, io.ErrUnexpectedEOF},
-		{"too long a line", "data: " + strings.Repeat("x", 9000) + "\n\n", nil, ErrTooLong},
+		{"line too long", "data: " + strings.Repeat("x", 9000) + "\n\n", nil, ErrTooLong},
 		{"too many lines", strings.Repeat("data: xxxxxxxx\n", 900) + "\n", nil, ErrTooLong},
 		{"longer than the buffer", "data: " + strings.Repeat("x", 5000) + "\n\n", []Event{{Data: []byte(strings.Repeat("x", 5000))}}, io.EOF},
 	}
@@ -51,18 +51,20 @@
 	}
 }
 
-func token(stream string, n int) string {
+// tokenEvent returns the event with token n of the stream.
+func tokenEvent(stream string, n int) string {
 	return fmt.Sprintf("id: %s:%d\ndata: {\"choices\":[{\"delta\":{\"content\":\"t%d\"},\"finish_reason\":null}]}\n\n", stream, n, n)
 }
 
-func last(stream string, n, count int) string {
+// lastEvent returns the last event of the stream, with the offset n and the token count.
+func lastEvent(stream string, n, count int) string {
 	return fmt.Sprintf("id: %s:%d\ndata: {\"choices\":[{\"finish_reason\":\"stop\"}],\"usage\":{\"completion_tokens\":%d}}\n\n", stream, n, count)
 }
 
-const done = "data: [DONE]\n\n"
+const doneEvent = "data: [DONE]\n\n"
 
-// read reads the stream to its end and returns the offsets passed on.
-func read(s *Stream, in string) (offsets []uint64, err error) {
+// readOffsets reads the stream until an error or its end and returns the offsets of the frames.
+func readOffsets(s *Stream, in string) (offsets []uint64, err error) {
 	r := NewReader(strings.NewReader(in), 1<<16)
 	for {
 		f, ok, err := s.Read(r)
@@ -75,33 +77,33 @@
 	}
 }
 
-func TestStreamIsWholeOnlyWithCountAndMark(t *testing.T) {
-	tokens := token("s", 0) + token("s", 1)
+func TestStreamIsCompleteOnlyAfterCountAndEndMark(t *testing.T) {
+	tokens := tokenEvent("s", 0) + tokenEvent("s", 1)
 	cases := []struct {
 		name, in string
 		err      error
 		resume   bool
 	}{
-		{"whole", tokens + last("s", 2, 2) + done, io.EOF, true},
-		{"nothing", "", errNotWhole, true},
-		{"no last event", tokens, errNotWhole, true},
-		{"no mark", tokens + last("s", 2, 2), errNotWhole, true},
-		{"mark without count", tokens + done, errNotWhole, true},
-		{"within an event", tokens + "id: s:2\ndata: {", errNotWhole, true},
-		{"gap", token("s", 0) + token("s", 2), errGap, true},
-		{"count too high", tokens + last("s", 2, 3) + done, errCount, false},
-		{"count too low", tokens + last("s", 2, 1) + done, errCount, false},
-		{"event after the last", tokens + last("s", 2, 2) + token("s", 3), errCount, false},
-		{"another stream's event", token("s", 0) + token("x", 1), errForeign, false},
+		{"complete", tokens + lastEvent("s", 2, 2) + doneEvent, io.EOF, true},
+		{"empty", "", errIncomplete, true},
+		{"no last event", tokens, errIncomplete, true},
+		{"no end mark", tokens + lastEvent("s", 2, 2), errIncomplete, true},
+		{"end mark without count", tokens + doneEvent, errIncomplete, true},
+		{"cut within an event", tokens + "id: s:2\ndata: {", errIncomplete, true},
+		{"gap", tokenEvent("s", 0) + tokenEvent("s", 2), errGap, true},
+		{"count too high", tokens + lastEvent("s", 2, 3) + doneEvent, errCount, false},
+		{"count too low", tokens + lastEvent("s", 2, 1) + doneEvent, errCount, false},
+		{"event after the last", tokens + lastEvent("s", 2, 2) + tokenEvent("s", 3), errCount, false},
+		{"event of another stream", tokenEvent("s", 0) + tokenEvent("x", 1), errForeign, false},
 		{"no id", "data: {}\n\n", errForeign, false},
 		{"no offset", "id: s:x\ndata: {}\n\n", errMalformed, false},
-		{"engine's error", token("s", 0) + "event: error\ndata: {}\n\n", errRefused, false},
+		{"error from the engine", tokenEvent("s", 0) + "event: error\ndata: {}\n\n", errEngine, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			s := NewStream(StreamRef{VM: "e", Group: "g", Generation: 1, Stream: "s"}, 0)
-			_, err := read(s, tc.in)
+			_, err := readOffsets(s, tc.in)
 			is.True(errors.Is(err, tc.err))
 			is.Equal(s.Whole(), tc.err == io.EOF)
 			is.Equal(Resumable(err), tc.resume)
@@ -109,16 +111,16 @@
 	}
 }
 
-// A connection breaks anywhere and the engine repeats any part that the node
-// already has. Whatever the breaks, each event is passed on once and in order.
-func TestResumedStreamLosesAndDoublesNothing(t *testing.T) {
+// Guards against events that are lost, duplicated or reordered in a resumed stream: the
+// connection breaks at any byte, and the engine repeats events that the node already has.
+func TestResumedStreamRelaysEachEventOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 30).Draw(t, "tokens")
 		events := make([]string, 0, n+2)
 		for i := range n {
-			events = append(events, token("s", i))
+			events = append(events, tokenEvent("s", i))
 		}
-		events = append(events, last("s", n, n), done)
+		events = append(events, lastEvent("s", n, n), doneEvent)
 		s := NewStream(StreamRef{VM: "e", Group: "g", Stream: "s"}, 0)
 		var got []uint64
 		for !s.Whole() {
@@ -126,8 +128,8 @@
 			from := max(int(s.From())-back, 0)
 			rest := strings.Join(events[from:], "")
 			cut := rapid.IntRange(0, len(rest)).Draw(t, "cut")
-			offsets, err := read(s, rest[:cut])
-			if !errors.Is(err, errNotWhole) && err != io.EOF {
+			offsets, err := readOffsets(s, rest[:cut])
+			if !errors.Is(err, errIncomplete) && err != io.EOF {
 				t.Fatalf("from %d: %v", from, err)
 			}
 			got = append(got, offsets...)
@@ -138,7 +140,7 @@
 			}
 		}
 		if len(got) != n+1 {
-			t.Fatalf("%d events of %d", len(got), n+1)
+			t.Fatalf("got %d events, want %d", len(got), n+1)
 		}
 	})
 }
@@ -155,12 +157,12 @@
 			t.Fatalf("%q: %v, %+v", id.String(), err, got)
 		}
 		if strings.ContainsAny(id.String(), "\r\n\x00") {
-			t.Fatalf("%q breaks the event's lines", id.String())
+			t.Fatalf("%q contains a line break or NUL", id.String())
 		}
 	})
 }
 
-func TestParseEventIDRefuses(t *testing.T) {
+func TestParseEventIDRefusesMalformedIDs(t *testing.T) {
 	for _, s := range []string{"", "x", "a.b.1.s", "a.b.1.s:", "a.b.x.s:1", "a.b.1.s:-1", "a..1.s:1", "a.b.c.1.s:1", "a.b.1.%zz:1"} {
 		is := is.New(t)
 		_, err := ParseEventID(s)
@@ -168,7 +170,7 @@
 	}
 }
 
-func TestStreamIDBelongsToItsOrganisation(t *testing.T) {
+func TestStreamIDIsOwnedByItsOrganisation(t *testing.T) {
 	is := is.New(t)
 	id := NewStreamID("sagarmatha", "entry-1")
 	is.Equal(NodeOf(id), fleet.VM("entry-1"))
@@ -180,31 +182,31 @@
 }
 
 func BenchmarkStreamEvent(b *testing.B) {
-	ev := token("s", 0)
+	ev := tokenEvent("s", 0)
 	s := NewStream(StreamRef{VM: "e", Group: "g", Generation: 1, Stream: "s"}, 0)
-	r := NewReader(&repeat{text: []byte(ev)}, 1<<16)
+	r := NewReader(&repeatingReader{text: []byte(ev)}, 1<<16)
 	b.SetBytes(int64(len(ev)))
 	b.ReportAllocs()
 	for b.Loop() {
-		s.next = 0
+		s.nextOffset = 0
 		if _, ok, err := s.Read(r); !ok || err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// repeat is an endless repetition of a text.
-type repeat struct {
-	text []byte
-	at   int
+// repeatingReader is a reader that repeats a text endlessly.
+type repeatingReader struct {
+	text   []byte
+	offset int
 }
 
-func (r *repeat) Read(p []byte) (int, error) {
+func (r *repeatingReader) Read(p []byte) (int, error) {
 	n := 0
 	for n < len(p) {
-		c := copy(p[n:], r.text[r.at:])
+		c := copy(p[n:], r.text[r.offset:])
 		n += c
-		r.at = (r.at + c) % len(r.text)
+		r.offset = (r.offset + c) % len(r.text)
 	}
 	return n, nil
 }
--- a/internal/relay/sse.go
+++ b/internal/relay/sse.go
@@ -1,7 +1,6 @@
-// Package relay reads the answers of endpoints: server-sent events with a
-// bounded length, the order and the count of their tokens, and the event ids
-// from which any node can resume a stream without the memory of the node that
-// began it.
+// Package relay reads the event streams of endpoints: it parses server-sent events of
+// bounded size, verifies the order and the number of their tokens, and encodes event ids
+// from which any node can resume a stream without state from the node that started it.
 package relay
 
 import (
@@ -11,10 +10,10 @@
 	"io"
 )
 
-// ErrTooLong means that an event is longer than the reader's bound.
-var ErrTooLong = errors.New("relay: an event is longer than the bound; raise the bound or have the endpoint send shorter events")
+// ErrTooLong means that an event exceeds the reader's size limit.
+var ErrTooLong = errors.New("relay: an event exceeds the size limit; raise the limit or have the endpoint send shorter events")
 
-// Event is one server-sent event. Comments and unknown fields are left out.
+// Event is one server-sent event, without comments and unknown fields.
 type Event struct {
 	ID   string
 	Name string
@@ -23,51 +22,52 @@
 
 // Reader reads server-sent events.
 type Reader struct {
-	r    *bufio.Reader
-	max  int
-	line []byte
+	buf           *bufio.Reader
+	maxEventBytes int
+	line          []byte
 }
 
-// readBuffer holds a usual event whole, so that a line needs no copying.
-const readBuffer = 4 << 10
+// readBufferBytes is the size of the read buffer in bytes. A typical event fits, so that its
+// lines need not be copied.
+const readBufferBytes = 4 << 10
 
 // NewReader returns a reader of events of up to max bytes each.
 func NewReader(r io.Reader, max int) *Reader {
-	return &Reader{r: bufio.NewReaderSize(r, readBuffer), max: max}
+	return &Reader{buf: bufio.NewReaderSize(r, readBufferBytes), maxEventBytes: max}
 }
 
-// Next returns the next event. io.EOF means that the connection ended between
-// two events, which says nothing of the stream being whole;
-// io.ErrUnexpectedEOF means that it ended within one.
+// Next returns the next event. io.EOF means that the connection ended between two events,
+// which does not imply that the stream is complete; io.ErrUnexpectedEOF means that it ended
+// within one.
 func (r *Reader) Next() (Event, error) {
 	var ev Event
 	var size int
-	var some, data bool
+	var hasFields, hasData bool
 	for {
 		line, err := r.readLine()
 		if err != nil {
-			if err == io.EOF && some {
+			if err == io.EOF && hasFields {
 				err = io.ErrUnexpectedEOF
 			}
 			return Event{}, err
 		}
 		size += len(line)
-		if size > r.max {
+		if size > r.maxEventBytes {
 			return Event{}, ErrTooLong
 		}
 		if len(line) == 0 {
-			if data {
+			if hasData {
 				return ev, nil
 			}
-			ev, size, some = Event{}, 0, false
+			ev, size, hasFields = Event{}, 0, false
 			continue
 		}
-		some = true
+		hasFields = true
 		field, value := splitField(line)
 		switch string(field) {
 		case "data":
-			ev.Data = appendData(ev.Data, value, data)
-			data = true
+			ev.Data = appendData(ev.Data, value, hasData)
+			hasData = true
 		case "id":
 			ev.ID = string(value)
 		case "event":
@@ -76,6 +76,8 @@
 	}
 }
 
+// appendData appends the value of a data field; more reports whether the event already has
+// one.
 func appendData(to, value []byte, more bool) []byte {
 	if !more {
 		return bytes.Clone(value)
@@ -84,6 +86,7 @@
 	return append(to, value...)
 }
 
+// splitField returns the field name and the value of a line.
 func splitField(line []byte) (field, value []byte) {
 	field, value, _ = bytes.Cut(line, []byte{':'})
 	if len(value) > 0 && value[0] == ' ' {
@@ -92,18 +95,18 @@
 	return field, value
 }
 
-// readLine returns a line without its end. The line is valid until the next call.
+// readLine returns a line without its line break. The line is valid until the next call.
 func (r *Reader) readLine() ([]byte, error) {
-	line, err := r.r.ReadSlice('\n')
+	line, err := r.buf.ReadSlice('\n')
 	if err == nil {
-		return trimEnd(line), nil
+		return trimLineBreak(line), nil
 	}
 	r.line = append(r.line[:0], line...)
 	for err == bufio.ErrBufferFull {
-		if len(r.line) > r.max {
+		if len(r.line) > r.maxEventBytes {
 			return nil, ErrTooLong
 		}
-		line, err = r.r.ReadSlice('\n')
+		line, err = r.buf.ReadSlice('\n')
 		r.line = append(r.line, line...)
 	}
 	if err == io.EOF && len(r.line) > 0 {
@@ -112,10 +115,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return trimEnd(r.line), nil
+	return trimLineBreak(r.line), nil
 }
 
-func trimEnd(line []byte) []byte {
+// trimLineBreak removes the LF or CRLF at the end of the line.
+func trimLineBreak(line []byte) []byte {
 	line = line[:len(line)-1]
 	if n := len(line); n > 0 && line[n-1] == '\r' {
 		line = line[:n-1]
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -13,52 +13,51 @@
 	"chervilloom/internal/engine"
 )
 
-// The errors of a stream. All of them leave the stream cut; whether it can be
-// resumed is told by Resumable.
+// The errors of a stream. Each means that the stream is incomplete; Resumable reports
+// whether it can be resumed.
 var (
-	errNotWhole  = errors.New("relay: the connection ended before the stream's end; resume it from the last event")
-	errGap       = errors.New("relay: events are missing; resume the stream from the last event")
-	errCount     = errors.New("relay: the number of tokens differs from the engine's count; ask anew")
-	errMalformed = errors.New("relay: an event is malformed; ask anew")
-	errForeign   = errors.New("relay: an event belongs to another stream; ask anew")
-	errRefused   = errors.New("relay: the engine reported an error within the stream; ask anew")
+	errIncomplete = errors.New("relay: the connection ended before the stream's end; resume it from the last event")
+	errGap        = errors.New("relay: events are missing; resume the stream from the last event")
+	errCount      = errors.New("relay: the number of tokens differs from the engine's count; send the request again")
+	errMalformed  = errors.New("relay: an event is malformed; send the request again")
+	errForeign    = errors.New("relay: an event belongs to another stream; send the request again")
+	errEngine     = errors.New("relay: the engine reported an error within the stream; send the request again")
 )
 
 // doneMark is the data of the event that ends a stream.
 var doneMark = []byte("[DONE]")
 
-// Stream follows one stream of tokens over any number of connections.
+// Stream tracks the state of one token stream over any number of connections.
 type Stream struct {
-	ref      StreamRef
-	prefix   string
-	next     uint64 // offset of the next event
-	finished bool   // the event with the count was seen, and the count is right
-	whole    bool
+	ref        StreamRef
+	prefix     string
+	nextOffset uint64 // offset of the next event
+	finished   bool   // the event with the token count was read, and the count is correct
+	complete   bool   // the end mark was read
 }
 
 // NewStream returns a stream whose next event has the offset next.
 func NewStream(ref StreamRef, next uint64) *Stream {
-	return &Stream{ref: ref, prefix: ref.prefix(), next: next}
+	return &Stream{ref: ref, prefix: ref.prefix(), nextOffset: next}
 }
 
 // Ref returns where the stream runs.
 func (s *Stream) Ref() StreamRef { return s.ref }
 
 // Next returns the offset of the next event.
-func (s *Stream) Next() uint64 { return s.next }
+func (s *Stream) Next() uint64 { return s.nextOffset }
 
-// From returns the offset to resume at: that of the last event that was read,
-// once more. Asked for the event after the last one, an engine knows none, and
-// only the event itself tells that it was the last.
-func (s *Stream) From() uint64 { return max(s.next, 1) - 1 }
+// From returns the offset to resume at: that of the last event that was read. The event is
+// requested again because it may be the last one of the stream, which only its content
+// shows; an engine has no event after the last one.
+func (s *Stream) From() uint64 { return max(s.nextOffset, 1) - 1 }
 
-// Whole reports whether the stream's end was seen.
-func (s *Stream) Whole() bool { return s.whole }
+// Whole reports whether the stream was read to its end mark.
+func (s *Stream) Whole() bool { return s.complete }
 
-// Resumable reports whether a stream that failed with err may be asked for
-// again from its next event.
+// Resumable reports whether a stream that failed with err can be resumed.
 func Resumable(err error) bool {
-	for _, final := range []error{errCount, errMalformed, errForeign, errRefused, ErrTooLong} {
+	for _, final := range []error{errCount, errMalformed, errForeign, errEngine, ErrTooLong} {
 		if errors.Is(err, final) {
 			return false
 		}
@@ -66,59 +65,63 @@
 	return true
 }
 
-// Read reads one event and returns it as a frame. ok is false for events that
-// are not passed on: the end mark and those that came before. io.EOF means
-// that the stream is whole; any other error means that it is cut here.
+// Read reads one event and returns it as a frame. ok is false for an event that is not to be
+// relayed: the end mark, or one that was relayed before. io.EOF means that the stream is
+// complete; any other error means that it was interrupted here.
 func (s *Stream) Read(r *Reader) (f answer.Frame, ok bool, err error) {
-	if s.whole {
+	if s.complete {
 		return answer.Frame{}, false, io.EOF
 	}
 	ev, err := r.Next()
 	if err == io.EOF || err == io.ErrUnexpectedEOF {
-		// A dead engine's connection may end in a plain EOF between two
-		// events. Only the end mark after a matching count makes it whole.
-		return answer.Frame{}, false, errNotWhole
+		// The connection of a crashed engine may end in a plain EOF between two
+		// events. A stream is complete only after a matching count and the end
+		// mark.
+		return answer.Frame{}, false, errIncomplete
 	}
 	if err != nil {
 		return answer.Frame{}, false, err
 	}
-	return s.take(ev)
+	return s.verify(ev)
 }
 
-func (s *Stream) take(ev Event) (answer.Frame, bool, error) {
+// verify checks an event against the state of the stream, advances it and returns the event as
+// a frame, as Read does.
+func (s *Stream) verify(ev Event) (answer.Frame, bool, error) {
 	if ev.Name == "error" {
-		return answer.Frame{}, false, fmt.Errorf("%w: %.200q", errRefused, ev.Data)
+		return answer.Frame{}, false, fmt.Errorf("%w: %.200q", errEngine, ev.Data)
 	}
 	if bytes.Equal(ev.Data, doneMark) {
-		return answer.Frame{}, false, s.end()
+		return answer.Frame{}, false, s.handleEndMark()
 	}
 	offset, err := s.offsetOf(ev)
 	if err != nil {
 		return answer.Frame{}, false, err
 	}
-	if offset < s.next {
-		return answer.Frame{}, false, s.recheck(ev.Data, offset)
+	if offset < s.nextOffset {
+		return answer.Frame{}, false, s.verifyRepeated(ev.Data, offset)
 	}
-	if offset > s.next {
-		return answer.Frame{}, false, fmt.Errorf("%w: got %d, want %d", errGap, offset, s.next)
+	if offset > s.nextOffset {
+		return answer.Frame{}, false, fmt.Errorf("%w: got %d, want %d", errGap, offset, s.nextOffset)
 	}
-	if err := s.check(ev.Data, offset); err != nil {
+	if err := s.checkCount(ev.Data, offset); err != nil {
 		return answer.Frame{}, false, err
 	}
-	s.next++
-	return answer.Frame{Offset: offset, ID: s.id(offset), Data: ev.Data}, true, nil
+	s.nextOffset++
+	return answer.Frame{Offset: offset, ID: s.eventID(offset), Data: ev.Data}, true, nil
 }
 
-func (s *Stream) end() error {
+// handleEndMark handles the end mark. It returns io.EOF if the token count was read before.
+func (s *Stream) handleEndMark() error {
 	if !s.finished {
-		return fmt.Errorf("%w: the end mark came before the count", errNotWhole)
+		return fmt.Errorf("%w: the end mark came before the count", errIncomplete)
 	}
-	s.whole = true
+	s.complete = true
 	return io.EOF
 }
 
-// offsetOf reads the event's offset from its id, "<stream>:<offset>". An event
-// of another stream must never be passed on: it is another caller's answer.
+// offsetOf parses the event's offset from its id, "<stream>:<offset>". An event of another
+// stream must never be relayed: it is part of another caller's response.
 func (s *Stream) offsetOf(ev Event) (uint64, error) {
 	stream, offset, _ := strings.Cut(ev.ID, ":")
 	if stream != s.ref.Stream {
@@ -131,17 +134,18 @@
 	return n, nil
 }
 
-// recheck looks at an event that was passed on before, perhaps by another node.
-func (s *Stream) recheck(data []byte, offset uint64) error {
-	if s.finished || offset != s.next-1 {
+// verifyRepeated verifies an event that was relayed before, perhaps by another node. It matters
+// only for the newest one, which may be the last event of the stream.
+func (s *Stream) verifyRepeated(data []byte, offset uint64) error {
+	if s.finished || offset != s.nextOffset-1 {
 		return nil
 	}
-	return s.check(data, offset)
+	return s.checkCount(data, offset)
 }
 
-// check refuses an event after the last one, and a last one whose count is
-// not the number of events before it: each holds one token.
-func (s *Stream) check(data []byte, offset uint64) error {
+// checkCount fails with errCount for an event after the last one, and for a last one whose token
+// count differs from the number of events before it: each contains one token.
+func (s *Stream) checkCount(data []byte, offset uint64) error {
 	if s.finished {
 		return fmt.Errorf("%w: an event follows the last one", errCount)
 	}
@@ -162,12 +166,13 @@
 	return nil
 }
 
-// mayFinish reports whether the event could be the last one, without parsing it.
+// mayFinish reports, without parsing the event, whether it could be the last one.
 func mayFinish(data []byte) bool {
 	return bytes.Contains(data, []byte(`"usage"`))
 }
 
-func (s *Stream) id(offset uint64) string {
+// eventID returns the event id for the offset.
+func (s *Stream) eventID(offset uint64) string {
 	b := make([]byte, 0, len(s.prefix)+20)
 	b = append(b, s.prefix...)
 	return string(strconv.AppendUint(b, offset, 10))
