--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -1,9 +1,9 @@
-// Package answer holds an answer on its way back to the caller, in a form that
-// is the same whether the next hop is the caller or another node.
+// Package answer represents an answer on its way back to the caller, in the same form
+// whether the next hop is the caller or another node.
 //
-// An answer is whole only when Finish was called with End.Whole set. A stream
-// that ends without it is cut, however clean its last read looked: a dead
-// engine's connection may end in a plain EOF.
+// An answer is complete only if Finish was called with End.Whole set. A stream that ends
+// without it was truncated, even if its last read returned no error: the connection of a
+// crashed engine may end with a plain EOF.
 package answer
 
 import (
@@ -13,7 +13,7 @@
 	"chervilloom/internal/outcome"
 )
 
-// Head opens an answer.
+// Head contains the status and headers of an answer.
 type Head struct {
 	Status     int              `cbor:"1,keyasint"`
 	Header     http.Header      `cbor:"2,keyasint,omitempty"`
@@ -23,27 +23,26 @@
 	Generation fleet.Generation `cbor:"6,keyasint,omitempty"`
 }
 
-// Frame is a piece of an answer. In a stream it is one event; otherwise it is a
-// run of body bytes.
+// Frame is a part of an answer: one event of a stream, otherwise a section of the body.
 type Frame struct {
 	Offset uint64 `cbor:"1,keyasint"`           // of the event in its stream, or of the first byte in the body
-	ID     string `cbor:"2,keyasint,omitempty"` // event id that the caller may resume from; streams only
+	ID     string `cbor:"2,keyasint,omitempty"` // event id from which the caller may resume; streams only
 	Data   []byte `cbor:"3,keyasint"`
 }
 
-// End closes an answer.
+// End is the final result of an answer.
 type End struct {
 	Whole  bool           `cbor:"1,keyasint"`
-	Frames uint64         `cbor:"2,keyasint"` // events of a stream
+	Frames uint64         `cbor:"2,keyasint"` // number of events; streams only
 	Bytes  uint64         `cbor:"3,keyasint"`
 	Hash   uint64         `cbor:"4,keyasint"` // xxhash64 over all Data in order
 	Error  *outcome.Error `cbor:"-"`          // set when not Whole
 }
 
-// Writer takes one answer: Start once, Frame any number of times in order of
-// offset, Finish once. Finish without Start tells a failure before any answer
-// began. Calls do not overlap. An error from Start or Frame means that whoever
-// is behind the writer has left; Finish is called all the same.
+// Writer receives one answer: Start once, Frame any number of times in order of offset,
+// Finish once. Finish without Start reports a failure before the answer began. Calls must
+// not overlap. An error from Start or Frame means that the receiver behind the writer is
+// gone; Finish is called nevertheless.
 type Writer interface {
 	Start(Head) error
 	Frame(Frame) error
