--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome holds the three things that can be true of a request that
-// did not end well, and the typed errors that carry them to the caller.
+// Package outcome defines the possible execution states of a failed request, and the typed
+// errors that report them to the caller.
 package outcome
 
 import (
@@ -11,54 +11,54 @@
 	"time"
 )
 
-// Header is the response header and trailer that tells the outcome.
+// Header is the response header and trailer that contains the outcome.
 const Header = "Chervilloom-Outcome"
 
-// Outcome says whether the request ran at its endpoint.
+// Outcome states whether the request was executed at its endpoint.
 type Outcome string
 
-// The outcomes. NotRun is a promise: no byte of the request left for an
-// endpoint, or the endpoint itself said that it did not run it.
+// The outcomes. NotRun is guaranteed: no byte of the request was sent to an endpoint, or
+// the endpoint itself reported that it did not execute the request.
 const (
 	NotRun  Outcome = "not-run"
 	Ran     Outcome = "ran"
 	Unknown Outcome = "unknown"
 )
 
-// Kind is a class of failure that a caller can act on.
+// Kind is a class of failure to which a caller can react.
 type Kind string
 
-// The kinds of failure.
+// The failure kinds.
 const (
 	BadRequest       Kind = "bad_request"       // malformed body, header or path
 	TooLarge         Kind = "too_large"         // body over the limit
 	Unauthorised     Kind = "unauthorised"      // key missing or unknown
 	UnknownModel     Kind = "unknown_model"     // no such model, adapter or version in the configuration
 	UnknownService   Kind = "unknown_service"   // no such plain service in the configuration
-	NoCapacity       Kind = "no_capacity"       // nothing that carries the target serves now
-	OverLimit        Kind = "over_limit"        // the organisation is over its share
+	NoCapacity       Kind = "no_capacity"       // no endpoint in service for the target
+	OverLimit        Kind = "over_limit"        // the organisation has exceeded its share
 	Overloaded       Kind = "overloaded"        // the queue is full or the deadline cannot be met
 	DeadlineExceeded Kind = "deadline_exceeded" // the deadline passed
 	EndpointFailed   Kind = "endpoint_failed"   // the endpoint failed before an answer began
-	AnswerCut        Kind = "answer_cut"        // the answer began and did not end
-	StillRunning     Kind = "still_running"     // the first try of this key is in progress
-	KeyReused        Kind = "key_reused"        // the key came with another body
-	HolderLost       Kind = "holder_lost"       // the node that held the key's state is gone
-	PlatformDown     Kind = "platform_down"     // the table is needed and cannot be reached
-	ShuttingDown     Kind = "shutting_down"     // this node takes no new work
-	CallerGone       Kind = "caller_gone"       // the caller left
-	Quarantined      Kind = "quarantined"       // endpoints end when they run the request
-	Suspect          Kind = "suspect"           // endpoints ended under the request, and another run of it is under way
-	Internal         Kind = "internal"          // a fault of the node
+	AnswerCut        Kind = "answer_cut"        // the answer began and was truncated
+	StillRunning     Kind = "still_running"     // the first attempt with this key is in progress
+	KeyReused        Kind = "key_reused"        // the key was used with another body
+	HolderLost       Kind = "holder_lost"       // the node with the key's state is gone
+	PlatformDown     Kind = "platform_down"     // the table is required and unreachable
+	ShuttingDown     Kind = "shutting_down"     // this node accepts no new work
+	CallerGone       Kind = "caller_gone"       // the caller closed the connection
+	Quarantined      Kind = "quarantined"       // endpoints crash when they execute the request
+	Suspect          Kind = "suspect"           // endpoints crashed during the request, and another execution is in progress
+	Internal         Kind = "internal"          // internal error of the node
 )
 
-// Error is a failure as a caller sees it.
+// Error is a failure as reported to a caller.
 type Error struct {
 	Kind       Kind
 	Outcome    Outcome
 	Message    string        // what is wrong
 	Remedy     string        // what the caller can do about it
-	RetryAfter time.Duration // 0: no advice
+	RetryAfter time.Duration // 0: not sent
 	Cause      error         // for logs only; never shown to callers
 }
 
@@ -74,7 +74,7 @@
 	return &c
 }
 
-// After returns a copy of e that tells the caller to come back in d.
+// After returns a copy of e that asks the caller to retry after d.
 func (e *Error) After(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
@@ -93,8 +93,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Of returns err as an *Error. An error of another type becomes Internal with
-// outcome Unknown: nothing is known of what it left behind.
+// Of returns err as an *Error. An error of another type becomes Internal with outcome
+// Unknown, because its effects are not known.
 func Of(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -143,7 +143,7 @@
 	b.Error.Message, b.Error.Remedy = e.Message, e.Remedy
 	b.Error.RequestID = requestID
 	out, err := json.Marshal(b)
-	if err != nil { // every field is a string
+	if err != nil { // unreachable: every field is a string
 		panic(err)
 	}
 	return out
