--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,5 +1,5 @@
-// Package request holds one caller's request as it goes through the filters of
-// the request path: accept, identify, admit, route, dispatch, relay, account.
+// Package request represents one caller's request on its path through the filters: accept,
+// identify, admit, route, dispatch, relay, account.
 package request
 
 import (
@@ -9,54 +9,53 @@
 	"chervilloom/internal/fleet"
 )
 
-// Class is the lane that a request goes through.
+// Class is the admission class of a request.
 type Class string
 
 // The classes. Lookups never queue behind model calls.
 const (
-	ClassLookup Class = "lookup" // a plain service call that may be repeated
-	ClassCall   Class = "call"   // a plain service call that may not be repeated
+	ClassLookup Class = "lookup" // an idempotent call to a plain service
+	ClassCall   Class = "call"   // a non-idempotent call to a plain service
 	ClassModel  Class = "model"  // a model call
 )
 
-// Stage names the filter at which the next node takes up a request that a node
-// passed on.
+// Stage is the filter at which the next node continues a forwarded request.
 type Stage string
 
-// The stages at which a request may change nodes.
+// The stages at which a request may be forwarded to another node.
 const (
-	// StageKey: the receiver holds the state of the request's key or ticket.
+	// StageKey: the receiver has the state of the request's key or ticket.
 	StageKey Stage = "key"
-	// StageDispatch: the sender has admitted the request; the receiver sends it
-	// to an endpoint of its own availability zone and passes it no further.
+	// StageDispatch: the sender has admitted the request; the receiver sends it to an
+	// endpoint in its own availability zone and does not forward it.
 	StageDispatch Stage = "dispatch"
 )
 
-// Request is one caller's request. It is written by accept and identify, and
+// Request is one caller's request. It is written by the accept and identify filters and
 // read-only afterwards.
 type Request struct {
-	ID           string // unique; given back to the caller in Chervilloom-Request
+	ID           string // unique; returned to the caller in Chervilloom-Request
 	TraceParent  string // W3C trace context of the span that the next hop continues
 	Organisation fleet.Organisation
 	Class        Class
-	Idempotent   bool          // false: runs at most once
+	Idempotent   bool          // false: executed at most once
 	Key          string        // caller's Idempotency-Key; empty: none
 	Ticket       string        // caller's Chervilloom-Ticket; empty: none
-	Priority     int           // larger goes first in the engines
-	Arrived      clock.Instant // on the node that accepted it
+	Priority     int           // the engines prefer larger values
+	Arrived      clock.Instant // time of arrival at the node that accepted it
 	Deadline     clock.Instant // on this node's clock
 	Target       fleet.Target  // ClassModel only
 	Service      string        // ClassLookup and ClassCall only
 	Method       string
-	Path         string      // as the endpoint shall see it, query included
+	Path         string      // as sent to the endpoint, including the query
 	Header       http.Header // end-to-end headers only
-	Body         []byte      // whole; bounded by the settings
-	Stream       bool        // the caller wants server-sent events
+	Body         []byte      // complete; its size is limited by the settings
+	Stream       bool        // the caller accepts server-sent events
 	Prefix       []uint64    // hashes of the prompt's growing prefixes, shortest first
 	PromptTokens int         // estimate
-	MaxTokens    int         // bound on the answer; 0: none given
-	ResumeID     string      // Last-Event-ID of a cut stream; empty: a new request
+	MaxTokens    int         // limit on the answer; 0: not given
+	ResumeID     string      // Last-Event-ID of a truncated stream; empty: a new request
 	Stage        Stage
-	Hops         int      // nodes passed through before this one
-	From         fleet.VM // node that passed the request on; empty: a caller did
+	Hops         int      // number of nodes passed before this one
+	From         fleet.VM // node that forwarded the request; empty: received from a caller
 }
