--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,16 +1,16 @@
-// Package ring joins the goroutines of the pipelines by bounded queues.
+// Package ring connects pipeline goroutines by bounded queues.
 package ring
 
 import "sync"
 
-// Queue is a bounded first-in-first-out queue. A full queue refuses: the
-// producer tells its own client at once instead of waiting without bound.
+// Queue is a bounded first-in-first-out queue. If it is full, the producer can reject its
+// client immediately instead of waiting without limit.
 type Queue[T any] struct{ c chan T }
 
-// NewQueue returns a queue that holds up to size items.
+// NewQueue returns a queue for up to size items.
 func NewQueue[T any](size int) *Queue[T] { return &Queue[T]{c: make(chan T, size)} }
 
-// Offer adds v and reports whether there was room.
+// Offer adds v and reports whether there was capacity.
 func (q *Queue[T]) Offer(v T) bool {
 	select {
 	case q.c <- v:
@@ -20,16 +20,15 @@
 	}
 }
 
-// C is the receiving end.
+// C returns the channel to receive from.
 func (q *Queue[T]) C() <-chan T { return q.c }
 
-// Len returns the number of items that wait.
+// Len returns the number of queued items.
 func (q *Queue[T]) Len() int { return len(q.c) }
 
-// Latest is a bounded mailbox that keeps the newest value for each key. A slow
-// consumer sees fewer values, never old ones; when size keys wait already, a
-// value for a new key is dropped and counted, and the next report of that key
-// brings it back.
+// Latest is a bounded mailbox that keeps the newest value of each key. A slow consumer gets
+// fewer values, never outdated ones. If size keys are queued already, a value for a new key
+// is dropped and counted; the key is queued by its next Put.
 type Latest[K comparable, V any] struct {
 	mu      sync.Mutex
 	size    int
@@ -62,10 +61,10 @@
 	}
 }
 
-// Wake receives after a Put; a receive stands for any number of them.
+// Wake returns a channel that receives after a Put; one receive may represent several Puts.
 func (l *Latest[K, V]) Wake() <-chan struct{} { return l.wake }
 
-// Take empties the mailbox into the values in order of their keys' arrival.
+// Take removes and returns all values in order of their keys' arrival.
 func (l *Latest[K, V]) Take() []V {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,7 +77,7 @@
 	return out
 }
 
-// Dropped returns how many values were dropped for want of room.
+// Dropped returns the number of values dropped for lack of capacity.
 func (l *Latest[K, V]) Dropped() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
