--- a/internal/clock/wait.go
+++ b/internal/clock/wait.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits for d and reports whether ctx still holds.
+// Sleep waits for d or the end of ctx and reports whether ctx is still active.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -20,8 +20,8 @@
 	}
 }
 
-// Every calls f after each interval until ctx ends. While f takes longer than
-// the interval, the calls in between are left out.
+// Every calls f after each interval until ctx ends. If f takes longer than the interval,
+// missed ticks are dropped.
 func Every(ctx context.Context, interval time.Duration, f func()) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
