--- a/internal/formation/allot.go
+++ b/internal/formation/allot.go
@@ -11,84 +11,87 @@
 	"chervilloom/internal/roster"
 )
 
-// newGroup is a group that is to be formed.
-type newGroup struct {
-	model   *catalog.Model
-	members []roster.ID // readiest first
-	ready   time.Duration
+// candidateGroup is a group that could be formed.
+type candidateGroup struct {
+	model       *catalog.Model
+	members     []roster.ID // by time to ready, shortest first
+	timeToReady time.Duration
 }
 
-// option is one use of the engines of a domain that are at hand: groups to close,
-// and groups to form of their members and the free engines.
+// option is one possible use of a domain's available engines: groups to close, and groups
+// to form from their members and the free engines.
 type option struct {
 	closed []*Group
-	formed []newGroup
+	formed []candidateGroup
 	value  float64
 }
 
 const (
-	// horizon is the time over which an option is valued: an engine of a zone is
-	// lost about this often in a bad hour, and then everything is weighed anew.
-	horizon = 10 * time.Second
-	// usualLoad is the part of a zone's engines that the usual load is taken to need
-	// at full batches. It is assumed; it sets only how early a model counts as served
-	// enough, the same for all.
-	usualLoad = 0.5
-	// saturation shapes the worth of a model's groups. It is assumed that with as
-	// many as its requests need at full batches three quarters of them are in time,
-	// with twice as many 19 of 20.
+	// valueHorizon is the period over which an option is valued. In a bad hour a zone
+	// loses an engine about this often, and then all options are evaluated again.
+	valueHorizon = 10 * time.Second
+	// assumedUtilisation is the assumed share of a zone's engines that the usual load
+	// needs at full batches. It only determines how early a model counts as sufficiently
+	// served, equally for all models.
+	assumedUtilisation = 0.5
+	// saturation is the rate of the curve from groups to requests served in time. It
+	// assumes that a model with as many groups as its requests need at full batches
+	// serves three quarters of them in time, and with twice as many 19 of 20.
 	saturation = 1.5
-	// moveTime is the service that the streams of a closed group are taken to lose on
-	// their way to another one; assumed.
-	moveTime = time.Second
-	// closeMargin is what closing a group must gain beyond its costs, so that
-	// estimates that waver turn no group over and back.
+	// streamMoveTime is the assumed service time that streams lose when their group
+	// closes and they move to another one.
+	streamMoveTime = time.Second
+	// closeMargin is the minimum net gain of closing a group, so that fluctuating
+	// estimates don't convert a group back and forth.
 	closeMargin = 0.02
-	// idleMargin is what it must gain to turn groups over where no engine is free.
-	idleMargin = 0.1
-	// weighAgain is the pause between two looks at a domain without free engines.
-	weighAgain = time.Second
-	// settleFor is how long the engines of a domain are left as they are after one
-	// of its groups began to close: its members leave within a few milliseconds of
-	// each other, and the first two must not be bound before the others are free.
-	settleFor = 250 * time.Millisecond
-	// turnFor bounds how long engines are kept for a turn.
-	turnFor = 6 * time.Second
+	// noFreeEngineMargin is the minimum gain of conversions in a domain without free
+	// engines.
+	noFreeEngineMargin = 0.1
+	// weighInterval is the interval between evaluations of a domain without free
+	// engines.
+	weighInterval = time.Second
+	// settleTime is the time during which a domain's engines aren't reassigned after one
+	// of its groups began to close. Its members leave within a few milliseconds of each
+	// other; the first two must not be assigned before the others are free.
+	settleTime = 250 * time.Millisecond
+	// maxConversionTime limits how long engines are reserved for a conversion.
+	maxConversionTime = 6 * time.Second
 )
 
-// turn keeps the free engines of a domain until groups there have closed.
-type turn struct {
+// conversion reserves the free engines of a domain until the groups to be closed there
+// have closed.
+type conversion struct {
 	groups []string
 	until  clock.Instant
 }
 
-// useDomain decides what the free engines of a domain become: groups, together
-// with the members of groups that are needed less, or spares. Outside the start
-// no group is formed that would wait for a load: its other members would be bound
-// for twelve seconds and more, while the next loss may leave engines that complete
-// them at once.
-func (p *planner) useDomain(domain string) {
-	free := p.free(domain)
-	if p.turning(domain) || p.settling(domain) {
+// allocateDomain assigns the free engines of a domain: to new groups, together with
+// members of less needed groups, or as spares. After startup no group is formed that
+// would wait for a load: its other members would be bound for 12 s or more, while the
+// next loss may free engines that complete them at once.
+func (p *planner) allocateDomain(domain string) {
+	free := p.freeEngines(domain)
+	if p.isConverting(domain) || p.isSettling(domain) {
 		return
 	}
 	best := p.bestOption(domain, free)
 	if len(best.closed) > 0 {
-		p.beginTurn(domain, best)
+		p.beginConversion(domain, best)
 		return
 	}
 	for _, g := range best.formed {
-		if !p.form(domain, g.model, g.members) {
+		if !p.formGroup(domain, g.model, g.members) {
 			break
 		}
 		free = slices.DeleteFunc(free, func(f *Fact) bool { return slices.Contains(g.members, f.ID) })
 	}
-	p.prepare(domain, free)
+	p.prepareFreeEngines(domain, free)
 }
 
-// turning reports whether groups of the domain are still being closed for others.
-func (p *planner) turning(domain string) bool {
-	t, ok := p.mem.turning[domain]
+// isConverting reports whether the domain still waits for groups to close in a
+// conversion.
+func (p *planner) isConverting(domain string) bool {
+	t, ok := p.mem.conversions[domain]
 	if !ok {
 		return false
 	}
@@ -96,17 +99,17 @@
 	if closing && p.in.Now.Before(t.until) {
 		return true
 	}
-	delete(p.mem.turning, domain)
+	delete(p.mem.conversions, domain)
 	return false
 }
 
-// settling reports whether members of a group that has just begun to close are
-// about to be free.
-func (p *planner) settling(domain string) bool {
+// isSettling reports whether members of a group that has just begun to close are about to
+// become free.
+func (p *planner) isSettling(domain string) bool {
 	for i := range p.out.Ledger.Groups {
 		g := &p.out.Ledger.Groups[i]
 		c := p.mem.closing[g.Name]
-		if g.Domain != domain || c == nil || p.in.Now.Sub(c.since) >= settleFor {
+		if g.Domain != domain || c == nil || p.in.Now.Sub(c.since) >= settleTime {
 			continue
 		}
 		if slices.ContainsFunc(g.Members, func(id roster.ID) bool { return p.health(id) == alive }) {
@@ -116,47 +119,49 @@
 	return false
 }
 
-func (p *planner) beginTurn(domain string, o option) {
-	t := turn{until: p.in.Now.Add(turnFor)}
+func (p *planner) beginConversion(domain string, o option) {
+	t := conversion{until: p.in.Now.Add(maxConversionTime)}
 	for _, g := range o.closed {
-		c := &closing{reason: "its engines are needed more by another model", mode: Truncate, since: p.in.Now, begun: true}
-		if p.count(g.Model, domain) <= 1 {
-			c.mode = Finish // its streams have nowhere to go on
+		c := &closing{reason: "another model needs its engines more", mode: Truncate, since: p.in.Now, begun: true}
+		if p.countGroups(g.Model, domain) <= 1 {
+			c.mode = Finish // no other group of the model could continue its streams
 		}
 		p.mem.closing[g.Name] = c
 		t.groups = append(t.groups, g.Name)
-		p.note("group %s of %s closes: %s", g.Name, g.Model, c.reason)
-		p.tellLost(g, c)
+		p.noteDecision("group %s of %s closes: %s", g.Name, g.Model, c.reason)
+		p.announceLost(g, c)
 	}
-	p.mem.turning[domain] = t
+	p.mem.conversions[domain] = t
 }
 
-// bestOption returns the best use of the free engines of a domain.
+// bestOption returns the best use of a domain's free engines.
 func (p *planner) bestOption(domain string, free []*Fact) option {
-	best := p.bestOf(domain, nil, free)
+	best := p.bestFormation(domain, nil, free)
 	if p.in.FreeLoads {
 		return best
 	}
 	if len(free) == 0 {
-		// Demand has shifted, or another domain has lost what it can't replace.
-		if p.in.Now.Sub(p.mem.weighed[domain]) < weighAgain {
+		// A conversion can still be useful if demand has shifted, or if another domain
+		// has lost engines that it can't replace.
+		if p.in.Now.Sub(p.mem.weighedAt[domain]) < weighInterval {
 			return best
 		}
-		p.mem.weighed[domain] = p.in.Now
-		best.value += idleMargin
+		p.mem.weighedAt[domain] = p.in.Now
+		best.value += noFreeEngineMargin
 	}
 	for i := range p.in.Engine.Models {
 		m := &p.in.Engine.Models[i]
-		groups := p.closable(domain, m)
-		for k := 1; k <= min(len(groups), p.mostClosed(m)); k++ {
-			best = better(best, p.bestOf(domain, groups[:k], free))
+		groups := p.closableGroups(domain, m)
+		for k := 1; k <= min(len(groups), p.maxClosedGroups(m)); k++ {
+			best = betterOption(best, p.bestFormation(domain, groups[:k], free))
 		}
 	}
 	return best
 }
 
-// mostClosed is how many groups of a model give the engines for a group of any.
-func (p *planner) mostClosed(m *catalog.Model) int {
+// maxClosedGroups returns the number of the model's groups that together have enough
+// engines for a group of any model.
+func (p *planner) maxClosedGroups(m *catalog.Model) int {
 	largest := 0
 	for i := range p.in.Engine.Models {
 		largest = max(largest, p.in.Engine.Models[i].Size)
@@ -164,16 +169,16 @@
 	return (largest + max(1, m.Size) - 1) / max(1, m.Size)
 }
 
-func better(a, b option) option {
+func betterOption(a, b option) option {
 	if b.value > a.value {
 		return b
 	}
 	return a
 }
 
-// closable returns the groups of a model that serve in the domain, those first whose
-// members are ready for another model soonest.
-func (p *planner) closable(domain string, m *catalog.Model) []*Group {
+// closableGroups returns the model's serving groups in the domain, sorted by the time
+// until their members could be ready for another model.
+func (p *planner) closableGroups(domain string, m *catalog.Model) []*Group {
 	var out []*Group
 	for i := range p.out.Ledger.Groups {
 		g := &p.out.Ledger.Groups[i]
@@ -181,13 +186,13 @@
 			out = append(out, g)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b *Group) int { return cmp.Compare(p.readyElsewhere(a), p.readyElsewhere(b)) })
+	slices.SortStableFunc(out, func(a, b *Group) int { return cmp.Compare(p.timeToReadyElsewhere(a), p.timeToReadyElsewhere(b)) })
 	return out
 }
 
-// readyElsewhere returns when the last member of a group could have joined a group
-// of the model for which that is soonest.
-func (p *planner) readyElsewhere(g *Group) time.Duration {
+// timeToReadyElsewhere returns the shortest time, over the other models, until all
+// members of a group could have joined a group of that model.
+func (p *planner) timeToReadyElsewhere(g *Group) time.Duration {
 	soonest := time.Duration(math.MaxInt64)
 	for i := range p.in.Engine.Models {
 		m := &p.in.Engine.Models[i]
@@ -197,7 +202,7 @@
 		last := time.Duration(0)
 		for _, id := range g.Members {
 			if f := p.in.Facts[id]; f != nil {
-				last = max(last, p.readyIn(f, m))
+				last = max(last, p.timeToReady(f, m))
 			}
 		}
 		soonest = min(soonest, last)
@@ -205,13 +210,13 @@
 	return soonest
 }
 
-// bestOf returns the best groups that can be formed of the free engines and the
-// members of closed groups.
-func (p *planner) bestOf(domain string, closed []*Group, free []*Fact) option {
+// bestFormation returns the best set of groups that can be formed from the free engines
+// and the members of the closed groups.
+func (p *planner) bestFormation(domain string, closed []*Group, free []*Fact) option {
 	pool := slices.Clone(free)
 	for _, g := range closed {
 		for _, id := range g.Members {
-			if p.fit(id) {
+			if p.isEligible(id) {
 				pool = append(pool, p.in.Facts[id])
 			}
 		}
@@ -224,17 +229,17 @@
 	}
 	slices.SortStableFunc(models, func(a, b *catalog.Model) int { return cmp.Compare(b.Size, a.Size) })
 	best := option{value: math.Inf(-1)}
-	p.eachMix(models, pool, nil, func(formed []newGroup) {
+	p.eachCombination(models, pool, nil, func(formed []candidateGroup) {
 		o := option{closed: closed, formed: slices.Clone(formed)}
-		o.value = p.value(domain, &o)
-		best = better(best, o)
+		o.value = p.optionValue(domain, &o)
+		best = betterOption(best, o)
 	})
 	return best
 }
 
-// eachMix calls f for the ways to form groups of a pool. Of the last model as many
-// are formed as the pool allows.
-func (p *planner) eachMix(models []*catalog.Model, pool []*Fact, formed []newGroup, f func([]newGroup)) {
+// eachCombination calls f for each combination of groups that can be formed from a pool.
+// Of the last model it forms as many groups as the pool allows.
+func (p *planner) eachCombination(models []*catalog.Model, pool []*Fact, formed []candidateGroup, f func([]candidateGroup)) {
 	if len(models) == 0 {
 		f(formed)
 		return
@@ -242,9 +247,9 @@
 	m := models[0]
 	for {
 		if len(models) > 1 {
-			p.eachMix(models[1:], pool, formed, f)
+			p.eachCombination(models[1:], pool, formed, f)
 		}
-		g, rest := p.take(m, pool)
+		g, rest := p.takeMembers(m, pool)
 		if g == nil {
 			break
 		}
@@ -256,19 +261,20 @@
 	}
 }
 
-// take returns a group of the engines that are ready for the model soonest, and
-// the others; nil when they are too few or would wait for a load.
-func (p *planner) take(m *catalog.Model, pool []*Fact) (*newGroup, []*Fact) {
+// takeMembers returns a group of the engines that are ready for the model soonest, and
+// the remaining engines. The group is nil if there are too few engines or one would need
+// a load.
+func (p *planner) takeMembers(m *catalog.Model, pool []*Fact) (*candidateGroup, []*Fact) {
 	if m.Size > len(pool) {
 		return nil, pool
 	}
 	sorted := slices.Clone(pool)
-	slices.SortStableFunc(sorted, func(a, b *Fact) int { return cmp.Compare(p.readyIn(a, m), p.readyIn(b, m)) })
-	g := &newGroup{model: m, ready: p.readyIn(sorted[m.Size-1], m)}
+	slices.SortStableFunc(sorted, func(a, b *Fact) int { return cmp.Compare(p.timeToReady(a, m), p.timeToReady(b, m)) })
+	g := &candidateGroup{model: m, timeToReady: p.timeToReady(sorted[m.Size-1], m)}
 	if p.in.FreeLoads {
-		g.ready = 0 // the loads of all groups run at the same time
+		g.timeToReady = 0 // the loads of all groups run concurrently
 	}
-	if g.ready > soonLimit {
+	if g.timeToReady > maxJoinWithoutLoad {
 		return nil, pool
 	}
 	for _, f := range sorted[:m.Size] {
@@ -277,19 +283,19 @@
 	return g, sorted[m.Size:]
 }
 
-// value returns the worth of what serves over the horizon, as a sum over the
-// models, each 0 to 1.
-func (p *planner) value(domain string, o *option) float64 {
+// optionValue returns the value of the option's serving groups over the horizon, less the
+// cost of closing groups. Each model contributes 0 to 1.
+func (p *planner) optionValue(domain string, o *option) float64 {
 	groups := map[string]float64{}
 	for i := range p.in.Engine.Models {
 		m := &p.in.Engine.Models[i]
-		groups[m.Name] = float64(p.count(m.Name, domain))
+		groups[m.Name] = float64(p.countGroups(m.Name, domain))
 	}
 	cost := 0.0
 	for _, g := range o.closed {
 		if m := p.in.Engine.Model(g.Model); m != nil {
 			n := groups[m.Name]
-			cost += closeMargin + p.worth(m, n)/max(1, n)*part(moveTime)
+			cost += closeMargin + p.servedShare(m, n)/max(1, n)*horizonShare(streamMoveTime)
 		}
 	}
 	for _, g := range o.closed {
@@ -298,50 +304,51 @@
 	v := 0.0
 	for i := range p.in.Engine.Models {
 		m := &p.in.Engine.Models[i]
-		v += p.worth(m, groups[m.Name])
+		v += p.servedShare(m, groups[m.Name])
 	}
 	formed := slices.Clone(o.formed)
-	slices.SortStableFunc(formed, func(a, b newGroup) int { return cmp.Compare(a.ready, b.ready) })
+	slices.SortStableFunc(formed, func(a, b candidateGroup) int { return cmp.Compare(a.timeToReady, b.timeToReady) })
 	for _, g := range formed {
 		n := groups[g.model.Name]
-		v += (p.worth(g.model, n+1) - p.worth(g.model, n)) * (1 - part(g.ready))
+		v += (p.servedShare(g.model, n+1) - p.servedShare(g.model, n)) * (1 - horizonShare(g.timeToReady))
 		groups[g.model.Name]++
 	}
 	return v - cost
 }
 
-// part returns a time as a part of the horizon.
-func part(d time.Duration) float64 { return min(1, d.Seconds()/horizon.Seconds()) }
+// horizonShare returns a duration as a share of the horizon, at most 1.
+func horizonShare(d time.Duration) float64 { return min(1, d.Seconds()/valueHorizon.Seconds()) }
 
-// worth returns the part of a model's requests that n groups serve in time.
-func (p *planner) worth(m *catalog.Model, n float64) float64 {
-	return 1 - math.Exp(-saturation*max(0, n)/p.need(m))
+// servedShare returns the share of a model's requests that n groups serve in time.
+func (p *planner) servedShare(m *catalog.Model, n float64) float64 {
+	return 1 - math.Exp(-saturation*max(0, n)/p.neededGroups(m))
 }
 
-// need returns how many groups of a model the usual load keeps at full batches. It is
-// asked for with each option of each domain: counted anew each time, the engines of a
-// zone of 219 took most of a plan (BenchmarkPlanLargeZone: 2.5 ms before, 0.33 ms since).
-func (p *planner) need(m *catalog.Model) float64 {
-	if n, ok := p.needs[m.Name]; ok {
+// neededGroups returns the number of groups that the usual load of a model keeps at full
+// batches. The result is cached because every option of every domain uses it: counting
+// the engines of a zone of 219 each time took most of a plan (BenchmarkPlanLargeZone: 2.5
+// ms without the cache, 0.33 ms with it).
+func (p *planner) neededGroups(m *catalog.Model) float64 {
+	if n, ok := p.neededGroupsByModel[m.Name]; ok {
 		return n
 	}
 	engines := 0
 	for id := range p.in.Facts {
-		if p.fit(id) {
+		if p.isEligible(id) {
 			engines++
 		}
 	}
-	n := max(0.1, p.work(m)*float64(engines)*usualLoad/float64(m.Size))
-	if p.needs == nil {
-		p.needs = map[string]float64{}
+	n := max(0.1, p.workShare(m)*float64(engines)*assumedUtilisation/float64(m.Size))
+	if p.neededGroupsByModel == nil {
+		p.neededGroupsByModel = map[string]float64{}
 	}
-	p.needs[m.Name] = n
+	p.neededGroupsByModel[m.Name] = n
 	return n
 }
 
-// work returns the model's part of the engines' work, 0 to 1: what requests have
-// asked for of late, and what is declared as far as they were few.
-func (p *planner) work(m *catalog.Model) float64 {
+// workShare returns the model's share of the engines' work, 0 to 1. It combines the
+// recent demand with the declared shares, which dominate while requests are few.
+func (p *planner) workShare(m *catalog.Model) float64 {
 	declared, asked := 0.0, 0.0
 	for i := range p.in.Engine.Models {
 		other := &p.in.Engine.Models[i]
@@ -352,11 +359,11 @@
 	if asked == 0 {
 		return share
 	}
-	known := p.in.Demand.Requests / (p.in.Demand.Requests + declaredRequests)
+	known := p.in.Demand.Requests / (p.in.Demand.Requests + declaredShareWeight)
 	return (1-known)*share + known*p.in.Demand.Work[m.Name]*float64(m.Size)/asked
 }
 
-// declaredRequests is how many requests weigh as much as the declared shares:
-// answers of one model differ threefold in length, so that the mean of 40 is
-// right to a sixth.
-const declaredRequests = 40
+// declaredShareWeight is the number of requests that weighs as much as the declared
+// shares. Answer lengths of one model differ threefold, so the mean of 40 requests is
+// accurate to one sixth.
+const declaredShareWeight = 40
--- a/internal/formation/allot_test.go
+++ b/internal/formation/allot_test.go
@@ -13,66 +13,66 @@
 	"chervilloom/internal/roster"
 )
 
-// zoneOfPairs returns a zone of two domains of eight whose models take four and
-// two engines, as before the first request: 4+2+2 in each domain.
-func zoneOfPairs() *world {
-	w := newWorld()
+// startedZoneWithPairs returns a started zone of two domains of eight engines, for models
+// of four and two members: one group of four and two pairs in each domain.
+func startedZoneWithPairs() *simZone {
+	w := newSimZone()
 	w.engine.Models[0].Size, w.engine.Models[0].Share = 4, 0.67
 	w.engine.Models[1].Size, w.engine.Models[1].Share = 2, 0.33
-	w.free = true
+	w.loadsAreFree = true
 	w.add("d0", 8)
 	w.add("d1", 8)
 	w.run(10 * time.Second)
-	w.free = false
+	w.loadsAreFree = false
 	w.loads = nil
 	return w
 }
 
-// lose ends an engine of a group that serves the model, other than its head.
-func (w *world) lose(model string) {
+// killMember kills a member, other than the head, of a serving group of the model.
+func (w *simZone) killMember(model string) {
 	w.engines[w.serving(model)[0].members[1]].dead = true
 }
 
-// A group of four loses a member while pairs have more than they need: the three
-// that are left and a pair form the group of four again, in the time of a join
-// from the host. Made a pair instead, as they are readiest for, they left the
-// zone without a group of four after a second loss, beside five pairs.
-func TestLossOfTheLargerModelTakesAPair(t *testing.T) {
+// Guards against a model that can't replace a lost group. A group of four loses a member
+// while there are more pairs than needed: the three survivors and a pair must form a
+// group of four again, within the time of a join from the host. When the survivors formed
+// a pair instead, for which they were ready soonest, a second loss left the zone without
+// a group of four and with five pairs.
+func TestLossInLargeModelClosesPair(t *testing.T) {
 	is := is.New(t)
-	w := zoneOfPairs()
+	w := startedZoneWithPairs()
 	is.Equal(len(w.serving("big")), 2)
 	is.Equal(len(w.serving("small")), 4)
 	for range 2 {
-		w.lose("big")
+		w.killMember("big")
 		w.run(5 * time.Second)
 		is.Equal(len(w.serving("big")), 2)
 	}
 	is.True(len(w.serving("small")) >= 2)
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 }
 
-// The other way round: requests ask mostly for the model of two when a group of
-// four loses a member. No pair is closed for it; its three engines serve the
-// model that is asked for.
-func TestLossOfTheModelInExcessMakesPairs(t *testing.T) {
+// The reverse case: most requests are for the model of two when a group of four loses a
+// member. No pair is closed for it; the survivors serve the requested model.
+func TestLossInExcessModelFormsPairs(t *testing.T) {
 	is := is.New(t)
-	w := zoneOfPairs()
+	w := startedZoneWithPairs()
 	w.demand = demand.Demand{Requests: 400, Work: map[string]float64{"big": 0.3, "small": 3}}
 	pairs := len(w.serving("small"))
-	w.lose("big")
+	w.killMember("big")
 	w.run(5 * time.Second)
 	is.Equal(len(w.serving("big")), 1)
 	is.Equal(len(w.serving("small")), pairs+1)
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 }
 
-// Both models are short and what requests ask for wavers by a third: groups that
-// serve are left alone.
-func TestWaveringDemandTurnsNothing(t *testing.T) {
+// Guards against needless conversions: both models lack groups and demand fluctuates by a
+// third. Serving groups must stay.
+func TestFluctuatingDemandKeepsGroups(t *testing.T) {
 	is := is.New(t)
-	w := zoneOfPairs()
-	w.lose("big")
-	w.lose("small")
+	w := startedZoneWithPairs()
+	w.killMember("big")
+	w.killMember("small")
 	w.run(6 * time.Second)
 	before := w.ledger
 	for i := range 20 {
@@ -81,28 +81,28 @@
 		w.run(time.Second)
 	}
 	is.Equal(w.ledger, before)
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 }
 
-// zoneCase is a zone of two domains whose engines are lost one after the other.
+// zoneCase is a zone of two domains that loses engines one after the other.
 type zoneCase struct {
-	big, small int     // sizes of the models
-	share      float64 // of the larger one
-	domain     int     // engines of a domain
-	lost       []int   // by their place in the order of their names
+	big, small int     // group sizes of the models
+	share      float64 // share of the larger model
+	domain     int     // engines per domain
+	lost       []int   // indices in the order of engine IDs
 }
 
-// starving returns the model that ends without a group although a domain has the
-// engines for one beside a group of the other model; empty: none.
-func (z zoneCase) starving() (model, broken string) {
-	w := newWorld()
+// starvedModel returns a model that ends without a group although a domain has enough
+// engines for a group of each model, or "". It also returns the first violated invariant.
+func (z zoneCase) starvedModel() (model, violation string) {
+	w := newSimZone()
 	w.engine.Models[0].Size, w.engine.Models[0].Share = z.big, z.share
 	w.engine.Models[1].Size, w.engine.Models[1].Share = z.small, 1-z.share
-	w.free = true
+	w.loadsAreFree = true
 	w.add("d0", z.domain)
 	w.add("d1", z.domain)
 	w.run(10 * time.Second)
-	w.free = false
+	w.loadsAreFree = false
 	for _, i := range z.lost {
 		w.sorted()[i].dead = true
 		w.run(10 * time.Second)
@@ -110,17 +110,16 @@
 	for i := range w.engine.Models {
 		m := &w.engine.Models[i]
 		if len(w.serving(m.Name)) == 0 && w.couldServe(m) {
-			return m.Name, w.broken
+			return m.Name, w.violation
 		}
 	}
-	return "", w.broken
+	return "", w.violation
 }
 
-// No model ends without a group while another one could give its engines for one:
-// a group of this domain that closes is no group any more, a domain without a free
-// engine gives some up for a model that has none, and three groups of one engine
-// make one of three.
-func TestNoModelStarvesWhereItDid(t *testing.T) {
+// Cases in which a model ended without a group although another model could have released
+// the engines: a closing group of the domain was counted, a domain without free engines
+// released none, and three groups of one engine weren't combined into one of three.
+func TestNoModelStarvesRegressions(t *testing.T) {
 	for _, z := range []zoneCase{
 		{2, 1, 0.25, 3, []int{0}},
 		{2, 1, 0.25, 3, []int{0, 1}},
@@ -128,13 +127,13 @@
 		{4, 2, 0.25, 8, []int{0, 3, 15}},
 	} {
 		is := is.New(t)
-		model, broken := z.starving()
+		model, broken := z.starvedModel()
 		is.Equal(model, "")
 		is.Equal(broken, "")
 	}
 }
 
-// The same with sizes, shares and losses that are drawn.
+// The same property for random sizes, shares and losses.
 func TestNoModelStarves(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		z := zoneCase{big: rapid.IntRange(2, 6).Draw(r, "big"), share: rapid.Float64Range(0.25, 0.75).Draw(r, "share")}
@@ -143,15 +142,15 @@
 		for range rapid.IntRange(0, 2).Draw(r, "losses") {
 			z.lost = append(z.lost, rapid.IntRange(0, 2*z.domain-1).Draw(r, "lost"))
 		}
-		if model, broken := z.starving(); model != "" || broken != "" {
+		if model, broken := z.starvedModel(); model != "" || broken != "" {
 			r.Fatalf("no group of %s in %+v; %s", model, z, broken)
 		}
 	})
 }
 
-// couldServe reports whether a domain has the engines for a group of the model
-// and one of each other model beside it.
-func (w *world) couldServe(m *catalog.Model) bool {
+// couldServe reports whether a domain has enough live engines for one group of each
+// model.
+func (w *simZone) couldServe(m *catalog.Model) bool {
 	all := 0
 	for i := range w.engine.Models {
 		all += w.engine.Models[i].Size
@@ -170,18 +169,18 @@
 	return false
 }
 
-// BenchmarkPlan plans a zone of 600 engines in domains of 20 right after a loss:
-// the groups of its domain are weighed against the engines that are left.
+// BenchmarkPlan measures the choice of an option right after a loss in a zone of 600
+// engines in domains of 20: closing each of the domain's groups is evaluated.
 func BenchmarkPlan(b *testing.B) {
-	w := newWorld()
+	w := newSimZone()
 	w.engine.Models[0].Size = 8
 	w.engine.Models[1].Size = 4
-	w.free = true
+	w.loadsAreFree = true
 	for i := range 30 {
 		w.add(string(rune('A'+i)), 20)
 	}
 	w.run(10 * time.Second)
-	w.free = false
+	w.loadsAreFree = false
 	var lost roster.ID
 	for _, e := range w.serving("big") {
 		lost = e.members[1]
@@ -189,9 +188,9 @@
 	}
 	p := planner{in: &Input{
 		Now: w.now, Engine: w.engine, Facts: w.facts, Ledger: w.ledger, Params: DefaultParams(5*time.Second, 7, 2),
-	}, mem: w.mem, claimed: map[roster.ID]bool{}, coming: map[string]int{}}
+	}, mem: w.mem, claimed: map[roster.ID]bool{}, groupsInPreparation: map[string]int{}}
 	for _, g := range w.ledger.Groups {
-		p.keep(&g)
+		p.keepClaim(&g)
 	}
 	domain := w.engines[lost].domain
 	free := []*Fact{w.facts[lost]}
--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -15,19 +15,19 @@
 	"chervilloom/internal/roster"
 )
 
-// Table is the part of the platform's table that claims need.
+// Table is the subset of the platform's table that the claims need.
 type Table interface {
 	Get(ctx context.Context, table, key string) (table.Row, error)
 	Commit(ctx context.Context, txn table.Txn) (table.Result, error)
 }
 
-// Lease says whether this node holds the zone's duty.
+// Lease reports whether this node holds the zone's lease.
 type Lease interface {
 	Held(now clock.Instant) (lease.Grant, bool)
 }
 
-// Controller runs the groups of one availability zone while this node holds
-// the zone's lease.
+// Controller manages the groups of one availability zone while this node holds the zone's
+// lease.
 type Controller struct {
 	Zone    string
 	Lease   Lease
@@ -38,82 +38,84 @@
 	Params  func(*catalog.Engine) Params
 	Catalog func() *catalog.Catalog
 	Roster  func() *roster.Roster
-	// FreeLoads reports whether no request has come yet.
+	// FreeLoads reports whether no request has arrived yet, so that loads need no
+	// throttling.
 	FreeLoads func() bool
-	// Signs returns the last sign of life of an endpoint from this node's own
-	// requests (0: none), and whether it should have given one since.
+	// Signs returns the time of an endpoint's newest activity on this node's own
+	// requests (0 if none), and whether activity is overdue.
 	Signs func(roster.ID) (last clock.Instant, suspect bool)
-	// Demand returns what requests for a service have asked for of late in the zone.
+	// Demand returns the zone's recent demand for a service.
 	Demand func(service string) demand.Demand
-	// ManyNodes reports whether the zone has so many nodes that each has few of a head's
-	// streams.
+	// ManyNodes reports whether the zone has so many nodes that each has only a few of a
+	// head's streams.
 	ManyNodes func() bool
-	// Announce tells all nodes that a head takes requests, or no longer does.
+	// Announce notifies all nodes that a head has started or stopped accepting requests.
 	Announce func(roster.Hint)
 
-	mu      sync.Mutex // guards what follows
-	facts   map[roster.ID]*Fact
-	probes  map[roster.ID]*probe
-	ledger  Ledger
-	row     table.Row     // of the ledger, as it was last read or written
-	loaded  bool          // the ledger was read in this tenure
-	partial bool          // it is an older copy: groups that stand may be missing in it
-	fence   uint64        // of the tenure
-	since   clock.Instant // when the tenure began
-	epochs  uint64        // given out in this tenure
-	memory  map[string]*Memory
-	pace    roundTrip     // of this tenure's reports
-	rests   clock.Instant // no plan before that: the table failed
-	wake    chan struct{}
+	mu            sync.Mutex // guards the fields below
+	facts         map[roster.ID]*Fact
+	probes        map[roster.ID]*probe
+	ledger        Ledger
+	ledgerRow     table.Row     // table row of the ledger, as last read or written
+	ledgerLoaded  bool          // the ledger was read in this tenure
+	ledgerStale   bool          // the ledger is an older copy; serving groups may be missing from it
+	fence         uint64        // lease fence of this tenure
+	tenureStart   clock.Instant // when this node acquired the lease
+	epochs        uint64        // number of epochs issued under this fence
+	memories      map[string]*Memory
+	reportRTT     roundTrip     // round trips of this tenure's reports
+	planNotBefore clock.Instant // no plan before this time, because a commit failed
+	wake          chan struct{}
 }
 
-// The pace of the controller.
+// Intervals, timeouts and limits of the controller.
 const (
-	step = 50 * time.Millisecond // between two looks
-	// stepIdle is the pause while another node holds the lease, whose acquisition asks
-	// for a look. Each node has a controller for each zone: at 50 ms five of them wake an
-	// idle node a hundred times a second.
-	stepIdle = time.Second
-	// stepRest is how many times as long as a look took the next one waits at least: the
-	// reports of a zone of 219 engines come a hundred a second, and each asks for one. A
-	// small zone's looks take a fraction of a ms and follow each other at once.
-	stepRest = 4
-	// stepRestMost bounds that: a look may have waited for the store.
-	stepRestMost = 10 * time.Millisecond
-	// probeCalm is the pause between two reports of an engine from which nothing
-	// is awaited. Lost members mostly show by the streams of their head before
-	// that; this finds those that are idle.
-	probeCalm = 1500 * time.Millisecond
-	// probeServing is the pause for a member of a group that has served within
-	// signFresh: it would stand still without that member.
-	probeServing = 4 * time.Second
-	signFresh    = time.Second
-	// probeAgain is the pause after a report that failed.
-	probeAgain = 100 * time.Millisecond
-	// probeLimit is how long a report may take: a round trip takes 3 ms across
-	// zones, a resent packet 200 ms.
-	probeLimit = 250 * time.Millisecond
-	briefFor   = 400 * time.Millisecond // how long a doubt shortens reports' limit
-	// sureFor is the least pause between two reports of an engine that answers.
-	// Each node that has streams at a head doubts it at another moment: without
-	// the pause one long pass would cost several reports of each of 16 members.
-	sureFor    = 100 * time.Millisecond
-	orderLimit = 500 * time.Millisecond
-	writeLimit = time.Second
-	// commitAgain is the pause after claims that the table did not take: planned anew with
-	// each look, they would cost two calls a look while the table fails.
-	commitAgain = 150 * time.Millisecond
-	// epochsPerFence is how many epochs one tenure may give out; the fence of
-	// the lease stands above them, so that no later tenure gives out a lower one.
+	tickInterval = 50 * time.Millisecond // between two ticks
+	// idleTickInterval is the tick interval while another node holds the lease;
+	// acquiring the lease triggers a tick. Each node runs a controller per zone: at 50
+	// ms, five of them wake an idle node a hundred times a second.
+	idleTickInterval = time.Second
+	// tickRestFactor sets the minimum pause after a tick, as a multiple of the tick's
+	// duration. In a zone of 219 engines, a hundred reports arrive per second and each
+	// requests a tick. In a small zone a tick takes a fraction of a millisecond, so
+	// ticks follow each other at once.
+	tickRestFactor = 4
+	// maxTickRest limits that pause, since a tick may have waited for the table.
+	maxTickRest = 10 * time.Millisecond
+	// probeInterval is the interval between probes of an engine with no pending change.
+	// The streams of a group's head usually reveal a lost member earlier; this interval
+	// covers idle groups.
+	probeInterval = 1500 * time.Millisecond
+	// servingProbeInterval applies to members of a group with activity within
+	// maxSignAge: the group would stall without that member.
+	servingProbeInterval = 4 * time.Second
+	maxSignAge           = time.Second
+	// probeRetryDelay is the delay before the next probe after a failed one.
+	probeRetryDelay = 100 * time.Millisecond
+	// probeTimeout is the time limit of a probe. A round trip across zones takes 3 ms, a
+	// resent packet 200 ms.
+	probeTimeout      = 250 * time.Millisecond
+	suspicionDuration = 400 * time.Millisecond // how long a stall report shortens probe timeouts and marks the head as suspect
+	// minProbeInterval is the minimum interval between probes of a responsive engine.
+	// The nodes with streams at a head report a stall at different moments: without this
+	// limit, one long pass would cost several probes of each of 16 members.
+	minProbeInterval = 100 * time.Millisecond
+	orderTimeout     = 500 * time.Millisecond
+	tableTimeout     = time.Second
+	// commitRetryDelay is the delay before planning resumes after a failed commit.
+	// Replanning on every tick would cost two calls per tick while the table fails.
+	commitRetryDelay = 150 * time.Millisecond
+	// epochsPerFence is the maximum number of epochs per lease fence. The fence forms
+	// the high bits of an epoch, so no later tenure issues a lower one.
 	epochsPerFence = 1 << 18
 )
 
-// Run works until ctx ends.
+// Run manages the groups until ctx is done.
 func (c *Controller) Run(ctx context.Context) error {
 	for {
-		pause := step
+		pause := tickInterval
 		if _, held := c.Lease.Held(c.Clock.Now()); !held {
-			pause = stepIdle
+			pause = idleTickInterval
 		}
 		select {
 		case <-ctx.Done():
@@ -123,20 +125,20 @@
 		}
 		began := c.Clock.Now()
 		c.tick(ctx)
-		clock.Sleep(ctx, min(stepRestMost, stepRest*c.Clock.Now().Sub(began)))
+		clock.Sleep(ctx, min(maxTickRest, tickRestFactor*c.Clock.Now().Sub(began)))
 	}
 }
 
-// Init makes the controller ready for Run and Nudge.
+// Init prepares the controller for Run and Nudge and returns it.
 func (c *Controller) Init() *Controller {
 	c.wake = make(chan struct{}, 1)
 	return c
 }
 
-// Nudge asks for a look at once, as when the lease has been acquired.
-func (c *Controller) Nudge() { c.nudge() }
+// Nudge triggers a tick at once, for example after the lease was acquired.
+func (c *Controller) Nudge() { c.signalWake() }
 
-func (c *Controller) nudge() {
+func (c *Controller) signalWake() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -149,117 +151,117 @@
 		c.endTenure()
 		return
 	}
-	if (!c.loaded || grant.Fence != c.fence) && !c.beginTenure(ctx, grant) {
+	if (!c.ledgerLoaded || grant.Fence != c.fence) && !c.beginTenure(ctx, grant) {
 		return
 	}
 	if c.Roster().Partial {
-		return // members that it doesn't name would seem lost
+		return // members missing from a partial list would look lost
 	}
-	if grant.Era != c.row.Era && !c.putBack(ctx, grant) {
+	if grant.Era != c.ledgerRow.Era && !c.restoreClaims(ctx, grant) {
 		return
 	}
 	c.mu.Lock()
-	c.follow()
-	c.probeDue(ctx)
+	c.syncRoster()
+	c.startDueProbes(ctx)
 	recovered, ready := c.completeClaims()
-	var plans []planned
-	if ready && !c.Clock.Now().Before(c.rests) {
+	var plans []servicePlan
+	if ready && !c.Clock.Now().Before(c.planNotBefore) {
 		plans = c.plan()
 	}
 	c.mu.Unlock()
 	if recovered != nil {
-		c.partial = !c.commit(ctx, grant, *recovered) // tried again
+		c.ledgerStale = !c.commit(ctx, grant, *recovered) // on failure, retried in the next tick
 		return
 	}
 	for _, out := range plans {
-		c.carryOut(ctx, grant, out)
+		c.applyPlan(ctx, grant, out)
 	}
 }
 
 func (c *Controller) endTenure() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.loaded {
+	if c.ledgerLoaded {
 		c.Log.Info("duty over", "zone", c.Zone, "fence", c.fence)
 	}
-	c.loaded = false
+	c.ledgerLoaded = false
 }
 
-// beginTenure reads the claims that the owner before left behind. A lease that
-// was renewed late comes back under its old fence: what is known of the engines
-// is old then, but the epochs go on, since none may be given out twice.
+// beginTenure reads the claims that the previous owner left. A lease that was renewed
+// late returns with its old fence: the engine state is outdated then, but epochs
+// continue, because none may be issued twice.
 func (c *Controller) beginTenure(ctx context.Context, grant lease.Grant) bool {
-	if !c.readLedger(ctx) || c.row.Era != grant.Era {
+	if !c.readLedger(ctx) || c.ledgerRow.Era != grant.Era {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.partial = c.ledger.Era < grant.Era
+	c.ledgerStale = c.ledger.Era < grant.Era
 	if c.fence != grant.Fence {
 		c.fence, c.epochs = grant.Fence, 0
 	}
-	c.since = c.Clock.Now()
+	c.tenureStart = c.Clock.Now()
 	c.facts = map[roster.ID]*Fact{}
 	c.probes = map[roster.ID]*probe{}
-	c.memory = map[string]*Memory{}
-	c.pace = roundTrip{}
+	c.memories = map[string]*Memory{}
+	c.reportRTT = roundTrip{}
 	c.Log.Info("duty begun", "zone", c.Zone, "fence", grant.Fence, "taken_over", grant.TakenOver, "groups", len(c.ledger.Groups), "claims_era", c.ledger.Era, "era", grant.Era)
 	return true
 }
 
 func (c *Controller) readLedger(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, writeLimit)
+	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	row, err := c.Table.Get(ctx, table.TableGroups, c.Zone)
 	if err != nil {
-		c.Log.Warn("claims not read", "zone", c.Zone, "err", err)
+		c.Log.Warn("cannot read claims", "zone", c.Zone, "err", err)
 		return false
 	}
 	var l Ledger
 	if row.Version != 0 {
 		if err := json.Unmarshal(row.Value, &l); err != nil {
-			c.Log.Error("claims are not readable; delete the row by hand", "zone", c.Zone, "err", err)
+			c.Log.Error("cannot decode claims; delete the row manually", "zone", c.Zone, "err", err)
 			return false
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ledger, c.row, c.loaded = l, row, true
+	c.ledger, c.ledgerRow, c.ledgerLoaded = l, row, true
 	return true
 }
 
-// planned is one service's plan with its memory.
-type planned struct {
+// servicePlan is the plan of one service.
+type servicePlan struct {
 	service string
-	out     Output
+	output  Output
 }
 
-// plan makes the plans of all services with engines.
-func (c *Controller) plan() []planned {
+// plan makes the plans of all services that have engines.
+func (c *Controller) plan() []servicePlan {
 	cat := c.Catalog()
-	if cat == nil || !c.loaded {
+	if cat == nil || !c.ledgerLoaded {
 		return nil
 	}
-	var all []planned
+	var all []servicePlan
 	for i := range cat.Services {
 		s := &cat.Services[i]
-		if s.Engine == nil || !c.known(s.Name) {
+		if s.Engine == nil || !c.allEnginesProbed(s.Name) {
 			continue
 		}
 		out := c.planService(s)
 		for id, pause := range out.Hurry {
-			c.hurry(id, pause)
+			c.probeWithin(id, pause)
 		}
-		all = append(all, planned{s.Name, out})
+		all = append(all, servicePlan{s.Name, out})
 	}
 	return all
 }
 
 func (c *Controller) planService(s *catalog.Service) Output {
-	mem := c.memory[s.Name]
+	mem := c.memories[s.Name]
 	if mem == nil {
 		mem = NewMemory()
-		c.memory[s.Name] = mem
+		c.memories[s.Name] = mem
 	}
 	facts := map[roster.ID]*Fact{}
 	r := c.Roster()
@@ -269,13 +271,13 @@
 			continue
 		}
 		f.Sign, f.Suspect = c.Signs(id)
-		if p := c.probes[id]; p != nil && c.Clock.Now().Before(p.suspect) {
-			f.Suspect = true // most requests at a head are other nodes' in a large fleet
+		if p := c.probes[id]; p != nil && c.Clock.Now().Before(p.suspectUntil) {
+			f.Suspect = true // in a large fleet most requests at a head come from other nodes
 		}
 		facts[id] = f
 	}
 	return Plan(&Input{
-		Now: c.Clock.Now(), Since: c.since, Zone: c.Zone, Service: s.Name, Engine: s.Engine,
+		Now: c.Clock.Now(), Since: c.tenureStart, Zone: c.Zone, Service: s.Name, Engine: s.Engine,
 		Facts: facts, Ledger: c.ledger, NextEpoch: c.nextEpoch, Demand: c.Demand(s.Name),
 		FreeLoads: c.FreeLoads(), Params: c.Params(s.Engine),
 	}, mem)
--- a/internal/formation/form.go
+++ b/internal/formation/form.go
@@ -11,7 +11,7 @@
 	"chervilloom/internal/roster"
 )
 
-// domains returns the fabric domains of the zone's engines, in order.
+// domains returns the fabric domains of the zone's engines, sorted.
 func (p *planner) domains() []string {
 	var out []string
 	for _, f := range p.in.Facts {
@@ -23,14 +23,15 @@
 	return out
 }
 
-// free returns the engines of a domain that a group may be formed of.
-func (p *planner) free(domain string) []*Fact {
+// freeEngines returns the engines of a domain that are available for a new group, sorted
+// by ID. It orders engines in unclaimed groups to leave them.
+func (p *planner) freeEngines(domain string) []*Fact {
 	var out []*Fact
 	for id, f := range p.in.Facts {
-		if f.Domain != domain || p.claimed[id] || !p.fit(id) {
+		if f.Domain != domain || p.claimed[id] || !p.isEligible(id) {
 			continue
 		}
-		if p.unattached(f) {
+		if p.ensureUnattached(f) {
 			out = append(out, f)
 		}
 	}
@@ -38,45 +39,46 @@
 	return out
 }
 
-// fit reports whether an engine may be a member of a new group. A group runs at
-// the pace of its slowest member.
-func (p *planner) fit(id roster.ID) bool {
+// isEligible reports whether an engine may be a member of a new group. Slow engines are
+// excluded, because a group runs at the speed of its slowest member.
+func (p *planner) isEligible(id roster.ID) bool {
 	f := p.in.Facts[id]
-	return f != nil && !f.Draining && f.Listed && p.health(id) == alive && !f.slow()
+	return f != nil && !f.Draining && f.Listed && p.health(id) == alive && !f.isSlow()
 }
 
-// slowPace is the pace from which an engine is left out of groups. Engines that
-// slow down were seen at two to twelve times their usual time; a group at one and
-// a half still gives its events in time.
+// slowPace is the reported pace above which an engine is excluded from groups. Slow
+// engines were observed at 2 to 12 times their usual time; a group at 1.5 times
+// still meets its event deadlines.
 const slowPace = 1.5
 
-func (f *Fact) slow() bool { return f.Report.Pace > slowPace }
+func (f *Fact) isSlow() bool { return f.Report.Pace > slowPace }
 
-// supply returns the engines in groups of a model for its share of the work.
+// supply returns the number of engines in a model's groups relative to the model's share
+// of the work.
 func (p *planner) supply(m *catalog.Model, domain string) float64 {
-	return p.supplyOf(m, float64(p.count(m.Name, domain)))
+	return p.supplyOf(m, float64(p.countGroups(m.Name, domain)))
 }
 
-// supplyOf returns the same for a number of groups. What a share is declared of
-// is the engines' time: a group of four takes twice the engines of a group of two,
-// and does the work of one group.
+// supplyOf returns the supply for a number of groups. A model's share is a share of
+// engine time: a group of four uses twice the engines of a group of two and does the work
+// of one group.
 func (p *planner) supplyOf(m *catalog.Model, groups float64) float64 {
-	return groups * float64(m.Size) / p.work(m)
+	return groups * float64(m.Size) / p.workShare(m)
 }
 
 const (
-	// soonLimit divides joins from the host, 1 to 2 s by the engines' published
-	// times, from loads.
-	soonLimit = 3 * time.Second
-	// minShare stands for the share of a model that is declared without one.
+	// maxJoinWithoutLoad separates joins that warm up staged weights (1 to 2 s by the
+	// engines' published times) from those that load weights first.
+	maxJoinWithoutLoad = 3 * time.Second
+	// minShare replaces a declared share of zero.
 	minShare = 0.01
 )
 
-// count returns the groups of a model that serve or will, as the engines of a
-// domain are decided on. A group of another domain that has just begun to close
-// counts: what is left of it forms the next one in a moment, and this domain's
-// engines must not be turned to its model for that.
-func (p *planner) count(model, domain string) int {
+// countGroups returns the number of a model's groups that serve or are about to, as seen
+// when planning a domain. A group of another domain that has only just begun to close is
+// included: its remaining members will form a replacement shortly, so this domain's
+// engines must not be converted to its model.
+func (p *planner) countGroups(model, domain string) int {
 	n := 0
 	for i := range p.out.Ledger.Groups {
 		g := &p.out.Ledger.Groups[i]
@@ -84,21 +86,21 @@
 			continue
 		}
 		c := p.mem.closing[g.Name]
-		if c == nil || g.Domain != domain && p.in.Now.Sub(c.since) < closesSoon {
+		if c == nil || g.Domain != domain && p.in.Now.Sub(c.since) < groupCloseTime {
 			n++
 		}
 	}
 	return n
 }
 
-// closesSoon is how long a group takes to close whose head answers.
-const closesSoon = 500 * time.Millisecond
+// groupCloseTime is the time a group with a responsive head takes to close.
+const groupCloseTime = 500 * time.Millisecond
 
-// choose returns the engines that are ready for the model soonest.
-func (p *planner) choose(free []*Fact, m *catalog.Model) []roster.ID {
+// chooseMembers returns the engines that can join a group of the model soonest.
+func (p *planner) chooseMembers(free []*Fact, m *catalog.Model) []roster.ID {
 	sorted := slices.Clone(free)
 	slices.SortStableFunc(sorted, func(a, b *Fact) int {
-		return cmp.Compare(p.readyIn(a, m), p.readyIn(b, m))
+		return cmp.Compare(p.timeToReady(a, m), p.timeToReady(b, m))
 	})
 	ids := make([]roster.ID, m.Size)
 	for i := range ids {
@@ -107,14 +109,14 @@
 	return ids
 }
 
-// hotJoin is how long a join takes an engine whose newest group had the model.
-const hotJoin = 200 * time.Millisecond
+// hotJoinTime is the duration of a join if the engine's newest group had the same model.
+const hotJoinTime = 200 * time.Millisecond
 
-// readyIn estimates how long the engine needs to join a group of the model.
-func (p *planner) readyIn(f *Fact, m *catalog.Model) time.Duration {
+// timeToReady estimates the time until the engine could be ready in a group of the model.
+func (p *planner) timeToReady(f *Fact, m *catalog.Model) time.Duration {
 	switch {
 	case f.Report.Model == m.Name:
-		return hotJoin
+		return hotJoinTime
 	case slices.Contains(f.Report.Staged, m.Name):
 		return m.Warm
 	}
@@ -128,20 +130,21 @@
 	return m.Load + m.Warm
 }
 
-// form claims the members for a new group if the loads that it needs may begin.
-func (p *planner) form(domain string, m *catalog.Model, members []roster.ID) bool {
+// formGroup claims the members of a new group. It reports false if the load limits don't
+// allow the loads that the group needs.
+func (p *planner) formGroup(domain string, m *catalog.Model, members []roster.ID) bool {
 	cold := 0
 	for _, id := range members {
 		if p.needsLoad(p.in.Facts[id], m.Name) {
 			cold++
 		}
 	}
-	if !p.mayLoad(cold) {
+	if !p.canStartLoads(cold) {
 		return false
 	}
 	for _, id := range members {
 		if p.needsLoad(p.in.Facts[id], m.Name) {
-			p.startLoad(id, m.Name)
+			p.recordLoad(id, m.Name)
 		}
 	}
 	epoch := p.in.NextEpoch()
@@ -149,23 +152,23 @@
 		Name: fmt.Sprintf("%s-%d", p.in.Zone, epoch), Epoch: epoch,
 		Service: p.in.Service, Model: m.Name, Domain: domain, Members: members,
 	}
-	p.mem.since[g.Name] = p.in.Now
+	p.mem.firstSeen[g.Name] = p.in.Now
 	p.mem.formed[g.Name] = true
 	p.out.Changed = true
-	p.note("group %s forms for %s with %s, %d loads", g.Name, m.Name, p.describe(members, m), cold)
-	p.keep(&g)
-	p.advance(&g)
+	p.noteDecision("group %s forms for %s with %s, %d loads", g.Name, m.Name, p.describeEngines(members, m), cold)
+	p.keepClaim(&g)
+	p.advanceGroup(&g)
 	return true
 }
 
-// describe lists engines with the time that each needs to join the model.
-func (p *planner) describe(ids []roster.ID, m *catalog.Model) string {
+// describeEngines lists engines with their estimated times to join a group of the model.
+func (p *planner) describeEngines(ids []roster.ID, m *catalog.Model) string {
 	var b strings.Builder
 	for i, id := range ids {
 		if i > 0 {
 			b.WriteByte(' ')
 		}
-		fmt.Fprintf(&b, "%s(%v)", id, p.readyIn(p.in.Facts[id], m).Round(100*time.Millisecond))
+		fmt.Fprintf(&b, "%s(%v)", id, p.timeToReady(p.in.Facts[id], m).Round(100*time.Millisecond))
 	}
 	return b.String()
 }
--- a/internal/formation/formation.go
+++ b/internal/formation/formation.go
@@ -1,13 +1,11 @@
-// Package formation forms groups out of the engines of one availability zone,
-// opens them when they are whole, and takes them apart when a member is lost or
-// leaves.
+// Package formation assigns the engines of one availability zone to groups, opens a group
+// once all its members are ready, and dissolves it when a member fails or leaves.
 //
-// Plan is pure: facts, claims and time in, changed claims and orders out. The
-// Controller probes the engines, commits the claims under the zone's lease and
-// gives the orders. A claim is written before the first join and removed only
-// when the group's head surely takes no more requests, so that no engine is
-// ever a member of two groups that serve, whoever plans and however late an
-// order arrives.
+// Plan is a pure function from engine state, claims and time to updated claims and
+// orders. The Controller probes the engines, commits the claims under the zone's lease
+// and sends the orders. A claim is written before the first join and removed only once
+// the group's head can no longer accept requests. This keeps every engine out of a second
+// serving group across owner changes and late orders.
 package formation
 
 import (
@@ -19,39 +17,39 @@
 	"chervilloom/internal/roster"
 )
 
-// Group is the claim on the members of a group. The first member is the head.
+// Group is the claim on a group's members. The first member is the head.
 type Group struct {
-	Name    string      `json:"name"` // never used again
+	Name    string      `json:"name"` // unique, never reused
 	Epoch   uint64      `json:"epoch"`
 	Service string      `json:"service"`
 	Model   string      `json:"model"`
 	Domain  string      `json:"domain"`
 	Members []roster.ID `json:"members"`
-	// Ending: the group is being taken apart and never serves again. Its members
-	// are then those that are not surely out of it.
+	// Ending marks a group that is being dissolved and never serves again. Members then
+	// lists only the engines that may still be in it.
 	Ending bool `json:"ending,omitempty"`
 }
 
-// Head returns the member that takes the group's requests.
+// Head returns the member that receives the group's requests.
 func (g *Group) Head() roster.ID { return g.Members[0] }
 
-// Ledger holds the claims of one availability zone.
+// Ledger is the set of claims of one availability zone.
 type Ledger struct {
 	Groups []Group `json:"groups"`
-	// Era is the table's era in which the claims were written. Read in a later one they
-	// are an older copy.
+	// Era is the table era in which the claims were written. Claims read in a later era
+	// come from an older copy of the table.
 	Era uint64 `json:"era,omitempty"`
 }
 
-// Op names an order.
+// Op is the kind of an order.
 type Op int
 
-// The orders.
+// The kinds of orders.
 const (
 	Join  Op = iota // become a member of a group
-	Open            // the head begins to take requests
-	Close           // the head stops taking requests
-	Leave           // stop being a member
+	Open            // start accepting requests; sent to the head
+	Close           // stop accepting requests; sent to the head
+	Leave           // leave the group
 	Stage           // load a model's weights onto the host
 )
 
@@ -60,13 +58,13 @@
 // String returns the order's name.
 func (o Op) String() string { return opText[o] }
 
-// CloseMode says what becomes of the requests that a closing group has.
+// CloseMode determines what happens to the requests in flight when a group closes.
 type CloseMode int
 
-// The modes of a close.
+// The close modes.
 const (
-	Finish   CloseMode = iota // they run to their end
-	Truncate                  // they are cut
+	Finish   CloseMode = iota // requests in flight complete
+	Truncate                  // requests in flight are aborted
 )
 
 // Order is an order to one engine.
@@ -75,104 +73,104 @@
 	Op      Op
 	Group   string
 	Epoch   uint64
-	Model   string      // Join and Stage
-	Members []roster.ID // Join
-	Mode    CloseMode   // Close
-	// Count, when set, is how many orders the engine must have begun so far; with
-	// another count it answers Conflict and does nothing. A join that is carried
-	// out late is void once the engine has begun anything newer.
+	Model   string      // set for Join and Stage
+	Members []roster.ID // set for Join
+	Mode    CloseMode   // set for Close
+	// Count, if set, is the number of orders that the engine must have begun so far. If
+	// the engine's count differs, it answers Conflict and ignores the order. This voids
+	// a delayed join once the engine has begun a newer order.
 	Count  *uint64
 	Reason string
 }
 
-// Verdict is how an engine took an order.
+// Verdict is an engine's response to an order.
 type Verdict int
 
-// The verdicts.
+// The possible responses.
 const (
-	Lost      Verdict = iota // no answer: it may be carried out, now or later
-	Begun                    // accepted
-	Done                     // the state holds already
-	Rejected                 // a join under an epoch that the engine has left behind
-	Conflict                 // it doesn't fit the engine's state or count of orders
+	Lost      Verdict = iota // no response: the order may be executed now, later or never
+	Begun                    // accepted, in progress
+	Done                     // the requested state is already reached
+	Rejected                 // a join with an epoch that the engine has superseded
+	Conflict                 // the engine's state or order count doesn't match
 	OtherLife                // another process has the address: the engine is gone
 )
 
 var verdictText = [...]string{"lost", "begun", "done", "rejected", "conflict", "other_life"}
 
-// String returns the verdict's name in logs.
+// String returns the name used in logs.
 func (v Verdict) String() string { return verdictText[v] }
 
-// ErrOtherLife means that another process answers at an engine's address: the
-// engine that had it has ended for good.
+// ErrOtherLife is returned when another process answers at an engine's address. The
+// engine that had the address has ended permanently.
 var ErrOtherLife = errors.New("formation: another process has the engine's address; the engine is gone")
 
-// ErrReborn means that an engine has started again under its name and address: the
-// life that was asked has ended, and what it held and knew is gone.
-var ErrReborn = errors.New("formation: the engine has started again; its former life is over")
+// ErrReborn is returned when an engine has restarted under its name and address. The
+// requested incarnation has ended, and its state is lost.
+var ErrReborn = errors.New("formation: the engine has restarted; its previous incarnation has ended")
 
-// ErrEarlierLife means that an answer is of a process that ended before the one that
-// was asked: it says nothing of that one.
-var ErrEarlierLife = errors.New("formation: the answer is of an earlier life of the engine; it concludes nothing")
+// ErrEarlierLife is returned for a response from an earlier incarnation than the
+// requested one. It says nothing about the requested incarnation.
+var ErrEarlierLife = errors.New("formation: the response is from an earlier incarnation of the engine and is ignored")
 
-// Report is what an engine tells of itself.
+// Report is an engine's reported state.
 type Report struct {
 	Member roster.Membership
-	Count  uint64 // orders that it has begun
-	Model  string // of its newest group
+	Count  uint64 // number of orders that the engine has begun
+	Model  string // model of the newest group
 	Staged []string
 	Domain string
 	Busy   bool // an order is in progress
 	Queued int
 	Active int
-	Pace   float64 // over 1: slow
+	Pace   float64 // factor on the engine's usual times; slow if above 1
 }
 
-// Engines gives orders to engines and asks them for their state.
+// Engines sends orders to engines and queries their state.
 type Engines interface {
 	Report(ctx context.Context, addr string, id roster.ID) (Report, error)
 	Order(ctx context.Context, addr string, o Order) (Verdict, error)
 }
 
-// Fact is what is known of one engine.
+// Fact is the known state of one engine.
 type Fact struct {
 	ID       roster.ID
 	Addr     string // ip:port
 	Domain   string
 	Draining bool
-	Listed   bool          // in the platform's list
-	Report   Report        // the newest one
-	Answered clock.Instant // when the newest report was asked for; 0: never
-	Failing  clock.Instant // since when reports fail; 0: the newest one came
-	Failures int           // reports that failed in a row
-	Missed   clock.Instant // when the newest report that failed was asked for
-	Regained clock.Instant // when the first report after one that failed was asked for; 0: none failed
-	Gone     bool          // its process has surely ended
-	Reborn   bool          // and another life of the engine has its name and address
-	Sure     clock.Instant // until then its answers to orders go before its reports, which lag
-	Counted  clock.Instant // reports asked for before this show a Count that is too low
-	Begun    string        // group of the newest join that it has begun
-	Sign     clock.Instant // last sign of life from requests that it serves as a head
-	Refused  string        // group that it refused to join: it has seen a later epoch
-	Suspect  bool          // requests that it serves as a head stand still
+	Listed   bool          // in the platform's list of endpoints
+	Report   Report        // newest report
+	Answered clock.Instant // when the newest report was requested; 0 if none
+	Failing  clock.Instant // start of the first failed probe in the current run of failures; 0 if the last one succeeded
+	Failures int           // consecutive failed probes
+	Missed   clock.Instant // when the newest failed probe was started
+	Regained clock.Instant // when the first successful probe after the newest failure was started; 0 if none has failed
+	Gone     bool          // the process has certainly ended
+	Reborn   bool          // the engine has restarted under its name and address
+	Sure     clock.Instant // until then, answers to orders override reports, which lag
+	Counted  clock.Instant // reports requested before this may contain a Count that is too low
+	Begun    string        // group of the newest join that the engine has begun
+	Sign     clock.Instant // newest activity seen on requests that the engine serves as a head
+	Refused  string        // group that the engine refused to join because it has seen a later epoch
+	Suspect  bool          // requests that the engine serves as a head have stalled
 }
 
-// Params are the times and bounds of the planner.
+// Params contains the timeouts and limits of the planner.
 type Params struct {
-	DeadAfter    time.Duration // reports fail for this long: the engine is taken for dead
-	DeadFailures int           // and at least this many in a row
-	Resend       time.Duration // an order without visible effect is given again after this
-	LoadWindow   time.Duration // loads are counted over this
-	LoadsPer     int           // loads of this zone that may begin in a LoadWindow
-	LoadsAtOnce  int           // loads of this zone that may run at the same time
+	DeadAfter    time.Duration // an engine is dead once probes have failed for this long
+	DeadFailures int           // and at least this many have failed in a row
+	Resend       time.Duration // delay before an order without visible effect is repeated
+	LoadWindow   time.Duration // window of LoadsPer
+	LoadsPer     int           // loads that the zone may start in a LoadWindow
+	LoadsAtOnce  int           // loads that the zone may run concurrently
 }
 
-// DefaultParams returns the parameters for a platform's load window, the zone's
-// share of the loads in it and of those that run at once.
+// DefaultParams returns the parameters for the platform's load window, the number of
+// loads that the zone may start in it, and the number that it may run concurrently.
 func DefaultParams(loadWindow time.Duration, loads, atOnce int) Params {
 	return Params{
-		// Two probes of 250 ms without an answer: one lost packet alone is
-		// resent within 200 ms and doesn't fail a probe.
+		// Two probes of 250 ms. A single lost packet is resent within 200 ms and fails
+		// no probe.
 		DeadAfter: 400 * time.Millisecond, DeadFailures: 2,
 		Resend:     time.Second,
 		LoadWindow: loadWindow, LoadsPer: loads, LoadsAtOnce: atOnce,
--- a/internal/formation/giving.go
+++ b/internal/formation/giving.go
@@ -14,33 +14,33 @@
 	"chervilloom/internal/roster"
 )
 
-// carryOut commits changed claims and gives the orders.
-func (c *Controller) carryOut(ctx context.Context, grant lease.Grant, p planned) {
-	for _, n := range p.out.Notes {
+// applyPlan commits changed claims and then sends the orders.
+func (c *Controller) applyPlan(ctx context.Context, grant lease.Grant, p servicePlan) {
+	for _, n := range p.output.Notes {
 		c.Log.Info("groups", "zone", c.Zone, "service", p.service, "fence", grant.Fence, "decision", n)
 	}
-	for _, h := range slices.Concat(p.out.Lost, p.out.Back) {
+	for _, h := range slices.Concat(p.output.Lost, p.output.Back) {
 		c.Announce(h)
 	}
-	if p.out.Changed && !c.commit(ctx, grant, p.out.Ledger) {
-		return // the next plan is made of what is committed
+	if p.output.Changed && !c.commit(ctx, grant, p.output.Ledger) {
+		return // the next plan starts from the committed claims
 	}
-	for _, o := range p.out.Orders {
-		go c.give(ctx, grant, o)
+	for _, o := range p.output.Orders {
+		go c.sendOrder(ctx, grant, o)
 	}
 }
 
-// commit writes the claims if this node still holds the lease and nobody else
-// has written them. A renewal of the lease that comes in between changes its
-// row's version, so the write is tried once more under the renewed lease.
+// commit writes the claims if this node still holds the lease and no other node has
+// written them. A concurrent lease renewal changes the version of the lease row, so the
+// write is retried once with the renewed lease.
 func (c *Controller) commit(ctx context.Context, grant lease.Grant, l Ledger) bool {
 	l.Era = grant.Era
 	value, err := json.Marshal(l)
 	if err != nil {
-		c.Log.Error("claims cannot be written", "zone", c.Zone, "err", err)
+		c.Log.Error("cannot encode claims", "zone", c.Zone, "err", err)
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, writeLimit)
+	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	for range 2 {
 		now, held := c.Lease.Held(c.Clock.Now())
@@ -53,29 +53,29 @@
 			break
 		}
 		if res.Committed {
-			c.committed(l, res)
+			c.recordCommit(l, res)
 			return true
 		}
 	}
 	c.Log.Info("claims not committed", "zone", c.Zone, "fence", grant.Fence, "err", err)
 	if err != nil {
 		c.mu.Lock()
-		c.rests = c.Clock.Now().Add(commitAgain)
+		c.planNotBefore = c.Clock.Now().Add(commitRetryDelay)
 		c.mu.Unlock()
 	}
-	c.reread(ctx, grant)
+	c.rereadLedger(ctx, grant)
 	return false
 }
 
-// reread reads what stands after a commit that failed or whose answer was lost. Claims
-// read in another era are an older copy; what this owner knows goes before them, and is
-// put back.
-func (c *Controller) reread(ctx context.Context, grant lease.Grant) {
-	ledger, row := c.ledger, c.row
-	if c.readLedger(ctx) && c.row.Era != grant.Era {
+// rereadLedger reads the current claims after a commit failed or its response was lost.
+// Claims read in another era are an older copy: this owner keeps its own, which
+// restoreClaims writes back.
+func (c *Controller) rereadLedger(ctx context.Context, grant lease.Grant) {
+	ledger, row := c.ledger, c.ledgerRow
+	if c.readLedger(ctx) && c.ledgerRow.Era != grant.Era {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.ledger, c.row = ledger, row
+		c.ledger, c.ledgerRow = ledger, row
 	}
 }
 
@@ -84,19 +84,19 @@
 		Attempt: uuid.NewString(),
 		Checks: []table.Check{
 			grant.Check(),
-			{Table: table.TableGroups, Key: c.Zone, Version: c.row.Version, Era: c.row.Era},
+			{Table: table.TableGroups, Key: c.Zone, Version: c.ledgerRow.Version, Era: c.ledgerRow.Era},
 		},
 		Writes: []table.Write{{Table: table.TableGroups, Key: c.Zone, Value: value}},
 	}
 }
 
-func (c *Controller) committed(l Ledger, res table.Result) {
+func (c *Controller) recordCommit(l Ledger, res table.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ledger = l
 	for _, row := range res.Rows {
 		if row.Table == table.TableGroups {
-			c.row = row
+			c.ledgerRow = row
 		}
 	}
 }
@@ -106,57 +106,57 @@
 	defer c.mu.Unlock()
 	f := c.facts[id]
 	if f == nil {
-		return "", false // the tenure is over
+		return "", false // the tenure has ended
 	}
 	return f.Addr, true
 }
 
-// give sends one order. A lease that has run out meanwhile forbids it: the next
-// owner may have planned already.
-func (c *Controller) give(ctx context.Context, grant lease.Grant, o Order) {
+// sendOrder sends one order, unless the lease has expired meanwhile: the next owner may
+// already have a plan.
+func (c *Controller) sendOrder(ctx context.Context, grant lease.Grant, o Order) {
 	now := c.Clock.Now()
 	addr, ok := c.addr(o.To)
 	if !ok {
 		return
 	}
 	if g, ok := c.Lease.Held(now); !ok || g.Fence != grant.Fence {
-		c.Log.Info("order withheld", "zone", c.Zone, "endpoint", o.To, "op", o.Op.String(), "reason", "the lease is over")
+		c.Log.Info("order not sent", "zone", c.Zone, "endpoint", o.To, "op", o.Op.String(), "reason", "the lease has expired")
 		return
 	}
 	runCtx := ctx
-	ctx, cancel := context.WithTimeout(ctx, orderLimit)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	v, err := c.Engines.Order(ctx, addr, o)
-	go c.announceTaken(runCtx, o, v)
+	go c.announceOrderEffect(runCtx, o, v)
 	c.Log.Info("order", "zone", c.Zone, "endpoint", o.To, "op", o.Op.String(), "group", o.Group, "model", o.Model,
 		"reason", o.Reason, "verdict", v.String(), "err", err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if f := c.facts[o.To]; f != nil {
-		f.took(o, v, c.Clock.Now())
+		f.applyVerdict(o, v, c.Clock.Now())
 	}
-	if p := c.probes[o.To]; p != nil && !p.running {
+	if p := c.probes[o.To]; p != nil && !p.inFlight {
 		p.next = 0
 	}
-	c.nudge()
+	c.signalWake()
 }
 
-// reportLag is how long after an order was answered a report may still show the
-// state of before: the engines' published lag is 200 ms.
+// reportLag is how long after the response to an order a report may still contain the
+// previous state. The engines' published lag is 200 ms.
 const reportLag = 400 * time.Millisecond
 
-// took notes what an engine's answer to an order says of its state.
-func (f *Fact) took(o Order, v Verdict, now clock.Instant) {
-	f.count(o, v, now)
+// applyVerdict updates the engine's known state from its response to an order.
+func (f *Fact) applyVerdict(o Order, v Verdict, now clock.Instant) {
+	f.updateOrderCount(o, v, now)
 	switch {
 	case v == OtherLife:
 		f.Gone = true
 	case o.Op == Leave && v == Done && f.Report.Member.Group == o.Group:
-		f.Report.Member = roster.Membership{} // leaving takes effect at once
+		f.Report.Member = roster.Membership{} // a leave takes effect at once
 		f.Sure = now.Add(reportLag)
 	case o.Op == Join && v == Begun && len(o.Members) == 1:
 		f.Report.Member = roster.Membership{Group: o.Group, Epoch: o.Epoch, State: roster.Joining}
-		f.Report.Model = o.Model // a spare that joins its own group needs no second order
+		f.Report.Model = o.Model // no second order for a spare that joins its own group
 		f.Sure = now.Add(reportLag)
 	case o.Op == Join && v == Rejected:
 		f.Refused = o.Group
@@ -169,14 +169,14 @@
 	}
 }
 
-// count follows how many orders the engine has begun. An order that holds already
-// begins nothing, but for a leave, whose effect is at once.
-func (f *Fact) count(o Order, v Verdict, now clock.Instant) {
+// updateOrderCount tracks the number of orders that the engine has begun. An order whose
+// state is already reached isn't counted, except a leave, which takes effect at once.
+func (f *Fact) updateOrderCount(o Order, v Verdict, now clock.Instant) {
 	begins := v == Begun
 	switch o.Op {
 	case Join:
-		// One that joins that group already goes on with it; a count that is too
-		// high would let a late join pass after a leave.
+		// A repeated join continues the one in progress and isn't counted again. A
+		// count that is too high would admit a delayed join after a leave.
 		begins = begins && f.Begun != o.Group && f.Report.Member.Group != o.Group
 		if v == Begun {
 			f.Begun = o.Group
@@ -186,16 +186,16 @@
 	}
 	switch {
 	case v == Conflict:
-		f.Counted = 0 // the count is another one than thought: the reports tell
+		f.Counted = 0 // the assumed count is wrong; accept the one in the next report
 	case begins:
 		f.Report.Count++
 		f.Counted = now.Add(reportLag)
 	}
 }
 
-// takeReport takes up a report that was asked for at asked. What the engine's
-// answers to orders told goes before reports that may be older.
-func (f *Fact) takeReport(rep Report, asked clock.Instant) {
+// applyReport stores a report that was requested at the given time. State known from
+// responses to orders takes precedence over reports that may be older.
+func (f *Fact) applyReport(rep Report, asked clock.Instant) {
 	if asked.Before(f.Sure) {
 		rep.Member, rep.Model = f.Report.Member, f.Report.Model
 	}
@@ -211,16 +211,16 @@
 	}
 }
 
-// announceTaken tells the nodes about a head whose order changes what it takes.
-// An open order takes effect after the form time.
-func (c *Controller) announceTaken(ctx context.Context, o Order, v Verdict) {
+// announceOrderEffect notifies the nodes of a head that has started or stopped accepting
+// requests because of an order. An open order takes effect after the form time.
+func (c *Controller) announceOrderEffect(ctx context.Context, o Order, v Verdict) {
 	if v != Begun && v != Done {
 		return
 	}
 	state := roster.Closing
 	switch o.Op {
 	case Open:
-		if !clock.Sleep(ctx, c.formTime()) {
+		if !clock.Sleep(ctx, c.longestFormTime()) {
 			return
 		}
 		state = roster.Open
@@ -240,7 +240,7 @@
 	})
 }
 
-func (c *Controller) formTime() time.Duration {
+func (c *Controller) longestFormTime() time.Duration {
 	var longest time.Duration
 	if cat := c.Catalog(); cat != nil {
 		for i := range cat.Services {
--- a/internal/formation/large_test.go
+++ b/internal/formation/large_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// largeZone is a zone of three domains of 73 engines with all of its groups open.
-func largeZone() *world {
-	w := newWorld()
-	w.engine, w.free = largeEngine(), true
+// largeZone returns a zone of three domains of 73 engines with all groups open.
+func largeZone() *simZone {
+	w := newSimZone()
+	w.engine, w.loadsAreFree = largeEngine(), true
 	for _, d := range []string{"d0", "d1", "d2"} {
 		w.add(d, 73)
 	}
 	w.run(10 * time.Second)
-	w.free = false
+	w.loadsAreFree = false
 	return w
 }
 
-// BenchmarkPlanLargeZone is one plan of a zone of 219 engines from which nothing is
-// awaited.
+// BenchmarkPlanLargeZone measures one plan of a zone of 219 engines without pending
+// changes.
 func BenchmarkPlanLargeZone(b *testing.B) {
 	w := largeZone()
 	w.plan()
--- a/internal/formation/main_test.go
+++ b/internal/formation/main_test.go
@@ -7,8 +7,7 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain gives the properties a fixed seed, so that a run has the same verdict
-// each time.
+// TestMain fixes the seed of the property tests to make their results reproducible.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "1500", "rapid.steps": "60"} {
 		if err := flag.Set(name, value); err != nil {
--- a/internal/formation/plan.go
+++ b/internal/formation/plan.go
@@ -11,51 +11,51 @@
 	"chervilloom/internal/roster"
 )
 
-// Input is what a plan for one service in one availability zone is made of.
+// Input is the input of a plan for one service in one availability zone.
 type Input struct {
 	Now     clock.Instant
-	Since   clock.Instant // when this tenure began
+	Since   clock.Instant // start of this tenure
 	Zone    string
 	Service string
 	Engine  *catalog.Engine
 	Facts   map[roster.ID]*Fact
 	Ledger  Ledger
-	// NextEpoch returns an epoch higher than all that were ever given out.
+	// NextEpoch returns an epoch higher than all epochs issued before.
 	NextEpoch func() uint64
-	// Demand is what requests have asked for of late.
+	// Demand is the zone's recent demand for the service.
 	Demand demand.Demand
-	// FreeLoads: no request has come yet, so loads don't slow anything down and
-	// need not be spread over time.
+	// FreeLoads is set while no request has arrived yet: loads slow nothing down then
+	// and need no throttling.
 	FreeLoads bool
 	Params    Params
 }
 
-// Output is a plan: the claims as they should be, and orders. Orders for new
-// claims may be given only once the claims are committed.
+// Output is a plan: the updated claims and the orders. Orders may be sent only after the
+// claims have been committed.
 type Output struct {
 	Ledger  Ledger
 	Changed bool
 	Orders  []Order
-	Hurry   map[roster.ID]time.Duration // engines whose state is awaited: ask again after this
-	Notes   []string                    // what was decided about groups, and why
+	Hurry   map[roster.ID]time.Duration // engines with a pending change, with the delay until the next probe
+	Notes   []string                    // decisions about groups, with their reasons
 	Lost    []roster.Hint               // heads of groups that have just lost a member
-	Back    []roster.Hint               // heads of groups that were taken for lost and serve on
+	Back    []roster.Hint               // heads of groups that were considered lost and have resumed
 }
 
-// Memory is what a planner remembers between two plans of one tenure. A new
-// owner starts with an empty one and waits where it can't know.
+// Memory is the planner's state between the plans of one tenure. A new owner starts with
+// an empty one and waits wherever the state of an engine is uncertain.
 type Memory struct {
-	sent    map[orderKey]clock.Instant
-	joined  map[orderKey]clock.Instant // when a join that was ordered should be done
-	closing map[string]*closing        // by group
-	loads   []clock.Instant            // starts of loads within the window
-	loading map[roster.ID]load
-	opened  map[string]bool          // groups that were open at some time
-	since   map[string]clock.Instant // when a group was first seen
-	turning map[string]turn          // by domain
-	weighed map[string]clock.Instant // when a domain without free engines was looked at
-	over    map[string]bool          // groups whose head surely takes no more requests
-	formed  map[string]bool          // groups that were formed in this tenure
+	sent        map[orderKey]clock.Instant
+	joinDue     map[orderKey]clock.Instant // when an ordered join should be complete
+	closing     map[string]*closing        // by group name
+	loadStarts  []clock.Instant            // load starts within the load window
+	loading     map[roster.ID]load
+	opened      map[string]bool          // groups that have been open
+	firstSeen   map[string]clock.Instant // when a group was first seen, by name
+	conversions map[string]conversion    // by domain
+	weighedAt   map[string]clock.Instant // newest evaluation of a domain without free engines
+	ended       map[string]bool          // groups whose head can't accept requests any more
+	formed      map[string]bool          // groups that this owner formed
 }
 
 type orderKey struct {
@@ -64,85 +64,86 @@
 	group string
 }
 
-// closing is a group that is being taken apart.
+// closing is the state of a group that is being dissolved.
 type closing struct {
 	reason string
 	mode   CloseMode
 	since  clock.Instant
-	begun  bool // orders were given or a claim was written to end the group
+	begun  bool // an order was given or a claim written to end the group; it can't resume
 }
 
 // NewMemory returns an empty memory.
 func NewMemory() *Memory {
 	return &Memory{
-		sent: map[orderKey]clock.Instant{}, joined: map[orderKey]clock.Instant{}, closing: map[string]*closing{},
+		sent: map[orderKey]clock.Instant{}, joinDue: map[orderKey]clock.Instant{}, closing: map[string]*closing{},
 		loading: map[roster.ID]load{}, opened: map[string]bool{},
-		turning: map[string]turn{}, weighed: map[string]clock.Instant{},
-		since: map[string]clock.Instant{}, over: map[string]bool{}, formed: map[string]bool{},
+		conversions: map[string]conversion{}, weighedAt: map[string]clock.Instant{},
+		firstSeen: map[string]clock.Instant{}, ended: map[string]bool{}, formed: map[string]bool{},
 	}
 }
 
-// planner holds one run of Plan.
+// planner is the state of one call of Plan.
 type planner struct {
-	in      *Input
-	mem     *Memory
-	out     Output
-	claimed map[roster.ID]bool
-	coming  map[string]int     // groups that engines are being prepared for, by model
-	needs   map[string]float64 // of groups, by model; see need
-	empty   bool               // an engine that holds no weights waits for its load
+	in                  *Input
+	mem                 *Memory
+	out                 Output
+	claimed             map[roster.ID]bool
+	groupsInPreparation map[string]int     // groups that engines are being prepared for, by model
+	neededGroupsByModel map[string]float64 // cache of neededGroups
+	emptyEngineWaits    bool               // an engine without weights could start a load
 }
 
-// Plan decides what to do now.
+// Plan computes the updated claims and the orders to give now. It updates mem.
 func Plan(in *Input, mem *Memory) Output {
-	p := &planner{in: in, mem: mem, claimed: map[roster.ID]bool{}, coming: map[string]int{}}
-	p.forgetLoads()
-	p.empty = p.emptyWaits()
+	p := &planner{in: in, mem: mem, claimed: map[roster.ID]bool{}, groupsInPreparation: map[string]int{}}
+	p.pruneLoads()
+	p.emptyEngineWaits = p.hasWaitingEmptyEngine()
 	for _, g := range in.Ledger.Groups {
 		p.keepOrRelease(&g)
 	}
 	for _, domain := range p.domains() {
-		p.useDomain(domain)
+		p.allocateDomain(domain)
 	}
 	p.stageAlternates()
-	p.forget()
+	p.pruneMemory()
 	return p.out
 }
 
-// keepOrRelease carries one claim on, or drops it when its group is surely over.
+// keepOrRelease carries a claim over to the new ledger and advances its group, or drops
+// the claim once the group has ended.
 func (p *planner) keepOrRelease(g *Group) {
 	if g.Service != p.in.Service {
-		p.keep(g)
+		p.keepClaim(g)
 		return
 	}
-	if _, ok := p.mem.since[g.Name]; !ok {
-		p.mem.since[g.Name] = p.in.Now
+	if _, ok := p.mem.firstSeen[g.Name]; !ok {
+		p.mem.firstSeen[g.Name] = p.in.Now
 	}
 	c := p.mem.closing[g.Name]
 	if c == nil {
-		if c = p.shouldClose(g); c != nil {
+		if c = p.decideClose(g); c != nil {
 			c.since = p.in.Now
 			p.mem.closing[g.Name] = c
-			p.note("group %s closes: %s", g.Name, c.reason)
-			p.tellLost(g, c)
+			p.noteDecision("group %s closes: %s", g.Name, c.reason)
+			p.announceLost(g, c)
 		}
 	}
-	if c != nil && p.goesOn(g, c) {
+	if c != nil && p.canResume(g, c) {
 		delete(p.mem.closing, g.Name)
-		p.note("group %s goes on: its members answer again", g.Name)
+		p.noteDecision("group %s resumes: its members respond again", g.Name)
 		p.out.Back = append(p.out.Back, p.hintOf(g, roster.Open))
 		c = nil
 	}
 	if c == nil {
-		p.keep(g)
-		p.advance(g)
+		p.keepClaim(g)
+		p.advanceGroup(g)
 		return
 	}
-	if !p.takeApart(g, c) {
-		p.keep(g)
+	if !p.dissolve(g, c) {
+		p.keepClaim(g)
 		return
 	}
-	p.note("group %s is over: %s", g.Name, c.reason)
+	p.noteDecision("group %s has ended: %s", g.Name, c.reason)
 	p.out.Changed = true
 }
 
@@ -153,51 +154,51 @@
 	}
 }
 
-func (p *planner) keep(g *Group) {
+func (p *planner) keepClaim(g *Group) {
 	p.out.Ledger.Groups = append(p.out.Ledger.Groups, *g)
 	for _, m := range g.Members {
 		p.claimed[m] = true
 	}
 }
 
-func (p *planner) inGroup(id roster.ID, g *Group) bool {
+func (p *planner) isInGroup(id roster.ID, g *Group) bool {
 	f := p.in.Facts[id]
 	return f != nil && f.Report.Member.Group == g.Name && f.Report.Member.Epoch == g.Epoch
 }
 
-// holdsRank reports whether an engine is the group's member of that rank. An engine that
-// starts again may get another id at its old address while the entry of the old id still
-// stands; reports to either are answered by the same process. Taken for a second ready
-// member, it let a group open that had one member twice and lacked another. An engine
-// finds its rank by its own id in the list that it joined with, so no other has it.
-func (p *planner) holdsRank(id roster.ID, g *Group, rank int) bool {
-	return p.inGroup(id, g) && p.in.Facts[id].Report.Member.Rank == rank
+// hasRank reports whether an engine is the group's member of that rank. An engine that
+// restarts may get another ID at its old address while the entry of the old ID still
+// exists, and the same process answers probes of both. Without the check of the rank, the
+// second ID counted as a ready member and a group opened that lacked one. An engine
+// derives its rank from its own ID in the member list, so ranks are unique.
+func (p *planner) hasRank(id roster.ID, g *Group, rank int) bool {
+	return p.isInGroup(id, g) && p.in.Facts[id].Report.Member.Rank == rank
 }
 
-// surelyOut reports whether an engine that answers is not in the group. Reports
-// lag: those of shortly after a join, or after a change of owner, may show the
-// state of before. An owner that took "not yet in" for "no longer in" freed
-// members of a group whose head was opening, and they joined another one.
-func (p *planner) surelyOut(id roster.ID, g *Group) bool {
+// isOutOfGroup reports whether an engine is known not to be in the group. Reports lag:
+// shortly after a join or a change of owner they may still contain the previous state. An
+// owner that mistook "not yet joined" for "left" released members of a group whose head
+// was opening, and they joined another group.
+func (p *planner) isOutOfGroup(id roster.ID, g *Group) bool {
 	f := p.in.Facts[id]
-	if f == nil || p.inGroup(id, g) {
+	if f == nil || p.isInGroup(id, g) {
 		return false
 	}
 	since := max(p.in.Since, p.mem.sent[orderKey{id, Join, g.Name}])
 	return !f.Answered.Before(since.Add(reportLag))
 }
 
-// advance brings a group one step on towards serving.
-func (p *planner) advance(g *Group) {
+// advanceGroup gives the orders for the group's next step towards serving.
+func (p *planner) advanceGroup(g *Group) {
 	ready := 0
 	for rank, m := range g.Members {
 		if p.health(m) != alive {
 			continue
 		}
 		f := p.in.Facts[m]
-		if !p.holdsRank(m, g, rank) {
-			if p.mem.formed[g.Name] { // else see shouldClose
-				p.join(m, g)
+		if !p.hasRank(m, g, rank) {
+			if p.mem.formed[g.Name] { // otherwise decideClose closes the group
+				p.orderJoin(m, g)
 			}
 			continue
 		}
@@ -205,7 +206,7 @@
 		case roster.Ready, roster.Open:
 			ready++
 		case roster.Joining:
-			p.join(m, g)
+			p.orderJoin(m, g)
 		}
 	}
 	if m := p.in.Engine.Model(g.Model); ready < len(g.Members) || m == nil || ready < m.Size {
@@ -214,63 +215,61 @@
 	if p.in.Facts[g.Head()].Report.Member.State == roster.Open {
 		if !p.mem.opened[g.Name] {
 			p.mem.opened[g.Name] = true
-			p.note("group %s serves after %v", g.Name, p.in.Now.Sub(p.mem.since[g.Name]).Round(time.Millisecond))
+			p.noteDecision("group %s serves after %v", g.Name, p.in.Now.Sub(p.mem.firstSeen[g.Name]).Round(time.Millisecond))
 		}
 		return
 	}
-	p.order(Order{To: g.Head(), Op: Open, Group: g.Name, Epoch: g.Epoch, Reason: "every member is ready"})
-	p.hurry(g.Head())
+	p.orderOnce(Order{To: g.Head(), Op: Open, Group: g.Name, Epoch: g.Epoch, Reason: "all members are ready"})
+	p.probeSoon(g.Head())
 }
 
-// join orders a member to join, and once more when it should be done: the answer
-// to the second order tells that the member is ready, which its report tells
-// only after the report lag.
-func (p *planner) join(id roster.ID, g *Group) {
+// orderJoin orders a member to join, and repeats the order when the join should be
+// complete: the response then confirms readiness earlier than the report, which lags.
+func (p *planner) orderJoin(id roster.ID, g *Group) {
 	key := orderKey{id, Join, g.Name}
 	o := Order{To: id, Op: Join, Group: g.Name, Epoch: g.Epoch, Model: g.Model, Members: g.Members, Reason: "claimed"}
-	if due, ok := p.mem.joined[key]; ok && !p.in.Now.Before(due) {
-		p.mem.joined[key] = p.in.Now.Add(joinAgain)
-		o.Reason = "is it ready"
-		p.give(o)
+	if due, ok := p.mem.joinDue[key]; ok && !p.in.Now.Before(due) {
+		p.mem.joinDue[key] = p.in.Now.Add(joinRetryDelay)
+		o.Reason = "checking for completion"
+		p.addOrder(o)
 		return
 	}
-	if p.order(o) {
+	if p.orderOnce(o) {
 		m := p.in.Engine.Model(g.Model)
 		if m == nil {
 			return
 		}
-		if in := p.readyIn(p.in.Facts[id], m); in <= soonLimit {
-			p.mem.joined[key] = p.in.Now.Add(in + joinMargin)
+		if in := p.timeToReady(p.in.Facts[id], m); in <= maxJoinWithoutLoad {
+			p.mem.joinDue[key] = p.in.Now.Add(in + joinMargin)
 		}
 	}
-	p.hurryIn(id, hurryLoad)
+	p.probeWithin(id, loadProbeDelay)
 }
 
 const (
-	// joinMargin is for the order's way to the engine.
+	// joinMargin allows for the latency of the order.
 	joinMargin = 30 * time.Millisecond
-	// joinAgain is the pause between two questions whether a join is done.
-	joinAgain = 150 * time.Millisecond
+	// joinRetryDelay is the interval between repeated joins that check for completion.
+	joinRetryDelay = 150 * time.Millisecond
 )
 
-// order adds an order unless the same one was given a short while ago. It reports
-// whether it did.
-func (p *planner) order(o Order) bool {
+// orderOnce adds an order unless the same one was given within the resend interval. It
+// reports whether the order was added.
+func (p *planner) orderOnce(o Order) bool {
 	k := orderKey{o.To, o.Op, o.Group}
 	if at, ok := p.mem.sent[k]; ok && p.in.Now.Sub(at) < p.in.Params.Resend {
 		return false
 	}
 	p.mem.sent[k] = p.in.Now
-	p.give(o)
+	p.addOrder(o)
 	return true
 }
 
-// give adds an order. A join holds only while its engine has begun nothing else:
-// orders may be carried out seconds late, and a join of a group that was given up
-// would take the engine out of the group that it serves in by then, or bring it
-// back under a head that is open. Whatever takes an engine out of a group counts,
-// so such a join is void.
-func (p *planner) give(o Order) {
+// addOrder adds an order. A join carries the engine's current order count: orders may be
+// executed seconds late, and a join of an abandoned group would remove the engine from
+// the group that it serves in by then, or return it to a group whose head is open. Every
+// order that removes an engine from a group raises the count, which voids such a join.
+func (p *planner) addOrder(o Order) {
 	if f := p.in.Facts[o.To]; f != nil && o.Op == Join {
 		count := f.Report.Count
 		o.Count = &count
@@ -278,10 +277,10 @@
 	p.out.Orders = append(p.out.Orders, o)
 }
 
-// hurry asks for the engine's state soon.
-func (p *planner) hurry(id roster.ID) { p.hurryIn(id, hurrySoon) }
+// probeSoon schedules an early probe of the engine.
+func (p *planner) probeSoon(id roster.ID) { p.probeWithin(id, orderProbeDelay) }
 
-func (p *planner) hurryIn(id roster.ID, pause time.Duration) {
+func (p *planner) probeWithin(id roster.ID, pause time.Duration) {
 	if p.out.Hurry == nil {
 		p.out.Hurry = map[roster.ID]time.Duration{}
 	}
@@ -290,13 +289,13 @@
 	}
 }
 
-// The pauses between reports of an engine whose change is awaited.
+// Delays until the next probe of an engine with a pending change.
 const (
-	hurrySoon = 100 * time.Millisecond // orders that take up to 300 ms
-	hurryLoad = 400 * time.Millisecond // loads of 12 s and more
+	orderProbeDelay = 100 * time.Millisecond // for orders that take up to 300 ms
+	loadProbeDelay  = 400 * time.Millisecond // for loads, which take 12 s or more
 )
 
-func (p *planner) note(format string, args ...any) {
+func (p *planner) noteDecision(format string, args ...any) {
 	p.out.Notes = append(p.out.Notes, fmt.Sprintf(format, args...))
 }
 
@@ -309,19 +308,19 @@
 	return ids
 }
 
-// forget drops what is remembered of groups and engines that are over.
-func (p *planner) forget() {
-	// A plan whose claims could not be committed is made again from the old
-	// ones; what was found out about their groups must still be known then.
+// pruneMemory drops the memory of groups that have ended and of old orders.
+func (p *planner) pruneMemory() {
+	// If the claims can't be committed, the next plan starts from the old ones and still
+	// needs the memory of their groups.
 	live := map[string]bool{}
 	for _, groups := range [][]Group{p.in.Ledger.Groups, p.out.Ledger.Groups} {
 		for i := range groups {
 			live[groups[i].Name] = true
 		}
 	}
-	for name := range p.mem.since {
+	for name := range p.mem.firstSeen {
 		if !live[name] {
-			delete(p.mem.since, name)
+			delete(p.mem.firstSeen, name)
 			delete(p.mem.closing, name)
 			delete(p.mem.opened, name)
 			delete(p.mem.formed, name)
@@ -330,7 +329,7 @@
 	for k, at := range p.mem.sent {
 		if p.in.Now.Sub(at) > time.Minute {
 			delete(p.mem.sent, k)
-			delete(p.mem.joined, k)
+			delete(p.mem.joinDue, k)
 		}
 	}
 }
--- a/internal/formation/plan_test.go
+++ b/internal/formation/plan_test.go
@@ -12,70 +12,69 @@
 	"chervilloom/internal/roster"
 )
 
-// started returns a zone of two domains of nine whose groups serve and whose
-// spares are ready, as before the first request.
-func started() *world {
-	w := newWorld()
-	w.free = true
+// startedZone returns a zone of two domains of nine engines, with serving groups and
+// ready spares, as before the first request.
+func startedZone() *simZone {
+	w := newSimZone()
+	w.loadsAreFree = true
 	w.add("d0", 9)
 	w.add("d1", 9)
 	w.run(10 * time.Second)
-	w.free = false
+	w.loadsAreFree = false
 	w.loads = nil
 	return w
 }
 
 func TestStartFormsBothModelsInEachDomain(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	is.Equal(len(w.serving("big")), 2)
 	is.Equal(len(w.serving("small")), 2)
 	for _, e := range w.sorted() {
-		is.True(e.staged != "")       // a host that holds nothing needs a load after a loss
-		is.True(e.staged != e.model)  // the place on the host is for the other model
-		is.True(e.group != "")        // spares stand by in a group of their own
-		is.True(e.state != "joining") // nothing is left to do
+		is.True(e.staged != "")       // an empty host needs a load after a loss
+		is.True(e.staged != e.model)  // the host's copy is of the other model
+		is.True(e.group != "")        // spares are in standby groups
+		is.True(e.state != "joining") // no join is pending
 	}
 }
 
-// A member of a group dies: its streams stand still. The head leaves, and the
-// survivors and a spare that stands by form a new group without a load. Repair
-// takes two reports to notice, a hot join and the opening; a cold load would
-// take sixteen seconds.
+// A member of a group dies and its streams stall. The head leaves, and the survivors and
+// a ready spare form a new group without a load. The repair takes two probes to detect
+// the loss, a hot join and the opening; a load from the weight store would take 16 s.
 func TestLossIsRepairedWithoutALoad(t *testing.T) {
 	for _, rank := range []int{0, 1, 3} {
 		is := is.New(t)
-		w := started()
+		w := startedZone()
 		head := w.serving("big")[0]
 		w.engines[head.members[rank]].dead = true
 		w.run(2500 * time.Millisecond)
 		is.Equal(len(w.serving("big")), 2)
-		is.Equal(w.broken, "")
+		is.Equal(w.violation, "")
 	}
 }
 
-// Two members of one group die at once and only one spare of its model stands
-// by. The other spare's host holds the model too, so the group is formed again
-// in the time of a join from the host.
+// Two members of one group die at once, and only one spare is ready for its model. The
+// other spare's host has the model staged, so the group re-forms within the time of a
+// join from the host.
 func TestTwoLossesUseBothSpares(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	head := w.serving("big")[0]
 	w.engines[head.members[1]].dead = true
 	w.engines[head.members[2]].dead = true
 	w.run(4 * time.Second)
 	is.Equal(len(w.serving("big")), 2)
 	is.Equal(len(w.serving("small")), 2)
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 }
 
-// Three of four members die, and the domain's survivor and spares are too few for
-// the larger model. They form groups of the smaller one, or members of the
-// smaller model's group complete one of the larger: either way no engine waits
-// for a load, and both models end up with what their shares ask for.
+// Three of four members die, and the domain's survivor and spares are too few for the
+// larger model. They form groups of the smaller model, or members of the smaller model's
+// group complete one of the larger. In both cases no engine waits for a load, and both
+// models end with the groups that their shares call for.
 func TestThreeLossesUseTheSecondModel(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	head := w.serving("big")[0]
 	for _, m := range head.members[1:] {
 		w.engines[m].dead = true
@@ -83,77 +82,75 @@
 	w.run(8 * time.Second)
 	is.Equal(len(w.serving("big")), 2)
 	is.Equal(len(w.serving("small")), 2)
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 }
 
-// A zone that is as it should be is left alone: groups are not turned from one
-// model to the other and back.
+// Guards against conversions back and forth in a balanced zone.
 func TestBalancedZoneIsLeftAlone(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	before := w.ledger
 	w.run(20 * time.Second)
 	is.Equal(w.ledger, before)
 }
 
-// The head of a group is cut off from the planning node but lives and is open.
-// Its members leave and serve elsewhere; it stands still without them. When the
-// cut heals, the head must not be opened for a group that has lost its members.
-func TestHeadOutOfReachKeepsNobodyFromServing(t *testing.T) {
+// The head of a group is partitioned from the planning node but alive and open. Its
+// members leave and serve in another group; the head is stalled without them. When the
+// partition heals, the head must not be opened for a group that has lost its members.
+func TestMembersOfUnreachableHeadServeElsewhere(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	head := w.serving("big")[0]
-	head.cut = true
+	head.partitioned = true
 	w.run(3 * time.Second)
-	is.Equal(len(w.serving("big")), 3) // the one that is cut off still says so
-	head.cut = false
+	is.Equal(len(w.serving("big")), 3) // the partitioned head still reports Open
+	head.partitioned = false
 	w.run(3 * time.Second)
 	is.Equal(len(w.serving("big")), 2)
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 }
 
-// A head and one member are cut off together. The other members leave and are
-// used again. The member that could not be reached has not left: it must not
-// join another group while its head is open, also under a new owner that knows
-// nothing but the claims.
-func TestMemberThatCouldNotLeaveStaysClaimed(t *testing.T) {
+// A head and one member are partitioned together. The other members leave and are reused.
+// The unreachable member has not left: it must not join another group while its head is
+// open, even under a new owner that knows only the claims.
+func TestUnreachableMemberStaysClaimed(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	head := w.serving("big")[0]
 	member := w.engines[head.members[1]]
-	head.cut, member.cut = true, true
+	head.partitioned, member.partitioned = true, true
 	w.run(3 * time.Second)
 	w.takeOver()
-	member.cut = false
+	member.partitioned = false
 	w.run(3 * time.Second)
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 	is.True(member.group != head.group) // it has left by now
 }
 
-// The owner dies after members of a group with an unreachable head have left.
-// The head comes back and says that it is ready. Its claim lists three members,
-// all ready; the next owner must not open it: one member is elsewhere.
+// The owner dies after members of a group with an unreachable head have left. The head
+// returns and reports that it is ready. Its claim lists three members, all ready; the
+// next owner must not open it, because one member is in another group.
 func TestEndingGroupIsNeverOpenedByTheNextOwner(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	head := w.serving("big")[0]
 	far := w.engines[head.members[3]]
-	head.cut, far.cut = true, true
+	head.partitioned, far.partitioned = true, true
 	w.run(3 * time.Second)
 	head.state = roster.Ready
 	w.takeOver()
-	head.cut, far.cut = false, false
+	head.partitioned, far.partitioned = false, false
 	w.run(5 * time.Second)
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 }
 
-// A join got no answer and is carried out eight seconds later, after its engine
-// has left a group whose head can't be reached. The engine must not take it:
-// otherwise it is back in a group that may be open when the next join comes.
+// The response to a join is lost, and the join is executed eight seconds later, after its
+// engine has left a group with an unreachable head. The engine must refuse it: otherwise
+// it is back in a group that may be open when its next join arrives.
 func TestLateJoinAfterLeavingIsVoid(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
-	w.free = true
+	w := newSimZone()
+	w.loadsAreFree = true
 	w.add("d0", 4)
 	joins := map[roster.ID]Order{}
 	for len(w.serving("big")) == 0 {
@@ -166,19 +163,19 @@
 	}
 	head := w.serving("big")[0]
 	member := w.engines[head.members[1]]
-	head.cut = true
+	head.partitioned = true
 	w.run(time.Second)
 	is.True(member.group != head.group)
 	is.Equal(w.execute(joins[member.id]), Conflict)
 }
 
-// An owner starts with a count of an engine's orders that is too low, as after a
-// report that was older than an order of the owner before. Joins fail by that
-// until the next reports tell the count; the engine must not be shut out for good
-// by answers that keep the wrong one alive.
-func TestWrongCountIsPutRight(t *testing.T) {
+// An owner starts with a wrong order count, for example from a report older than an order
+// of the previous owner. Joins fail until the next reports contain the right count;
+// failed joins must not keep the wrong count alive, or the engine is excluded
+// permanently.
+func TestWrongOrderCountIsCorrected(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	head := w.serving("big")[0]
 	w.engines[head.members[1]].dead = true
 	for _, e := range w.sorted() {
@@ -187,30 +184,30 @@
 	}
 	w.run(4 * time.Second)
 	is.Equal(len(w.serving("big")), 2)
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 }
 
-// The answer to a join got lost, the report shows the engine joining, and the
-// join is given once more. The engine goes on with what it has begun, so its count
-// stays. Were it taken for one higher, a further join could be carried out after
-// the engine has left the group, and bring it back.
+// The response to a join is lost, the report shows the engine joining, and the join is
+// repeated. The engine continues the join in progress, so its count stays the same. If
+// the known count were one higher, a delayed join could be executed after the engine has
+// left the group, and return it.
 func TestRepeatedJoinIsCountedOnce(t *testing.T) {
 	is := is.New(t)
 	f := &Fact{ID: "e", Report: Report{Count: 5}}
 	join := Order{To: "e", Op: Join, Group: "g", Epoch: 7, Members: []roster.ID{"e", "o"}}
-	f.took(join, Lost, 1)
-	f.takeReport(Report{Count: 6, Member: roster.Membership{Group: "g", Epoch: 7, State: roster.Joining}}, 2)
-	f.took(join, Begun, 3)
+	f.applyVerdict(join, Lost, 1)
+	f.applyReport(Report{Count: 6, Member: roster.Membership{Group: "g", Epoch: 7, State: roster.Joining}}, 2)
+	f.applyVerdict(join, Begun, 3)
 	is.Equal(f.Report.Count, uint64(6))
 }
 
-// The owner opens a group, the order is held up, and the owner takes the group
-// apart after a loss: its head leaves. The next owner finds the claim and a head
-// outside of the group. It must not have the head join again: the order to open
-// would still come, while the members are elsewhere.
-func TestNewOwnerFormsNoGroupOfTheLastOneAnew(t *testing.T) {
+// The owner opens a group, the order is delayed, and the owner dissolves the group after
+// a loss: its head leaves. The next owner finds the claim and a head outside the group.
+// It must not order the head to join again: the delayed open order would then take effect
+// while the members are in other groups.
+func TestNewOwnerDoesNotRejoinPreviousOwnersGroup(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	head := w.serving("big")[0]
 	group, epoch := head.group, head.epoch
 	is.Equal(w.execute(Order{To: head.id, Op: Leave, Group: group, Epoch: epoch}), Done)
@@ -225,13 +222,13 @@
 	is.Equal(len(w.serving("big")), 2) // in a group of another name
 }
 
-// The owner opens a group and ends; at the same moment a member begins to leave.
-// The next owner's first reports still show the head outside of the group, as it
-// was before the join. Taken for the present, they would free the members while
-// the head opens, and the members would join another group under an open head.
-func TestNewOwnerDoesNotTrustReportsOfBeforeItsTenure(t *testing.T) {
+// The owner opens a group and dies while a member starts draining. The next owner's first
+// reports still show the head outside the group, from before the join. If they were taken
+// as current, the members would be released while the head opens, and would join another
+// group while their head is open.
+func TestNewOwnerIgnoresReportsFromBeforeItsTenure(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	w.engines[w.serving("big")[0].members[1]].dead = true
 	opened := roster.ID("")
 	for opened == "" {
@@ -245,30 +242,30 @@
 	w.takeOver()
 	head := w.engines[opened]
 	w.engines[head.members[2]].draining = true
-	head.told = []toldState{{from: w.now, rep: Report{Model: head.model, Domain: head.domain}}}
+	head.reportHistory = []reportedState{{from: w.now, rep: Report{Model: head.model, Domain: head.domain}}}
 	w.run(3 * time.Second)
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 }
 
-// An engine leaves the fleet in order and a spare stands by: the group is formed
-// anew in half a second, and its streams go on there.
+// An engine leaves the fleet in order and a spare is ready: the group re-forms within
+// half a second, and its streams continue there.
 func TestLeavingMemberIsReplacedBySpare(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	head := w.serving("small")[0]
 	leaver := w.engines[head.members[1]]
 	leaver.draining = true
 	w.run(1500 * time.Millisecond)
 	is.Equal(len(w.serving("small")), 2)
 	is.True(leaver.state != roster.Open)
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 }
 
-// An engine leaves and nothing can take its place: what the group has runs to its
-// end before it is taken apart.
+// An engine leaves in order and no replacement exists: the group's requests complete
+// before it is dissolved.
 func TestLeavingMemberWithoutSpareLetsRequestsEnd(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	head := w.serving("small")[0]
 	for _, e := range w.sorted() {
 		if isStandby(roster.Membership{Group: e.group, State: e.state}) {
@@ -282,44 +279,44 @@
 	is.Equal(out.Orders[0].Mode, Finish)
 }
 
-// Requests ask four times as much of the smaller model's groups as of the larger
-// one's: a zone with a group too many of the larger model turns it over.
-func TestDemandTurnsGroupsOver(t *testing.T) {
+// Requests need four times as much work from the smaller model's groups as from the
+// larger one's: a zone with one group too many of the larger model converts it.
+func TestDemandShiftConvertsGroups(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
-	w.free = true
+	w := newSimZone()
+	w.loadsAreFree = true
 	for _, domain := range []string{"d0", "d1", "d2"} {
 		w.add(domain, 9)
 	}
 	w.run(10 * time.Second)
-	w.free = false
+	w.loadsAreFree = false
 	is.Equal(len(w.serving("big")), 3)
 	is.Equal(len(w.serving("small")), 3)
 	w.demand = demand.Demand{Requests: 400, Work: map[string]float64{"big": 1, "small": 4}}
 	w.run(10 * time.Second)
-	is.Equal(len(w.serving("big")), 2) // the other model keeps what its share asks for
+	is.Equal(len(w.serving("big")), 2) // the larger model keeps the groups that its share calls for
 	is.True(len(w.serving("small")) >= 4)
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 	settled := w.ledger
 	w.run(10 * time.Second)
-	is.Equal(w.ledger, settled) // and nothing goes back and forth
+	is.Equal(w.ledger, settled) // no conversions back and forth
 }
 
-// Every engine of a zone is new and holds nothing. Loads begin no faster than the
-// zone's share of the weight store's rate, and no more run at once than its share
-// of those that run at full speed: eighteen at once would each take nine times as
-// long, and no group would serve before all of them do.
-func TestLoadsKeepToTheRate(t *testing.T) {
+// All engines of a zone are new and empty. Loads must start no faster than the zone's
+// share of the weight store's rate, and no more may run concurrently than its share of
+// the loads at full speed: eighteen concurrent loads would each take nine times as long,
+// and no group would serve before all are complete.
+func TestLoadsStayWithinRateAndConcurrencyLimits(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
+	w := newSimZone()
 	w.add("d0", 9)
 	w.add("d1", 9)
 	for range 1200 {
 		w.run(100 * time.Millisecond)
 		loading := 0
 		for _, e := range w.sorted() {
-			// A group may form when its last load is about to end.
-			if e.staging != "" && e.stagedAt.Sub(w.now) > soonLimit {
+			// A group may form when its last load is about to complete.
+			if e.staging != "" && e.stagedAt.Sub(w.now) > maxJoinWithoutLoad {
 				loading++
 			}
 		}
@@ -333,18 +330,18 @@
 				n++
 			}
 		}
-		is.True(n <= perWindow) // loads within five seconds
+		is.True(n <= perWindow) // loads started within five seconds
 	}
 	is.Equal(len(w.serving("big")), 2)
 	is.True(len(w.serving("small")) >= 2)
 }
 
-// The claims of a plan can't be committed, as when the lease is renewed at the
-// same moment. The next plan is made of the old claims and must go on where the
-// first one was, instead of waiting for the members once more.
-func TestPlanThatWasNotCommittedIsMadeAgain(t *testing.T) {
+// The claims of a plan can't be committed, for example because the lease is renewed at
+// the same moment. The next plan starts from the old claims and must continue where the
+// first one was, instead of waiting for the members again.
+func TestUncommittedPlanIsRepeated(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	head := w.serving("big")[0]
 	head.dead = true
 	var before Ledger
@@ -358,15 +355,14 @@
 	w.ledger = before
 	w.run(2500 * time.Millisecond)
 	is.Equal(len(w.serving("big")), 2)
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 }
 
-// A member runs at a quarter of its speed, and so does its group: its events come
-// late. A spare that stands by takes the member's place; the slow engine is in no
-// group until it has recovered.
+// A member runs at a quarter of its speed and slows down its group. A ready spare
+// replaces it; the slow engine stays out of groups until it has recovered.
 func TestSlowMemberIsReplacedBySpare(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	head := w.serving("big")[0]
 	slow := w.engines[head.members[2]]
 	slow.pace = 4
@@ -375,14 +371,14 @@
 	for _, h := range w.serving("big") {
 		is.True(!slices.Contains(h.members, slow.id))
 	}
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 }
 
-// Every engine of a domain is slow: its groups go on, since late answers are
+// All engines of a domain are slow: their groups keep serving, since late answers are
 // better than none.
-func TestSlowGroupsGoOnWithoutReplacement(t *testing.T) {
+func TestSlowGroupsKeepServingWithoutReplacement(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	for _, e := range w.sorted() {
 		e.pace = 4
 	}
@@ -391,15 +387,15 @@
 	is.Equal(w.ledger, before)
 }
 
-// Whatever happens, in any order: engines die, are cut off, come back, leave and
-// arrive; owners change; orders are lost, unanswered or carried out seconds
-// later. No group opens without all of its members having been ready, and
-// nobody joins another group while its own takes requests.
-func TestGroupsStayWholeAndApart(t *testing.T) {
+// Random sequences of events: engines die, are partitioned, recover, drain, restart and
+// arrive; the owner changes; orders or their responses are lost, or orders are executed
+// seconds later. No group may open before all of its members have been ready, and no
+// engine may join another group while its own is open.
+func TestGroupsStayWholeAndDisjoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := started()
-		fates := rapid.SampledFrom([]fate{answered, answered, answered, answered, unanswered, lost, later})
-		w.fate = func() fate { return fates.Draw(t, "fate") }
+		w := startedZone()
+		fates := rapid.SampledFrom([]delivery{orderAnswered, orderAnswered, orderAnswered, orderAnswered, answerLost, orderLost, orderDelayed})
+		w.delivery = func() delivery { return fates.Draw(t, "fate") }
 		some := func() *simEngine {
 			all := w.sorted()
 			return all[rapid.IntRange(0, len(all)-1).Draw(t, "engine")]
@@ -409,16 +405,16 @@
 			"plan more": func(*rapid.T) { w.run(500 * time.Millisecond) },
 			"pass":      func(*rapid.T) { w.advance(2 * time.Second) },
 			"die":       func(*rapid.T) { some().dead = true },
-			"cut":       func(*rapid.T) { some().cut = true },
-			"heal":      func(*rapid.T) { some().cut = false },
+			"cut":       func(*rapid.T) { some().partitioned = true },
+			"heal":      func(*rapid.T) { some().partitioned = false },
 			"drain":     func(*rapid.T) { some().draining = true },
 			"slow":      func(*rapid.T) { some().pace = 4 },
 			"arrive":    func(*rapid.T) { w.add("d1", 1) },
 			"restart":   func(*rapid.T) { w.restart(some()) },
 			"take over": func(*rapid.T) { w.takeOver() },
 			"": func(t *rapid.T) {
-				if w.broken != "" {
-					t.Fatal(w.broken)
+				if w.violation != "" {
+					t.Fatal(w.violation)
 				}
 			},
 		})
--- a/internal/formation/prepare.go
+++ b/internal/formation/prepare.go
@@ -15,10 +15,11 @@
 	since clock.Instant
 }
 
-// idle reports whether the engine surely isn't loading: its order got lost. The
-// report that says so must be newer than the order by its time-out and the lag.
-func (l load) idle(f *Fact) bool {
-	return !f.Report.Busy && f.Answered.Sub(l.since) > orderLimit+reportLag
+// isLost reports whether the load order was lost, so that the engine certainly isn't
+// loading. Only a report newer than the order by the order timeout and the report lag is
+// conclusive.
+func (l load) isLost(f *Fact) bool {
+	return !f.Report.Busy && f.Answered.Sub(l.since) > orderTimeout+reportLag
 }
 
 func (p *planner) standbyOrder(id roster.ID, model, reason string) Order {
@@ -37,58 +38,60 @@
 	return !ok || l.model != model
 }
 
-// mayLoad reports whether n more loads may begin now. The weight store runs a few
-// at full speed and shares its rate among more: begun one after the other, the
-// first ones are of use long before all of them would be.
-func (p *planner) mayLoad(n int) bool {
+// canStartLoads reports whether n more loads may start now. The weight store runs a few
+// loads at full speed and divides its rate among more: started in sequence, the first
+// ones finish long before all of them would.
+func (p *planner) canStartLoads(n int) bool {
 	return n == 0 || p.in.FreeLoads ||
-		len(p.mem.loads)+n <= p.in.Params.LoadsPer && p.loadsRunning()+n <= p.in.Params.LoadsAtOnce
+		len(p.mem.loadStarts)+n <= p.in.Params.LoadsPer && p.countRunningLoads()+n <= p.in.Params.LoadsAtOnce
 }
 
-// loadsRunning counts the engines of the zone that load weights, those included
-// that an earlier owner's orders made load.
-func (p *planner) loadsRunning() int {
+// countRunningLoads counts the engines of the zone that load weights, including loads
+// ordered by a previous owner.
+func (p *planner) countRunningLoads() int {
 	n := 0
 	for id, f := range p.in.Facts {
-		if p.staging(id) && p.health(id) != dead && f.Listed {
+		if p.isStaging(id) && p.health(id) != dead && f.Listed {
 			n++
 		}
 	}
 	return n
 }
 
-// emptyWaits reports whether an engine that holds no weights could load some.
-func (p *planner) emptyWaits() bool {
+// hasWaitingEmptyEngine reports whether an engine without weights could start a load.
+func (p *planner) hasWaitingEmptyEngine() bool {
 	for id, f := range p.in.Facts {
-		if p.empties(f) && f.Listed && !f.Draining && !p.staging(id) && p.health(id) == alive {
+		if p.hasNoWeights(f) && f.Listed && !f.Draining && !p.isStaging(id) && p.health(id) == alive {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *planner) empties(f *Fact) bool { return f.Report.Model == "" && len(f.Report.Staged) == 0 }
+func (p *planner) hasNoWeights(f *Fact) bool {
+	return f.Report.Model == "" && len(f.Report.Staged) == 0
+}
 
-func (p *planner) startLoad(id roster.ID, model string) {
+func (p *planner) recordLoad(id roster.ID, model string) {
 	p.mem.loading[id] = load{model, p.in.Now}
-	p.mem.loads = append(p.mem.loads, p.in.Now)
+	p.mem.loadStarts = append(p.mem.loadStarts, p.in.Now)
 }
 
-// forgetLoads drops loads that are done or that never began.
-func (p *planner) forgetLoads() {
+// pruneLoads drops loads that are complete or whose order was lost.
+func (p *planner) pruneLoads() {
 	for id, l := range p.mem.loading {
 		f := p.in.Facts[id]
-		if f == nil || slices.Contains(f.Report.Staged, l.model) || f.Report.Model == l.model || l.idle(f) {
+		if f == nil || slices.Contains(f.Report.Staged, l.model) || f.Report.Model == l.model || l.isLost(f) {
 			delete(p.mem.loading, id)
 		}
 	}
-	p.mem.loads = slices.DeleteFunc(p.mem.loads, func(at clock.Instant) bool {
+	p.mem.loadStarts = slices.DeleteFunc(p.mem.loadStarts, func(at clock.Instant) bool {
 		return p.in.Now.Sub(at) > p.in.Params.LoadWindow
 	})
 }
 
-// standbyPrefix begins the names of the one-member groups that keep a spare
-// engine ready. They are never opened.
+// standbyPrefix starts the names of the one-member groups that keep a spare engine ready.
+// They are never opened.
 const standbyPrefix = "standby-"
 
 func isStandby(m roster.Membership) bool {
@@ -96,36 +99,36 @@
 		(m.State == roster.Ready || m.State == roster.Joining)
 }
 
-// prepare makes free engines ready: first those that the next groups lack, then
-// the spares. An engine is ready when the weights are staged on its host and it
-// is in a group of its own, from which it joins another one in hotJoin.
-func (p *planner) prepare(domain string, free []*Fact) {
+// prepareFreeEngines prepares free engines: first those for the next groups, then the
+// spares. A prepared engine has the weights staged on its host and is in a group of its
+// own, from which it can join another one in hotJoinTime.
+func (p *planner) prepareFreeEngines(domain string, free []*Fact) {
 	rest := slices.Clone(free)
 	for {
 		m, members := p.nextGroup(domain, rest)
 		if m == nil {
 			break
 		}
-		p.coming[m.Name]++
+		p.groupsInPreparation[m.Name]++
 		for _, id := range members {
 			p.prepareSpare(p.in.Facts[id], m)
 		}
 		rest = slices.DeleteFunc(rest, func(f *Fact) bool { return slices.Contains(members, f.ID) })
 	}
 	for _, m := range p.spareModels(len(rest)) {
-		i := p.readiest(rest, m)
+		i := p.readiestIndex(rest, m)
 		f := rest[i]
 		rest = slices.Delete(rest, i, i+1)
 		p.prepareSpare(f, m)
 	}
 }
 
-// lackWeight is how many engines for a share of one a load that is lacking
-// outweighs.
-const lackWeight = 2.5
+// missingLoadWeight is the weight of one missing load relative to the supply, which is in
+// engines divided by the model's share.
+const missingLoadWeight = 2.5
 
-// nextGroup returns the model whose next group lacks the fewest loads, and the
-// engines for it.
+// nextGroup returns the model whose next group costs the least, by missing loads and
+// supply, and the engines for it. The model is nil if there are too few engines.
 func (p *planner) nextGroup(domain string, free []*Fact) (*catalog.Model, []roster.ID) {
 	var best *catalog.Model
 	var bestMembers []roster.ID
@@ -135,15 +138,16 @@
 		if m.Size > len(free) || m.Size <= 0 {
 			continue
 		}
-		members := p.choose(free, m)
-		lacks := 0
+		members := p.chooseMembers(free, m)
+		missingLoads := 0
 		for _, id := range members {
-			if p.readyIn(p.in.Facts[id], m) > soonLimit {
-				lacks++
+			if p.timeToReady(p.in.Facts[id], m) > maxJoinWithoutLoad {
+				missingLoads++
 			}
 		}
-		// A model without groups for its share goes before one that lacks less.
-		cost := float64(lacks)*lackWeight + p.supply(m, domain) + p.supplyOf(m, float64(p.coming[m.Name]))
+		// A model with few groups for its share takes precedence over one with fewer
+		// missing loads.
+		cost := float64(missingLoads)*missingLoadWeight + p.supply(m, domain) + p.supplyOf(m, float64(p.groupsInPreparation[m.Name]))
 		if best == nil || cost < bestCost {
 			best, bestMembers, bestCost = m, members, cost
 		}
@@ -151,14 +155,14 @@
 	return best, bestMembers
 }
 
-// spareModels returns a model for each of n spares: turn by turn, the largest
-// share first.
+// spareModels returns a model for each of n spares, in rotation, largest work share
+// first.
 func (p *planner) spareModels(n int) []*catalog.Model {
 	models := make([]*catalog.Model, 0, len(p.in.Engine.Models))
 	for i := range p.in.Engine.Models {
 		models = append(models, &p.in.Engine.Models[i])
 	}
-	slices.SortStableFunc(models, func(a, b *catalog.Model) int { return cmp.Compare(p.work(b), p.work(a)) })
+	slices.SortStableFunc(models, func(a, b *catalog.Model) int { return cmp.Compare(p.workShare(b), p.workShare(a)) })
 	out := make([]*catalog.Model, 0, n)
 	for i := range n {
 		out = append(out, models[i%len(models)])
@@ -166,10 +170,10 @@
 	return out
 }
 
-func (p *planner) readiest(fs []*Fact, m *catalog.Model) int {
+func (p *planner) readiestIndex(fs []*Fact, m *catalog.Model) int {
 	best := 0
 	for i, f := range fs {
-		if p.readyIn(f, m) < p.readyIn(fs[best], m) {
+		if p.timeToReady(f, m) < p.timeToReady(fs[best], m) {
 			best = i
 		}
 	}
@@ -181,44 +185,45 @@
 	case f.Report.Model == m.Name:
 		return
 	case slices.Contains(f.Report.Staged, m.Name):
-		p.standBy(f, m)
-	case p.empty && !p.empties(f):
-		// An engine that holds another model's weights is of use already.
-	case !p.staging(f.ID) && p.needsLoad(f, m.Name) && p.mayLoad(1):
-		p.startLoad(f.ID, m.Name)
-		p.order(Order{To: f.ID, Op: Stage, Model: m.Name, Reason: "spare"})
+		p.orderStandby(f, m)
+	case p.emptyEngineWaits && !p.hasNoWeights(f):
+		// Engines with another model's weights are usable already; empty engines load
+		// first.
+	case !p.isStaging(f.ID) && p.needsLoad(f, m.Name) && p.canStartLoads(1):
+		p.recordLoad(f.ID, m.Name)
+		p.orderOnce(Order{To: f.ID, Op: Stage, Model: m.Name, Reason: "spare"})
 	}
 }
 
-// stageAlternates loads a second model onto the hosts of engines that are ready
-// for a first one: an engine joins a group of its newest model in hotJoin
-// whatever its host holds, so the host's place is free for another model. After
-// a loss, what is left of a domain can then form a group of either model
-// without a load.
+// stageAlternates loads a second model onto the hosts of engines that are ready with a
+// first one. An engine joins a group of its newest model in hotJoinTime without the
+// host's copy, so the host can store another model. After a loss, the remaining engines
+// of a domain can then form a group of either model without a load.
 func (p *planner) stageAlternates() {
 	for _, id := range p.sortedIDs() {
 		f := p.in.Facts[id]
 		hot := f.Report.Model
-		if hot == "" || f.Draining || !f.Listed || p.health(id) != alive || !settledIn(f) {
+		if hot == "" || f.Draining || !f.Listed || p.health(id) != alive || !isReadyInGroup(f) {
 			continue
 		}
-		m := p.alternate(hot)
-		if m == nil || !p.needsLoad(f, m.Name) || p.staging(id) || !p.mayStageAlternate() {
+		m := p.alternateModel(hot)
+		if m == nil || !p.needsLoad(f, m.Name) || p.isStaging(id) || !p.canStageAlternate() {
 			continue
 		}
-		p.startLoad(id, m.Name)
-		p.order(Order{To: id, Op: Stage, Model: m.Name, Reason: "alternate"})
+		p.recordLoad(id, m.Name)
+		p.orderOnce(Order{To: id, Op: Stage, Model: m.Name, Reason: "alternate"})
 	}
 }
 
-// settledIn reports whether the engine is ready in its group: a join from the
-// host waits for a load that is under way there.
-func settledIn(f *Fact) bool {
+// isReadyInGroup reports whether the engine has completed its join. Staging during a join
+// would delay it, because a join from the host waits for a running load.
+func isReadyInGroup(f *Fact) bool {
 	return f.Report.Member.State == roster.Ready || f.Report.Member.State == roster.Open
 }
 
-// alternate returns the model with the largest share beside the one given.
-func (p *planner) alternate(hot string) *catalog.Model {
+// alternateModel returns the model with the largest share other than the given one, or
+// nil.
+func (p *planner) alternateModel(hot string) *catalog.Model {
 	var best *catalog.Model
 	for i := range p.in.Engine.Models {
 		m := &p.in.Engine.Models[i]
@@ -229,9 +234,9 @@
 	return best
 }
 
-// staging reports whether the engine loads weights, by this owner's order or by
-// an earlier one's. A second order would begin the load anew.
-func (p *planner) staging(id roster.ID) bool {
+// isStaging reports whether the engine is loading weights, ordered by this owner or a
+// previous one. A second order would restart the load.
+func (p *planner) isStaging(id roster.ID) bool {
 	if _, ok := p.mem.loading[id]; ok {
 		return true
 	}
@@ -239,25 +244,26 @@
 	return f != nil && f.Report.Busy && f.Report.Member.State != roster.Joining
 }
 
-// mayStageAlternate reports whether a load that nothing waits for may begin: it
-// must not slow down the loads that a group waits for.
-func (p *planner) mayStageAlternate() bool {
+// canStageAlternate reports whether a load with no group waiting for it may start. It
+// must not slow down loads that a group waits for.
+func (p *planner) canStageAlternate() bool {
 	if p.in.FreeLoads {
 		return true
 	}
-	return !p.empty && p.loadsRunning() < alternatesAtOnce && len(p.mem.loads) < p.in.Params.LoadsPer/2
+	return !p.emptyEngineWaits && p.countRunningLoads() < maxConcurrentAlternates && len(p.mem.loadStarts) < p.in.Params.LoadsPer/2
 }
 
-// alternatesAtOnce is how many loads of the zone may run before alternates wait:
-// a handful of all zones run at full speed, and new engines need them first.
-const alternatesAtOnce = 1
+// maxConcurrentAlternates is the number of running loads in the zone at which alternates
+// wait. Only a handful of loads across all zones run at full speed, and new engines take
+// precedence.
+const maxConcurrentAlternates = 1
 
-// standBy lets a spare join a group of its own.
-func (p *planner) standBy(f *Fact, m *catalog.Model) {
+// orderStandby orders a spare to join a group of its own.
+func (p *planner) orderStandby(f *Fact, m *catalog.Model) {
 	k := orderKey{f.ID, Join, standbyPrefix}
 	if at, ok := p.mem.sent[k]; ok && p.in.Now.Sub(at) < m.Warm+p.in.Params.Resend {
 		return
 	}
 	p.mem.sent[k] = p.in.Now
-	p.give(p.standbyOrder(f.ID, m.Name, "spare"))
+	p.addOrder(p.standbyOrder(f.ID, m.Name, "spare"))
 }
--- a/internal/formation/probe.go
+++ b/internal/formation/probe.go
@@ -10,27 +10,27 @@
 	"chervilloom/internal/roster"
 )
 
-// probe is the schedule of one engine's reports.
+// probe is the probe schedule and stall state of one engine.
 type probe struct {
-	next    clock.Instant
-	brief   clock.Instant // until then a report must come within the brief limit
-	suspect clock.Instant // until then nodes' word counts that their requests there stand still
-	doubts  doubts        // of the engine as a head
-	late    int           // misses in a row that were this node's own
-	running bool
+	next               clock.Instant
+	shortTimeoutUntil  clock.Instant // until then, probes use the short timeout
+	suspectUntil       clock.Instant // until then, the stall reported by nodes counts
+	stallReports       stallReports  // stall reports about this engine as a head
+	inconclusiveMisses int           // consecutive misses attributed to this node's own delay
+	inFlight           bool
 }
 
-// Standstill asks for the state of a head and of its group's members at once: for a
-// time in which no pass of an engine explains it, it has sent nothing to a node.
+// Standstill probes a head and its group's members at once. Nodes call it for a head that
+// has sent nothing for longer than any pass of an engine explains.
 func (c *Controller) Standstill(id roster.ID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ask(id)
+	c.probeGroupNow(id)
 }
 
-// Doubt does the same for a head that has sent nothing to a node for longer than its
-// streams' pace explains, once enough nodes say so. Where the nodes are few each has
-// many streams at a head, and all of them have paused.
+// Doubt does the same for a head that has been silent for longer than its streams' pace
+// explains, once enough nodes report it. In a zone with few nodes one report is enough:
+// each node has many streams at a head, and all of them have paused.
 func (c *Controller) Doubt(id roster.ID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,42 +38,45 @@
 	if p == nil || f == nil {
 		return
 	}
-	if !c.ManyNodes() || p.doubts.enough(c.Clock.Now(), f.Report.Active) {
-		c.ask(id)
+	if !c.ManyNodes() || p.stallReports.add(c.Clock.Now(), f.Report.Active) {
+		c.probeGroupNow(id)
 	}
 }
 
-// doubts counts the doubts of one head.
-type doubts struct {
-	first clock.Instant // of those that are counted together
+// stallReports counts the stall reports about one head within a window.
+type stallReports struct {
+	first clock.Instant // start of the window
 	n     int
 }
 
 const (
-	// doubtWindow is within which doubts count together: all streams of a head stop
-	// at the same moment, and nodes see it by their own paces of 80 to 250 ms.
-	doubtWindow = 150 * time.Millisecond
-	// manyStreams run at a head if more than one node has some there.
+	// stallReportWindow is the period within which reports are counted together: all
+	// streams of a head stop at the same moment, and nodes detect it after 80 to 250 ms,
+	// depending on the pace of their streams.
+	stallReportWindow = 150 * time.Millisecond
+	// manyStreams is the number of streams from which more than one node is expected to
+	// have some at the head.
 	manyStreams = 4
-	// doubtsOfMany is how many doubts of a head with many streams are needed. One
-	// node alone that is late itself sees a gap in what came in time.
-	doubtsOfMany = 2
+	// stallReportQuorum is the number of reports required for a head with many streams.
+	// A single node that is itself delayed sees gaps in streams that arrived on time.
+	stallReportQuorum = 2
 )
 
-// enough takes up a doubt and reports whether the head's group is to be looked at.
-func (d *doubts) enough(now clock.Instant, active int) bool {
-	if d.n == 0 || now.Sub(d.first) > doubtWindow {
+// add counts a stall report and reports whether the head's group should be probed.
+func (d *stallReports) add(now clock.Instant, active int) bool {
+	if d.n == 0 || now.Sub(d.first) > stallReportWindow {
 		d.first, d.n = now, 0
 	}
 	d.n++
 	if active < manyStreams {
 		return true
 	}
-	return d.n >= doubtsOfMany
+	return d.n >= stallReportQuorum
 }
 
-// ask has the head and the members of its group asked at once.
-func (c *Controller) ask(id roster.ID) {
+// probeGroupNow schedules immediate probes of an engine and the members of its group,
+// with the short timeout.
+func (c *Controller) probeGroupNow(id roster.ID) {
 	ids := []roster.ID{id}
 	for i := range c.ledger.Groups {
 		if slices.Contains(c.ledger.Groups[i].Members, id) {
@@ -82,19 +85,19 @@
 	}
 	now := c.Clock.Now()
 	if p := c.probes[id]; p != nil {
-		p.suspect = now.Add(briefFor)
+		p.suspectUntil = now.Add(suspicionDuration)
 	}
 	for _, m := range ids {
 		if p := c.probes[m]; p != nil {
-			p.next = min(p.next, c.facts[m].Answered.Add(sureFor))
-			p.brief = now.Add(briefFor)
+			p.next = min(p.next, c.facts[m].Answered.Add(minProbeInterval))
+			p.shortTimeoutUntil = now.Add(suspicionDuration)
 		}
 	}
-	c.nudge()
+	c.signalWake()
 }
 
-// follow takes up the newest list of endpoints.
-func (c *Controller) follow() {
+// syncRoster updates the engines from the newest list of endpoints.
+func (c *Controller) syncRoster() {
 	r, cat := c.Roster(), c.Catalog()
 	if cat == nil || !r.Known() {
 		return
@@ -107,7 +110,7 @@
 		}
 		for _, e := range r.Service(s.Name) {
 			if e.Zone == c.Zone {
-				c.note(e)
+				c.trackEndpoint(e)
 				listed[e.ID] = true
 			}
 		}
@@ -119,16 +122,16 @@
 	for id, f := range c.facts {
 		f.Listed = listed[id]
 		if id.Before(latest[id.Name()]) {
-			f.endLife()
+			f.markRestarted()
 		}
-		if !f.Listed && !c.claims(id) && f.Failures > 0 {
+		if !f.Listed && !c.isClaimed(id) && f.Failures > 0 {
 			delete(c.facts, id)
 			delete(c.probes, id)
 		}
 	}
 }
 
-func (c *Controller) note(e *roster.Endpoint) {
+func (c *Controller) trackEndpoint(e *roster.Endpoint) {
 	f := c.facts[e.ID]
 	if f == nil {
 		f = &Fact{ID: e.ID, Addr: e.Addr, Domain: e.Domain}
@@ -138,27 +141,27 @@
 	f.Draining = e.Draining
 }
 
-func (c *Controller) claims(id roster.ID) bool {
+func (c *Controller) isClaimed(id roster.ID) bool {
 	return slices.ContainsFunc(c.ledger.Groups, func(g Group) bool { return slices.Contains(g.Members, id) })
 }
 
-// probeDue starts the reports that are due.
-func (c *Controller) probeDue(ctx context.Context) {
+// startDueProbes starts the probes that are due.
+func (c *Controller) startDueProbes(ctx context.Context) {
 	now := c.Clock.Now()
 	for id, p := range c.probes {
-		if p.running || now.Before(p.next) {
+		if p.inFlight || now.Before(p.next) {
 			continue
 		}
-		p.running = true
-		limit := probeLimit
-		if now.Before(p.brief) {
-			limit = c.pace.brief()
+		p.inFlight = true
+		limit := probeTimeout
+		if now.Before(p.shortTimeoutUntil) {
+			limit = c.reportRTT.shortTimeout()
 		}
-		go c.probe(ctx, id, c.facts[id].Addr, now, limit)
+		go c.runProbe(ctx, id, c.facts[id].Addr, now, limit)
 	}
 }
 
-func (c *Controller) probe(ctx context.Context, id roster.ID, addr string, asked clock.Instant, limit time.Duration) {
+func (c *Controller) runProbe(ctx context.Context, id roster.ID, addr string, asked clock.Instant, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	rep, err := c.Engines.Report(ctx, addr, id)
@@ -166,74 +169,76 @@
 	defer c.mu.Unlock()
 	f, p := c.facts[id], c.probes[id]
 	if f == nil || p == nil {
-		return // the tenure is over
+		return // the tenure has ended
 	}
 	now := c.Clock.Now()
-	p.running = false
+	p.inFlight = false
 	switch {
-	case err != nil && ctx.Err() != nil && p.inconclusive(now.Sub(asked)-limit):
-		p.next = now.Add(probeAgain)
+	case err != nil && ctx.Err() != nil && p.isInconclusive(now.Sub(asked)-limit):
+		p.next = now.Add(probeRetryDelay)
 	case err != nil:
-		c.probeFailed(f, p, asked, now, err)
+		c.recordProbeFailure(f, p, asked, now, err)
 	default:
-		p.late = 0
-		c.pace.took(now.Sub(asked))
-		f.takeReport(rep, asked)
-		p.next = now.Add(c.calmPause(f, now))
+		p.inconclusiveMisses = 0
+		c.reportRTT.observe(now.Sub(asked))
+		f.applyReport(rep, asked)
+		p.next = now.Add(c.probeDelay(f, now))
 	}
-	c.nudge()
+	c.signalWake()
 }
 
 const (
-	// ownLateness is how late a report's limit may end before the miss is this node's
-	// own: timers fire within a few ms on a node with time to spare.
-	ownLateness = 30 * time.Millisecond
-	// mostLate is how many misses in a row are put down to that: a node that is late
-	// for good must still see losses.
-	mostLate = 3
+	// maxTimerLateness is how late a probe's timeout may fire before the miss is
+	// attributed to this node. On a node with spare processor time, timers fire within a
+	// few milliseconds.
+	maxTimerLateness = 30 * time.Millisecond
+	// maxInconclusiveMisses limits the consecutive misses attributed to this node, since
+	// a permanently overloaded node must still detect losses.
+	maxInconclusiveMisses = 3
 )
 
-// inconclusive reports whether a report that missed its limit says nothing of the
-// engine: the limit ended late by so much that the answer may have come while this node
-// had no time to read it. A holder short of processor time took dozens of engines for
-// lost within the same millisecond.
-func (p *probe) inconclusive(late time.Duration) bool {
-	if late <= ownLateness || p.late >= mostLate {
-		p.late = 0
+// isInconclusive reports whether a missed probe says nothing about the engine, and counts
+// such misses: the timeout fired so late that the response may have arrived unread. An
+// owner short of processor time declared dozens of engines lost within the same
+// millisecond.
+func (p *probe) isInconclusive(late time.Duration) bool {
+	if late <= maxTimerLateness || p.inconclusiveMisses >= maxInconclusiveMisses {
+		p.inconclusiveMisses = 0
 		return false
 	}
-	p.late++
+	p.inconclusiveMisses++
 	return true
 }
 
-// calmPause returns how long an engine that has just answered needs no look.
-func (c *Controller) calmPause(f *Fact, now clock.Instant) time.Duration {
+// probeDelay returns the delay until the next probe of an engine that has just responded.
+func (c *Controller) probeDelay(f *Fact, now clock.Instant) time.Duration {
 	g := c.group(f.Report.Member.Group)
 	if g == nil {
-		return probeCalm
+		return probeInterval
 	}
 	sign, suspect := c.Signs(g.Head())
 	if suspect {
-		return probeCalm
+		return probeInterval
 	}
-	// Requests that other nodes have at the head show a loss as this node's own do:
-	// those nodes tell of it. In a fleet of 80 nodes hardly any are this node's own.
+	// Other nodes' requests at the head reveal a loss as this node's own do, because
+	// those nodes report it. In a fleet of 80 nodes hardly any requests are this node's
+	// own.
 	head := c.facts[g.Head()]
 	busy := head != nil && head.Failures == 0 && head.Report.Active > 0
-	if busy || sign != 0 && now.Sub(sign) < signFresh {
-		return probeServing
+	if busy || sign != 0 && now.Sub(sign) < maxSignAge {
+		return servingProbeInterval
 	}
-	return probeCalm
+	return probeInterval
 }
 
-func (c *Controller) probeFailed(f *Fact, p *probe, asked, now clock.Instant, err error) {
+func (c *Controller) recordProbeFailure(f *Fact, p *probe, asked, now clock.Instant, err error) {
 	switch {
 	case errors.Is(err, ErrEarlierLife):
-		c.Log.Info("report concludes nothing", "zone", c.Zone, "endpoint", f.ID, "err", err)
-		p.next = now.Add(probeAgain)
+		c.Log.Info("report of an earlier incarnation ignored", "zone", c.Zone, "endpoint", f.ID, "err", err)
+		p.next = now.Add(probeRetryDelay)
 		return
 	case errors.Is(err, ErrReborn):
-		f.endLife()
+		f.markRestarted()
 	case errors.Is(err, ErrOtherLife):
 		f.Gone = true
 	}
@@ -242,22 +247,22 @@
 	}
 	f.Failures++
 	f.Missed = asked
-	p.next = now.Add(probeAgain)
+	p.next = now.Add(probeRetryDelay)
 	switch {
 	case f.Failures > 4:
-		p.next = now.Add(probeCalm)
-	case now.Before(p.brief):
+		p.next = now.Add(probeInterval)
+	case now.Before(p.shortTimeoutUntil):
 		p.next = now
-		c.askControl(f)
+		c.probeControlMember(f)
 	}
 	if f.Failures == 2 {
-		c.Log.Info("engine does not answer", "zone", c.Zone, "endpoint", f.ID, "err", err, "answered_ms_ago", now.Sub(f.Answered).Milliseconds())
+		c.Log.Info("engine does not respond", "zone", c.Zone, "endpoint", f.ID, "err", err, "answered_ms_ago", now.Sub(f.Answered).Milliseconds())
 	}
 }
 
-// askControl asks another member of an engine's group at the same time as the engine:
-// what both of them miss is this node's own lateness.
-func (c *Controller) askControl(f *Fact) {
+// probeControlMember probes another member of the engine's group at the same time as the
+// engine. If both miss, this node itself is delayed.
+func (c *Controller) probeControlMember(f *Fact) {
 	g := c.group(f.Report.Member.Group)
 	if g == nil {
 		return
@@ -270,12 +275,13 @@
 	}
 }
 
-// endLife notes that the engine has started again.
-func (f *Fact) endLife() { f.Gone, f.Reborn = true, true }
+// markRestarted records that the engine has restarted.
+func (f *Fact) markRestarted() { f.Gone, f.Reborn = true, true }
 
-// known reports whether every listed engine of the service was asked at least
-// once. A plan made before would form groups around engines it knows nothing of.
-func (c *Controller) known(service string) bool {
+// allEnginesProbed reports whether every listed engine of the service in the zone has
+// been probed at least once. An earlier plan would form groups without knowing the
+// engines' state.
+func (c *Controller) allEnginesProbed(service string) bool {
 	n := 0
 	for _, e := range c.Roster().Service(service) {
 		if e.Zone != c.Zone {
@@ -290,8 +296,8 @@
 	return n > 0
 }
 
-func (c *Controller) hurry(id roster.ID, pause time.Duration) {
-	if p := c.probes[id]; p != nil && !p.running {
+func (c *Controller) probeWithin(id roster.ID, pause time.Duration) {
+	if p := c.probes[id]; p != nil && !p.inFlight {
 		p.next = min(p.next, c.Clock.Now().Add(pause))
 	}
 }
--- a/internal/formation/probe_test.go
+++ b/internal/formation/probe_test.go
@@ -10,10 +10,10 @@
 	"chervilloom/internal/roster"
 )
 
-// The members of a group are asked seldom while its head has requests, whichever
-// node they came from: a loss shows by them within a quarter of a second. A head
-// that stands still, or has no requests, gives no such sign.
-func TestBusyGroupsAreAskedSeldom(t *testing.T) {
+// Members of a group are probed less often while its head serves requests from any node,
+// because those reveal a loss within a quarter of a second. A stalled or idle head gives
+// no such evidence.
+func TestBusyGroupsAreProbedLessOften(t *testing.T) {
 	now := clock.Instant(time.Hour)
 	member := roster.Membership{Group: "g", Epoch: 1, Rank: 1, State: roster.Ready}
 	for name, c := range map[string]struct {
@@ -22,11 +22,11 @@
 		suspect          bool
 		want             time.Duration
 	}{
-		"idle":                    {want: probeCalm},
-		"own requests":            {sign: now.Add(-100 * time.Millisecond), want: probeServing},
-		"other nodes' requests":   {active: 3, want: probeServing},
-		"stands still":            {active: 3, suspect: true, want: probeCalm},
-		"its head doesn't answer": {active: 3, failures: 1, want: probeCalm},
+		"idle":                  {want: probeInterval},
+		"own requests":          {sign: now.Add(-100 * time.Millisecond), want: servingProbeInterval},
+		"other nodes' requests": {active: 3, want: servingProbeInterval},
+		"stalled head":          {active: 3, suspect: true, want: probeInterval},
+		"head doesn't respond":  {active: 3, failures: 1, want: probeInterval},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -36,7 +36,7 @@
 				ledger: Ledger{Groups: []Group{{Name: "g", Epoch: 1, Members: []roster.ID{"h", "m"}}}},
 				facts:  map[roster.ID]*Fact{"h": {ID: "h", Report: Report{Active: c.active}, Failures: c.failures}, "m": f},
 			}
-			is.Equal(ctl.calmPause(f, now), c.want)
+			is.Equal(ctl.probeDelay(f, now), c.want)
 		})
 	}
 }
--- a/internal/formation/reach_test.go
+++ b/internal/formation/reach_test.go
@@ -7,15 +7,15 @@
 	"github.com/matryer/is"
 )
 
-// The whole zone is cut off from the node that plans for it, and comes back after
-// six seconds. Its groups have served its own clients all the while, or stood still
-// for want of them: they are whole and serve on. Nothing is taken apart.
-func TestCutZoneServesOnWhenItIsBack(t *testing.T) {
+// The whole zone is partitioned from the planning node for six seconds. Its groups are
+// complete and keep serving, or are idle: they must resume when the partition heals, and
+// none may be dissolved.
+func TestZoneResumesAfterPartition(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	before := w.ledger
 	for _, e := range w.sorted() {
-		e.cut = true
+		e.partitioned = true
 	}
 	var lost, back int
 	play := func(d time.Duration) {
@@ -26,26 +26,26 @@
 		}
 	}
 	play(6 * time.Second)
-	for i, e := range w.sorted() { // they are reached again one after the other
+	for i, e := range w.sorted() { // they become reachable one after the other
 		if i%6 == 0 {
 			play(100 * time.Millisecond)
 		}
-		e.cut = false
+		e.partitioned = false
 	}
 	play(3 * time.Second)
 	is.Equal(w.ledger, before)
-	is.Equal(lost, len(before.Groups)) // requests go elsewhere meanwhile
+	is.Equal(lost, len(before.Groups)) // meanwhile requests are routed elsewhere
 	is.Equal(back, lost)
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 }
 
-// The same cut, but two engines have died under it: their groups are taken apart
-// once the others answer again, and only theirs.
-func TestLossUnderACutIsSeenAfterIt(t *testing.T) {
+// The same partition, but a member dies during it: its group is dissolved once the others
+// respond again, and only that group.
+func TestLossDuringPartitionIsDetectedAfterwards(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	for _, e := range w.sorted() {
-		e.cut = true
+		e.partitioned = true
 	}
 	w.run(3 * time.Second)
 	head := w.serving("big")[0]
@@ -56,7 +56,7 @@
 		names[g.Name] = true
 	}
 	for _, e := range w.sorted() {
-		e.cut = false
+		e.partitioned = false
 	}
 	w.run(4 * time.Second)
 	for _, g := range w.ledger.Groups {
@@ -66,5 +66,5 @@
 	}
 	is.Equal(whole, len(names)-1)
 	is.Equal(len(w.serving("big")), 2)
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 }
--- a/internal/formation/recover.go
+++ b/internal/formation/recover.go
@@ -12,42 +12,43 @@
 	"chervilloom/internal/roster"
 )
 
-// putBack writes the claims again after the table came back from an older copy, under the
-// lease that was put back before. In a tenure nobody else writes them, so what this owner
-// knows is all there is; taken from the copy, groups formed since would be closed as
-// groups that no claim knows, and those ended since would claim members of others.
-func (c *Controller) putBack(ctx context.Context, grant lease.Grant) bool {
-	known, before := c.ledger, c.row
-	if !c.readLedger(ctx) || c.row.Era != grant.Era || !c.commit(ctx, grant, known) {
+// restoreClaims writes the claims again, under the restored lease, after the table was
+// restored from an older copy. Only the owner writes claims during its tenure, so its own
+// are complete. With the copy's claims, groups formed since would be closed as unclaimed,
+// and groups ended since would claim members of others.
+func (c *Controller) restoreClaims(ctx context.Context, grant lease.Grant) bool {
+	known, before := c.ledger, c.ledgerRow
+	if !c.readLedger(ctx) || c.ledgerRow.Era != grant.Era || !c.commit(ctx, grant, known) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.ledger, c.row = known, before // tried again
+		c.ledger, c.ledgerRow = known, before // retried in the next tick
 		return false
 	}
-	c.Log.Info("claims put back", "zone", c.Zone, "fence", grant.Fence, "era", grant.Era, "groups", len(known.Groups))
+	c.Log.Info("claims restored", "zone", c.Zone, "fence", grant.Fence, "era", grant.Era, "groups", len(known.Groups))
 	return true
 }
 
-// completeClaims completes claims that are an older copy, whose owner has ended as well, by
-// what the engines report. Until that is committed nothing is planned: groups serve on
-// meanwhile. It returns claims to commit, if any, and whether planning may go on.
+// completeClaims completes claims from an older copy whose owner has ended too, using the
+// engines' reports. Nothing is planned until the result is committed; groups keep serving
+// meanwhile. It returns the claims to commit, if any, and whether planning may proceed.
 func (c *Controller) completeClaims() (complete *Ledger, ready bool) {
-	if !c.partial || !c.loaded {
+	if !c.ledgerStale || !c.ledgerLoaded {
 		return nil, true
 	}
-	if c.Clock.Now().Sub(c.since) < recoverLimit && !allReported(c.facts, c.since) {
+	if c.Clock.Now().Sub(c.tenureStart) < recoverTimeout && !allReported(c.facts, c.tenureStart) {
 		return nil, false
 	}
 	l := c.ledger
-	for _, g := range standing(c.facts, l, c.kindOf) {
+	for _, g := range unclaimedGroups(c.facts, l, c.serviceAndGroupSize) {
 		l.Groups = append(slices.Clip(l.Groups), g)
-		c.Log.Info("group stands without a claim; it is claimed again", "zone", c.Zone, "group", g.Name, "epoch", g.Epoch, "model", g.Model, "members", len(g.Members))
+		c.Log.Info("serving group has no claim; claiming it again", "zone", c.Zone, "group", g.Name, "epoch", g.Epoch, "model", g.Model, "members", len(g.Members))
 	}
 	return &l, false
 }
 
-// kindOf returns the service of a head and the size of the groups of its model; 0: unknown.
-func (c *Controller) kindOf(head *Fact) (service string, size int) {
+// serviceAndGroupSize returns the service of a head and the group size of its model, or
+// size 0 if unknown.
+func (c *Controller) serviceAndGroupSize(head *Fact) (service string, size int) {
 	e, cat := c.Roster().Get(head.ID), c.Catalog()
 	if e == nil || cat == nil {
 		return "", 0
@@ -62,12 +63,13 @@
 	return e.Service, size
 }
 
-// recoverLimit is how long an owner waits for reports of all engines before it goes by
-// those that came: an engine that doesn't answer is taken for dead sooner.
-const recoverLimit = time.Second
+// recoverTimeout is how long a new owner waits for reports of all engines before it
+// proceeds with those received. An unresponsive engine is considered dead earlier than
+// that.
+const recoverTimeout = time.Second
 
-// allReported reports whether each engine has told its state since the tenure began, by
-// the lag of reports, or doesn't answer.
+// allReported reports whether each engine either has reported its state from after the
+// start of the tenure, allowing for the report lag, or is unresponsive.
 func allReported(facts map[roster.ID]*Fact, since clock.Instant) bool {
 	if len(facts) == 0 {
 		return false
@@ -80,10 +82,10 @@
 	return true
 }
 
-// standing returns the groups that serve and that no claim names: their heads take
-// requests, and the engine of each rank says that it is in the group. A group of which a
-// member is missing stands still anyway, and its engines leave it.
-func standing(facts map[roster.ID]*Fact, l Ledger, kindOf func(head *Fact) (service string, size int)) []Group {
+// unclaimedGroups returns the serving groups without a claim: the head accepts requests,
+// and the engine of each rank reports its membership. A group with a missing member is
+// stalled anyway and is left out, so its engines are ordered to leave it.
+func unclaimedGroups(facts map[roster.ID]*Fact, l Ledger, serviceAndGroupSize func(head *Fact) (service string, size int)) []Group {
 	named := map[string]bool{}
 	for _, g := range l.Groups {
 		named[g.Name] = true
@@ -99,8 +101,8 @@
 	for _, name := range slices.Sorted(maps.Keys(members)) {
 		fs := members[name]
 		slices.SortFunc(fs, func(a, b *Fact) int { return cmp.Compare(a.Report.Member.Rank, b.Report.Member.Rank) })
-		service, size := kindOf(fs[0])
-		if size == 0 || len(fs) != size || !serves(fs) {
+		service, size := serviceAndGroupSize(fs[0])
+		if size == 0 || len(fs) != size || !isWholeAndOpen(fs) {
 			continue
 		}
 		g := Group{Name: name, Epoch: fs[0].Report.Member.Epoch, Service: service, Model: fs[0].Report.Model, Domain: fs[0].Domain}
@@ -112,9 +114,9 @@
 	return out
 }
 
-// serves reports whether engines in the order of their ranks are a whole group that takes
-// requests.
-func serves(fs []*Fact) bool {
+// isWholeAndOpen reports whether the engines, sorted by rank, form a complete group whose
+// head accepts requests.
+func isWholeAndOpen(fs []*Fact) bool {
 	head := fs[0].Report.Member
 	for rank, f := range fs {
 		m := f.Report.Member
--- a/internal/formation/restore_test.go
+++ b/internal/formation/restore_test.go
@@ -21,26 +21,27 @@
 	"chervilloom/internal/roster"
 )
 
-// copyTable is the claims' table; it can come back in a new era with older claims.
-type copyTable struct {
+// restorableTable is a table of claims that can be restored in a new era with older
+// claims.
+type restorableTable struct {
 	row  table.Row
 	down bool
-	// deaf: writes fail while reads are answered.
-	deaf  bool
-	asked int
+	// writesFail makes writes fail while reads succeed.
+	writesFail bool
+	calls      int
 }
 
-func (t *copyTable) Get(context.Context, string, string) (table.Row, error) {
-	t.asked++
+func (t *restorableTable) Get(context.Context, string, string) (table.Row, error) {
+	t.calls++
 	if t.down {
 		return table.Row{}, table.ErrDown
 	}
 	return t.row, nil
 }
 
-func (t *copyTable) Commit(_ context.Context, txn table.Txn) (table.Result, error) {
-	t.asked++
-	if t.down || t.deaf {
+func (t *restorableTable) Commit(_ context.Context, txn table.Txn) (table.Result, error) {
+	t.calls++
+	if t.down || t.writesFail {
 		return table.Result{}, table.ErrDown
 	}
 	for _, c := range txn.Checks {
@@ -55,7 +56,7 @@
 	return table.Result{Committed: true, Rows: []table.Row{t.row}}, nil
 }
 
-func (t *copyTable) ledger() Ledger {
+func (t *restorableTable) ledger() Ledger {
 	var l Ledger
 	if json.Unmarshal(t.row.Value, &l) != nil {
 		return Ledger{}
@@ -63,21 +64,21 @@
 	return l
 }
 
-// always is a lease that is held.
-type always struct{ grant *lease.Grant }
+// heldLease is a lease that is always held.
+type heldLease struct{ grant *lease.Grant }
 
-func (a always) Held(clock.Instant) (lease.Grant, bool) { return *a.grant, true }
+func (a heldLease) Held(clock.Instant) (lease.Grant, bool) { return *a.grant, true }
 
-// A group is formed and its claim written. The table comes back from a copy of before. The
-// owner, whose lease stands in the new era again, writes what it knows: read from the copy,
-// the group would be one that no claim knows and be closed while it serves. While the
-// table fails the owner goes on with what it knows.
-func TestOwnerPutsItsClaimsBack(t *testing.T) {
+// A group is formed, its claim is written, and the table is restored from an older copy.
+// The owner, whose lease is valid again in the new era, must write its own claims: with
+// those of the copy, the group would be closed as unclaimed while it serves. While the
+// table fails, the owner keeps its claims.
+func TestOwnerRestoresItsClaims(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	tab := &copyTable{row: table.Row{Era: 1}}
+	tab := &restorableTable{row: table.Row{Era: 1}}
 	grant := &lease.Grant{Duty: "z", Fence: 1 << 20, Era: 1}
-	c := &Controller{Zone: "z", Table: tab, Lease: always{grant}, Clock: clock.NewManual(clock.Instant(time.Hour)), Log: slog.New(slog.DiscardHandler)}
+	c := &Controller{Zone: "z", Table: tab, Lease: heldLease{grant}, Clock: clock.NewManual(clock.Instant(time.Hour)), Log: slog.New(slog.DiscardHandler)}
 	is.True(c.beginTenure(ctx, *grant))
 	copied := tab.row
 	l := Ledger{Groups: []Group{{Name: "g", Epoch: 1, Members: []roster.ID{"a"}}}}
@@ -90,23 +91,23 @@
 	is.Equal(len(c.ledger.Groups), 1)
 	grant.Era = 2
 	tab.down = true
-	is.True(!c.putBack(ctx, *grant))
+	is.True(!c.restoreClaims(ctx, *grant))
 	is.Equal(len(c.ledger.Groups), 1)
-	tab.down, tab.deaf = false, true
-	is.True(!c.putBack(ctx, *grant))
+	tab.down, tab.writesFail = false, true
+	is.True(!c.restoreClaims(ctx, *grant))
 	is.Equal(len(c.ledger.Groups), 1)
-	is.True(c.row.Era != grant.Era) // it is tried again
-	tab.deaf = false
-	is.True(c.putBack(ctx, *grant))
+	is.True(c.ledgerRow.Era != grant.Era) // will be retried
+	tab.writesFail = false
+	is.True(c.restoreClaims(ctx, *grant))
 	is.Equal(tab.ledger(), Ledger{Groups: l.Groups, Era: 2})
 }
 
-// completeFrom lets a new owner complete an older copy of the claims, and reports when it
-// may plan.
-func (w *world) completeFrom(l Ledger) {
+// takeOverFromCopy changes the owner, with an older copy of the claims, and completes the
+// claims from the engines' reports.
+func (w *simZone) takeOverFromCopy(l Ledger) {
 	w.takeOver()
 	w.ledger = l
-	for !allReported(w.facts, w.since) && w.now.Sub(w.since) < recoverLimit {
+	for !allReported(w.facts, w.tenureStart) && w.now.Sub(w.tenureStart) < recoverTimeout {
 		for _, e := range w.sorted() {
 			w.report(e)
 		}
@@ -118,17 +119,17 @@
 		}
 		return "", 0
 	}
-	w.ledger.Groups = append(slices.Clone(w.ledger.Groups), standing(w.facts, w.ledger, kind)...)
+	w.ledger.Groups = append(slices.Clone(w.ledger.Groups), unclaimedGroups(w.facts, w.ledger, kind)...)
 }
 
-// The table comes back without the claims of groups that serve, and their owner has ended.
-// The next one finds them by what their members report, and none of them is closed.
-func TestGroupsWithoutClaimsServeOn(t *testing.T) {
+// The table is restored without the claims of serving groups, and their owner has died.
+// The next owner finds the groups by their members' reports and must close none of them.
+func TestUnclaimedGroupsKeepServing(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	before := w.serving("big")
 	is.True(len(before) > 0)
-	w.completeFrom(Ledger{})
+	w.takeOverFromCopy(Ledger{})
 	for range 50 {
 		w.plan()
 		w.advance(100 * time.Millisecond)
@@ -136,25 +137,25 @@
 			is.Equal(head.state, roster.Open)
 		}
 	}
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 	is.Equal(len(w.serving("big")), len(before))
 }
 
-// Owners change, orders are lost or carried out late, engines end, and the claims come back
-// from copies of up to 8 s before, twice in a row at times: groups that were formed since
-// are missing in them, and those that ended claim engines of others. No engine joins
-// another group while its own head is open, and no group opens that isn't whole; when that
-// is over, groups serve again.
-func TestGroupsStayWholeAndApartAcrossRestores(t *testing.T) {
+// Random sequences of owner changes, lost or delayed orders, engine restarts, and
+// restores of claims up to 8 s old, at times twice in a row: the claims lack groups
+// formed since and claim engines of groups that have ended. No engine may join another
+// group while its own head is open, and no group may open incomplete. After the faults,
+// groups must serve again.
+func TestGroupsStayWholeAndDisjointAcrossRestores(t *testing.T) {
 	const seeds = 30
 	for seed := range uint64(seeds) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		w := started()
-		w.fate = func() fate {
+		w := startedZone()
+		w.delivery = func() delivery {
 			if n := rng.IntN(20); n < 3 {
-				return unanswered + fate(n)
+				return answerLost + delivery(n)
 			}
-			return answered
+			return orderAnswered
 		}
 		var copies []Ledger
 		for range 300 {
@@ -165,46 +166,46 @@
 			case 0, 1:
 				w.restart(w.sorted()[rng.IntN(len(w.engines))])
 			case 2, 3:
-				w.completeFrom(copies[max(0, len(copies)-1-rng.IntN(80))])
+				w.takeOverFromCopy(copies[max(0, len(copies)-1-rng.IntN(80))])
 			case 4:
 				w.takeOver()
 			}
 		}
-		w.fate = func() fate { return answered }
+		w.delivery = func() delivery { return orderAnswered }
 		w.run(time.Minute)
 		if len(w.serving("big"))+len(w.serving("small")) == 0 {
 			w.fail("no group serves at the end")
 		}
-		if w.broken != "" {
-			t.Fatalf("seed %d: %s", seed, w.broken)
+		if w.violation != "" {
+			t.Fatalf("seed %d: %s", seed, w.violation)
 		}
 	}
 }
 
-// The table fails while groups have to be formed. A plan for each look, whose claims can't be
-// written, cost two calls each 15 ms until the lease was over.
-func TestFailingTableIsNotAskedWithEachLook(t *testing.T) {
+// The table fails while groups have to be formed. When every tick made a plan whose
+// claims couldn't be committed, this cost two calls every 15 ms until the lease expired.
+func TestFailingTableIsNotCalledOnEveryTick(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		tab, now := &copyTable{}, clock.NewManual(clock.Instant(time.Hour))
-		c := idleController(tab, now)
+		tab, now := &restorableTable{}, clock.NewManual(clock.Instant(time.Hour))
+		c := newIdleController(tab, now)
 		is.True(c.beginTenure(t.Context(), lease.Grant{Duty: "z", Fence: 1}))
-		tab.deaf = true
-		before := tab.asked
+		tab.writesFail = true
+		before := tab.calls
 		const looks, pause = 100, 15 * time.Millisecond
 		for range looks {
 			c.tick(t.Context())
-			synctest.Wait() // the reports that it asked for
+			synctest.Wait() // for the probes of this tick
 			now.Advance(pause)
 		}
-		calls := tab.asked - before
+		calls := tab.calls - before
 		is.True(calls > 0)
-		is.True(calls <= 2*int(looks*pause/commitAgain)+2)
+		is.True(calls <= 2*int(looks*pause/commitRetryDelay)+2)
 	})
 }
 
-// idleController plans for a domain of nine engines that are free.
-func idleController(tab Table, now *clock.Manual) *Controller {
+// newIdleController returns a controller for a domain of nine free engines.
+func newIdleController(tab Table, now *clock.Manual) *Controller {
 	var list roster.Listing
 	for i := range 9 {
 		id := roster.ID(fmt.Sprint("e", i))
@@ -213,27 +214,27 @@
 	r := roster.Merge(roster.Empty(), list, now.Now(), 0)
 	cat, err := catalog.New(catalog.Document{Version: 1, Services: []catalog.Service{{Name: "s", Engine: testEngine()}}})
 	if err != nil {
-		panic(err) // the test's own document
+		panic(err) // the document is part of the test
 	}
 	return (&Controller{
-		Zone: "z", Table: tab, Lease: always{&lease.Grant{Duty: "z", Fence: 1}}, Clock: now, Log: slog.New(slog.DiscardHandler),
+		Zone: "z", Table: tab, Lease: heldLease{&lease.Grant{Duty: "z", Fence: 1}}, Clock: now, Log: slog.New(slog.DiscardHandler),
 		Catalog: func() *catalog.Catalog { return cat }, Roster: func() *roster.Roster { return r },
 		FreeLoads: func() bool { return true }, ManyNodes: func() bool { return true }, Announce: func(roster.Hint) {},
 		Signs:  func(roster.ID) (clock.Instant, bool) { return 0, false },
 		Demand: func(string) demand.Demand { return demand.Demand{} },
-		Params: func(*catalog.Engine) Params { return DefaultParams(5*time.Second, 7, 2) }, Engines: idle{},
+		Params: func(*catalog.Engine) Params { return DefaultParams(5*time.Second, 7, 2) }, Engines: idleEngines{},
 	}).Init()
 }
 
-// The claims are an older copy, and the table refuses the completed ones at first. Planned by
-// the copy meanwhile, groups that it lacks would be closed.
-func TestNothingIsPlannedByAnOlderCopy(t *testing.T) {
+// The claims are an older copy, and the table at first rejects the completed ones. A plan
+// from the copy would close the groups that it lacks.
+func TestNoPlanFromStaleClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		tab, now := &copyTable{}, clock.NewManual(clock.Instant(time.Hour))
-		c := idleController(tab, now)
+		tab, now := &restorableTable{}, clock.NewManual(clock.Instant(time.Hour))
+		c := newIdleController(tab, now)
 		is.True(c.beginTenure(t.Context(), lease.Grant{Duty: "z", Fence: 1}))
-		c.partial, tab.deaf = true, true
+		c.ledgerStale, tab.writesFail = true, true
 		look := func() {
 			for range 100 {
 				c.tick(t.Context())
@@ -242,20 +243,20 @@
 			}
 		}
 		look()
-		is.True(c.partial)
-		is.Equal(len(c.memory), 0) // no plan was made
-		tab.deaf = false
+		is.True(c.ledgerStale)
+		is.Equal(len(c.memories), 0) // no plan was made
+		tab.writesFail = false
 		look()
-		is.True(!c.partial)
+		is.True(!c.ledgerStale)
 		is.True(len(c.ledger.Groups) > 0)
 	})
 }
 
-// idle engines are free and answer at once.
-type idle struct{}
+// idleEngines are free and respond at once.
+type idleEngines struct{}
 
-func (idle) Report(context.Context, string, roster.ID) (Report, error) {
+func (idleEngines) Report(context.Context, string, roster.ID) (Report, error) {
 	return Report{Count: 1, Domain: "d", Pace: 1, Staged: []string{}}, nil
 }
 
-func (idle) Order(context.Context, string, Order) (Verdict, error) { return Lost, nil }
+func (idleEngines) Order(context.Context, string, Order) (Verdict, error) { return Lost, nil }
--- a/internal/formation/roundtrip.go
+++ b/internal/formation/roundtrip.go
@@ -2,45 +2,46 @@
 
 import "time"
 
-// roundTrip is how long reports take to come, as this node sees it: the engine's
-// time, the way, and what this node itself is late by.
+// roundTrip estimates the duration of probes as observed by this node, including the
+// engine's processing time, the network and this node's own delays.
 type roundTrip struct {
-	n      int
-	mean   time.Duration
-	spread time.Duration // smoothed distance from the mean
+	samples       int
+	mean          time.Duration
+	meanDeviation time.Duration // smoothed absolute deviation from the mean
 }
 
 const (
-	// roundTripSmoothing is how many reports a change needs to show.
+	// roundTripSmoothing is the divisor of the moving averages, in samples.
 	roundTripSmoothing = 16
-	// roundTripKnown is how many reports tell the pace: a node that has just taken a
-	// zone over asks all engines at once, and its first answers are late.
-	roundTripKnown = 8
-	// briefSpreads is how far from the mean a report is too late to come: the same
-	// bound that TCP takes for its retransmissions.
-	briefSpreads = 4
-	// briefLeast: engines that live answer in a few milliseconds.
-	briefLeast = 50 * time.Millisecond
+	// roundTripMinSamples is the number of samples from which the estimate is used. A
+	// new owner probes all engines at once, so its first responses are late.
+	roundTripMinSamples = 8
+	// shortTimeoutDeviations is the distance from the mean, in mean deviations, after
+	// which a response counts as late. TCP uses the same factor for its retransmission
+	// timeout.
+	shortTimeoutDeviations = 4
+	// minShortTimeout is ample for a live engine, which responds within a few
+	// milliseconds.
+	minShortTimeout = 50 * time.Millisecond
 )
 
-func (r *roundTrip) took(d time.Duration) {
-	r.n++
-	if r.n == 1 {
-		r.mean, r.spread = d, d/2
+func (r *roundTrip) observe(d time.Duration) {
+	r.samples++
+	if r.samples == 1 {
+		r.mean, r.meanDeviation = d, d/2
 		return
 	}
 	off := d - r.mean
 	r.mean += off / roundTripSmoothing
-	r.spread += (off.Abs() - r.spread) / roundTripSmoothing
+	r.meanDeviation += (off.Abs() - r.meanDeviation) / roundTripSmoothing
 }
 
-// brief returns the limit of a report while the requests of the engine's group stand
-// still. A node that is short of processor time sees reports late; with a limit of
-// 50 ms it took engines for lost that answered within 100 ms, and each took a whole
-// group apart.
-func (r *roundTrip) brief() time.Duration {
-	if r.n < roundTripKnown {
-		return probeLimit
+// shortTimeout returns the probe timeout while the requests of the engine's group are
+// stalled. A node short of processor time receives responses late: with a fixed 50 ms it
+// declared engines lost that responded within 100 ms, and each cost a whole group.
+func (r *roundTrip) shortTimeout() time.Duration {
+	if r.samples < roundTripMinSamples {
+		return probeTimeout
 	}
-	return min(probeLimit, max(briefLeast, r.mean+briefSpreads*r.spread))
+	return min(probeTimeout, max(minShortTimeout, r.mean+shortTimeoutDeviations*r.meanDeviation))
 }
--- a/internal/formation/roundtrip_test.go
+++ b/internal/formation/roundtrip_test.go
@@ -7,25 +7,25 @@
 	"github.com/matryer/is"
 )
 
-// A node with time to spare gets reports within 5 ms and gives one in doubt 50 ms.
-// The same node short of processor time gets them after 20 to 140 ms: it must not
-// take an engine for lost that answers like the others do. One that knows no pace
-// yet waits the whole limit.
-func TestBriefLimitFollowsOwnLateness(t *testing.T) {
+// Guards against a fixed timeout on a slow node. A node with spare processor time gets
+// responses within 5 ms and uses a short timeout of 50 ms. Short of processor time, it
+// gets them after 20 to 140 ms and must not declare an engine lost that responds like the
+// others. Without enough samples, the full timeout applies.
+func TestShortTimeoutFollowsObservedLatency(t *testing.T) {
 	is := is.New(t)
 	var r roundTrip
-	is.Equal(r.brief(), probeLimit)
+	is.Equal(r.shortTimeout(), probeTimeout)
 	for range 50 {
-		r.took(5 * time.Millisecond)
+		r.observe(5 * time.Millisecond)
 	}
-	is.Equal(r.brief(), briefLeast)
+	is.Equal(r.shortTimeout(), minShortTimeout)
 	for i := range 50 {
-		r.took(time.Duration(20+120*(i%2)) * time.Millisecond)
+		r.observe(time.Duration(20+120*(i%2)) * time.Millisecond)
 	}
-	is.True(r.brief() > 140*time.Millisecond)
-	is.True(r.brief() <= probeLimit)
+	is.True(r.shortTimeout() > 140*time.Millisecond)
+	is.True(r.shortTimeout() <= probeTimeout)
 	for range 150 {
-		r.took(5 * time.Millisecond)
+		r.observe(5 * time.Millisecond)
 	}
-	is.Equal(r.brief(), briefLeast)
+	is.Equal(r.shortTimeout(), minShortTimeout)
 }
--- a/internal/formation/suspect_test.go
+++ b/internal/formation/suspect_test.go
@@ -11,7 +11,7 @@
 	"chervilloom/internal/roster"
 )
 
-// largeEngine has a model of 32 members beside one of 8, for domains of 73.
+// largeEngine has models of 32 and 8 members, for domains of 73 engines.
 func largeEngine() *catalog.Engine {
 	return &catalog.Engine{
 		Slots: 22, FormTime: 300 * time.Millisecond, LoadsPerSecond: 91, LoadsAtOnce: 136, Keeps: 1,
@@ -22,16 +22,16 @@
 	}
 }
 
-// A node's streams at a head of 32 members pause. All members are asked with a short
-// limit; one answer is late. The group is whole: taken apart, its 32 engines would
-// serve nobody for a second, and their streams would crowd the others.
-func TestOneLateReportEndsNoGroup(t *testing.T) {
+// A node's streams at a head of 32 members pause, and one of the members misses a probe
+// with the short timeout. The group is complete and must stay: dissolved, its 32 engines
+// would serve nobody for a second, and their streams would overload other groups.
+func TestOneMissedReportDoesNotCloseLargeGroup(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
-	w.engine, w.free = largeEngine(), true
+	w := newSimZone()
+	w.engine, w.loadsAreFree = largeEngine(), true
 	w.add("d0", 73)
 	w.run(10 * time.Second)
-	w.free = false
+	w.loadsAreFree = false
 	before := len(w.serving("big")) + len(w.serving("small"))
 	is.True(before > 0)
 	for _, head := range append(w.serving("big"), w.serving("small")...) {
@@ -41,8 +41,8 @@
 		late.Failures, late.Failing, late.Missed = 1, w.now, w.now
 		out := Plan(w.input(), w.mem)
 		is.Equal(len(out.Lost), 0)
-		// Missed twice, while others answered the second time: it is lost.
-		late.Failures = suspectMisses
+		// A second miss while others responded: the member is lost.
+		late.Failures = largeGroupMisses
 		out = Plan(w.input(), w.mem)
 		is.Equal(len(out.Lost), 1)
 		late.Failures = 0
@@ -51,10 +51,10 @@
 	}
 }
 
-// In a group of four one miss is enough where another member has answered since.
-func TestOneMissIsEnoughInASmallGroup(t *testing.T) {
+// In a group of four, one miss is enough if another member has responded since.
+func TestOneMissedReportClosesSmallGroup(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	head := w.serving("big")[0]
 	w.plan()
 	w.facts[head.id].Suspect = true
@@ -63,35 +63,36 @@
 	is.Equal(len(Plan(w.input(), w.mem).Lost), 1)
 }
 
-// All members miss their reports: it is the asking node that is late.
-func TestOwnLatenessEndsNoGroup(t *testing.T) {
+// All members miss their probes: the probing node itself is delayed.
+func TestMissesByAllMembersDoNotCloseGroup(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	head := w.serving("big")[0]
 	w.plan()
 	w.facts[head.id].Suspect = true
 	for _, m := range head.members {
 		f := w.facts[m]
-		f.Failures, f.Failing, f.Missed = suspectMisses, w.now, w.now
+		f.Failures, f.Failing, f.Missed = largeGroupMisses, w.now, w.now
 	}
 	is.Equal(len(Plan(w.input(), w.mem).Lost), 0)
 }
 
-// One of many nodes is late itself and sees a gap: nobody is asked. A second one
-// within the window, or few streams, or a gap seen long after, each for itself.
-func TestDoubtsOfManyNodes(t *testing.T) {
+// One of many nodes is itself delayed and reports a stall: nothing is probed. A second
+// report within the window triggers a probe, as does a single report for a head with few
+// streams; a report after the window starts a new count.
+func TestStallReportQuorum(t *testing.T) {
 	is := is.New(t)
 	now := clock.Instant(time.Hour)
-	var d doubts
-	is.True(!d.enough(now, manyStreams))
-	is.True(d.enough(now.Add(doubtWindow), manyStreams))
-	is.True(!d.enough(now.Add(3*doubtWindow), manyStreams))
-	is.True(d.enough(now.Add(9*doubtWindow), manyStreams-1))
+	var d stallReports
+	is.True(!d.add(now, manyStreams))
+	is.True(d.add(now.Add(stallReportWindow), manyStreams))
+	is.True(!d.add(now.Add(3*stallReportWindow), manyStreams))
+	is.True(d.add(now.Add(9*stallReportWindow), manyStreams-1))
 }
 
-// A report with the short limit fails: the engine is asked once more at once, and
-// with it another member, whose answer shows that this node is not late.
-func TestFailedReportIsAskedAgainWithAControl(t *testing.T) {
+// A probe with the short timeout fails: the engine is probed again at once, together with
+// another member, whose response shows that this node is not delayed.
+func TestFailedProbeIsRepeatedWithControlMember(t *testing.T) {
 	is := is.New(t)
 	now := clock.Instant(time.Hour)
 	member := roster.Membership{Group: "g", Epoch: 1, State: roster.Ready}
@@ -100,24 +101,25 @@
 	c := &Controller{
 		Clock:  clock.NewManual(now),
 		facts:  map[roster.ID]*Fact{"a": {ID: "a", Answered: now}, "b": f},
-		probes: map[roster.ID]*probe{"a": {next: far}, "b": {next: far, brief: now.Add(briefFor)}},
+		probes: map[roster.ID]*probe{"a": {next: far}, "b": {next: far, shortTimeoutUntil: now.Add(suspicionDuration)}},
 		ledger: Ledger{Groups: []Group{{Name: "g", Epoch: 1, Members: []roster.ID{"a", "b"}}}},
 	}
-	c.probeFailed(f, c.probes["b"], now, now, ErrOtherLife)
+	c.recordProbeFailure(f, c.probes["b"], now, now, ErrOtherLife)
 	is.Equal(c.probes["a"].next, now)
 	is.Equal(c.probes["b"].next, now)
 }
 
-// The holder has no processor time for half a second: the limits of all its reports end
-// late, together. Three times that says nothing of the engines; a node that is late for
-// good must see losses all the same. A limit that ended in time counts at once.
-func TestOwnLatenessIsNoMiss(t *testing.T) {
+// The owner has no processor time for half a second, and the timeouts of all its probes
+// fire late together. Up to three such misses say nothing about the engines; a
+// permanently delayed node must still detect losses. A miss whose timeout fired on time
+// counts at once.
+func TestLateTimeoutIsInconclusive(t *testing.T) {
 	is := is.New(t)
 	var p probe
-	is.True(!p.inconclusive(2 * time.Millisecond))
-	for range mostLate {
-		is.True(p.inconclusive(500 * time.Millisecond))
+	is.True(!p.isInconclusive(2 * time.Millisecond))
+	for range maxInconclusiveMisses {
+		is.True(p.isInconclusive(500 * time.Millisecond))
 	}
-	is.True(!p.inconclusive(500 * time.Millisecond))
-	is.True(p.inconclusive(500 * time.Millisecond))
+	is.True(!p.isInconclusive(500 * time.Millisecond))
+	is.True(p.isInconclusive(500 * time.Millisecond))
 }
--- a/internal/formation/world_test.go
+++ b/internal/formation/world_test.go
@@ -12,8 +12,8 @@
 	"chervilloom/internal/roster"
 )
 
-// testEngine has two models of four and three members, as small as they can be
-// while a domain holds one group of each and spares.
+// testEngine has models of four and three members, the smallest sizes with which a domain
+// of nine has one group of each and spares.
 func testEngine() *catalog.Engine {
 	return &catalog.Engine{
 		Slots: 26, FormTime: 300 * time.Millisecond, LoadsPerSecond: 4.5, LoadsAtOnce: 6, Keeps: 1,
@@ -24,106 +24,105 @@
 	}
 }
 
-// simEngine is an engine as its orders change it.
+// simEngine is a simulated engine that executes orders.
 type simEngine struct {
-	id       roster.ID // its name; born tells its lives apart
-	born     uint64
-	domain   string
-	dead     bool // its process has ended
-	cut      bool // the planning node can't reach it
-	draining bool
-	seen     uint64  // highest epoch of a join
-	count    uint64  // orders that it has begun
-	pace     float64 // over 1: slow
-	group    string
-	epoch    uint64
-	members  []roster.ID
-	state    roster.GroupState
-	until    clock.Instant // when joining or opening is done
-	opening  bool
-	model    string
-	staged   string
-	staging  string
-	stagedAt clock.Instant
-	told     []toldState // what its reports say, oldest first
+	id            roster.ID // name, without the incarnation
+	incarnation   uint64
+	domain        string
+	dead          bool // the process has ended
+	partitioned   bool // unreachable from the planning node
+	draining      bool
+	highestEpoch  uint64  // highest epoch of a join so far
+	count         uint64  // orders begun
+	pace          float64 // slow if above 1
+	group         string
+	epoch         uint64
+	members       []roster.ID
+	state         roster.GroupState
+	until         clock.Instant // end of the join or opening in progress; 0 if none
+	opening       bool
+	model         string
+	staged        string
+	staging       string
+	stagedAt      clock.Instant
+	reportHistory []reportedState // states that reports will contain, oldest first
 }
 
-// life names the engine's present life.
-func (e *simEngine) life() roster.ID { return roster.Life(string(e.id), e.born) }
+// endpointID returns the ID of the current incarnation.
+func (e *simEngine) endpointID() roster.ID { return roster.Life(string(e.id), e.incarnation) }
 
-// at returns the engine that an order to a life reaches: whoever has its name now.
-func (w *world) at(id roster.ID) *simEngine { return w.engines[roster.ID(id.Name())] }
+// engineAt returns the engine that receives an order to an ID: the current incarnation of
+// that name.
+func (w *simZone) engineAt(id roster.ID) *simEngine { return w.engines[roster.ID(id.Name())] }
 
-// restart begins another life of the engine under its name.
-func (w *world) restart(e *simEngine) {
-	*e = simEngine{id: e.id, born: e.born + 1, domain: e.domain, cut: e.cut}
+// restart replaces the engine by a new incarnation of the same name.
+func (w *simZone) restart(e *simEngine) {
+	*e = simEngine{id: e.id, incarnation: e.incarnation + 1, domain: e.domain, partitioned: e.partitioned}
 }
 
-// rank is the engine's place in its group.
+// rank returns the engine's rank in its group, or -1.
 func (e *simEngine) rank() int {
 	return slices.IndexFunc(e.members, func(m roster.ID) bool { return m.Name() == string(e.id) })
 }
 
-// toldState is an engine's state from an instant on, as its reports tell it.
-type toldState struct {
+// reportedState is an engine's state from an instant on, as contained in its reports.
+type reportedState struct {
 	from clock.Instant
 	rep  Report
 }
 
-// worldLag is how long ago the state was that a report tells: the engines'
-// published lag.
-const worldLag = 200 * time.Millisecond
-
-// world is a zone of engines and the node that plans for it. Orders may be lost,
-// or carried out seconds after they were given and after newer ones.
-type world struct {
-	now     clock.Instant
-	engine  *catalog.Engine
-	engines map[roster.ID]*simEngine
-	ledger  Ledger
-	mem     *Memory
-	facts   map[roster.ID]*Fact
-	fence   uint64
-	epochs  uint64
-	since   clock.Instant // when this owner began
-	free    bool          // loads are free
-	demand  demand.Demand
-	late    []lateOrder
-	ready   map[string]map[roster.ID]bool // by group and epoch: who has been ready
-	sizes   map[string]int                // members that the group was formed of
-	broken  string                        // the first invariant that broke
-	loads   []clock.Instant
-	next    int
-	// fate says what becomes of an order: given and answered, given without an
-	// answer, or carried out later.
-	fate func() fate
+// simReportLag is the age of the state in a report, which is the engines' published lag.
+const simReportLag = 200 * time.Millisecond
+
+// simZone simulates a zone of engines and the node that plans for it. Orders may be lost,
+// or be executed seconds later and after newer ones.
+type simZone struct {
+	now          clock.Instant
+	engine       *catalog.Engine
+	engines      map[roster.ID]*simEngine
+	ledger       Ledger
+	mem          *Memory
+	facts        map[roster.ID]*Fact
+	fence        uint64
+	epochs       uint64
+	tenureStart  clock.Instant // start of this owner's tenure
+	loadsAreFree bool          // loads take a tenth of their time and are not throttled
+	demand       demand.Demand
+	delayed      []delayedOrder
+	ready        map[string]map[roster.ID]bool // members that have been ready, by group and epoch
+	sizes        map[string]int                // initial number of members by group
+	violation    string                        // the first violated invariant
+	loads        []clock.Instant
+	next         int
+	// delivery returns the fate of the next order.
+	delivery func() delivery
 }
 
-type fate int
+type delivery int
 
 const (
-	answered fate = iota
-	unanswered
-	lost
-	later
+	orderAnswered delivery = iota
+	answerLost
+	orderLost
+	orderDelayed
 )
 
-type lateOrder struct {
+type delayedOrder struct {
 	at clock.Instant
 	o  Order
 }
 
-func newWorld() *world {
-	w := &world{
+func newSimZone() *simZone {
+	w := &simZone{
 		now: clock.Instant(time.Hour), engine: testEngine(), engines: map[roster.ID]*simEngine{},
 		ready: map[string]map[roster.ID]bool{}, sizes: map[string]int{},
-		fate: func() fate { return answered },
+		delivery: func() delivery { return orderAnswered },
 	}
 	w.takeOver()
 	return w
 }
 
-func (w *world) add(domain string, n int) {
+func (w *simZone) add(domain string, n int) {
 	for range n {
 		id := roster.ID(fmt.Sprintf("e%02d", w.next))
 		w.next++
@@ -131,47 +130,47 @@
 	}
 }
 
-// takeOver lets another node plan: it knows the claims and nothing else.
-func (w *world) takeOver() {
+// takeOver replaces the planning node by one that knows only the claims.
+func (w *simZone) takeOver() {
 	w.fence++
 	w.epochs = 0
 	w.mem = NewMemory()
 	w.facts = map[roster.ID]*Fact{}
-	w.since = w.now
+	w.tenureStart = w.now
 }
 
-func (w *world) key(group string, epoch uint64) string { return fmt.Sprintf("%s/%d", group, epoch) }
+func (w *simZone) key(group string, epoch uint64) string { return fmt.Sprintf("%s/%d", group, epoch) }
 
-// advance lets time pass and the engines finish what they have begun.
-func (w *world) advance(d time.Duration) {
+// advance advances the clock and completes due transitions and delayed orders.
+func (w *simZone) advance(d time.Duration) {
 	w.now = w.now.Add(d)
 	for _, e := range w.sorted() {
-		w.settle(e)
+		w.completeTransitions(e)
 	}
-	w.remember()
-	due := w.late
-	w.late = nil
+	w.recordReports()
+	due := w.delayed
+	w.delayed = nil
 	for _, l := range due {
 		if l.at.After(w.now) {
-			w.late = append(w.late, l)
+			w.delayed = append(w.delayed, l)
 			continue
 		}
 		w.execute(l.o)
 	}
-	w.remember()
+	w.recordReports()
 }
 
-// remember notes what the engines' reports will tell after the lag.
-func (w *world) remember() {
+// recordReports records the current states, which reports contain after the lag.
+func (w *simZone) recordReports() {
 	for _, e := range w.engines {
-		e.told = append(e.told, toldState{w.now, e.report()})
-		for len(e.told) > 1 && !e.told[1].from.After(w.now.Add(-worldLag)) {
-			e.told = e.told[1:]
+		e.reportHistory = append(e.reportHistory, reportedState{w.now, e.report()})
+		for len(e.reportHistory) > 1 && !e.reportHistory[1].from.After(w.now.Add(-simReportLag)) {
+			e.reportHistory = e.reportHistory[1:]
 		}
 	}
 }
 
-// report returns the engine's state as it is now.
+// report returns the engine's current state.
 func (e *simEngine) report() Report {
 	rep := Report{
 		Member: roster.Membership{Group: e.group, Epoch: e.epoch, Rank: e.rank(), State: e.state},
@@ -187,7 +186,7 @@
 	return rep
 }
 
-func (w *world) sorted() []*simEngine {
+func (w *simZone) sorted() []*simEngine {
 	var out []*simEngine
 	for _, e := range w.engines {
 		out = append(out, e)
@@ -196,7 +195,7 @@
 	return out
 }
 
-func (w *world) settle(e *simEngine) {
+func (w *simZone) completeTransitions(e *simEngine) {
 	if e.dead {
 		return
 	}
@@ -218,13 +217,13 @@
 		if w.ready[k] == nil {
 			w.ready[k] = map[roster.ID]bool{}
 		}
-		w.ready[k][e.life()] = true
+		w.ready[k][e.endpointID()] = true
 	}
 }
 
-// checkOpen: a group that takes requests is whole, and each member has been
-// ready under its name and epoch.
-func (w *world) checkOpen(head *simEngine) {
+// checkOpen checks that an opening group is complete and that each member has been ready
+// under the group's name and epoch.
+func (w *simZone) checkOpen(head *simEngine) {
 	k := w.key(head.group, head.epoch)
 	model := w.engine.Model(head.model)
 	if len(head.members) != model.Size {
@@ -237,15 +236,15 @@
 	}
 }
 
-func (w *world) fail(format string, args ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf(format, args...)
+func (w *simZone) fail(format string, args ...any) {
+	if w.violation == "" {
+		w.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// execute carries an order out as an engine does, and returns how it is taken.
-func (w *world) execute(o Order) Verdict {
-	e := w.at(o.To)
+// execute executes an order as an engine does and returns the engine's response.
+func (w *simZone) execute(o Order) Verdict {
+	e := w.engineAt(o.To)
 	if e == nil || e.dead {
 		return Lost
 	}
@@ -283,25 +282,26 @@
 	return Begun
 }
 
-// loadTime is a tenth before the first request.
-func (w *world) loadTime(model string) time.Duration {
+// loadTime returns the duration of a load: a tenth of the usual one before the first
+// request.
+func (w *simZone) loadTime(model string) time.Duration {
 	d := w.engine.Model(model).Load
-	if w.free {
+	if w.loadsAreFree {
 		d /= 10
 	}
 	return d
 }
 
-func (w *world) join(e *simEngine, o Order) Verdict {
-	if o.Epoch < e.seen || e.group == o.Group && e.epoch == o.Epoch && !slices.Equal(e.members, o.Members) {
+func (w *simZone) join(e *simEngine, o Order) Verdict {
+	if o.Epoch < e.highestEpoch || e.group == o.Group && e.epoch == o.Epoch && !slices.Equal(e.members, o.Members) {
 		return Rejected
 	}
 	if e.group == o.Group && e.epoch == o.Epoch && e.state != roster.Joining {
 		return Done
 	}
 	w.checkJoin(e, o)
-	e.seen = o.Epoch
-	d := hotJoin
+	e.highestEpoch = o.Epoch
+	d := hotJoinTime
 	switch {
 	case e.model == o.Model:
 	case e.staged == o.Model:
@@ -313,7 +313,7 @@
 		w.loads = append(w.loads, w.now)
 	}
 	if e.group == o.Group && e.epoch == o.Epoch {
-		return Begun // it joins already
+		return Begun // already joining
 	}
 	e.count++
 	e.group, e.epoch, e.members = o.Group, o.Epoch, o.Members
@@ -322,13 +322,13 @@
 	return Begun
 }
 
-// checkJoin: nobody joins another group while the head of its own takes
-// requests.
-func (w *world) checkJoin(e *simEngine, o Order) {
+// checkJoin checks that the engine doesn't join another group while the head of its own
+// is open.
+func (w *simZone) checkJoin(e *simEngine, o Order) {
 	if e.group == "" || e.group == o.Group && e.epoch == o.Epoch || len(e.members) == 0 {
 		return
 	}
-	head := w.at(e.members[0])
+	head := w.engineAt(e.members[0])
 	if head == nil || head.dead || head.group != e.group || head.epoch != e.epoch {
 		return
 	}
@@ -337,15 +337,15 @@
 	}
 }
 
-// report asks an engine for its state, as the controller does.
-func (w *world) report(e *simEngine) {
-	f := w.facts[e.life()]
+// report probes an engine as the controller does.
+func (w *simZone) report(e *simEngine) {
+	f := w.facts[e.endpointID()]
 	if f == nil {
-		f = &Fact{ID: e.life(), Domain: e.domain}
-		w.facts[e.life()] = f
+		f = &Fact{ID: e.endpointID(), Domain: e.domain}
+		w.facts[e.endpointID()] = f
 	}
 	f.Listed, f.Draining = !e.dead, e.draining
-	if e.dead || e.cut {
+	if e.dead || e.partitioned {
 		if f.Failures == 0 {
 			f.Failing = w.now
 		}
@@ -353,19 +353,19 @@
 		f.Missed = w.now
 		return
 	}
-	w.remember()
-	f.takeReport(e.told[0].rep, w.now)
+	w.recordReports()
+	f.applyReport(e.reportHistory[0].rep, w.now)
 }
 
-// plan makes one plan and gives its orders.
-func (w *world) plan() Output {
+// plan makes one plan and delivers its orders.
+func (w *simZone) plan() Output {
 	for _, e := range w.sorted() {
 		w.report(e)
 	}
 	for id, f := range w.facts {
-		if e := w.at(id); !e.cut && id.Before(e.life()) {
+		if e := w.engineAt(id); !e.partitioned && id.Before(e.endpointID()) {
 			f.Listed = false
-			f.endLife()
+			f.markRestarted()
 		}
 	}
 	out := Plan(w.input(), w.mem)
@@ -374,49 +374,49 @@
 		w.sizes[g.Name] = max(w.sizes[g.Name], len(g.Members))
 	}
 	for _, o := range out.Orders {
-		w.give(o)
+		w.deliver(o)
 	}
 	return out
 }
 
-func (w *world) input() *Input {
+func (w *simZone) input() *Input {
 	return &Input{
-		Now: w.now, Since: w.since, Zone: "z", Service: "s", Engine: w.engine, Facts: w.facts, Ledger: w.ledger,
+		Now: w.now, Since: w.tenureStart, Zone: "z", Service: "s", Engine: w.engine, Facts: w.facts, Ledger: w.ledger,
 		NextEpoch: func() uint64 { w.epochs++; return w.fence*1_000_000 + w.epochs },
-		FreeLoads: w.free, Demand: w.demand, Params: DefaultParams(5*time.Second, 7, 2),
+		FreeLoads: w.loadsAreFree, Demand: w.demand, Params: DefaultParams(5*time.Second, 7, 2),
 	}
 }
 
-func (w *world) give(o Order) {
-	if e := w.at(o.To); e == nil || e.dead || e.cut {
+func (w *simZone) deliver(o Order) {
+	if e := w.engineAt(o.To); e == nil || e.dead || e.partitioned {
 		return
 	}
-	switch w.fate() {
-	case lost:
+	switch w.delivery() {
+	case orderLost:
 		return
-	case unanswered:
+	case answerLost:
 		w.execute(o)
 		return
-	case later:
-		w.late = append(w.late, lateOrder{w.now.Add(time.Duration(2+len(w.late)%10) * time.Second), o})
+	case orderDelayed:
+		w.delayed = append(w.delayed, delayedOrder{w.now.Add(time.Duration(2+len(w.delayed)%10) * time.Second), o})
 		return
 	}
 	v := w.execute(o)
 	if f := w.facts[o.To]; f != nil {
-		f.took(o, v, w.now)
+		f.applyVerdict(o, v, w.now)
 	}
 }
 
-// run plans every 100 ms for d.
-func (w *world) run(d time.Duration) {
+// run makes a plan every 100 ms for d.
+func (w *simZone) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.plan()
 		w.advance(100 * time.Millisecond)
 	}
 }
 
-// serving returns the open groups of a model.
-func (w *world) serving(model string) []*simEngine {
+// serving returns the heads of the model's open groups.
+func (w *simZone) serving(model string) []*simEngine {
 	var out []*simEngine
 	for _, e := range w.sorted() {
 		if !e.dead && e.state == roster.Open && e.model == model {
