--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -1,6 +1,6 @@
-// Package demand measures what the requests of services with engines ask for: the
-// time of a group that each model's requests would take. Those that found no place
-// count too, so that a model without groups doesn't seem unwanted.
+// Package demand measures the demand for services with engines, as the group time that
+// the requests for each model need. Requests that found no endpoint are included, so that
+// a model without groups still has demand.
 package demand
 
 import (
@@ -10,59 +10,58 @@
 	"chervilloom/internal/clock"
 )
 
-// Demand is what the requests for a service have asked for of late.
+// Demand is the recent demand for a service.
 type Demand struct {
-	Requests float64            // how many the figures are of; older ones count less
-	Work     map[string]float64 // by model: a group's time that they need at full batches, in seconds
+	Requests float64            // number of requests, decayed by age
+	Work     map[string]float64 // group time needed at full batches by model, in seconds, decayed by age
 }
 
-// Meter keeps the demand for each service. Its zero value is ready for use.
+// Meter measures the demand for each service. Its zero value is ready for use.
 type Meter struct {
 	mu       sync.Mutex
-	services map[string]*asked
+	services map[string]*decayedDemand
 }
 
-// asked is the demand for one service as of at.
-type asked struct {
-	at       clock.Instant
-	requests float64
-	work     map[string]float64
+// decayedDemand is the demand for one service, decayed up to updatedAt.
+type decayedDemand struct {
+	updatedAt clock.Instant
+	requests  float64
+	work      map[string]float64
 }
 
-// fade is the time in which what was asked for loses two thirds of its weight: a
-// burst of one kind of request shows within two seconds, and a node with ten
-// requests a second still counts fifty of them.
-const fade = 5.0 // seconds
+// decaySeconds is the time constant of the decay: a burst of one kind of request shows
+// within two seconds, and a node with ten requests per second still counts fifty.
+const decaySeconds = 5.0
 
-// Note counts a request for a model that needs the given time of a group.
+// Note adds a request for a model. work is the group time that it needs, in seconds.
 func (d *Meter) Note(service, model string, work float64, now clock.Instant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.services == nil {
-		d.services = map[string]*asked{}
+		d.services = map[string]*decayedDemand{}
 	}
 	a := d.services[service]
 	if a == nil {
-		a = &asked{work: map[string]float64{}}
+		a = &decayedDemand{work: map[string]float64{}}
 		d.services[service] = a
 	}
-	a.fade(now)
+	a.decay(now)
 	a.requests++
 	a.work[model] += work
 }
 
-func (a *asked) fade(now clock.Instant) {
-	if a.at != 0 {
-		f := math.Exp(-max(0, now.Sub(a.at).Seconds()) / fade)
+func (a *decayedDemand) decay(now clock.Instant) {
+	if a.updatedAt != 0 {
+		f := math.Exp(-max(0, now.Sub(a.updatedAt).Seconds()) / decaySeconds)
 		a.requests *= f
 		for m := range a.work {
 			a.work[m] *= f
 		}
 	}
-	a.at = now
+	a.updatedAt = now
 }
 
-// Of returns the demand for a service.
+// Of returns the demand for a service at now.
 func (d *Meter) Of(service string, now clock.Instant) Demand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -70,7 +69,7 @@
 	if a == nil {
 		return Demand{}
 	}
-	a.fade(now)
+	a.decay(now)
 	out := Demand{Requests: a.requests, Work: make(map[string]float64, len(a.work))}
 	for m, w := range a.work {
 		out.Work[m] = w
--- a/internal/demand/demand_test.go
+++ b/internal/demand/demand_test.go
@@ -9,8 +9,8 @@
 	"chervilloom/internal/clock"
 )
 
-// A burst of one model's requests comes after an even load: within two seconds its
-// part of the work follows, and what was asked for before fades.
+// A burst of one model's requests follows a balanced load: within two seconds its share
+// of the work must rise, and older demand must decay.
 func TestDemandFollowsABurst(t *testing.T) {
 	is := is.New(t)
 	var m Meter
--- a/internal/demand/zone.go
+++ b/internal/demand/zone.go
@@ -7,46 +7,48 @@
 	"chervilloom/internal/clock"
 )
 
-// Told is what a node has seen of the demand for one service.
+// Told is the demand for one service as observed by one node.
 type Told struct {
 	Service string `json:"service"`
 	Demand  Demand `json:"demand"`
 }
 
-// toldFor is how long, in seconds, what a node told counts: it tells every second, and
-// two of its questions may be lost.
-const toldFor = 3.0
+// nodeDemandTTLSeconds is how long a node's demand counts, in seconds. Nodes send it
+// every second, so two messages may be lost.
+const nodeDemandTTLSeconds = 3.0
 
-// Zone sums the demand that a zone's nodes tell. Its zero value is ready for use.
+// Zone sums the demand observed by a zone's nodes. Its zero value is ready for use.
 //
-// One node of 60 gets a few requests a second; planned for by these alone, a zone's
-// groups were closed for one another by what ten requests happened to ask for.
+// A single node of 60 gets only a few requests per second. When groups were planned by
+// one node's demand, ten arbitrary requests were enough to close groups in favour of
+// another model.
 type Zone struct {
 	mu    sync.Mutex
-	nodes map[string]nodeTold
+	nodes map[string]nodeDemand
 }
 
-type nodeTold struct {
-	at   clock.Instant
-	told []Told
+type nodeDemand struct {
+	receivedAt clock.Instant
+	services   []Told
 }
 
-// Note takes up what a node tells.
+// Note replaces the demand observed by a node and drops that of nodes past the TTL.
 func (z *Zone) Note(node string, told []Told, now clock.Instant) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if z.nodes == nil {
-		z.nodes = map[string]nodeTold{}
+		z.nodes = map[string]nodeDemand{}
 	}
-	z.nodes[node] = nodeTold{now, told}
+	z.nodes[node] = nodeDemand{now, told}
 	for name, t := range z.nodes {
-		if now.Sub(t.at).Seconds() > toldFor {
+		if now.Sub(t.receivedAt).Seconds() > nodeDemandTTLSeconds {
 			delete(z.nodes, name)
 		}
 	}
 }
 
-// With returns the sum of own and of what the other nodes have told for the service.
+// With returns the sum of own and the demand that the other nodes observed for the
+// service, decayed by age.
 func (z *Zone) With(service string, own Demand, now clock.Instant) Demand {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -55,12 +57,12 @@
 		sum.Work[m] = w
 	}
 	for _, n := range z.nodes {
-		age := now.Sub(n.at).Seconds()
-		if age > toldFor {
+		age := now.Sub(n.receivedAt).Seconds()
+		if age > nodeDemandTTLSeconds {
 			continue
 		}
-		weight := math.Exp(-max(0, age) / fade)
-		for _, t := range n.told {
+		weight := math.Exp(-max(0, age) / decaySeconds)
+		for _, t := range n.services {
 			if t.Service == service {
 				sum.add(t.Demand, weight)
 			}
--- a/internal/demand/zone_test.go
+++ b/internal/demand/zone_test.go
@@ -9,10 +9,11 @@
 	"chervilloom/internal/clock"
 )
 
-// Sixty nodes get two requests each, most for one model; each alone would take its
-// two for the zone's. The sum follows the zone; a node that is gone, or tells nothing
-// any more, counts for three seconds at most, and once however often it tells.
-func TestZoneSumsWhatItsNodesSee(t *testing.T) {
+// Sixty nodes get two requests each, all for one model on each node, so that no single
+// node's demand is representative. The sum must reflect the whole zone; a node that has
+// ended or sends nothing counts for at most three seconds, and only once however often it
+// sends.
+func TestZoneSumsNodeDemand(t *testing.T) {
 	is := is.New(t)
 	now := clock.Instant(time.Hour)
 	var z Zone
@@ -31,10 +32,10 @@
 	is.True(sum.Work["small"] > 2.9*sum.Work["big"]-0.7)
 	is.Equal(z.With("other", Demand{}, now).Requests, 0.0)
 	is.Equal(z.With("s", own, now.Add(4*time.Second)), own)
-	is.Equal(own.Work["big"], 0.2) // what the caller holds is left as it was
+	is.Equal(own.Work["big"], 0.2) // the argument is not modified
 }
 
-func TestMeterTellsAllServices(t *testing.T) {
+func TestMeterReturnsAllServices(t *testing.T) {
 	is := is.New(t)
 	now := clock.Instant(time.Hour)
 	var m Meter
