--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -1,7 +1,7 @@
-// Package board sums what a zone's nodes have in flight at its heads. Each node tells
-// its whole count to the node that holds the zone's duty, which tells the sums to all:
-// two messages a request and node instead of one for each pair of nodes. Counts are
-// absolute, so that a lost message is made good by the next one.
+// Package board sums the requests in flight of a zone's nodes at the zone's heads. Each
+// node sends its counts to the node that holds the zone's lease, which sends the sums to
+// all nodes. This takes two messages per request and node instead of one for each pair of
+// nodes. Counts are absolute, so the next message makes up for a lost one.
 package board
 
 import (
@@ -14,61 +14,62 @@
 	"chervilloom/internal/roster"
 )
 
-// Count is what is in flight at one head.
+// Count is the load in flight at one head.
 type Count struct {
 	ID       roster.ID `json:"i"`
 	Requests int       `json:"n"`
-	Unread   int       `json:"u,omitempty"` // prompt tokens that it has yet to read
+	Unread   int       `json:"u,omitempty"` // prompt tokens not yet read by the engine
 }
 
 const (
-	// TellAgain is how long a node leaves its count untold while it doesn't change.
+	// TellAgain is the interval at which a node resends unchanged counts.
 	TellAgain = time.Second
-	// countFor is how long a count stands: two may be lost. The requests of a node that
-	// was killed are gone by then.
-	countFor = 2500 * time.Millisecond
-	// readTime is how long told prompts take to be read: one pass of an engine that
-	// runs, and the next one.
-	readTime = 150 * time.Millisecond
+	// countTTL is how long a node's counts are valid, so that two messages may be lost.
+	// The requests of a killed node have ended by then.
+	countTTL = 2500 * time.Millisecond
+	// promptReadTime is the time after which the prompts in a count have been read: the
+	// engine's current pass and the next one.
+	promptReadTime = 150 * time.Millisecond
 )
 
-// Board holds the counts of a zone's nodes. Its zero value is ready for use.
+// Board stores the counts of a zone's nodes. Its zero value is ready for use.
 type Board struct {
 	mu    sync.Mutex
-	nodes map[string]told
+	nodes map[string]nodeCounts
 }
 
-type told struct {
-	at     clock.Instant
-	counts []Count
+type nodeCounts struct {
+	receivedAt clock.Instant
+	counts     []Count
 }
 
-// Note takes up a node's count; further parts of one that didn't fit a message add to it.
+// Note replaces a node's counts. If further is set, counts is another part of a message
+// that was split, and is added.
 func (b *Board) Note(node string, counts []Count, further bool, now clock.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.nodes == nil {
-		b.nodes = map[string]told{}
+		b.nodes = map[string]nodeCounts{}
 	}
 	if further {
 		counts = append(slices.Clone(b.nodes[node].counts), counts...)
 	}
-	b.nodes[node] = told{now, counts}
+	b.nodes[node] = nodeCounts{now, counts}
 }
 
-// Sums returns what all nodes have in flight at each head, by id, and whether any
-// node has told within countFor.
+// Sums returns the load in flight of all nodes at each head, sorted by ID, and whether
+// any node has sent counts within countTTL.
 func (b *Board) Sums(now clock.Instant) ([]Count, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sums := map[roster.ID]Count{}
 	for node, t := range b.nodes {
-		age := now.Sub(t.at)
-		if age > countFor {
+		age := now.Sub(t.receivedAt)
+		if age > countTTL {
 			delete(b.nodes, node)
 			continue
 		}
-		left := max(0, 1-float64(age)/float64(readTime))
+		left := max(0, 1-float64(age)/float64(promptReadTime))
 		for _, c := range t.counts {
 			s := sums[c.ID]
 			sums[c.ID] = Count{c.ID, s.Requests + c.Requests, s.Unread + int(left*float64(c.Unread))}
@@ -82,16 +83,16 @@
 	return out, len(b.nodes) > 0
 }
 
-// Mean is how loaded a zone's heads of a model are together.
+// Mean is the mean load of a model's heads in a zone.
 type Mean struct {
 	Zone   string  `json:"z"`
 	Model  string  `json:"m"`
 	Load   float64 `json:"l"` // requests in flight as a share of the slots
-	Unread float64 `json:"u"` // prompt tokens that a head has yet to read
+	Unread float64 `json:"u"` // prompt tokens not yet read, per head
 }
 
-// Means returns the mean loads of a zone's models, from what is in flight at the heads
-// that serve there.
+// Means returns the mean load of each of a zone's models, from the load in flight at the
+// heads that serve there.
 func Means(zone string, sums []Count, heads []*roster.Endpoint) []Mean {
 	at := make(map[roster.ID]Count, len(sums))
 	for _, c := range sums {
--- a/internal/board/board_test.go
+++ b/internal/board/board_test.go
@@ -10,8 +10,8 @@
 	"chervilloom/internal/roster"
 )
 
-// Nodes tell absolute counts: a message that was lost is made good by the next one. A
-// node that was killed tells nothing any more, and its requests are over.
+// Counts are absolute, so the next message makes up for a lost one. A killed node sends
+// no more counts, and its requests have ended.
 func TestSumsOfAbsoluteCounts(t *testing.T) {
 	is := is.New(t)
 	now := clock.Instant(time.Hour)
@@ -23,12 +23,12 @@
 	sums, known := b.Sums(now)
 	is.True(known)
 	is.Equal(sums, []Count{{"h1", 5, 1500}, {"h2", 1, 0}})
-	b.Note("n1", []Count{{"h1", 4, 0}}, false, now.Add(time.Second)) // the end at h2 came with it
+	b.Note("n1", []Count{{"h1", 4, 0}}, false, now.Add(time.Second)) // also reports the end at h2
 	sums, _ = b.Sums(now.Add(time.Second))
-	is.Equal(sums, []Count{{"h1", 6, 0}}) // prompts told a second ago are read
+	is.Equal(sums, []Count{{"h1", 6, 0}}) // prompts sent a second ago have been read
 	sums, _ = b.Sums(now.Add(3 * time.Second))
-	is.Equal(sums, []Count{{"h1", 4, 0}})                             // n2 is silent
-	b.Note("n1", []Count{{"h3", 2, 0}}, true, now.Add(3*time.Second)) // a further part
+	is.Equal(sums, []Count{{"h1", 4, 0}})                             // counts of n2 have expired
+	b.Note("n1", []Count{{"h3", 2, 0}}, true, now.Add(3*time.Second)) // another part
 	sums, _ = b.Sums(now.Add(3 * time.Second))
 	is.Equal(sums, []Count{{"h1", 4, 0}, {"h3", 2, 0}})
 	b.Note("n1", nil, false, now.Add(3*time.Second))
@@ -37,8 +37,8 @@
 	is.True(known)
 }
 
-// A zone's heads of a model are loaded by what stands on the board; one that doesn't
-// stand there has nothing in flight.
+// The mean load of a zone's heads is computed from the board; a head without an entry has
+// nothing in flight.
 func TestMeans(t *testing.T) {
 	is := is.New(t)
 	heads := []*roster.Endpoint{
