--- a/internal/demand/demand_test.go
+++ b/internal/demand/demand_test.go
@@ -16,7 +16,7 @@
 	var m Meter
 	now := clock.Instant(time.Hour)
 	is.Equal(m.Of("s", now).Requests, 0.0)
-	play := func(d time.Duration, a, b int) {
+	addRequests := func(d time.Duration, a, b int) {
 		for range int(d / (100 * time.Millisecond)) {
 			now = now.Add(100 * time.Millisecond)
 			for range a {
@@ -27,14 +27,14 @@
 			}
 		}
 	}
-	part := func() float64 {
+	shareOfA := func() float64 {
 		w := m.Of("s", now).Work
 		return w["a"] / (w["a"] + w["b"])
 	}
-	play(20*time.Second, 1, 1)
-	is.True(part() > 0.49 && part() < 0.51)
-	play(2*time.Second, 4, 1)
-	is.True(part() > 0.6)
+	addRequests(20*time.Second, 1, 1)
+	is.True(shareOfA() > 0.49 && shareOfA() < 0.51)
+	addRequests(2*time.Second, 4, 1)
+	is.True(shareOfA() > 0.6)
 	is.True(m.Of("s", now.Add(time.Minute)).Requests < 0.01)
 	is.Equal(m.Of("other", now).Requests, 0.0)
 }
--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -96,9 +96,10 @@
 	// resent packet 200 ms.
 	probeTimeout      = 250 * time.Millisecond
 	suspicionDuration = 400 * time.Millisecond // how long a stall report shortens probe timeouts and marks the head as suspect
-	// minProbeInterval is the minimum interval between probes of a responsive engine.
-	// The nodes with streams at a head report a stall at different moments: without this
-	// limit, one long pass would cost several probes of each of 16 members.
+	// minProbeInterval is the minimum interval between probes of a responsive engine
+	// that stall reports trigger. The nodes with streams at a head report a stall at
+	// different moments: without this limit, one long pass would cost several probes of
+	// each of 16 members.
 	minProbeInterval = 100 * time.Millisecond
 	orderTimeout     = 500 * time.Millisecond
 	tableTimeout     = time.Second
@@ -129,7 +130,7 @@
 	}
 }
 
-// Init prepares the controller for Run and Nudge and returns it.
+// Init prepares the controller for use and returns it.
 func (c *Controller) Init() *Controller {
 	c.wake = make(chan struct{}, 1)
 	return c
--- a/internal/formation/form.go
+++ b/internal/formation/form.go
@@ -70,7 +70,7 @@
 	// maxJoinWithoutLoad separates joins that warm up staged weights (1 to 2 s by the
 	// engines' published times) from those that load weights first.
 	maxJoinWithoutLoad = 3 * time.Second
-	// minShare replaces a declared share of zero.
+	// minShare is the minimum share of a model, for models declared without one.
 	minShare = 0.01
 )
 
@@ -133,13 +133,13 @@
 // formGroup claims the members of a new group. It reports false if the load limits don't
 // allow the loads that the group needs.
 func (p *planner) formGroup(domain string, m *catalog.Model, members []roster.ID) bool {
-	cold := 0
+	requiredLoads := 0
 	for _, id := range members {
 		if p.needsLoad(p.in.Facts[id], m.Name) {
-			cold++
+			requiredLoads++
 		}
 	}
-	if !p.canStartLoads(cold) {
+	if !p.canStartLoads(requiredLoads) {
 		return false
 	}
 	for _, id := range members {
@@ -155,7 +155,7 @@
 	p.mem.firstSeen[g.Name] = p.in.Now
 	p.mem.formed[g.Name] = true
 	p.out.Changed = true
-	p.noteDecision("group %s forms for %s with %s, %d loads", g.Name, m.Name, p.describeEngines(members, m), cold)
+	p.noteDecision("group %s forms for %s with %s, %d loads", g.Name, m.Name, p.describeEngines(members, m), requiredLoads)
 	p.keepClaim(&g)
 	p.advanceGroup(&g)
 	return true
--- a/internal/formation/formation.go
+++ b/internal/formation/formation.go
@@ -148,7 +148,7 @@
 	Gone     bool          // the process has certainly ended
 	Reborn   bool          // the engine has restarted under its name and address
 	Sure     clock.Instant // until then, answers to orders override reports, which lag
-	Counted  clock.Instant // reports requested before this may contain a Count that is too low
+	Counted  clock.Instant // reports requested before this may contain an order count that is too low
 	Begun    string        // group of the newest join that the engine has begun
 	Sign     clock.Instant // newest activity seen on requests that the engine serves as a head
 	Refused  string        // group that the engine refused to join because it has seen a later epoch
--- a/internal/formation/plan_test.go
+++ b/internal/formation/plan_test.go
@@ -394,9 +394,9 @@
 func TestGroupsStayWholeAndDisjoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := startedZone()
-		fates := rapid.SampledFrom([]delivery{orderAnswered, orderAnswered, orderAnswered, orderAnswered, answerLost, orderLost, orderDelayed})
-		w.delivery = func() delivery { return fates.Draw(t, "fate") }
-		some := func() *simEngine {
+		deliveries := rapid.SampledFrom([]delivery{orderAnswered, orderAnswered, orderAnswered, orderAnswered, answerLost, orderLost, orderDelayed})
+		w.delivery = func() delivery { return deliveries.Draw(t, "fate") }
+		randomEngine := func() *simEngine {
 			all := w.sorted()
 			return all[rapid.IntRange(0, len(all)-1).Draw(t, "engine")]
 		}
@@ -404,13 +404,13 @@
 			"plan":      func(*rapid.T) { w.plan(); w.advance(50 * time.Millisecond) },
 			"plan more": func(*rapid.T) { w.run(500 * time.Millisecond) },
 			"pass":      func(*rapid.T) { w.advance(2 * time.Second) },
-			"die":       func(*rapid.T) { some().dead = true },
-			"cut":       func(*rapid.T) { some().partitioned = true },
-			"heal":      func(*rapid.T) { some().partitioned = false },
-			"drain":     func(*rapid.T) { some().draining = true },
-			"slow":      func(*rapid.T) { some().pace = 4 },
+			"die":       func(*rapid.T) { randomEngine().dead = true },
+			"cut":       func(*rapid.T) { randomEngine().partitioned = true },
+			"heal":      func(*rapid.T) { randomEngine().partitioned = false },
+			"drain":     func(*rapid.T) { randomEngine().draining = true },
+			"slow":      func(*rapid.T) { randomEngine().pace = 4 },
 			"arrive":    func(*rapid.T) { w.add("d1", 1) },
-			"restart":   func(*rapid.T) { w.restart(some()) },
+			"restart":   func(*rapid.T) { w.restart(randomEngine()) },
 			"take over": func(*rapid.T) { w.takeOver() },
 			"": func(t *rapid.T) {
 				if w.violation != "" {
--- a/internal/formation/reach_test.go
+++ b/internal/formation/reach_test.go
@@ -17,25 +17,25 @@
 	for _, e := range w.sorted() {
 		e.partitioned = true
 	}
-	var lost, back int
-	play := func(d time.Duration) {
+	var lost, resumed int
+	planFor := func(d time.Duration) {
 		for end := w.now.Add(d); w.now.Before(end); w.advance(100 * time.Millisecond) {
 			out := w.plan()
 			lost += len(out.Lost)
-			back += len(out.Back)
+			resumed += len(out.Back)
 		}
 	}
-	play(6 * time.Second)
+	planFor(6 * time.Second)
 	for i, e := range w.sorted() { // they become reachable one after the other
 		if i%6 == 0 {
-			play(100 * time.Millisecond)
+			planFor(100 * time.Millisecond)
 		}
 		e.partitioned = false
 	}
-	play(3 * time.Second)
+	planFor(3 * time.Second)
 	is.Equal(w.ledger, before)
 	is.Equal(lost, len(before.Groups)) // meanwhile requests are routed elsewhere
-	is.Equal(back, lost)
+	is.Equal(resumed, lost)
 	is.Equal(w.violation, "")
 }
 
@@ -50,7 +50,7 @@
 	w.run(3 * time.Second)
 	head := w.serving("big")[0]
 	w.engines[head.members[1]].dead = true
-	whole := 0
+	surviving := 0
 	names := map[string]bool{}
 	for _, g := range w.ledger.Groups {
 		names[g.Name] = true
@@ -61,10 +61,10 @@
 	w.run(4 * time.Second)
 	for _, g := range w.ledger.Groups {
 		if names[g.Name] {
-			whole++
+			surviving++
 		}
 	}
-	is.Equal(whole, len(names)-1)
+	is.Equal(surviving, len(names)-1)
 	is.Equal(len(w.serving("big")), 2)
 	is.Equal(w.violation, "")
 }
--- a/internal/formation/reborn_test.go
+++ b/internal/formation/reborn_test.go
@@ -67,23 +67,23 @@
 		w.advance(100 * time.Millisecond)
 	}
 	g := w.ledger.Groups[0]
-	ghost, process := g.Members[3], g.Members[1]
+	formerID, currentID := g.Members[3], g.Members[1]
 	for range 100 {
 		for _, e := range w.sorted() {
 			w.report(e)
 		}
-		f := *w.facts[process]
-		f.ID = ghost
-		w.facts[ghost] = &f
+		f := *w.facts[currentID]
+		f.ID = formerID
+		w.facts[formerID] = &f
 		for _, o := range Plan(w.input(), w.mem).Orders {
 			is.True(o.Op != Open)
-			if o.To != ghost { // a process with another ID refuses its orders
+			if o.To != formerID { // a process with another ID refuses its orders
 				w.execute(o)
 			}
 		}
 		w.advance(100 * time.Millisecond)
 	}
-	is.Equal(w.engines[process].state, roster.Ready)
+	is.Equal(w.engines[currentID].state, roster.Ready)
 }
 
 // failingEngines fails every call with err.
@@ -118,7 +118,7 @@
 	is.Equal(earlier.Report.Model, "m")
 }
 
-// The list shows a later incarnation before any probe was sent.
+// The list shows a later incarnation before the engine is probed again.
 func TestListingEndsPreviousIncarnation(t *testing.T) {
 	is := is.New(t)
 	first, second := roster.Life("e", 5), roster.Life("e", 6)
--- a/internal/formation/restore_test.go
+++ b/internal/formation/restore_test.go
@@ -235,18 +235,18 @@
 		c := newIdleController(tab, now)
 		is.True(c.beginTenure(t.Context(), lease.Grant{Duty: "z", Fence: 1}))
 		c.ledgerStale, tab.writesFail = true, true
-		look := func() {
+		runTicks := func() {
 			for range 100 {
 				c.tick(t.Context())
 				synctest.Wait()
 				now.Advance(15 * time.Millisecond)
 			}
 		}
-		look()
+		runTicks()
 		is.True(c.ledgerStale)
 		is.Equal(len(c.memories), 0) // no plan was made
 		tab.writesFail = false
-		look()
+		runTicks()
 		is.True(!c.ledgerStale)
 		is.True(len(c.ledger.Groups) > 0)
 	})
--- a/internal/formation/world_test.go
+++ b/internal/formation/world_test.go
@@ -93,7 +93,7 @@
 	sizes        map[string]int                // initial number of members by group
 	violation    string                        // the first violated invariant
 	loads        []clock.Instant
-	next         int
+	nextID       int
 	// delivery returns the fate of the next order.
 	delivery func() delivery
 }
@@ -124,8 +124,8 @@
 
 func (w *simZone) add(domain string, n int) {
 	for range n {
-		id := roster.ID(fmt.Sprintf("e%02d", w.next))
-		w.next++
+		id := roster.ID(fmt.Sprintf("e%02d", w.nextID))
+		w.nextID++
 		w.engines[id] = &simEngine{id: id, domain: domain}
 	}
 }
