--- a/internal/formation/reach_test.go
+++ b/internal/formation/reach_test.go
@@ -7,64 +7,64 @@
 	"github.com/matryer/is"
 )
 
-// The whole zone is cut off from the node that plans for it, and comes back after
-// six seconds. Its groups have served its own clients all the while, or stood still
-// for want of them: they are whole and serve on. Nothing is taken apart.
-func TestCutZoneServesOnWhenItIsBack(t *testing.T) {
+// The whole zone is partitioned from the planning node for six seconds. Its groups are
+// complete and keep serving, or are idle: they must resume when the partition heals, and
+// none may be dissolved.
+func TestZoneResumesAfterPartition(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	before := w.ledger
 	for _, e := range w.sorted() {
-		e.cut = true
+		e.partitioned = true
 	}
-	var lost, back int
-	play := func(d time.Duration) {
+	var lost, resumed int
+	planFor := func(d time.Duration) {
 		for end := w.now.Add(d); w.now.Before(end); w.advance(100 * time.Millisecond) {
 			out := w.plan()
 			lost += len(out.Lost)
-			back += len(out.Back)
+			resumed += len(out.Back)
 		}
 	}
-	play(6 * time.Second)
-	for i, e := range w.sorted() { // they are reached again one after the other
+	planFor(6 * time.Second)
+	for i, e := range w.sorted() { // they become reachable one after the other
 		if i%6 == 0 {
-			play(100 * time.Millisecond)
+			planFor(100 * time.Millisecond)
 		}
-		e.cut = false
+		e.partitioned = false
 	}
-	play(3 * time.Second)
+	planFor(3 * time.Second)
 	is.Equal(w.ledger, before)
-	is.Equal(lost, len(before.Groups)) // requests go elsewhere meanwhile
-	is.Equal(back, lost)
-	is.Equal(w.broken, "")
+	is.Equal(lost, len(before.Groups)) // meanwhile requests are routed elsewhere
+	is.Equal(resumed, lost)
+	is.Equal(w.violation, "")
 }
 
-// The same cut, but two engines have died under it: their groups are taken apart
-// once the others answer again, and only theirs.
-func TestLossUnderACutIsSeenAfterIt(t *testing.T) {
+// The same partition, but a member dies during it: its group is dissolved once the others
+// respond again, and only that group.
+func TestLossDuringPartitionIsDetectedAfterwards(t *testing.T) {
 	is := is.New(t)
-	w := started()
+	w := startedZone()
 	for _, e := range w.sorted() {
-		e.cut = true
+		e.partitioned = true
 	}
 	w.run(3 * time.Second)
 	head := w.serving("big")[0]
 	w.engines[head.members[1]].dead = true
-	whole := 0
+	surviving := 0
 	names := map[string]bool{}
 	for _, g := range w.ledger.Groups {
 		names[g.Name] = true
 	}
 	for _, e := range w.sorted() {
-		e.cut = false
+		e.partitioned = false
 	}
 	w.run(4 * time.Second)
 	for _, g := range w.ledger.Groups {
 		if names[g.Name] {
-			whole++
+			surviving++
 		}
 	}
-	is.Equal(whole, len(names)-1)
+	is.Equal(surviving, len(names)-1)
 	is.Equal(len(w.serving("big")), 2)
-	is.Equal(w.broken, "")
+	is.Equal(w.violation, "")
 }
