--- a/internal/backpressure/signals.go
+++ b/internal/backpressure/signals.go
@@ -19,7 +19,7 @@
 	// RetryAfter is the backoff that an endpoint requests from this node when it rejects a
 	// request; 0: none.
 	RetryAfter time.Duration
-	// Leaving is set if the endpoint is leaving.
+	// Set if the endpoint is leaving.
 	Leaving bool
 }
 
--- a/internal/balance/tracker.go
+++ b/internal/balance/tracker.go
@@ -33,13 +33,13 @@
 type record struct {
 	inFlight         int
 	startedStreams   int           // of inFlight: streams that have had an event
-	reportedInFlight int           // of inFlight: the number last returned by Tell
+	reportedInFlight int           // of inFlight: the number last reported to other nodes
 	othersLoad       float64       // requests of other nodes, as of reportedAt
 	unconfirmedLoad  float64       // part of othersLoad that other nodes reported since the last answer or board
 	reportedAt       clock.Instant // when othersLoad was last updated
 	lastSign         clock.Instant // last sign of life, or start of the first request in flight
 	suspectSince     clock.Instant // 0: not suspect
-	doubted          bool          // Doubted was called since the last sign of life
+	doubted          bool          // reported as doubted since the last sign of life
 	eventGap         time.Duration // smoothed time between the events of a stream
 	gapDeviation     time.Duration // smoothed absolute deviation from eventGap
 	unread           unreadPrompts
@@ -180,7 +180,7 @@
 }
 
 // Strand marks an endpoint as suspect on another node's report, and moves this node's requests.
-// It does not call Suspected.
+// The suspicion is not announced again.
 func (t *Tracker) Strand(id roster.ID) {
 	t.mu.Lock()
 	waiting := t.markSuspect(id, t.Clock.Now())
@@ -270,8 +270,8 @@
 	return min(most, max(least, r.eventGap+spreads*r.gapDeviation))
 }
 
-// WatchStep is the interval between two calls of Watch. It adds half of itself on average to the
-// time until a silence is detected.
+// WatchStep is the interval between two checks for silent endpoints. It adds half of itself on
+// average to the time until a silence is detected.
 const WatchStep = 15 * time.Millisecond
 
 // State is the state of an endpoint as needed for a choice.
--- a/internal/quarantine/bans.go
+++ b/internal/quarantine/bans.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// Banned is a ban with its age. Kept is set if the ban has a row in the platform's table.
+// Banned is a ban with its age, and whether it has a row in the platform's table.
 type Banned struct {
 	Verdict
 	Age  time.Duration
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -21,12 +21,14 @@
 	Node  string // name of this node
 	Clock clock.Clock
 	Log   *slog.Logger
-	// Tell sends a message to the nodes that tally, Announce to all other nodes.
-	Tell     func(Message)
+	// Tell sends a message to the nodes that tally.
+	Tell func(Message)
+	// Announce sends a message to all other nodes.
 	Announce func(Message)
-	// Keep persists a verdict and Drop deletes it when it is lifted or released, so that
-	// verdicts survive a restart of this node; nil: they are not persisted.
+	// Keep persists a verdict, so that it survives a restart of this node; nil: verdicts are
+	// not persisted.
 	Keep func(Verdict)
+	// Drop deletes the persisted verdict of a request that was lifted or released; may be nil.
 	Drop func(Fingerprint)
 	// Try reports whether this node may make the single trial run of a suspect, or of a request
 	// whose ban has run its time. On success the verdict that it is passed becomes the one all
--- a/internal/quarantine/message.go
+++ b/internal/quarantine/message.go
@@ -9,10 +9,11 @@
 	// Sound is sent to them as well: the sender's successful runs of a request that was found
 	// harmful.
 	Sound *SoundRuns `json:"s,omitempty"`
-	// Ask, Found, Lifted and Released are sent to all nodes. Ask lists requests that are about
-	// to be found harmful: nodes that have seen successful runs of them report these. Released
-	// requests are no longer suspects; their crashes stay in the tallies.
-	Ask      []Fingerprint `json:"a,omitempty"`
+	// Ask is sent to all nodes: requests that are about to be found harmful. Nodes that have
+	// seen successful runs of them report these.
+	Ask []Fingerprint `json:"a,omitempty"`
+	// Found, Lifted and Released are sent to all nodes as well. Released requests are no longer
+	// suspects; their crashes stay in the tallies.
 	Found    []Verdict     `json:"v,omitempty"`
 	Lifted   []Fingerprint `json:"l,omitempty"`
 	Released []Fingerprint `json:"f,omitempty"`
