--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -200,7 +200,7 @@
 	is.Equal(idleLimitFrom(http.Header{}), defaultIdleLimit)
 }
 
-func TestSweepClosesExpiredIdleConnections(t *testing.T) {
+func TestExpiredIdleConnectionsAreClosed(t *testing.T) {
 	is := is.New(t)
 	addr := startRawEndpoint(t, func(c net.Conn, br *bufio.Reader) {
 		for readRequest(br) {
@@ -240,7 +240,7 @@
 
 // Guards against a client whose closed or reset connection is not detected while nobody reads
 // from it, and against unread data of a next request that is taken for a close.
-func TestPeerLeftDetectsCloseWithoutReading(t *testing.T) {
+func TestPeerCloseIsDetectedWithoutReading(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
