--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -220,10 +220,10 @@
 	if total <= 0 {
 		return r.Backends[0].Service
 	}
-	at := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, b := range r.Backends {
-		at -= float64(b.Weight)
-		if at < 0 {
+		remaining -= float64(b.Weight)
+		if remaining < 0 {
 			return b.Service
 		}
 	}
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -119,8 +119,8 @@
 
 // Answer returns the response to a node that has have, at now.
 func Answer(src Source, j *Journal, have Have, now clock.Instant) (State, Ages) {
-	known, ages := takeSnapshot(src, j, now)
-	return known.stateSince(j, have), ages
+	current, ages := takeSnapshot(src, j, now)
+	return current.stateSince(j, have), ages
 }
 
 // snapshot identifies the state of a node at some moment.
--- a/internal/feed/wire.go
+++ b/internal/feed/wire.go
@@ -87,18 +87,18 @@
 func (s *Server) response(have Have, now clock.Instant) ([]byte, Ages, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known, ages := takeSnapshot(s.Source, s.Journal, now)
-	key := responseKey{have, known}
+	current, ages := takeSnapshot(s.Source, s.Journal, now)
+	key := responseKey{have, current}
 	if body, ok := s.cachedResponses[key]; ok {
 		return body, ages, nil
 	}
-	state := known.stateSince(s.Journal, have)
+	state := current.stateSince(s.Journal, have)
 	body, err := encode(&state)
 	if err != nil {
 		return nil, ages, err
 	}
-	if s.cachedSnapshot != known || len(s.cachedResponses) >= maxCachedResponses {
-		s.cachedResponses, s.cachedSnapshot = map[responseKey][]byte{}, known
+	if s.cachedSnapshot != current || len(s.cachedResponses) >= maxCachedResponses {
+		s.cachedResponses, s.cachedSnapshot = map[responseKey][]byte{}, current
 	}
 	s.cachedResponses[key] = body
 	return body, ages, nil
--- a/internal/forward/codec.go
+++ b/internal/forward/codec.go
@@ -43,19 +43,17 @@
 
 // Reply is the information about an attempt in the header of an endpoint's response.
 type Reply struct {
-	NotRun  bool   // the request has not run there and will not
-	Ours    bool   // the response carries this request's id
-	Signed  bool   // the response carries an endpoint's stamp
-	Encoded bool   // the body has a Content-Encoding, so an intermediary changed it
-	HasLoad bool   // Running and Waiting are set
-	Running int    // requests running at the endpoint
-	Waiting int    // requests queued at the endpoint
-	Culprit string // the group member that caused the refusal; empty: not named
-	Other   bool   // another endpoint has the address now
-	// Pressure contains the endpoint's rate limit and backoff. Unreadable names those of
-	// their headers that cannot be parsed; nil: none.
-	Pressure   backpressure.Signals
-	Unreadable error
+	NotRun     bool                 // the request has not run there and will not
+	Ours       bool                 // the response carries this request's id
+	Signed     bool                 // the response carries an endpoint's stamp
+	Encoded    bool                 // the body has a Content-Encoding, so an intermediary changed it
+	HasLoad    bool                 // Running and Waiting are set
+	Running    int                  // requests running at the endpoint
+	Waiting    int                  // requests queued at the endpoint
+	Culprit    string               // the group member that caused the refusal; empty: not named
+	Other      bool                 // another endpoint has the address now
+	Pressure   backpressure.Signals // the endpoint's rate limit and backoff
+	Unreadable error                // names the rate limit and backoff headers that cannot be parsed; nil: none
 }
 
 // Codec translates between this package and the protocols of clients and endpoints.
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -107,9 +107,9 @@
 	// dialTimeout is the timeout for connecting to an endpoint. A round trip between
 	// zones takes 3 ms, so an endpoint that exceeds it is unreachable.
 	dialTimeout = 300 * time.Millisecond
-	// startWait is the maximum time that a request waits for the first reads of the
+	// maxStartWait is the maximum time that a request waits for the first reads of the
 	// store by a node that has just started; they take 10 to 30 ms.
-	startWait = 300 * time.Millisecond
+	maxStartWait = 300 * time.Millisecond
 	// retryAfterNone is sent when no endpoint serves the request: the repair of a
 	// group with a spare takes one to two seconds.
 	retryAfterNone = time.Second
@@ -142,7 +142,7 @@
 	x.run(ctx)
 }
 
-// awaitStart waits up to startWait for the configuration and the endpoints of a node that
+// awaitStart waits up to maxStartWait for the configuration and the endpoints of a node that
 // has just started. After a power failure all nodes start at once, and clients reach them a
 // few milliseconds later, often with their last retry: a refusal would lose the request.
 func (f *Forwarder) awaitStart(ctx context.Context) {
@@ -154,7 +154,7 @@
 	if f.Started == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, startWait)
+	ctx, cancel := context.WithTimeout(ctx, maxStartWait)
 	defer cancel()
 	select {
 	case <-f.Started:
--- a/internal/forward/start_test.go
+++ b/internal/forward/start_test.go
@@ -11,7 +11,7 @@
 
 // Guards against the refusal of a request that arrives before a restarted node has finished
 // its first reads of the store: it may be the client's last retry. The request waits for the
-// reads, but no longer than startWait.
+// reads, but no longer than maxStartWait.
 func TestRequestWaitsForStartingNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -19,7 +19,7 @@
 		f := &Forwarder{Started: started}
 		begun := time.Now()
 		f.awaitStart(context.Background())
-		is.Equal(time.Since(begun), startWait)
+		is.Equal(time.Since(begun), maxStartWait)
 
 		go func() {
 			time.Sleep(20 * time.Millisecond) // fake time of the bubble; stands for the first reads
