--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -23,11 +23,11 @@
 		want     []Event
 		err      error
 	}{
-		{"one event", "id: 1\ndata: a\n\n", []Event{{ID: "1", Data: []byte("a")}}, io.EOF},
+		{"one", "id: 1\ndata: a\n\n", []Event{{ID: "1", Data: []byte("a")}}, io.EOF},
 		{"crlf and no space", "data:a\r\n\r\n", []Event{{Data: []byte("a")}}, io.EOF},
-		{"comments", ": hi\n\n:x\ndata: a\n\n", []Event{{Data: []byte("a")}}, io.EOF},
+		{"comments between events", ": hi\n\n:x\ndata: a\n\n", []Event{{Data: []byte("a")}}, io.EOF},
 		{"several data lines", "data: a\ndata: b\n\n", []Event{{Data: []byte("a\nb")}}, io.EOF},
-		{"event name", "event: error\ndata: x\n\n", []Event{{Name: "error", Data: []byte("x")}}, io.EOF},
+		{"named", "event: error\ndata: x\n\n", []Event{{Name: "error", Data: []byte("x")}}, io.EOF},
 		{"ends within an event", "data: a\n", nil, io.ErrUnexpectedEOF},
 		{"ends within a line", "data: a\n\ndata: b", []Event{{Data: []byte("a")}}, io.ErrUnexpectedEOF},
 		{"line too long", "data: " + strings.Repeat("x", 9000) + "\n\n", nil, ErrTooLong},
@@ -84,8 +84,8 @@
 		err      error
 		resume   bool
 	}{
-		{"complete", tokens + lastEvent("s", 2, 2) + doneEvent, io.EOF, true},
-		{"empty", "", errIncomplete, true},
+		{"whole", tokens + lastEvent("s", 2, 2) + doneEvent, io.EOF, true},
+		{"nothing", "", errIncomplete, true},
 		{"no last event", tokens, errIncomplete, true},
 		{"no end mark", tokens + lastEvent("s", 2, 2), errIncomplete, true},
 		{"end mark without count", tokens + doneEvent, errIncomplete, true},
