--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -1,7 +1,7 @@
 // Package answer represents an answer on its way back to the caller, in the same form
 // whether the next hop is the caller or another node.
 //
-// An answer is complete only if Finish was called with End.Whole set. A stream that ends
+// An answer is complete only if Finish was called with a complete End. A stream that ends
 // without it was truncated, even if its last read returned no error: the connection of a
 // crashed engine may end with a plain EOF.
 package answer
@@ -36,7 +36,7 @@
 	Frames uint64         `cbor:"2,keyasint"` // number of events; streams only
 	Bytes  uint64         `cbor:"3,keyasint"`
 	Hash   uint64         `cbor:"4,keyasint"` // xxhash64 over all Data in order
-	Error  *outcome.Error `cbor:"-"`          // set when not Whole
+	Error  *outcome.Error `cbor:"-"`          // set if the answer is not complete
 }
 
 // Writer receives one answer: Start once, Frame any number of times in order of offset,
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -113,7 +113,7 @@
 	// engine, where they become late and delay those behind them. Over 36 days of two sites
 	// the mean score was 0.498 at -0.1, 0.511 at -0.04 and 0.501 at 0.04.
 	engineQueueShare = -0.04
-	// engineSampleSize is the number of heads of the own zone, and of the other zones, that
+	// engineSampleSize is the number of heads of the local zone, and of the other zones, that
 	// are compared for each request if loads come from a board. In the test driver (59
 	// nodes, 18 heads, 80% of their slots in use) prompts waited 4 ms for other prompts
 	// with two candidates, 6 ms with three and 50 ms with all.
@@ -229,9 +229,9 @@
 	n.controllers = append(n.controllers, c)
 }
 
-// feedSources returns the addresses of the nodes that read the store: the holder of the own
+// feedSources returns the addresses of the nodes that read the store: the holder of the local
 // zone's duty first, then those of other zones, which read the same data and serve while
-// the own zone has no holder. It returns none if this node holds the own zone's duty.
+// the local zone has no holder. It returns none if this node holds the local zone's duty.
 func (n *Node) feedSources() []string {
 	zones := []string{n.Settings.Zone}
 	for _, zone := range n.Settings.Zones {
@@ -284,8 +284,8 @@
 	}}
 }
 
-// recordQuestion records the configuration version and, from nodes of the own zone, the demand
-// in a question.
+// recordQuestion records the configuration version and, from nodes of the local zone, the
+// demand in a question.
 func (n *Node) recordQuestion(q feed.Question) {
 	n.config.recordPeerVersion(q.Config)
 	if q.Zone == n.Settings.Zone && q.Node != n.Settings.VM {
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -186,14 +186,14 @@
 			k++
 		}
 	}
-	few := allowed()
-	is.True(few*minBudgetNodes <= 100)
+	allowedAlone := allowed()
+	is.True(allowedAlone*minBudgetNodes <= 100)
 	var rows []table.Row
 	for i := range 80 {
 		rows = append(rows, addrRow(string(rune('A'+i)), "10.0.0.1:1"))
 	}
 	n.leaseCache.applyRows(rows, 0)
-	is.True(allowed() < few)
+	is.True(allowed() < allowedAlone)
 	is.True(allowed()*80 <= 100)
 }
 
@@ -203,13 +203,13 @@
 	is := is.New(t)
 	c := clock.NewManual(clock.Instant(time.Hour))
 	n := newTestNode(&fakeStore{}, c)
-	var told [][]roster.ID
-	n.roster.onLeaving = func(leaving, gone []roster.ID) { told = append(told, leaving, gone) }
+	var reported [][]roster.ID
+	n.roster.onLeaving = func(leaving, gone []roster.ID) { reported = append(reported, leaving, gone) }
 	n.roster.applyList(roster.Listing{Endpoints: []roster.Endpoint{{ID: "stays"}, {ID: "leaves"}, {ID: "goes"}}}, c.Now(), 0)
 	after := roster.Listing{Endpoints: []roster.Endpoint{{ID: "stays"}, {ID: "leaves", Draining: true}}}
 	n.roster.applyList(after, c.Now().Add(time.Second), 0)
 	n.roster.applyList(after, c.Now().Add(2*time.Second), 0)
-	is.Equal(told, [][]roster.ID{{"leaves"}, {"goes"}})
+	is.Equal(reported, [][]roster.ID{{"leaves"}, {"goes"}})
 }
 
 // The holder of a zone's duty gets one in sixty of the zone's requests. It plans for the
@@ -218,10 +218,10 @@
 func TestDutyHolderSumsZoneDemand(t *testing.T) {
 	is := is.New(t)
 	n := newTestNode(&fakeStore{}, clock.NewManual(clock.Instant(time.Hour)))
-	told := []demand.Told{{Service: "s", Demand: demand.Demand{Requests: 5, Work: map[string]float64{"big": 2}}}}
+	reports := []demand.Told{{Service: "s", Demand: demand.Demand{Requests: 5, Work: map[string]float64{"big": 2}}}}
 	for _, q := range []feed.Question{
-		{Node: "n1", Zone: "a", Demand: told}, {Node: "n2", Zone: "a", Demand: told},
-		{Node: "n3", Zone: "b", Demand: told}, {Node: "me", Zone: "a", Demand: told},
+		{Node: "n1", Zone: "a", Demand: reports}, {Node: "n2", Zone: "a", Demand: reports},
+		{Node: "n3", Zone: "b", Demand: reports}, {Node: "me", Zone: "a", Demand: reports},
 	} {
 		n.recordQuestion(q)
 	}
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -132,7 +132,7 @@
 		k := n.tracker.Start("head", nil)
 		ends = append(ends, k.End)
 	}
-	look := func() {
+	advance := func() {
 		for range int(2 * boardInterval / balance.WatchStep) {
 			p.clock.Advance(balance.WatchStep)
 			for _, n := range p.nodes {
@@ -141,7 +141,7 @@
 		}
 	}
 	held.zone = "z0"
-	look()
+	advance()
 	for _, n := range p.nodes {
 		want := 54.0
 		if n.Settings.Zone != "z0" {
@@ -152,7 +152,7 @@
 	for _, end := range ends {
 		end()
 	}
-	look()
+	advance()
 	for _, n := range p.nodes {
 		is.True(n.tracker.Of("head", time.Minute).Load < 0.5)
 	}
@@ -167,18 +167,18 @@
 func TestLongCountsSplitIntoMessages(t *testing.T) {
 	is := is.New(t)
 	p := newSimFleet(t, 1, 27, 0)
-	holder, teller := p.nodes["z0-0"], p.nodes["z0-1"]
+	holder, sender := p.nodes["z0-0"], p.nodes["z0-1"]
 	holder.holdsDuty = (&fixedDuty{"z0"}).holds
 	var list []roster.Endpoint
 	for i := range 90 {
 		id := roster.Life(fmt.Sprintf("i-%010d", i), 1790000000000)
 		list = append(list, roster.Endpoint{ID: id, Service: "s", Zone: "z0", Domain: "d", Slots: 22})
-		teller.tracker.Start(id, nil)
+		sender.tracker.Start(id, nil)
 	}
-	teller.roster.current.Store(roster.Merge(roster.Empty(), roster.Listing{Endpoints: list}, p.clock.Now(), 0))
+	sender.roster.current.Store(roster.Merge(roster.Empty(), roster.Listing{Endpoints: list}, p.clock.Now(), 0))
 	for range 3 {
-		teller.tracker.Start(list[0].ID, nil)
-		teller.loads.sendCounts()
+		sender.tracker.Start(list[0].ID, nil)
+		sender.loads.sendCounts()
 	}
 	sums, _ := holder.loads.boards["z0"].Sums(p.clock.Now())
 	is.Equal(len(sums), 90)
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -20,7 +20,7 @@
 	log    *slog.Logger
 
 	lastSuccess  atomic.Int64 // when the last successful question was sent
-	fromOwnZone  atomic.Bool  // the last answer came from the holder of the own zone's duty
+	fromOwnZone  atomic.Bool  // the last answer came from the holder of the local zone's duty
 	wake         chan struct{}
 	nextInterval time.Duration         // interval to the next question; used by run only
 	source       string                // address of the node that answered last; used by run only
@@ -54,9 +54,9 @@
 	return at != 0 && f.clock.Now().Sub(at) < followValidity
 }
 
-// isFollowingOwnZone reports whether the answers come from the holder of the own zone's duty.
-// Otherwise the zone's lease is read from the store: another zone's holder reports it a
-// second later, which would delay the takeover of the duty by as much.
+// isFollowingOwnZone reports whether the answers come from the holder of the local zone's
+// duty. Otherwise the zone's lease is read from the store: another zone's holder reports it
+// a second later, which would delay the takeover of the duty by as much.
 func (f *follower) isFollowingOwnZone() bool { return f.fromOwnZone.Load() && f.isFollowing() }
 
 // pollSoon triggers the next question before it is due.
--- a/internal/entry/loads.go
+++ b/internal/entry/loads.go
@@ -128,8 +128,8 @@
 	l.lastSent[n.Settings.Zone] = now
 }
 
-// send sends the counts of one zone to its duty holder, in several messages if needed.
-
+// sendZoneCounts sends the counts of one zone to its duty holder, in several messages if
+// needed.
 func (l *loadExchange) sendZoneCounts(zone string, counts []board.Count, now clock.Instant) {
 	n := l.node
 	owner := n.leaseCache.owner(zone)
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -74,9 +74,9 @@
 
 // advance advances the clock and runs the quarantine ticks of all nodes.
 func (o *outbreak) advance(d time.Duration) {
-	const look = 50 * time.Millisecond
-	for range d / look {
-		o.clock.Advance(look)
+	const step = 50 * time.Millisecond
+	for range d / step {
+		o.clock.Advance(step)
 		for _, n := range o.nodes {
 			n.quarantineGuard.Tick()
 		}
--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -6,7 +6,7 @@
 	"chervilloom/internal/news"
 )
 
-// broadcast sends a message to all other nodes: directly in the own zone, and in each other
+// broadcast sends a message to all other nodes: directly in the local zone, and in each other
 // zone through two relays, the duty holder and one more node. With one copy for each of 294
 // nodes, four of five copies crossed zones. There are two relays so that one lost packet
 // has no effect.
@@ -34,7 +34,7 @@
 	return []string{first, second}
 }
 
-// relayInZone sends a relayed message to the other nodes of the own zone.
+// relayInZone sends a relayed message to the other nodes of the local zone.
 func (n *Node) relayInZone(m news.Message) {
 	m.Relay = false
 	n.send(m, n.leaseCache.zonePeers(n.Settings.VM, n.Settings.Zone)...)
--- a/internal/entry/start.go
+++ b/internal/entry/start.go
@@ -42,7 +42,7 @@
 // holdsAnyDuty reports whether this node holds the duty of any zone.
 func (n *Node) holdsAnyDuty() bool { return slices.ContainsFunc(n.Settings.Zones, n.holdsDuty) }
 
-// areLeasesFed reports whether the lease rows come from another node. While the own zone
+// areLeasesFed reports whether the lease rows come from another node. While the local zone
 // has no holder, its candidates read the rows themselves, because those from another zone's
 // holder are a second older. Small nodes of a zone with larger ones don't.
 func (n *Node) areLeasesFed() bool {
--- a/internal/lease/decide.go
+++ b/internal/lease/decide.go
@@ -38,7 +38,7 @@
 	First   clock.Instant // when this node first saw this version
 	Known   bool          // the row has been read at least once
 	Era     uint64        // era of the table for which Version is valid
-	Clock   int64         // the table's clock at First or earlier, in ms; 0: unknown
+	Clock   int64         // the table's clock at the first read of this version or earlier, in ms; 0: unknown
 	// EraFirst is when this node first saw the era; 0: no earlier era can matter.
 	EraFirst clock.Instant
 }
@@ -127,9 +127,9 @@
 	return Decision{Action: Renew, Next: next, Reason: "a third of the term has passed"}
 }
 
-// remainingTerm returns how much of the holder's term may remain at First. The table's
-// clock shows whether the term had ended before this node read the row; without it no node
-// would acquire a duty for more than a term after the loss of all nodes.
+// remainingTerm returns how much of the holder's term may remain after the first read. The
+// table's clock shows whether the term had ended before this node read the row; without it
+// no node would acquire a duty for more than a term after the loss of all nodes.
 func (s *Seen) remainingTerm() time.Duration {
 	if s.Row.Over == 0 || s.Clock == 0 {
 		return s.Row.Term
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -20,8 +20,8 @@
 type fakeTable struct {
 	clock *clock.Manual
 	row   platform.Row
-	// delayBefore is the time until the next commit takes effect, delayAfter the time from then
-	// until the answer.
+	// delayBefore is the time until the next commit takes effect, delayAfter the time from
+	// then until the answer.
 	delayBefore, delayAfter time.Duration
 	// during runs between the effect of the next commit and its answer.
 	during     func()
