--- a/internal/forward/relay.go
+++ b/internal/forward/relay.go
@@ -63,7 +63,7 @@
 	}
 	if signals.RetryAfter > 0 {
 		x.f.Metrics.backoffs.Inc()
-		x.f.Log.Debug("endpoint requests a backoff", "request", x.req.ID, "endpoint", ep.ID, "retry_after_ms", signals.RetryAfter.Milliseconds())
+		x.f.Log.Debug("response requests a backoff", "request", x.req.ID, "endpoint", ep.ID, "retry_after_ms", signals.RetryAfter.Milliseconds())
 	}
 	x.f.Backpressure.Answered(backpressureID(ep), signals, x.sentAt)
 }
