--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -52,7 +52,8 @@
 }
 
 // Placed reports requests that a node has sent to an engine. A sender that addresses only a
-// sample of the nodes scales Requests and Tokens up for the others.
+// part of the nodes would scale Requests and Tokens up for the others; at present each request
+// is reported to all other nodes of the zone, with a count of 1.
 type Placed struct {
 	ID       roster.ID `json:"id"`
 	Requests float64   `json:"n"`
