--- a/internal/dispatch/adversary_test.go
+++ b/internal/dispatch/adversary_test.go
@@ -19,14 +19,14 @@
 	"chervilloom/internal/view"
 )
 
-// A clerk sends a receipt. The first endpoint refuses it, promises that nothing
-// ran, and then never ends the text of its refusal. The promise is in the
-// header: the second endpoint is asked long before the clerk's deadline.
-func TestRefusalWithoutEndIsNotWaitedFor(t *testing.T) {
+// The first endpoint refuses with the header that guarantees that nothing ran, and never
+// ends the response body. Without the limit on reading the body, the retry at the second
+// endpoint would wait until the deadline.
+func TestRefusalWithEndlessBodyIsRetried(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
 	r.addHandler(func(w http.ResponseWriter, req *http.Request) {
-		io.Copy(io.Discard, req.Body) // net/http notices a closed connection only then
+		io.Copy(io.Discard, req.Body) // net/http detects a closed connection only after the body was read
 		w.Header().Set(headerServiceNotRun, "true")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		fmt.Fprint(w, "leaving")
@@ -40,10 +40,10 @@
 	is.Equal(r.router.begun, 2)
 }
 
-// An endpoint answers with a status that no HTTP answer has, or changes the
-// protocol unasked. The receipt may have been issued: the clerk is told so at
-// once, and never gets the status or what follows it as an answer.
-func TestImpossibleStatusIsAFailure(t *testing.T) {
+// An endpoint responds with a status that no final response has, or switches protocols
+// without being asked. The request may have run, so the outcome is "unknown", and neither
+// the status nor the following bytes may reach the caller.
+func TestNonFinalStatusIsAFailure(t *testing.T) {
 	for _, status := range []string{"000 Zero", "042 Low", "101 Switching Protocols"} {
 		t.Run(status, func(t *testing.T) {
 			is := is.New(t)
@@ -54,7 +54,7 @@
 					panic(err)
 				}
 				r.t.Cleanup(func() { conn.Close() })
-				answerRaw(conn, status)
+				writeRawResponse(conn, status)
 			})
 			c := r.serve(context.Background(), r.receipt("a"))
 			is.True(!c.end.Whole)
@@ -66,13 +66,13 @@
 	}
 }
 
-func answerRaw(conn net.Conn, status string) {
+func writeRawResponse(conn net.Conn, status string) {
 	fmt.Fprintf(conn, "HTTP/1.1 %s\r\nConnection: Upgrade\r\nUpgrade: x\r\nContent-Length: 0\r\n\r\n", status)
 }
 
-// A scorer's stream breaks, and its engine takes each resume and breaks it
-// again before a token came. The caller is told that the answer is cut; the
-// engine is told to cancel, or it would go on producing for nobody.
+// A stream breaks, and its engine accepts each resume and breaks it again before the
+// first token. The response must end as cut, and the stream must be cancelled at the
+// engine, which would otherwise keep generating.
 func TestStreamThatCannotBeResumedIsCancelled(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
@@ -92,26 +92,26 @@
 	})
 	ref := relay.StreamRef{VM: "e1", Group: "g1", Generation: 1, Stream: relay.NewStreamID("sagarmatha", "n1")}
 	s := newSession(r.chat("a", 8, true), newCollector())
-	f := &following{d: r.d, s: s, g: &r.Snapshot().Groups[0], t: &try{}, st: relay.NewStream(ref, 1)}
-	f.wait, f.silent = time.Millisecond, r.clock.Now().Add(-2*resumeLimit)
-	_, cut := f.reopen(context.Background(), context.Background(), nil)
+	f := &streamRelay{d: r.d, s: s, g: &r.Snapshot().Groups[0], t: &try{}, st: relay.NewStream(ref, 1)}
+	f.nextWait, f.brokenSince = time.Millisecond, r.clock.Now().Add(-2*resumeLimit)
+	_, cut := f.resume(context.Background(), context.Background(), nil)
 	is.Equal(cut.Kind, outcome.AnswerCut)
-	is.True(f.t.blamed)
+	is.True(f.t.endpointFailed)
 	select {
 	case path := <-cancelled:
 		is.Equal(path, "/v1/streams/"+ref.Stream)
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("the stream was not cancelled")
 	}
 }
 
-// An endpoint advises to come back in years, or in no time that there is. The
-// caller is never told to stay away for longer than others need to take over.
-func TestAdviceOfAnEndpointIsBounded(t *testing.T) {
+// A Retry-After value of years, or one that overflows time.Duration, must be limited to
+// maxRetryAfter.
+func TestRetryAfterIsLimited(t *testing.T) {
 	for value, want := range map[string]time.Duration{
 		"": 0, "soon": 0, "-5": 0, "0": 0, "7": 7 * time.Second, "60": time.Minute,
 		"1000000000": time.Minute, "18446744074": time.Minute,
 	} {
-		is.New(t).Equal(retryAfter(http.Header{"Retry-After": {value}}), want)
+		is.New(t).Equal(parseRetryAfter(http.Header{"Retry-After": {value}}), want)
 	}
 }
--- a/internal/dispatch/await.go
+++ b/internal/dispatch/await.go
@@ -13,19 +13,21 @@
 )
 
 const (
-	// servedLately is how long ago a target must have served for a request to wait when
-	// nothing serves it now.
-	servedLately = 2 * time.Second
-	// pickPoll is the pause between two looks for a destination.
-	pickPoll = 10 * time.Millisecond
-	// roundPause is the pause before destinations are tried again that were all tried.
-	roundPause = 50 * time.Millisecond
+	// recentServeWindow is how recently a target must have served a request for new
+	// requests to wait while it has no destination.
+	recentServeWindow = 2 * time.Second
+	// pickPollInterval is the interval between attempts to find a destination.
+	pickPollInterval = 10 * time.Millisecond
+	// retryRoundPause is the delay before destinations that were all tried are tried
+	// again.
+	retryRoundPause = 50 * time.Millisecond
 )
 
-// served remembers when each target and plain service served a request of this node last.
-type served struct {
-	mu   sync.Mutex
-	last map[string]clock.Instant
+// servedTimes records when each target or plain service last served a request of this
+// node.
+type servedTimes struct {
+	mu         sync.Mutex
+	lastServed map[string]clock.Instant
 }
 
 func targetKey(req *request.Request) string {
@@ -35,26 +37,27 @@
 	return "model " + req.Target.String()
 }
 
-func (s *served) note(req *request.Request, now clock.Instant) {
+func (s *servedTimes) record(req *request.Request, now clock.Instant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.last == nil {
-		s.last = map[string]clock.Instant{}
+	if s.lastServed == nil {
+		s.lastServed = map[string]clock.Instant{}
 	}
-	s.last[targetKey(req)] = now
+	s.lastServed[targetKey(req)] = now
 }
 
-func (s *served) lately(req *request.Request, now clock.Instant) bool {
+func (s *servedTimes) servedRecently(req *request.Request, now clock.Instant) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at, ok := s.last[targetKey(req)]
-	return ok && now.Sub(at) <= servedLately
+	at, ok := s.lastServed[targetKey(req)]
+	return ok && now.Sub(at) <= recentServeWindow
 }
 
-// pick chooses a destination. Where there was one a moment ago and none is left, the request
-// waits a little: a probe that is answered late takes a destination away until the next one,
-// and all that comes in between would be refused. Where all were tried and nothing ran, they
-// may be tried again: a group whose members missed a heartbeat refuses for a moment only.
+// pick chooses a destination. If a target that served a request recently has none, pick
+// waits up to PickWait: a late probe reply hides a destination until the next probe, and
+// every request in between would be refused. If all destinations were tried and nothing
+// ran, they may be tried again, because a group whose members missed a heartbeat refuses
+// requests only briefly.
 func (d *Dispatcher) pick(ctx context.Context, s *session) (route.Choice, *outcome.Error) {
 	choice, err := d.pickNow(s)
 	if err == nil || err.Kind == outcome.Overloaded || !d.mayWait(s) {
@@ -62,13 +65,13 @@
 	}
 	began := d.opt.Clock.Now()
 	if s.tries > 0 {
-		if !clock.Sleep(ctx, roundPause) {
+		if !clock.Sleep(ctx, retryRoundPause) {
 			return choice, err
 		}
 		s.tried = nil
 	}
-	for range d.opt.PickWait / pickPoll {
-		if !clock.Sleep(ctx, pickPoll) {
+	for range d.opt.PickWait / pickPollInterval {
+		if !clock.Sleep(ctx, pickPollInterval) {
 			return choice, err
 		}
 		if choice, err = d.pickNow(s); err == nil {
@@ -80,26 +83,28 @@
 	return choice, err
 }
 
-// mayWait reports whether a request for which there is no destination may wait for one. One
-// that another node passed on is tried again by that node.
+// mayWait reports whether a request without a destination may wait for one. A request
+// forwarded by another node is not retried here after a failed try; the forwarding node
+// retries it.
 func (d *Dispatcher) mayWait(s *session) bool {
 	if s.tries > 0 && (s.ran != outcome.NotRun || s.req.Hops > 0) {
 		return false
 	}
-	return d.served.lately(s.req, d.opt.Clock.Now())
+	return d.servedTimes.servedRecently(s.req, d.opt.Clock.Now())
 }
 
-// pickNow chooses a destination among those that take requests now. Where no other carries
-// what is asked for, the caller is told at once when they do again.
+// pickNow chooses a destination among those not limited by backpressure. If only limited
+// endpoints serve the target, the error carries the time after which they accept requests
+// again.
 func (d *Dispatcher) pickNow(s *session) (route.Choice, *outcome.Error) {
 	snap, now := d.opt.View.Snapshot(), d.opt.Clock.Now()
-	h := d.heldBack(s.req, snap)
-	choice, err := d.opt.Router.Pick(s.req, snap, now, slices.Concat(s.tried, h.tried))
+	limited := d.findLimited(s.req, snap)
+	choice, err := d.opt.Router.Pick(s.req, snap, now, slices.Concat(s.tried, limited.excluded))
 	switch {
-	case err == nil || h.heldFor == 0:
+	case err == nil || limited.availableAfter == 0:
 		return choice, err
-	case h.others:
-		return choice, err.After(min(err.RetryAfter, h.heldFor))
+	case limited.othersMatch:
+		return choice, err.After(min(err.RetryAfter, limited.availableAfter))
 	}
-	return choice, takesNothing(h.heldFor)
+	return choice, overloadedError(limited.availableAfter)
 }
--- a/internal/dispatch/await_test.go
+++ b/internal/dispatch/await_test.go
@@ -17,7 +17,7 @@
 	"chervilloom/internal/view"
 )
 
-// countingRouter counts how often a destination is looked for, and the tries.
+// countingRouter counts calls of Pick and Begin.
 type countingRouter struct {
 	*listRouter
 	picks, begun atomic.Int64
@@ -37,13 +37,13 @@
 	c := &countingRouter{}
 	r := newRig(t, func(o *Options) {
 		c.listRouter = o.Router.(*listRouter)
-		o.Router, o.PickWait = c, patience
+		o.Router, o.PickWait = c, waitTimeout
 	})
 	return r, c
 }
 
-// Guards against callers that are refused while a late probe hides the only destination.
-func TestRequestWaitsForADestinationThatWasThere(t *testing.T) {
+// Guards against refusals while a late probe reply hides the only destination.
+func TestRequestWaitsForARecentDestination(t *testing.T) {
 	is := is.New(t)
 	r, router := newCountingRig(t)
 	r.addService()
@@ -57,14 +57,14 @@
 		defer close(done)
 		r.d.Serve(context.Background(), r.receipt("b"), c)
 	}()
-	testkit.Eventually(t, "it looks again", func() bool { return router.picks.Load() > from+1 })
+	testkit.Eventually(t, "the router is asked again", func() bool { return router.picks.Load() > from+1 })
 	r.change(func(s *view.Snapshot) { s.VMs = vms })
 	<-done
 	is.True(c.end.Whole)
 }
 
-// Guards against requests that are held where nothing has served them for long.
-func TestRequestIsRefusedAtOnceWhereNothingServedLately(t *testing.T) {
+// Guards against waiting for a target that has not served a request recently.
+func TestRequestWithoutRecentDestinationIsRefusedImmediately(t *testing.T) {
 	is := is.New(t)
 	r, router := newCountingRig(t)
 	c := r.serve(context.Background(), r.lookup("a"))
@@ -72,8 +72,8 @@
 	is.Equal(router.picks.Load(), int64(1))
 }
 
-// Guards against callers that are refused because the only destination refused for a moment.
-func TestOnlyDestinationIsTriedAgain(t *testing.T) {
+// Guards against refusals because the only destination refused briefly.
+func TestOnlyDestinationIsRetried(t *testing.T) {
 	is := is.New(t)
 	r, _ := newCountingRig(t)
 	s := r.addService()
@@ -83,7 +83,7 @@
 	is.Equal(s.Executions("POST", "/receipts", "b"), 1)
 }
 
-// Guards against requests without end to an endpoint that goes on refusing.
+// Guards against unlimited retries at an endpoint that keeps refusing.
 func TestTriesAtTheOnlyDestinationAreBounded(t *testing.T) {
 	for hops, want := range []int64{DefaultTries, 1} {
 		is := is.New(t)
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -24,15 +24,15 @@
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }))
 	b.Cleanup(srv.Close)
 	addr := srv.Listener.Addr().String()
-	r := &rig{retry: &countRetry{allow: true}, router: &listRouter{}, snap: &view.Snapshot{Zone: testZone,
+	r := &rig{retry: &countingRetry{allow: true}, router: &listRouter{}, snap: &view.Snapshot{Zone: testZone,
 		VMs: []view.VM{{Record: fleet.Record{VM: "s1", Addr: addr, Service: "counter"}}}}}
 	d := New(Options{View: r, Clock: clock.Boot{}, Router: r.router, Retry: r.retry})
 	b.Cleanup(d.Close)
 	return r, d, addr
 }
 
-// BenchmarkHop compares a request through the dispatcher with a bare
-// http.Transport to the same endpoint.
+// BenchmarkHop compares a request through the dispatcher with a bare http.Transport to
+// the same endpoint.
 func BenchmarkHop(b *testing.B) {
 	b.Run("bare transport", func(b *testing.B) {
 		_, _, addr := benchDispatcher(b)
--- a/internal/dispatch/body.go
+++ b/internal/dispatch/body.go
@@ -12,49 +12,49 @@
 	"chervilloom/internal/outcome"
 )
 
-// frameBytes is the length of the pieces that a long body is passed on in.
+// frameBytes is the maximum size of the frames in which a long body is forwarded.
 const frameBytes = 32 << 10
 
-// check looks at a body that was received whole and tells what is missing.
-type check func(resp *http.Response, body []byte) error
+// bodyCheck validates a complete response body and returns an error if a part is missing.
+type bodyCheck func(resp *http.Response, body []byte) error
 
-// reply is an answer that is not a stream, received up to the bound.
+// reply is a non-streaming response, buffered up to AnswerBuffer bytes.
 type reply struct {
 	head answer.Head
-	held []byte
-	rest io.Reader // what is beyond the bound; nil: held is all
+	data []byte
+	rest io.Reader // unread remainder; nil if data is the whole body
 }
 
-// receive holds an answer back up to the bound, so that an endpoint that dies
-// within a short answer leaves the caller with nothing, and the request can be
-// told truly or tried again.
-func (d *Dispatcher) receive(ctx context.Context, resp *http.Response, h answer.Head, whole check) (*reply, *outcome.Error) {
-	if !delimited(resp) {
-		return nil, answerCut("the endpoint's answer has no length, so that its end cannot be told from a cut", nil)
+// receive buffers a response up to AnswerBuffer bytes. If an endpoint fails within a
+// short response, the caller has received nothing, so the error can state the outcome or
+// the request can be retried.
+func (d *Dispatcher) receive(ctx context.Context, resp *http.Response, h answer.Head, checkBody bodyCheck) (*reply, *outcome.Error) {
+	if !isDelimited(resp) {
+		return nil, answerCutError("the endpoint's answer has no length, so that its end cannot be told from a cut", nil)
 	}
 	if isEventStream(resp) {
-		return &reply{head: h, rest: resp.Body}, nil // a service's own feed: each event counts when it comes
+		return &reply{head: h, rest: resp.Body}, nil // event feed of a service: forward each event on arrival
 	}
-	held, err := io.ReadAll(io.LimitReader(resp.Body, int64(d.opt.AnswerBuffer)))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, int64(d.opt.AnswerBuffer)))
 	if err != nil {
-		return nil, d.cutBy(ctx, err)
+		return nil, d.readError(ctx, err)
 	}
-	if len(held) == d.opt.AnswerBuffer {
-		return &reply{head: h, held: held, rest: resp.Body}, nil
+	if len(data) == d.opt.AnswerBuffer {
+		return &reply{head: h, data: data, rest: resp.Body}, nil
 	}
-	if err := whole(resp, held); err != nil {
-		return nil, answerCut("the endpoint's answer is not whole", err)
+	if err := checkBody(resp, data); err != nil {
+		return nil, answerCutError("the endpoint's answer is not whole", err)
 	}
-	return &reply{head: h, held: held}, nil
+	return &reply{head: h, data: data}, nil
 }
 
-// deliver passes an answer on.
+// deliver writes a reply to the session.
 func (d *Dispatcher) deliver(ctx context.Context, s *session, r *reply) *outcome.Error {
 	if err := s.start(r.head); err != nil {
 		return err
 	}
-	if len(r.held) > 0 {
-		if err := s.frame(answer.Frame{Offset: s.bytes, Data: r.held}); err != nil {
+	if len(r.data) > 0 {
+		if err := s.frame(answer.Frame{Offset: s.bytes, Data: r.data}); err != nil {
 			return err
 		}
 	}
@@ -77,27 +77,27 @@
 			return nil
 		}
 		if err != nil {
-			return d.cutBy(ctx, err)
+			return d.readError(ctx, err)
 		}
 	}
 }
 
-// delimited reports whether the end of the body can be told from a cut: it has
-// a length, is chunked, or there is none.
-func delimited(resp *http.Response) bool {
+// isDelimited reports whether a complete body can be distinguished from a truncated one:
+// the response has a length, is chunked, or has no body.
+func isDelimited(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0 || resp.Body == http.NoBody
 }
 
 var (
-	errNotJSON   = errors.New("dispatch: the JSON document ends early")
-	errNoEnd     = errors.New("dispatch: the completion has no finish reason or no token count")
-	errNotAnswer = errors.New("dispatch: the answer is no completion")
+	errNotJSON              = errors.New("dispatch: the JSON document ends early")
+	errIncompleteCompletion = errors.New("dispatch: the completion has no finish reason or no token count")
+	errNotCompletion        = errors.New("dispatch: the response is not a completion")
 )
 
-// wholeDocument refuses a chunked JSON answer that is not a whole document. An
-// endpoint that gives up half-way may end the chunks properly; what it sent
-// looks whole to HTTP.
-func wholeDocument(resp *http.Response, body []byte) error {
+// checkDocument rejects a chunked JSON response that is not a complete document. An
+// endpoint that fails midway may still terminate the chunked encoding properly, so the
+// response is complete at the HTTP level.
+func checkDocument(resp *http.Response, body []byte) error {
 	if resp.ContentLength >= 0 || len(body) == 0 || !isJSON(resp) || json.Valid(body) {
 		return nil
 	}
@@ -108,18 +108,18 @@
 	return resp.Header.Get("Content-Encoding") == "" && mediaType(resp.Header) == "application/json"
 }
 
-// wholeCompletion refuses a completion without its end: a replica that lost a
-// member may close its answer as if it were whole.
-func wholeCompletion(resp *http.Response, body []byte) error {
+// checkCompletion rejects a truncated completion: a replica that lost a member may close
+// its response as if it were complete.
+func checkCompletion(resp *http.Response, body []byte) error {
 	if resp.StatusCode != http.StatusOK {
-		return wholeDocument(resp, body)
+		return checkDocument(resp, body)
 	}
 	var a engine.ChatAnswer
 	if err := json.Unmarshal(body, &a); err != nil {
-		return errors.Join(errNotAnswer, err)
+		return errors.Join(errNotCompletion, err)
 	}
 	if len(a.Choices) == 0 || a.Choices[0].FinishReason == nil || a.Usage.CompletionTokens == 0 {
-		return errNoEnd
+		return errIncompleteCompletion
 	}
 	return nil
 }
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -18,62 +18,63 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Header = outgoing(req)
+	r.Header = outgoingHeaders(req)
 	r.ContentLength = int64(len(req.Body))
-	r.Body = body(req)
+	r.Body = newRequestBody(req)
 	if req.Idempotent && len(req.Body) > 0 {
-		r.GetBody = func() (io.ReadCloser, error) { return body(req), nil }
+		r.GetBody = func() (io.ReadCloser, error) { return newRequestBody(req), nil }
 	}
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(r.Header))
 	return r, nil
 }
 
-func body(req *request.Request) io.ReadCloser {
+func newRequestBody(req *request.Request) io.ReadCloser {
 	if len(req.Body) == 0 {
 		return http.NoBody
 	}
 	if req.Idempotent {
 		return io.NopCloser(bytes.NewReader(req.Body))
 	}
-	return &onceBody{data: req.Body}
+	return &unrewindableBody{data: req.Body}
 }
 
-// hopHeaders belong to one connection and go no further.
+// hopHeaders are the hop-by-hop headers, which are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Expect",
 }
 
-// internalHeaders start the names of headers that only nodes and endpoints may
-// say to each other: a caller could otherwise choose an engine's stream.
-var internalHeaders = []string{"Engine-", "Service-Not-Run", "Chervilloom-"}
+// internalHeaderPrefixes are the prefixes of headers reserved for nodes and endpoints.
+// They are removed from callers' requests: a caller could otherwise select an engine's
+// stream.
+var internalHeaderPrefixes = []string{"Engine-", "Service-Not-Run", "Chervilloom-"}
 
-// The headers by which an endpoint knows a request.
+// Headers that identify a request to the endpoint.
 const (
-	headerRequest       = "Chervilloom-Request"
-	headerCallerRequest = "X-Request-Id"
+	headerRequestID       = "Chervilloom-Request"
+	headerCallerRequestID = "X-Request-Id"
 )
 
-// outgoing returns the headers that the endpoint sees. It gets the system's
-// request id besides the caller's own, which need not be unique.
-func outgoing(req *request.Request) http.Header {
+// outgoingHeaders returns the headers sent to the endpoint. The system's request ID is
+// added to the caller's own, which need not be unique.
+func outgoingHeaders(req *request.Request) http.Header {
 	out := req.Header.Clone()
 	if out == nil {
 		out = make(http.Header)
 	}
-	dropHop(out)
-	dropInternal(out)
-	out.Set(headerRequest, req.ID)
-	if out.Get(headerCallerRequest) == "" {
-		out.Set(headerCallerRequest, req.ID)
+	dropHopHeaders(out)
+	dropInternalHeaders(out)
+	out.Set(headerRequestID, req.ID)
+	if out.Get(headerCallerRequestID) == "" {
+		out.Set(headerCallerRequestID, req.ID)
 	}
 	return out
 }
 
-func dropInternal(h http.Header) {
+func dropInternalHeaders(h http.Header) {
 	for k := range h {
-		for _, p := range internalHeaders {
+		for _, p := range internalHeaderPrefixes {
 			if strings.HasPrefix(k, p) {
 				delete(h, k)
 			}
@@ -81,7 +82,7 @@
 	}
 }
 
-func dropHop(h http.Header) {
+func dropHopHeaders(h http.Header) {
 	for _, v := range h["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
 			h.Del(strings.TrimSpace(name))
@@ -92,13 +93,13 @@
 	}
 }
 
-// incoming takes the headers of an endpoint's answer that callers see. What
-// the node itself needs of them must have been read before.
-func incoming(resp *http.Response) http.Header {
+// incomingHeaders returns the response headers that callers receive. It modifies
+// resp.Header, so headers that the node itself needs must be read before.
+func incomingHeaders(resp *http.Response) http.Header {
 	h := resp.Header
 	length := h.Get("Content-Length")
-	dropHop(h)
-	dropInternal(h)
+	dropHopHeaders(h)
+	dropInternalHeaders(h)
 	if resp.Request.Method == http.MethodHead && length != "" {
 		h.Set("Content-Length", length)
 	}
--- a/internal/dispatch/cancel.go
+++ b/internal/dispatch/cancel.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// The duty of cancelling: a full ring drops the stream, which then runs to its
-// end at the engine and costs capacity but no truth.
+// Bounds of the cancel queue. If the queue is full, the cancel is dropped: the stream
+// then runs to its end at the engine and wastes capacity, with no effect on correctness.
 const (
-	cancelQueue   = 256
-	cancelWorkers = 4
-	cancelTimeout = time.Second
+	cancelQueueSize = 256
+	cancelWorkers   = 4
+	cancelTimeout   = time.Second
 )
 
-// abandoned is a stream at an engine that nobody waits for.
-type abandoned struct{ addr, stream string }
+// abandonedStream is a stream at an engine that no caller reads any more.
+type abandonedStream struct{ addr, stream string }
 
-func (d *Dispatcher) abandon(a abandoned) {
+func (d *Dispatcher) queueCancel(a abandonedStream) {
 	if !d.cancels.Offer(a) {
 		d.metrics.cancelsDropped.Inc()
 	}
 }
 
-// Run cancels abandoned streams at their engines and gives up answers that
-// cannot come any more, until ctx ends.
+// Run cancels abandoned streams at their engines and cancels requests whose replica is
+// lost, until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	for range cancelWorkers {
 		wg.Go(func() { d.cancelLoop(ctx) })
 	}
-	wg.Go(func() { d.guardLoop(ctx) })
-	wg.Go(func() { d.lingerLoop(ctx) })
+	wg.Go(func() { d.lossCheckLoop(ctx) })
+	wg.Go(func() { d.cancelExpiredLoop(ctx) })
 	wg.Wait()
 	return ctx.Err()
 }
@@ -43,12 +43,12 @@
 		case <-ctx.Done():
 			return
 		case a := <-d.cancels.C():
-			d.cancel(ctx, a)
+			d.cancelStream(ctx, a)
 		}
 	}
 }
 
-func (d *Dispatcher) cancel(ctx context.Context, a abandoned) {
+func (d *Dispatcher) cancelStream(ctx context.Context, a abandonedStream) {
 	ctx, stop := context.WithTimeout(ctx, cancelTimeout)
 	defer stop()
 	r, err := http.NewRequestWithContext(ctx, http.MethodDelete, streamURL(a.addr, a.stream), nil)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch is the end of the request path: it sends a request to an
-// endpoint or passes it to another node, tries again where that is safe, and
-// tells the truth about what was sent.
+// Package dispatch is the last stage of the request path. It sends a request to an
+// endpoint or forwards it to another node, retries where that is safe, and reports
+// whether the request ran.
 package dispatch
 
 import (
@@ -26,36 +26,36 @@
 	"chervilloom/internal/view"
 )
 
-// Router picks where a try goes and learns how it ended.
+// Router chooses the destination of each try and records how the try ended.
 type Router interface {
 	Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.Tried) (route.Choice, *outcome.Error)
 	Begin(route.Choice)
 	End(route.Choice, route.Result)
 }
 
-// Retry holds the budget of retries.
+// Retry is the retry budget.
 type Retry interface {
-	// First counts a request's first try.
+	// First counts the first try of a request.
 	First(class request.Class)
-	// Allow takes one retry from the budget. When ok, the retry starts after
-	// wait; otherwise the caller is told to come back after wait.
+	// Allow consumes one retry from the budget. If ok, the retry starts after wait;
+	// otherwise the caller is asked to retry after wait.
 	Allow(class request.Class) (ok bool, wait time.Duration)
 }
 
-// Peers passes requests to other nodes. Relay returns an error, with w
-// untouched, when no answer began; otherwise it finishes w itself.
+// Peers forwards requests to other nodes. Relay returns an error and leaves w untouched
+// if no response began; otherwise it finishes w itself.
 type Peers interface {
 	Relay(ctx context.Context, to fleet.VM, req *request.Request, w answer.Writer) *outcome.Error
 }
 
-// Prober asks every member of a group for its state at once. It returns until
-// when the group may take requests, or false when a member is missing.
+// Prober probes every member of a group immediately. Probe returns the time until which
+// the group may receive requests, or false if a member did not answer.
 type Prober interface {
 	Probe(ctx context.Context, g *view.Group) (freshUntil clock.Instant, ok bool)
 }
 
-// Options are what a dispatcher needs. Peers, Prober, Explain and Registerer
-// may be nil; zero bounds stand for the defaults.
+// Options configures a Dispatcher. Peers, Prober, Explain and Registerer may be nil; zero
+// limits are replaced by the defaults.
 type Options struct {
 	View   view.Source
 	Clock  clock.Clock
@@ -63,27 +63,27 @@
 	Retry  Retry
 	Peers  Peers
 	Prober Prober
-	// Answers asks a node for a sign of life until ctx ends; nil: every node
-	// that membership believes in is taken to answer.
+	// Answers checks until ctx ends whether a node responds. If nil, every node that is
+	// alive in the membership is assumed to respond.
 	Answers    func(ctx context.Context, vm fleet.VM) bool
 	Explain    explain.Recorder
-	Quarantine *quarantine.Guard // of requests that end endpoints; nil: this dispatcher's own
-	// Backpressure keeps to what endpoints say of how much they take; nil: this
-	// dispatcher's own.
+	Quarantine *quarantine.Guard // blocks requests that crash endpoints; nil: private to this dispatcher
+	// Backpressure enforces the limits that endpoints announce; nil: private to this
+	// dispatcher.
 	Backpressure *backpressure.Guard
 	Log          *slog.Logger
 	Registerer   prometheus.Registerer
 
-	DialTimeout  time.Duration // to connect to an endpoint
-	AnswerBuffer int           // bytes of an answer held back until it is whole
-	EventBound   int           // bytes of one event
-	Tries        int           // of one request, the first one included
-	HedgeAfter   time.Duration // after which a lookup is sent to a second endpoint as well
-	ResumeGrace  time.Duration // for which a stream runs on whose caller has left; negative: not at all
-	PickWait     time.Duration // for a destination that was there a moment ago
+	DialTimeout  time.Duration // for connecting to an endpoint
+	AnswerBuffer int           // bytes of a response buffered until it is complete
+	EventBound   int           // maximum bytes of one event
+	Tries        int           // per request, including the first
+	HedgeAfter   time.Duration // delay before a lookup is also sent to a second endpoint
+	ResumeGrace  time.Duration // how long a stream is kept after its caller disconnects; negative: not kept
+	PickWait     time.Duration // maximum wait for a destination that was available recently
 }
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	DefaultDialTimeout  = time.Second
 	DefaultAnswerBuffer = 1 << 20
@@ -91,10 +91,10 @@
 	DefaultTries        = 4
 	DefaultHedgeAfter   = 200 * time.Millisecond
 	DefaultResumeGrace  = 3 * time.Second
-	DefaultPickWait     = 500 * time.Millisecond // two rounds of probes
+	DefaultPickWait     = 500 * time.Millisecond // two probe rounds
 )
 
-func (o *Options) fill() {
+func (o *Options) setDefaults() {
 	if o.DialTimeout == 0 {
 		o.DialTimeout = DefaultDialTimeout
 	}
@@ -124,46 +124,45 @@
 	}
 }
 
-// Dispatcher is the last filter.Handler of the path.
+// Dispatcher is the last filter.Handler of the request path.
 type Dispatcher struct {
-	opt     Options
-	own     *quarantine.Guard // nil: the options brought one
-	client  *client
-	cancels *ring.Queue[abandoned]
-	guard   *guard
-	linger  *linger
-	served  served
-	metrics *metrics
-	tracer  trace.Tracer
+	opt           Options
+	ownQuarantine *quarantine.Guard // nil if Options.Quarantine was set
+	client        *client
+	cancels       *ring.Queue[abandonedStream]
+	lossGuard     *lossGuard
+	detached      *detachedStreams
+	servedTimes   servedTimes
+	metrics       *metrics
+	tracer        trace.Tracer
 }
 
-// New returns a dispatcher. Run must be running for abandoned streams to be
-// cancelled at the engines and for answers to be given up when their replica
-// is lost.
+// New returns a Dispatcher. Run must be running for abandoned streams to be cancelled at
+// the engines and for requests to be cancelled when their replica is lost.
 func New(opt Options) *Dispatcher {
-	opt.fill()
-	var own *quarantine.Guard
+	opt.setDefaults()
+	var ownQuarantine *quarantine.Guard
 	if opt.Quarantine == nil {
-		own = quarantine.Alone(opt.Clock, opt.Log)
-		opt.Quarantine = own
+		ownQuarantine = quarantine.Alone(opt.Clock, opt.Log)
+		opt.Quarantine = ownQuarantine
 	}
 	return &Dispatcher{
-		own:     own,
-		opt:     opt,
-		client:  newClient(opt.DialTimeout),
-		cancels: ring.NewQueue[abandoned](cancelQueue),
-		guard:   newGuard(),
-		linger:  newLinger(),
-		metrics: newMetrics(opt.Registerer),
-		tracer:  otel.Tracer("chervilloom/dispatch"),
+		ownQuarantine: ownQuarantine,
+		opt:           opt,
+		client:        newClient(opt.DialTimeout),
+		cancels:       ring.NewQueue[abandonedStream](cancelQueueSize),
+		lossGuard:     newLossGuard(),
+		detached:      newDetachedStreams(),
+		metrics:       newMetrics(opt.Registerer),
+		tracer:        otel.Tracer("chervilloom/dispatch"),
 	}
 }
 
-// Close closes idle connections, and the guard that New made.
+// Close closes idle connections and the quarantine guard created by New.
 func (d *Dispatcher) Close() {
 	d.client.close()
-	if d.own != nil {
-		d.own.Close()
+	if d.ownQuarantine != nil {
+		d.ownQuarantine.Close()
 	}
 }
 
@@ -171,23 +170,23 @@
 func (d *Dispatcher) Serve(ctx context.Context, req *request.Request, w answer.Writer) {
 	ctx, span := d.tracer.Start(withRemoteParent(ctx, req), "dispatch")
 	defer span.End()
-	tryCtx, cancel := context.WithTimeout(ctx, d.left(req))
+	tryCtx, cancel := context.WithTimeout(ctx, d.timeLeft(req))
 	defer cancel()
 	s := newSession(req, w)
 	err := d.serve(tryCtx, s)
 	if err != nil {
-		err = s.told(err)
+		err = s.withWorstOutcome(err)
 		span.RecordError(err)
 	}
 	s.finish(err)
 }
 
-// maxTime bounds a request that came without a deadline.
-const maxTime = 30 * time.Minute
+// defaultTimeLimit is the time limit of a request without a deadline.
+const defaultTimeLimit = 30 * time.Minute
 
-func (d *Dispatcher) left(req *request.Request) time.Duration {
+func (d *Dispatcher) timeLeft(req *request.Request) time.Duration {
 	if req.Deadline == 0 {
-		return maxTime
+		return defaultTimeLimit
 	}
 	return req.Deadline.Sub(d.opt.Clock.Now())
 }
@@ -198,63 +197,63 @@
 	}
 	d.opt.Retry.First(s.req.Class)
 	for {
-		last := d.once(ctx, s)
+		last := d.tryOnce(ctx, s)
 		if last == nil {
 			return nil
 		}
-		dec := next(s.facts(ctx, last, d.opt.Tries, d.left(s.req)), d.budget(s.req.Class))
-		d.noteDecision(s.req, dec, last, s.tried)
+		dec := decideRetry(s.retryInput(ctx, last, d.opt.Tries, d.timeLeft(s.req)), d.retryBudget(s.req.Class))
+		d.recordDecision(s.req, dec, last, s.tried)
 		switch dec.verdict {
 		case giveUp:
-			return last.After(comeBack(last, dec.wait))
+			return last.After(callerRetryAfter(last, dec.wait))
 		case retry:
 			if !clock.Sleep(ctx, dec.wait) {
-				return d.stopped(ctx, last.Outcome)
+				return d.stoppedError(ctx, last.Outcome)
 			}
 		}
 	}
 }
 
-func (d *Dispatcher) budget(c request.Class) func() (bool, time.Duration) {
+func (d *Dispatcher) retryBudget(c request.Class) func() (bool, time.Duration) {
 	return func() (bool, time.Duration) { return d.opt.Retry.Allow(c) }
 }
 
-// once makes one try.
-func (d *Dispatcher) once(ctx context.Context, s *session) *outcome.Error {
+// tryOnce makes one try.
+func (d *Dispatcher) tryOnce(ctx context.Context, s *session) *outcome.Error {
 	if err := ctx.Err(); err != nil {
-		return d.stopped(ctx, outcome.NotRun)
+		return d.stoppedError(ctx, outcome.NotRun)
 	}
 	choice, err := d.pick(ctx, s)
 	if err != nil {
-		s.exhausted = true
-		return s.nothingLeft(err)
+		s.noDestination = true
+		return s.noDestinationError(err)
 	}
 	if s.req.Class == request.ClassLookup && choice.Kind == route.ToEndpoint {
-		return d.lookUp(ctx, s, choice)
+		return d.sendLookup(ctx, s, choice)
 	}
-	t := d.begin(ctx, s, choice)
-	tryCtx, span := d.startTry(ctx, choice)
+	t := d.beginTry(ctx, s, choice)
+	tryCtx, span := d.startTrySpan(ctx, choice)
 	err = d.send(tryCtx, s, choice, t)
-	endTry(span, err)
-	d.ended(s, choice, t.result(d.opt.Clock.Now(), err))
-	s.add(err)
+	endTrySpan(span, err)
+	d.finishTry(s, choice, t.result(d.opt.Clock.Now(), err))
+	s.recordFailure(err)
 	return err
 }
 
-// ended tells how a try ended.
-func (d *Dispatcher) ended(s *session, c route.Choice, r route.Result) {
+// finishTry reports the result of a try to the router.
+func (d *Dispatcher) finishTry(s *session, c route.Choice, r route.Result) {
 	d.opt.Router.End(c, r)
 	if r.OK {
-		d.served.note(s.req, d.opt.Clock.Now())
+		d.servedTimes.record(s.req, d.opt.Clock.Now())
 	}
 }
 
-// begin counts a try that is about to be made.
-func (d *Dispatcher) begin(ctx context.Context, s *session, c route.Choice) *try {
+// beginTry records a try that is about to be made.
+func (d *Dispatcher) beginTry(ctx context.Context, s *session, c route.Choice) *try {
 	s.tries++
-	s.tried = append(s.tried, triedBy(c))
+	s.tried = append(s.tried, triedDestination(c))
 	account.From(ctx).Try()
-	d.noteTry(s.req, c)
+	d.recordTry(s.req, c)
 	d.opt.Router.Begin(c)
 	return &try{started: d.opt.Clock.Now()}
 }
@@ -271,7 +270,7 @@
 	return outcome.New(outcome.Internal, outcome.NotRun, "the router chose nothing", "ask the operator to look up the request id")
 }
 
-func triedBy(c route.Choice) route.Tried {
+func triedDestination(c route.Choice) route.Tried {
 	switch c.Kind {
 	case route.ToGroup:
 		return route.Tried{Group: c.Group.ID, VM: leader(c.Group).VM}
@@ -282,22 +281,22 @@
 	}
 }
 
-// try is what is learned of one try.
+// try holds the measurements of one try.
 type try struct {
-	started   clock.Instant
-	firstByte clock.Instant
-	tokens    int
-	blamed    bool // the endpoint failed
+	started        clock.Instant
+	firstByte      clock.Instant
+	tokens         int
+	endpointFailed bool // the failure counts against the endpoint
 }
 
-func (t *try) first(now clock.Instant) {
+func (t *try) markFirstByte(now clock.Instant) {
 	if t.firstByte == 0 {
 		t.firstByte = now
 	}
 }
 
 func (t *try) result(now clock.Instant, err *outcome.Error) route.Result {
-	r := route.Result{OK: err == nil, Total: now.Sub(t.started), Tokens: t.tokens, Failed: t.blamed}
+	r := route.Result{OK: err == nil, Total: now.Sub(t.started), Tokens: t.tokens, Failed: t.endpointFailed}
 	if t.firstByte != 0 {
 		r.FirstByte = t.firstByte.Sub(t.started)
 	}
--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -19,8 +19,8 @@
 	"chervilloom/internal/view"
 )
 
-// leader returns the member that takes the requests; the zero Member for a
-// group that has none.
+// leader returns the member that receives the requests, or the zero Member if the group
+// has no members.
 func leader(g *view.Group) *fleet.Member {
 	if len(g.Members) == 0 {
 		return &fleet.Member{}
@@ -30,78 +30,78 @@
 
 // sendGroup makes one try at a group.
 func (d *Dispatcher) sendGroup(ctx context.Context, s *session, g *view.Group, t *try) *outcome.Error {
-	if err := d.checkWhole(ctx, g); err != nil {
+	if err := d.checkFresh(ctx, g); err != nil {
 		return err
 	}
-	ref := relay.StreamRef{
+	streamRef := relay.StreamRef{
 		VM: leader(g).VM, Group: g.ID, Generation: g.Generation,
 		Stream: relay.NewStreamID(s.req.Organisation, d.opt.View.Snapshot().Self.VM),
 	}
-	guarded, unwatch := d.guard.watch(ctx, s, g)
+	guarded, unwatch := d.lossGuard.watch(ctx, s, g)
 	defer unwatch()
 	r, err := newCall(guarded, s.req, leader(g).Addr)
 	if err != nil {
-		return badCall(err)
+		return badRequestError(err)
 	}
-	setEngineHeaders(r.Header, s.req, ref)
-	run := d.runAtMember(s.req, leader(g))
-	if refused := run.allowed(ctx); refused != nil {
+	setEngineHeaders(r.Header, s.req, streamRef)
+	run := d.newMemberRun(s.req, leader(g))
+	if refused := run.checkAllowed(ctx); refused != nil {
 		return refused
 	}
-	told := d.sendToLeader(ctx, guarded, s, g, t, r, ref, run)
-	run.ended(guarded, told)
-	return told
+	oerr := d.sendToLeader(ctx, guarded, s, g, t, r, streamRef, run)
+	run.recordEnd(guarded, oerr)
+	return oerr
 }
 
-// sendToLeader sends the request and passes the answer on.
+// sendToLeader sends the request to the group's leader and forwards the response.
 func (d *Dispatcher) sendToLeader(ctx, guarded context.Context, s *session, g *view.Group, t *try, r *http.Request, ref relay.StreamRef, run *endpointRun) *outcome.Error {
 	sent := d.opt.Clock.Now()
 	resp, sn, err := d.client.do(r, s.req.Idempotent)
 	if err != nil {
-		oerr := d.failed(ctx, sn, because(guarded, err))
-		t.blamed = ctx.Err() == nil
+		oerr := d.sendError(ctx, sn, cancelCause(guarded, err))
+		t.endpointFailed = ctx.Err() == nil
 		if oerr.Outcome != outcome.NotRun {
-			d.abandon(abandoned{leader(g).Addr, ref.Stream})
+			d.queueCancel(abandonedStream{leader(g).Addr, ref.Stream})
 		}
 		return oerr
 	}
 	defer resp.Body.Close()
-	t.first(d.opt.Clock.Now())
-	run.answered(resp, sent)
-	if oerr := checkEngine(resp, g); oerr != nil {
-		t.blamed = oerr.Outcome != outcome.NotRun
+	t.markFirstByte(d.opt.Clock.Now())
+	run.recordSignals(resp, sent)
+	if oerr := checkEngineResponse(resp, g); oerr != nil {
+		t.endpointFailed = oerr.Outcome != outcome.NotRun
 		return oerr
 	}
 	h := answer.Head{
-		Status: resp.StatusCode, Header: incoming(resp),
+		Status: resp.StatusCode, Header: incomingHeaders(resp),
 		Endpoint: ref.VM, Group: ref.Group, Generation: ref.Generation,
 	}
 	if !isEventStream(resp) {
 		return d.relayAnswer(ctx, s, resp, h, t, g, ref)
 	}
 	h.Stream = true
-	f := &following{d: d, s: s, g: g, t: t, head: h, st: relay.NewStream(ref, 0), at: run}
+	f := &streamRelay{d: d, s: s, g: g, t: t, head: h, st: relay.NewStream(ref, 0), endpoint: run}
 	return f.run(ctx, guarded, resp)
 }
 
 func (d *Dispatcher) relayAnswer(ctx context.Context, s *session, resp *http.Response, h answer.Head, t *try, g *view.Group, ref relay.StreamRef) *outcome.Error {
-	rep, oerr := d.receive(ctx, resp, h, wholeCompletion)
+	rep, oerr := d.receive(ctx, resp, h, checkCompletion)
 	if oerr == nil {
 		oerr = d.deliver(ctx, s, rep)
 	}
 	if oerr != nil {
-		t.blamed = oerr.Kind == outcome.AnswerCut
-		d.abandon(abandoned{leader(g).Addr, ref.Stream})
+		t.endpointFailed = oerr.Kind == outcome.AnswerCut
+		d.queueCancel(abandonedStream{leader(g).Addr, ref.Stream})
 	}
 	return oerr
 }
 
-// checkWhole refuses a group of which a member is missing or has not been
-// seen lately. The router looked too, but on an older snapshot, and the
-// request may have waited since.
-func (d *Dispatcher) checkWhole(ctx context.Context, g *view.Group) *outcome.Error {
+// checkFresh returns an error for a group with a missing member or a member without a
+// recent probe reply. The router checked an older snapshot, and the request may have
+// waited since.
+func (d *Dispatcher) checkFresh(ctx context.Context, g *view.Group) *outcome.Error {
 	now := d.opt.Clock.Now()
-	if fresh(g, now) {
+	if isFresh(g, now) {
 		return nil
 	}
 	if g.Whole && d.opt.Prober != nil {
@@ -113,7 +113,7 @@
 		fmt.Sprintf("group %s is not seen whole", g.ID), "send the request again").After(time.Second)
 }
 
-func fresh(g *view.Group, now clock.Instant) bool { return g.Whole && now.Before(g.FreshUntil) }
+func isFresh(g *view.Group, now clock.Instant) bool { return g.Whole && now.Before(g.FreshUntil) }
 
 func setEngineHeaders(h http.Header, req *request.Request, ref relay.StreamRef) {
 	h.Set(engine.HeaderGeneration, engine.GenerationTag(ref.Group, ref.Generation))
@@ -122,13 +122,12 @@
 	h.Del("Accept-Encoding")
 }
 
-// checkEngine refuses what is not this generation's answer. The engine may
-// have been given to another group, or may have restarted and answer
-// again, since its members were last probed: what it says then is the
-// answer of another model or of a replica with a member missing.
-func checkEngine(resp *http.Response, g *view.Group) *outcome.Error {
+// checkEngineResponse rejects a response of another generation. Since the last probe the
+// engine may have been assigned to another group, or may have restarted; its response
+// would come from another model or from a replica with a missing member.
+func checkEngineResponse(resp *http.Response, g *view.Group) *outcome.Error {
 	if resp.StatusCode >= 400 && resp.Header.Get(engine.HeaderNotRun) == "true" {
-		return refusedNotRun(resp)
+		return notRunRefusal(resp)
 	}
 	want := engine.GenerationTag(g.ID, g.Generation)
 	gen, boot := resp.Header.Get(engine.HeaderGeneration), resp.Header.Get(engine.HeaderBoot)
@@ -137,8 +136,8 @@
 			"the endpoint answered for another generation", "send the request again").
 			WithCause(fmt.Errorf("dispatch: got %q boot %q, want %q boot %q", gen, boot, want, leader(g).Boot))
 	}
-	if !isAnswer(resp) || resp.StatusCode >= 500 || resp.StatusCode == http.StatusTooManyRequests {
-		return refusedUnknown(resp)
+	if !isFinalStatus(resp) || resp.StatusCode >= 500 || resp.StatusCode == http.StatusTooManyRequests {
+		return unknownRefusal(resp)
 	}
 	return nil
 }
@@ -155,14 +154,15 @@
 	return strings.ToLower(strings.TrimSpace(t))
 }
 
-// maxAdvice bounds the advice of an endpoint on when to come back. Others may
-// take the request long before, and beyond some 292 years of seconds the
-// product would run over into a time that has passed.
-const maxAdvice = time.Minute
+// maxRetryAfter limits the Retry-After value of an endpoint. Other endpoints may accept
+// the request long before, and values above about 292 years in seconds overflow
+// time.Duration.
+const maxRetryAfter = time.Minute
 
-// retryAfter returns the advice of an answer's header, 0 when there is none that can be used.
-func retryAfter(h http.Header) time.Duration {
+// parseRetryAfter returns the Retry-After value of a response, at most maxRetryAfter, or 0 if
+// it is missing or invalid.
+func parseRetryAfter(h http.Header) time.Duration {
 	var s backpressure.Signals
-	_ = s.ReadRetryAfter(h.Values(engine.HeaderRetryAfter)) // answered logs what can't be read
-	return min(s.RetryAfter, maxAdvice)
+	_ = s.ReadRetryAfter(h.Values(engine.HeaderRetryAfter)) // invalid values are logged by recordSignals
+	return min(s.RetryAfter, maxRetryAfter)
 }
--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -11,65 +11,67 @@
 	"chervilloom/internal/view"
 )
 
-// guardInterval is how often the answers that are waited for are compared with
-// the newest snapshot.
-const guardInterval = 100 * time.Millisecond
+// lossCheckInterval is the interval at which pending responses are checked against the
+// latest snapshot.
+const lossCheckInterval = 100 * time.Millisecond
 
-// guard gives up answers that cannot come any more.
-type guard struct {
-	mu    sync.Mutex
-	waits map[*wait]struct{}
+// lossGuard cancels requests whose response can no longer arrive.
+type lossGuard struct {
+	mu      sync.Mutex
+	watched map[*watchedAnswer]struct{}
 }
 
-// wait is one answer that the guard looks after.
-type wait struct {
-	awaited
-	begun  atomic.Bool
-	cancel context.CancelCauseFunc
+// watchedAnswer is a pending response monitored by lossGuard.
+type watchedAnswer struct {
+	pendingAnswer
+	started atomic.Bool
+	cancel  context.CancelCauseFunc
 }
 
-func newGuard() *guard { return &guard{waits: make(map[*wait]struct{})} }
+func newLossGuard() *lossGuard { return &lossGuard{watched: make(map[*watchedAnswer]struct{})} }
 
-// watch returns a context that ends when the answer is given up, and the
-// function that ends the watch.
-func (g *guard) watch(ctx context.Context, s *session, of *view.Group) (context.Context, func()) {
+// watch returns a context that is cancelled when the replica is lost, and a function that
+// ends the monitoring.
+func (g *lossGuard) watch(ctx context.Context, s *session, group *view.Group) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	w := &wait{cancel: cancel, awaited: awaited{
-		group: of.ID, generation: of.Generation, members: of.Members, idempotent: s.req.Idempotent,
+	w := &watchedAnswer{cancel: cancel, pendingAnswer: pendingAnswer{
+		group: group.ID, generation: group.Generation, members: group.Members, idempotent: s.req.Idempotent,
 	}}
-	w.begun.Store(s.begun)
-	s.wait = w
+	w.started.Store(s.started)
+	s.watched = w
 	g.mu.Lock()
-	g.waits[w] = struct{}{}
+	g.watched[w] = struct{}{}
 	g.mu.Unlock()
 	return ctx, func() {
 		g.mu.Lock()
-		delete(g.waits, w)
+		delete(g.watched, w)
 		g.mu.Unlock()
-		s.wait = nil
+		s.watched = nil
 		cancel(nil)
 	}
 }
 
-// look gives up what is lost by the snapshot and returns how many that were.
-func (g *guard) look(snap *view.Snapshot, now clock.Instant) (given int) {
+// cancelLost cancels the requests whose replica is lost according to the snapshot and
+// returns their number.
+func (g *lossGuard) cancelLost(snap *view.Snapshot, now clock.Instant) (cancelled int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for w := range g.waits {
-		w.awaited.begun = w.begun.Load()
-		if reason := lost(&w.awaited, snap, now); reason != "" {
+	for w := range g.watched {
+		w.pendingAnswer.started = w.started.Load()
+		if reason := lostReason(&w.pendingAnswer, snap, now); reason != "" {
 			w.cancel(errors.New("dispatch: " + reason))
-			delete(g.waits, w)
-			given++
+			delete(g.watched, w)
+			cancelled++
 		}
 	}
-	return given
+	return cancelled
 }
 
-// guardLoop looks at each new snapshot, and again as time passes.
-func (d *Dispatcher) guardLoop(ctx context.Context) {
-	clock.Every(ctx, guardInterval, func() {
-		given := d.guard.look(d.opt.View.Snapshot(), d.opt.Clock.Now())
-		d.metrics.lost.Add(float64(given))
+// lossCheckLoop checks pending responses periodically: losses follow from new snapshots
+// and from elapsed time.
+func (d *Dispatcher) lossCheckLoop(ctx context.Context) {
+	clock.Every(ctx, lossCheckInterval, func() {
+		cancelled := d.lossGuard.cancelLost(d.opt.View.Snapshot(), d.opt.Clock.Now())
+		d.metrics.lost.Add(float64(cancelled))
 	})
 }
--- a/internal/dispatch/harm_test.go
+++ b/internal/dispatch/harm_test.go
@@ -21,21 +21,22 @@
 	"chervilloom/internal/view"
 )
 
-// crasher is a set of endpoints that end when they begin to run any request: their
-// connections break, and new ones are refused. They leave the snapshot when that is seen.
+// crasher is a set of endpoints that crash when they start to run a request: their
+// connections break, and new ones are refused. A crashed endpoint is removed from the
+// snapshot.
 type crasher struct {
-	rig   *rig
-	mu    sync.Mutex
-	ended []string
+	rig     *rig
+	mu      sync.Mutex
+	crashed []string
 }
 
-func (c *crasher) start(vm string) (addr string) {
+func (c *crasher) startEndpoint(vm string) (addr string) {
 	var srv *httptest.Server
 	var once sync.Once
 	srv = httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		once.Do(func() {
 			c.mu.Lock()
-			c.ended = append(c.ended, vm)
+			c.crashed = append(c.crashed, vm)
 			c.mu.Unlock()
 			srv.Listener.Close()
 			srv.CloseClientConnections()
@@ -51,29 +52,29 @@
 }
 
 func (c *crasher) addService(vm string) {
-	rec := fleet.Record{VM: fleet.VM(vm), Addr: c.start(vm), Service: service.DefaultName}
+	rec := fleet.Record{VM: fleet.VM(vm), Addr: c.startEndpoint(vm), Service: service.DefaultName}
 	c.rig.change(func(s *view.Snapshot) { s.VMs = append(s.VMs, view.VM{Record: rec}) })
 }
 
 func (c *crasher) addGroup(vm string) {
 	g := view.Group{Group: fleet.Group{
 		ID: fleet.GroupID("g" + vm), Generation: 1, Phase: fleet.PhaseServing, Zone: testZone, Model: "renewals", Version: "v1",
-		Members: []fleet.Member{{VM: fleet.VM(vm), Boot: "b", Addr: c.start(vm), Fence: 1}},
+		Members: []fleet.Member{{VM: fleet.VM(vm), Boot: "b", Addr: c.startEndpoint(vm), Fence: 1}},
 	}, Whole: true, FreshUntil: forever}
 	c.rig.change(func(s *view.Snapshot) { s.Groups = append(s.Groups, g) })
 }
 
-func (c *crasher) ends() int {
+func (c *crasher) crashCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.ended)
+	return len(c.crashed)
 }
 
-// A caller sends a request that ends each endpoint that begins to run it, and sends it
-// again under another id when it fails. Each was tried at up to four endpoints, since
-// nothing knew what the one before had done: 20 endpoints were gone after five. The request
-// is refused after a few; what it did before stays told as "unknown".
-func TestRequestThatEndsItsEndpointsIsStopped(t *testing.T) {
+// A request crashes each endpoint that starts to run it, and the caller sends it again
+// under another ID after each failure. Without the quarantine every request was tried at
+// up to four endpoints, and 20 endpoints were lost after five requests. The request must
+// be refused after a few crashes; tries before that keep the outcome "unknown".
+func TestRequestThatCrashesEndpointsIsQuarantined(t *testing.T) {
 	for name, make := range map[string]func(r *rig, id string) *request.Request{
 		"lookup":       (*rig).lookup,
 		"call":         (*rig).receipt,
@@ -89,29 +90,29 @@
 			}
 			var last *outcome.Error
 			for i := range 12 {
-				before := c.ends()
+				before := c.crashCount()
 				last = r.serve(context.Background(), make(r, fmt.Sprintf("r%d", i))).end.Error
 				if last == nil {
-					t.Fatal("a crashed endpoint answered")
+					t.Fatal("a crashed endpoint returned a response")
 				}
-				if c.ends() > before && last.Outcome == outcome.NotRun {
-					t.Fatal("a request that ran was told not to have run")
+				if c.crashCount() > before && last.Outcome == outcome.NotRun {
+					t.Fatal("a request that ran was reported as not run")
 				}
-				time.Sleep(harmPause) // callers come back after a moment; what broke is looked at meanwhile
+				time.Sleep(crashPause) // callers retry after a pause; meanwhile the suspects are checked
 			}
-			const most = 6 // three, and three more
-			if c.ends() > most {
-				t.Errorf("%d endpoints ended", c.ends())
+			const most = 6 // three until the quarantine, and three more runs allowed later
+			if c.crashCount() > most {
+				t.Errorf("%d endpoints crashed", c.crashCount())
 			}
 			if last.Kind != outcome.Quarantined || last.Outcome != outcome.NotRun || last.RetryAfter != 0 {
-				t.Errorf("told %v, come back after %v", last, last.RetryAfter)
+				t.Errorf("got %v, retry after %v", last, last.RetryAfter)
 			}
 		})
 	}
 }
 
-// harmPause is longer than the moment within which ends count as one loss.
-const harmPause = 150 * time.Millisecond
+// crashPause is longer than the window within which crashes count as one loss.
+const crashPause = 150 * time.Millisecond
 
 func sameChat(r *rig, id string, stream bool) *request.Request {
 	req := r.chat(id, 3, stream)
@@ -119,22 +120,22 @@
 	return req
 }
 
-// A service runs on two VMs, whose processes are started again on them. Each life that ends
-// counts: with two endpoints there would never be three ends otherwise.
-func TestLivesOfAServiceEndOneByOne(t *testing.T) {
+// A service runs on two VMs whose processes are restarted. Each incarnation that crashes
+// must count: two endpoints would otherwise never reach three crashes.
+func TestServiceRunIdentifiesTheIncarnation(t *testing.T) {
 	r := newRig(t, nil)
 	vm := view.VM{Record: fleet.Record{VM: "s1", Addr: "127.0.0.1:1"}, Load: fleet.Load{Boot: "first"}}
-	first := r.d.runAtService(r.lookup("a"), &vm)
+	first := r.d.newServiceRun(r.lookup("a"), &vm)
 	vm.Load.Boot = "second"
-	second := r.d.runAtService(r.lookup("b"), &vm)
-	if first.endpoint == second.endpoint || first.fp != second.fp {
+	second := r.d.newServiceRun(r.lookup("b"), &vm)
+	if first.incarnation == second.incarnation || first.fingerprint != second.fingerprint {
 		t.Errorf("%v and %v", first, second)
 	}
 }
 
-// Guards against checks of endpoints that go on after their dispatcher is closed.
-func TestClosedDispatcherChecksNoEndpoint(t *testing.T) {
-	endpoint, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and says nothing
+// Guards against endpoint checks that continue after their dispatcher is closed.
+func TestClosedDispatcherStopsEndpointChecks(t *testing.T) {
+	endpoint, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and sends nothing
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -16,20 +16,19 @@
 	"chervilloom/internal/view"
 )
 
-// ended waits until each try that began has ended.
-func (r *rig) ended(tries int) {
+// waitForTries waits until the given number of tries has begun and ended.
+func (r *rig) waitForTries(tries int) {
 	r.t.Helper()
-	testkit.Eventually(r.t, "every try ends", func() bool {
+	testkit.Eventually(r.t, "every try has ended", func() bool {
 		r.router.mu.Lock()
 		defer r.router.mu.Unlock()
 		return len(r.router.results) == tries && r.router.begun == tries
 	})
 }
 
-// A clerk looks a licence up and the endpoint pauses with the lookup in hand.
-// Its probes have not failed yet. Another endpoint is asked meanwhile, and the
-// clerk has the answer although the first never gives one.
-func TestPausedEndpointDoesNotHoldALookup(t *testing.T) {
+// An endpoint pauses with a lookup in flight, before its probes fail. The lookup must be
+// answered by a second endpoint although the first never responds.
+func TestLookupIsHedgedAtPausedEndpoint(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, func(o *Options) { o.HedgeAfter = time.Millisecond })
 	r.addService().SetFaults(service.Faults{Stall: true})
@@ -38,12 +37,12 @@
 	is.True(c.end.Whole)
 	is.Equal(c.head.Endpoint, fleet.VM("s2"))
 	is.Equal(c.finished, 1)
-	r.ended(2)
+	r.waitForTries(2)
 }
 
-// The same with a spent budget: everybody asking twice would double the load
-// of a service that is merely slow, so the lookup waits for its one answer.
-func TestLookupWaitsWithoutBudget(t *testing.T) {
+// With an exhausted retry budget the lookup must wait for its first endpoint: hedging
+// every lookup would double the load of a slow service.
+func TestLookupIsNotHedgedWithoutBudget(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, func(o *Options) { o.HedgeAfter = time.Millisecond })
 	r.retry.allow = false
@@ -52,7 +51,7 @@
 	first.SetFaults(service.Faults{Stall: true})
 	c := newCollector()
 	go r.d.Serve(context.Background(), r.lookup("a"), c)
-	testkit.Eventually(t, "the budget is asked", func() bool {
+	testkit.Eventually(t, "the retry budget is checked", func() bool {
 		r.retry.mu.Lock()
 		defer r.retry.mu.Unlock()
 		return r.retry.asked == 1
@@ -61,10 +60,11 @@
 	<-c.done
 	is.True(c.end.Whole)
 	is.Equal(c.head.Endpoint, fleet.VM("s1"))
-	r.ended(1)
+	r.waitForTries(1)
 }
 
-// A receipt is never sent to a second endpoint, however long the first takes.
+// A request that may run at most once is never sent to a second endpoint, however long
+// the first takes.
 func TestReceiptIsNotHedged(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, func(o *Options) { o.HedgeAfter = time.Millisecond })
@@ -78,15 +78,15 @@
 	is.Equal(r.retry.asked, 0)
 }
 
-// fakePeers answers relayed requests from a function for each node.
+// fakePeers handles forwarded requests with one function per node.
 type fakePeers map[fleet.VM]func(context.Context, *request.Request, answer.Writer) *outcome.Error
 
 func (p fakePeers) Relay(ctx context.Context, to fleet.VM, req *request.Request, w answer.Writer) *outcome.Error {
 	return p[to](ctx, req, w)
 }
 
-// The availability zone has one endpoint of the service and it is paused. The
-// lookup goes on through a node of another zone.
+// The only endpoint of the service in the availability zone is paused. The lookup must be
+// hedged through a node of another zone.
 func TestLookupIsHedgedThroughAnotherNode(t *testing.T) {
 	is := is.New(t)
 	peers := fakePeers{"n2": func(_ context.Context, req *request.Request, w answer.Writer) *outcome.Error {
@@ -107,5 +107,5 @@
 	is.True(c.end.Whole)
 	is.Equal(c.body(), "licence")
 	is.Equal(c.head.Endpoint, fleet.VM("far"))
-	r.ended(2)
+	r.waitForTries(2)
 }
--- a/internal/dispatch/hop_test.go
+++ b/internal/dispatch/hop_test.go
@@ -20,7 +20,7 @@
 	"chervilloom/internal/view"
 )
 
-// addHandler makes h an endpoint of the service.
+// addHandler adds h as an endpoint of the service.
 func (r *rig) addHandler(h http.HandlerFunc) {
 	srv := httptest.NewServer(h)
 	r.t.Cleanup(func() {
@@ -64,12 +64,11 @@
 	for _, k := range []string{"X-Hop", "Engine-Boot", "Chervilloom-Request"} {
 		is.Equal(c.head.Header.Get(k), "")
 	}
-	is.Equal(q.Header.Get("X-Local"), "1") // the request itself is not changed
+	is.Equal(q.Header.Get("X-Local"), "1") // the request itself must not be modified
 }
 
-// An answer is longer than what the node holds back. It is passed on in pieces,
-// whole; and when the endpoint dies in its middle, the caller has a part and is
-// told that it is cut: no other endpoint may go on with it.
+// A response exceeds AnswerBuffer. It must be forwarded completely; if the endpoint fails
+// midway, the response must end as cut and must not be continued by another endpoint.
 func TestLongAnswer(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		is := is.New(t)
@@ -100,9 +99,9 @@
 	}
 }
 
-// An endpoint answers without a length over a connection that it closes. Its
-// end cannot be told from its death.
-func TestAnswerWithoutLengthIsNotTrusted(t *testing.T) {
+// A response without a length ends when the endpoint closes the connection. A complete
+// response cannot be distinguished from a crash, so it must be reported as cut.
+func TestAnswerWithoutLengthIsReportedAsCut(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
 	r.addHandler(func(w http.ResponseWriter, q *http.Request) {
@@ -121,8 +120,8 @@
 	is.Equal(c.end.Error.Outcome, outcome.Ran)
 }
 
-// Errors of a service are the caller's answer, unless a lookup could do better
-// elsewhere.
+// Error responses of a service must be forwarded, unless the request is a lookup that
+// another endpoint may answer.
 func TestServiceErrorsArePassedOn(t *testing.T) {
 	for status, retried := range map[int]bool{400: false, 404: false, 409: false, 500: false, 502: true, 503: true, 504: true} {
 		is := is.New(t)
@@ -139,7 +138,7 @@
 	}
 }
 
-// fakeProber answers every probe alike.
+// fakeProber returns the same result for every probe.
 type fakeProber struct {
 	until clock.Instant
 	asked int
@@ -150,7 +149,7 @@
 	return p.until, p.until != 0
 }
 
-func TestOldGroupIsProbedOnce(t *testing.T) {
+func TestStaleGroupIsProbedOnce(t *testing.T) {
 	for _, until := range []clock.Instant{forever, 0} {
 		is := is.New(t)
 		p := &fakeProber{until: until}
@@ -165,8 +164,8 @@
 	}
 }
 
-// What the engine finds wrong with a request, it would find wrong anywhere.
-func TestRequestRefusedByTheEngineIsFinal(t *testing.T) {
+// A request that one engine rejects as invalid must not be tried at another.
+func TestInvalidRequestIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
 	r.addEngine(standin.Options{})
@@ -179,8 +178,8 @@
 	is.Equal(r.router.begun, 1)
 }
 
-func TestCauseIsKeptForTheLogs(t *testing.T) {
+func TestAnswerCutErrorWrapsItsCause(t *testing.T) {
 	is := is.New(t)
 	cause := errors.New("reset")
-	is.True(errors.Is(answerCut("m", cause), cause))
+	is.True(errors.Is(answerCutError("m", cause), cause))
 }
--- a/internal/dispatch/linger.go
+++ b/internal/dispatch/linger.go
@@ -9,66 +9,70 @@
 )
 
 const (
-	lingerRoom     = 1024
-	lingerInterval = 50 * time.Millisecond
+	maxDetachedStreams    = 1024
+	detachedCheckInterval = 50 * time.Millisecond
 )
 
-// linger keeps the streams whose callers have left for a while. A caller that
-// lost its connection comes back with the last event's id; a stream cancelled
-// at once would have nothing left for it. A caller that comes back through
-// another node is passed to the one that keeps the stream, so that no node
-// cancels what another one reads.
-type linger struct {
-	mu  sync.Mutex
-	due map[abandoned]clock.Instant
+// detachedStreams keeps streams for a grace period after their callers disconnected. A
+// caller that lost its connection resumes with the last event ID; a stream cancelled
+// immediately could not be resumed. A caller that reconnects through another node is
+// forwarded to the node that keeps the stream, so that no node cancels a stream that
+// another node reads.
+type detachedStreams struct {
+	mu        sync.Mutex
+	keptUntil map[abandonedStream]clock.Instant
 }
 
-func newLinger() *linger { return &linger{due: make(map[abandoned]clock.Instant)} }
+func newDetachedStreams() *detachedStreams {
+	return &detachedStreams{keptUntil: make(map[abandonedStream]clock.Instant)}
+}
 
-// keep keeps a stream until due. It reports false when there is no room.
-func (l *linger) keep(a abandoned, due clock.Instant) bool {
+// add keeps a stream until the given time. It reports false if the maximum number of
+// streams is reached.
+func (l *detachedStreams) add(a abandonedStream, until clock.Instant) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.due) >= lingerRoom {
+	if len(l.keptUntil) >= maxDetachedStreams {
 		return false
 	}
-	l.due[a] = due
+	l.keptUntil[a] = until
 	return true
 }
 
-// resume takes a stream back whose caller has come back.
-func (l *linger) resume(a abandoned) {
+// remove removes a stream whose caller has resumed it.
+func (l *detachedStreams) remove(a abandonedStream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.due, a)
+	delete(l.keptUntil, a)
 }
 
-// over takes out the streams whose callers have not come back in time.
-func (l *linger) over(now clock.Instant) []abandoned {
+// takeExpired removes and returns the streams that were not resumed in time.
+func (l *detachedStreams) takeExpired(now clock.Instant) []abandonedStream {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []abandoned
-	for a, due := range l.due {
-		if !now.Before(due) {
+	var out []abandonedStream
+	for a, until := range l.keptUntil {
+		if !now.Before(until) {
 			out = append(out, a)
-			delete(l.due, a)
+			delete(l.keptUntil, a)
 		}
 	}
 	return out
 }
 
-// leave is called for a stream whose caller has left.
-func (d *Dispatcher) leave(a abandoned, resumable bool) {
-	if resumable && d.opt.ResumeGrace > 0 && d.linger.keep(a, d.opt.Clock.Now().Add(d.opt.ResumeGrace)) {
+// detach keeps the stream of a disconnected caller if it can be resumed, and cancels it
+// otherwise.
+func (d *Dispatcher) detach(a abandonedStream, resumable bool) {
+	if resumable && d.opt.ResumeGrace > 0 && d.detached.add(a, d.opt.Clock.Now().Add(d.opt.ResumeGrace)) {
 		return
 	}
-	d.abandon(a)
+	d.queueCancel(a)
 }
 
-func (d *Dispatcher) lingerLoop(ctx context.Context) {
-	clock.Every(ctx, lingerInterval, func() {
-		for _, a := range d.linger.over(d.opt.Clock.Now()) {
-			d.abandon(a)
+func (d *Dispatcher) cancelExpiredLoop(ctx context.Context) {
+	clock.Every(ctx, detachedCheckInterval, func() {
+		for _, a := range d.detached.takeExpired(d.opt.Clock.Now()) {
+			d.queueCancel(a)
 		}
 	})
 }
--- a/internal/dispatch/lost.go
+++ b/internal/dispatch/lost.go
@@ -11,40 +11,39 @@
 	"chervilloom/internal/view"
 )
 
-// How long a member may leave its probes unanswered before an answer of its
-// group is no longer waited for. A paused member may come back and go on, so
-// that an answer of which the caller has a part is given more time: another
-// group could only begin it anew.
+// How long a member may fail its probes before the pending response of its group is given
+// up. A paused member may recover and continue, so the limit is higher once the caller
+// has a part of the response: another group could only start over.
 const (
-	patienceBefore = 2 * time.Second
-	patienceWithin = 15 * time.Second
+	maxSilenceBeforeAnswer = 2 * time.Second
+	maxSilenceWithinAnswer = 15 * time.Second
 )
 
-// awaited is an answer that is waited for.
-type awaited struct {
+// pendingAnswer is a response that has not arrived completely.
+type pendingAnswer struct {
 	group      fleet.GroupID
 	generation fleet.Generation
 	members    []fleet.Member
 	idempotent bool
-	begun      bool // the caller has a part
+	started    bool // a part of the response was sent to the caller
 }
 
-// lost returns why an answer cannot be expected of its generation any more, or
-// "". Losing one member kills a replica, but its leader may hold the
-// connection open without sending anything until the caller's deadline.
-func lost(a *awaited, snap *view.Snapshot, now clock.Instant) string {
+// lostReason returns why a pending response cannot arrive any more, or "". Losing one
+// member stops a replica, but its leader may keep the connection open without sending
+// anything until the caller's deadline.
+func lostReason(a *pendingAnswer, snap *view.Snapshot, now clock.Instant) string {
 	for i := range a.members {
-		if reason := memberLost(a, &a.members[i], snap, now); reason != "" {
+		if reason := memberLostReason(a, &a.members[i], snap, now); reason != "" {
 			return reason
 		}
 	}
 	return ""
 }
 
-func memberLost(a *awaited, m *fleet.Member, snap *view.Snapshot, now clock.Instant) string {
-	vm := vmOf(snap, m.VM)
+func memberLostReason(a *pendingAnswer, m *fleet.Member, snap *view.Snapshot, now clock.Instant) string {
+	vm := findVM(snap, m.VM)
 	if vm == nil {
-		return "" // the list of VMs lags: absence from it proves nothing
+		return "" // the VM list may be outdated: absence is no evidence of a loss
 	}
 	p := &vm.Probe
 	switch st := &p.State; {
@@ -52,29 +51,29 @@
 	case st.Boot != m.Boot:
 		return fmt.Sprintf("member %s has restarted", m.VM)
 	case st.Group == a.group && st.Generation > a.generation, st.Group != a.group && st.Fence > m.Fence:
-		return fmt.Sprintf("member %s was given to %s", m.VM, placeOf(st))
+		return fmt.Sprintf("member %s was given to %s", m.VM, assignmentOf(st))
 	}
-	if p.Failing != 0 && now.Sub(p.Failing) >= a.patience() {
+	if p.Failing != 0 && now.Sub(p.Failing) >= a.maxSilence() {
 		return fmt.Sprintf("member %s has not answered for %s", m.VM, now.Sub(p.Failing).Round(time.Millisecond))
 	}
 	return ""
 }
 
-func (a *awaited) patience() time.Duration {
-	if a.begun || !a.idempotent {
-		return patienceWithin
+func (a *pendingAnswer) maxSilence() time.Duration {
+	if a.started || !a.idempotent {
+		return maxSilenceWithinAnswer
 	}
-	return patienceBefore
+	return maxSilenceBeforeAnswer
 }
 
-func placeOf(st *fleet.EngineState) string {
+func assignmentOf(st *fleet.EngineState) string {
 	if st.Group == "" {
 		return "no group"
 	}
 	return fmt.Sprintf("%s/%d", st.Group, st.Generation)
 }
 
-func vmOf(snap *view.Snapshot, id fleet.VM) *view.VM {
+func findVM(snap *view.Snapshot, id fleet.VM) *view.VM {
 	i, ok := slices.BinarySearchFunc(snap.VMs, id, func(v view.VM, id fleet.VM) int {
 		return strings.Compare(string(v.Record.VM), string(id))
 	})
--- a/internal/dispatch/lost_test.go
+++ b/internal/dispatch/lost_test.go
@@ -16,7 +16,7 @@
 	"chervilloom/internal/view"
 )
 
-func TestLost(t *testing.T) {
+func TestLostReason(t *testing.T) {
 	const now = clock.Instant(1e12)
 	ago := func(d time.Duration) clock.Instant { return now.Add(-d) }
 	state := func(boot fleet.BootID, g fleet.GroupID, gen fleet.Generation, f fleet.Fence) fleet.EngineState {
@@ -29,19 +29,19 @@
 		begun      bool
 		lost       bool
 	}{
-		{"in place", view.Probe{State: state("b2", "g", 3, 5)}, true, false, false},
+		{"unchanged", view.Probe{State: state("b2", "g", 3, 5)}, true, false, false},
 		{"never probed", view.Probe{}, true, false, false},
 		{"restarted", view.Probe{State: state("x", "g", 3, 5)}, true, true, true},
 		{"next generation", view.Probe{State: state("b2", "g", 4, 6)}, true, true, true},
-		{"not yet told", view.Probe{State: state("b2", "g", 2, 4)}, true, false, false},
+		{"previous generation still reported", view.Probe{State: state("b2", "g", 2, 4)}, true, false, false},
 		{"another group", view.Probe{State: state("b2", "h", 1, 6)}, true, true, true},
 		{"freed", view.Probe{State: state("b2", "", 0, 6)}, true, true, true},
-		{"order not arrived", view.Probe{State: state("b2", "", 0, 4)}, true, false, false},
-		{"silent a moment", view.Probe{Failing: ago(time.Second)}, true, false, false},
-		{"silent", view.Probe{Failing: ago(patienceBefore)}, true, false, true},
-		{"silent within an answer", view.Probe{Failing: ago(patienceBefore)}, true, true, false},
-		{"long silent within an answer", view.Probe{Failing: ago(patienceWithin)}, true, true, true},
-		{"silent, at most once", view.Probe{Failing: ago(patienceBefore)}, false, false, false},
+		{"join order not received yet", view.Probe{State: state("b2", "", 0, 4)}, true, false, false},
+		{"silent briefly", view.Probe{Failing: ago(time.Second)}, true, false, false},
+		{"silent", view.Probe{Failing: ago(maxSilenceBeforeAnswer)}, true, false, true},
+		{"silent after the response started", view.Probe{Failing: ago(maxSilenceBeforeAnswer)}, true, true, false},
+		{"silent for long after the response started", view.Probe{Failing: ago(maxSilenceWithinAnswer)}, true, true, true},
+		{"silent, at most once", view.Probe{Failing: ago(maxSilenceBeforeAnswer)}, false, false, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -50,32 +50,31 @@
 				{Record: fleet.Record{VM: "e1"}, Probe: view.Probe{State: state("b1", "g", 3, 5)}},
 				{Record: fleet.Record{VM: "e2"}, Probe: tc.probe},
 			}}
-			a := &awaited{group: "g", generation: 3, idempotent: tc.idempotent, begun: tc.begun,
+			a := &pendingAnswer{group: "g", generation: 3, idempotent: tc.idempotent, started: tc.begun,
 				members: []fleet.Member{{VM: "e1", Boot: "b1", Fence: 5}, {VM: "e2", Boot: "b2", Fence: 5}, {VM: "unlisted"}}}
-			is.Equal(lost(a, snap, now) != "", tc.lost)
+			is.Equal(lostReason(a, snap, now) != "", tc.lost)
 		})
 	}
 }
 
-// see puts what probes found of a member into the rig's view.
-func (r *rig) see(vm fleet.VM, p view.Probe) {
+// setProbe adds the probe result of a member to the rig's snapshot.
+func (r *rig) setProbe(vm fleet.VM, p view.Probe) {
 	r.change(func(s *view.Snapshot) { s.VMs = append(s.VMs, view.VM{Record: fleet.Record{VM: vm}, Probe: p}) })
 }
 
-// The first group's engine takes a request and stalls with it: the connection
-// stays open and nothing comes. Its probes go unanswered. The clerk does not
-// wait for the deadline: the other group answers, and the stalled try is told
-// to the router as failed.
-func TestStalledReplicaIsGivenUp(t *testing.T) {
+// An engine stalls with a request: the connection stays open without a response, and its
+// probes fail. The request must be retried at the other group before the deadline, and
+// the stalled try must be reported to the router as failed.
+func TestStalledReplicaIsRetriedElsewhere(t *testing.T) {
 	for _, stream := range []bool{true, false} {
 		is := is.New(t)
 		r := newRig(t, nil)
 		stalled := r.addEngine(standin.Options{})
 		r.addEngine(standin.Options{})
 		stalled.SetFaults(standin.Faults{Stall: true})
-		r.see("e1", view.Probe{Failing: r.clock.Now().Add(-patienceBefore)})
+		r.setProbe("e1", view.Probe{Failing: r.clock.Now().Add(-maxSilenceBeforeAnswer)})
 		q := r.chat("a", 8, stream)
-		q.Deadline = r.clock.Now().Add(10 * patience)
+		q.Deadline = r.clock.Now().Add(10 * waitTimeout)
 		c := r.serve(context.Background(), q)
 		is.True(c.end.Whole)
 		is.Equal(c.head.Group, fleet.GroupID("g2"))
@@ -83,9 +82,8 @@
 	}
 }
 
-// A member of the group restarts while its leader streams, and the leader does
-// not notice: it stalls. The caller has a part and is told that it is cut long
-// before the deadline.
+// A member restarts while the group's leader streams, and the leader stalls without
+// detecting it. The response must end as cut long before the deadline.
 func TestLostMemberWithinAStream(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
@@ -96,27 +94,27 @@
 	})
 	c := newCollector()
 	q := r.chat("a", 50000, true)
-	q.Deadline = r.clock.Now().Add(10 * patience)
+	q.Deadline = r.clock.Now().Add(10 * waitTimeout)
 	go r.d.Serve(context.Background(), q, c)
-	testkit.Eventually(t, "events come", func() bool { return c.count() > 2 })
+	testkit.Eventually(t, "events arrive", func() bool { return c.count() > 2 })
 	e.SetFaults(standin.Faults{Stall: true})
-	r.see("z", view.Probe{State: fleet.EngineState{Boot: "after", Group: "", Fence: 0}})
+	r.setProbe("z", view.Probe{State: fleet.EngineState{Boot: "after", Group: "", Fence: 0}})
 	<-c.done
 	is.Equal(c.end.Error.Kind, outcome.AnswerCut)
 	is.Equal(c.end.Error.Outcome, outcome.Ran)
 }
 
-// A ruling that may run at most once is at a replica that is lost. It is told
-// as unknown when the evidence is certain, and is not sent anywhere else.
-func TestLostReplicaOfMarkedCall(t *testing.T) {
+// A request that may run at most once is at a replica that is lost. It must end as
+// "unknown" once the loss is certain, and must not be sent to another group.
+func TestLostReplicaOfNonIdempotentRequest(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
 	r.addEngine(standin.Options{}).SetFaults(standin.Faults{Stall: true})
 	r.addEngine(standin.Options{})
-	r.see("e1", view.Probe{State: fleet.EngineState{Boot: "another life"}})
+	r.setProbe("e1", view.Probe{State: fleet.EngineState{Boot: "another life"}})
 	q := r.chat("a", 8, false)
 	q.Idempotent = false
-	q.Deadline = r.clock.Now().Add(10 * patience)
+	q.Deadline = r.clock.Now().Add(10 * waitTimeout)
 	c := r.serve(context.Background(), q)
 	is.Equal(c.end.Error.Outcome, outcome.Unknown)
 	is.Equal(r.engines[1].Executions("a"), 0)
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -51,28 +51,28 @@
 	return m
 }
 
-func (d *Dispatcher) noteTry(req *request.Request, c route.Choice) {
+func (d *Dispatcher) recordTry(req *request.Request, c route.Choice) {
 	d.metrics.tries.WithLabelValues(string(req.Class), c.Kind.String()).Inc()
 	if d.opt.Explain != nil {
-		d.note(req, "send to "+place(c), c.Reason)
+		d.recordStep(req, "send to "+destinationName(c), c.Reason)
 	}
 }
 
-// noteDecision tells what follows a failed try.
-func (d *Dispatcher) noteDecision(req *request.Request, dec decision, last *outcome.Error, tried []route.Tried) {
+// recordDecision logs and counts the decision after a failed try.
+func (d *Dispatcher) recordDecision(req *request.Request, dec decision, last *outcome.Error, tried []route.Tried) {
 	d.opt.Log.Info("try failed", "request", req.ID, "tried", tried, "kind", last.Kind, "outcome", last.Outcome,
 		"cause", last.Error(), "decision", dec.verdict, "reason", dec.reason)
 	d.metrics.decisions.WithLabelValues(string(req.Class), string(dec.verdict)).Inc()
-	d.note(req, string(dec.verdict), dec.reason+": "+last.Error())
+	d.recordStep(req, string(dec.verdict), dec.reason+": "+last.Error())
 }
 
-func (d *Dispatcher) note(req *request.Request, decision, reason string) {
+func (d *Dispatcher) recordStep(req *request.Request, decision, reason string) {
 	if d.opt.Explain != nil {
 		d.opt.Explain.Note(explain.Step{Subject: req.ID, Stage: "dispatch", Decision: decision, Reason: reason})
 	}
 }
 
-func place(c route.Choice) string {
+func destinationName(c route.Choice) string {
 	switch c.Kind {
 	case route.ToGroup:
 		return "group " + string(c.Group.ID)
@@ -83,16 +83,16 @@
 	}
 }
 
-// startTry opens the span of one try: the hop to an endpoint or a node.
-func (d *Dispatcher) startTry(ctx context.Context, c route.Choice) (context.Context, trace.Span) {
+// startTrySpan starts the span of one try: the hop to an endpoint or a node.
+func (d *Dispatcher) startTrySpan(ctx context.Context, c route.Choice) (context.Context, trace.Span) {
 	ctx, span := d.tracer.Start(ctx, "try", trace.WithSpanKind(trace.SpanKindClient))
 	if span.IsRecording() {
-		span.SetAttributes(attribute.String("to", place(c)), attribute.String("reason", c.Reason))
+		span.SetAttributes(attribute.String("to", destinationName(c)), attribute.String("reason", c.Reason))
 	}
 	return ctx, span
 }
 
-func endTry(span trace.Span, err *outcome.Error) {
+func endTrySpan(span trace.Span, err *outcome.Error) {
 	if err != nil && span.IsRecording() {
 		span.SetAttributes(attribute.String("outcome", string(err.Outcome)))
 		span.SetStatus(codes.Error, err.Error())
@@ -100,7 +100,7 @@
 	span.End()
 }
 
-// withRemoteParent continues the trace of a request that another node passed on.
+// withRemoteParent continues the trace of a request forwarded by another node.
 func withRemoteParent(ctx context.Context, req *request.Request) context.Context {
 	if req.TraceParent == "" || trace.SpanContextFromContext(ctx).IsValid() {
 		return ctx
--- a/internal/dispatch/node.go
+++ b/internal/dispatch/node.go
@@ -12,28 +12,28 @@
 	"chervilloom/internal/view"
 )
 
-// sendNode passes the request to a node of another availability zone. That
-// node checks the group's members itself: it stands next to them.
+// sendNode forwards the request to a node of another availability zone. That node checks
+// the group's members itself, since it is in their zone.
 func (d *Dispatcher) sendNode(ctx context.Context, s *session, to fleet.VM, t *try) *outcome.Error {
 	if d.opt.Peers == nil {
 		return outcome.New(outcome.NoCapacity, outcome.NotRun, "no other node can be reached", "send the request again").After(time.Second)
 	}
 	w := &peerWriter{s: s, t: t, d: d}
-	if err := d.opt.Peers.Relay(ctx, to, d.passedOn(s.req), w); err != nil {
+	if err := d.opt.Peers.Relay(ctx, to, d.forwardedRequest(s.req), w); err != nil {
 		if ctx.Err() != nil {
-			return d.stopped(ctx, err.Outcome).WithCause(err)
+			return d.stoppedError(ctx, err.Outcome).WithCause(err)
 		}
-		t.blamed = err.Kind == outcome.EndpointFailed
+		t.endpointFailed = err.Kind == outcome.EndpointFailed
 		return err
 	}
-	err := w.ended()
-	if err != nil && err.Kind == outcome.AnswerCut && s.lastID != "" && s.req.Stream {
+	err := w.result()
+	if err != nil && err.Kind == outcome.AnswerCut && s.lastEventID != "" && s.req.Stream {
 		return d.resumeElsewhere(ctx, s, to, err)
 	}
 	return err
 }
 
-func (d *Dispatcher) passedOn(req *request.Request) *request.Request {
+func (d *Dispatcher) forwardedRequest(req *request.Request) *request.Request {
 	c := *req
 	c.Stage = request.StageDispatch
 	c.Hops++
@@ -41,58 +41,58 @@
 	return &c
 }
 
-// peerWriter takes an answer from another node. It does not finish the
-// caller's answer: what the other node could not finish may go on elsewhere.
-// An answer that is not a stream is held back up to the bound, as one of an
-// endpoint is, so that a link that dies within it leaves the caller with nothing.
+// peerWriter receives a response from another node. It does not finish the caller's
+// response, because an incomplete one may be continued elsewhere. A non-streaming
+// response is buffered up to AnswerBuffer bytes, like that of an endpoint, so that the
+// caller has received nothing if the link fails within it.
 type peerWriter struct {
-	d     *Dispatcher
-	s     *session
-	t     *try
-	held  *reply // nil: the answer is passed on as it comes
-	end   *answer.End
-	count uint64
-	err   *outcome.Error // the caller took no more, or a piece was missing
+	d          *Dispatcher
+	s          *session
+	t          *try
+	buffered   *reply // nil: the response is forwarded as it arrives
+	end        *answer.End
+	frameCount uint64
+	err        *outcome.Error // the caller disconnected, or a frame is missing
 }
 
-// Start opens the caller's answer, or goes on with it.
+// Start starts the caller's response, or continues one that has started.
 func (p *peerWriter) Start(h answer.Head) error {
-	p.t.first(p.d.opt.Clock.Now())
+	p.t.markFirstByte(p.d.opt.Clock.Now())
 	if !h.Stream && mediaType(h.Header) != eventStream {
-		p.held = &reply{head: h}
+		p.buffered = &reply{head: h}
 		return nil
 	}
-	return p.keep(p.s.start(h))
+	return p.keepError(p.s.start(h))
 }
 
-// Frame passes on a piece, or holds it back.
+// Frame forwards or buffers a frame.
 func (p *peerWriter) Frame(f answer.Frame) error {
-	p.count++
-	if p.held == nil {
+	p.frameCount++
+	if p.buffered == nil {
 		p.t.tokens++
-		return p.keep(p.s.frame(f))
+		return p.keepError(p.s.frame(f))
 	}
-	p.held.held = append(p.held.held, f.Data...)
-	if len(p.held.held) <= p.d.opt.AnswerBuffer {
+	p.buffered.data = append(p.buffered.data, f.Data...)
+	if len(p.buffered.data) <= p.d.opt.AnswerBuffer {
 		return nil
 	}
-	return p.keep(p.release())
+	return p.keepError(p.flush())
 }
 
-// release passes on what was held back, and what follows as it comes.
-func (p *peerWriter) release() *outcome.Error {
-	r := p.held
-	p.held = nil
+// flush writes the buffered data; subsequent frames are forwarded as they arrive.
+func (p *peerWriter) flush() *outcome.Error {
+	r := p.buffered
+	p.buffered = nil
 	if r == nil {
 		return nil
 	}
-	if err := p.s.start(r.head); err != nil || len(r.held) == 0 {
+	if err := p.s.start(r.head); err != nil || len(r.data) == 0 {
 		return err
 	}
-	return p.s.frame(answer.Frame{Offset: p.s.bytes, Data: r.held})
+	return p.s.frame(answer.Frame{Offset: p.s.bytes, Data: r.data})
 }
 
-func (p *peerWriter) keep(err *outcome.Error) error {
+func (p *peerWriter) keepError(err *outcome.Error) error {
 	if err == nil {
 		return nil
 	}
@@ -100,33 +100,33 @@
 	return err
 }
 
-// Finish keeps the end.
+// Finish stores the end of the response.
 func (p *peerWriter) Finish(e answer.End) { p.end = &e }
 
-// ended tells how the other node's answer ended.
-func (p *peerWriter) ended() *outcome.Error {
+// result returns nil if the response was complete, and its error otherwise.
+func (p *peerWriter) result() *outcome.Error {
 	switch {
 	case p.err != nil:
 		return p.err
 	case p.end == nil:
-		return answerCut("the other node's answer has no end", nil)
-	case p.end.Whole && p.end.Frames == p.count:
-		return p.release()
+		return answerCutError("the other node's answer has no end", nil)
+	case p.end.Whole && p.end.Frames == p.frameCount:
+		return p.flush()
 	case p.end.Error != nil:
 		return p.end.Error
 	}
-	return answerCut("a part of the other node's answer is missing", nil)
+	return answerCutError("a part of the other node's answer is missing", nil)
 }
 
-// resumeElsewhere goes on with a stream through other nodes of the endpoint's
-// availability zone.
+// resumeElsewhere resumes a stream through other nodes of the endpoint's availability
+// zone.
 func (d *Dispatcher) resumeElsewhere(ctx context.Context, s *session, lost fleet.VM, cause *outcome.Error) *outcome.Error {
-	id, err := relay.ParseEventID(s.lastID)
+	id, err := relay.ParseEventID(s.lastEventID)
 	if err != nil {
 		return cause
 	}
 	snap := d.opt.View.Snapshot()
-	g := groupOf(snap, id)
+	g := findGroup(snap, id)
 	if g == nil {
 		return cause
 	}
@@ -134,34 +134,34 @@
 		if n.Zone != g.Zone || n.State != view.NodeAlive || n.VM == lost {
 			continue
 		}
-		err := d.resumeAt(ctx, s, n.VM)
-		if err == nil || ctx.Err() != nil || s.gone {
+		err := d.resumeAtNode(ctx, s, n.VM)
+		if err == nil || ctx.Err() != nil || s.callerGone {
 			return err
 		}
-		cause = worseCut(cause, err)
+		cause = latestCut(cause, err)
 	}
 	return cause
 }
 
-func (d *Dispatcher) resumeAt(ctx context.Context, s *session, n fleet.VM) *outcome.Error {
-	req := d.passedOn(s.req)
-	req.ResumeID = s.lastID
+func (d *Dispatcher) resumeAtNode(ctx context.Context, s *session, n fleet.VM) *outcome.Error {
+	req := d.forwardedRequest(s.req)
+	req.ResumeID = s.lastEventID
 	w := &peerWriter{s: s, t: &try{}, d: d}
 	if err := d.opt.Peers.Relay(ctx, n, req, w); err != nil {
 		return err
 	}
-	return w.ended()
+	return w.result()
 }
 
-// worseCut keeps the first cut unless the newer error says more.
-func worseCut(first, newer *outcome.Error) *outcome.Error {
+// latestCut returns newer if it reports a cut response, and first otherwise.
+func latestCut(first, newer *outcome.Error) *outcome.Error {
 	if newer.Kind == outcome.AnswerCut {
 		return newer
 	}
 	return first
 }
 
-func groupOf(snap *view.Snapshot, id relay.EventID) *view.Group {
+func findGroup(snap *view.Snapshot, id relay.EventID) *view.Group {
 	for i := range snap.Groups {
 		g := &snap.Groups[i]
 		if g.ID == id.Group && g.Generation == id.Generation && leader(g).VM == id.VM {
--- a/internal/dispatch/node_test.go
+++ b/internal/dispatch/node_test.go
@@ -17,8 +17,8 @@
 	"chervilloom/internal/view"
 )
 
-// twoZones returns a dispatcher of a node that has no endpoints of its own, and
-// the rig of the zone that has them; peers relay to the latter.
+// twoZones returns the rig of a node without endpoints in its zone, and the rig of the
+// zone that has them, to which peers relay.
 func twoZones(t *testing.T, peers fakePeers) (near, far *rig) {
 	far = newRig(t, nil)
 	near = newRig(t, func(o *Options) { o.Peers = peers })
@@ -33,13 +33,13 @@
 	return near, far
 }
 
-// breaking relays to the dispatcher and, like a link that dies, ends the answer
-// as cut after the given number of events.
-func breaking(far func() *rig, events int) func(context.Context, *request.Request, answer.Writer) *outcome.Error {
+// cuttingPeer relays to the dispatcher of far and ends the response as cut after the
+// given number of events, like a broken link.
+func cuttingPeer(far func() *rig, events int) func(context.Context, *request.Request, answer.Writer) *outcome.Error {
 	return func(_ context.Context, req *request.Request, w answer.Writer) *outcome.Error {
 		c := newCollector()
-		c.refuse = events
-		// The far node dies with the link: nobody cancels its stream.
+		c.failFrom = events
+		// The far node fails with the link, so its stream is not cancelled.
 		dead := New(far().d.opt)
 		defer dead.Close()
 		dead.Serve(context.Background(), req, c)
@@ -54,44 +54,45 @@
 	}
 }
 
-// A scorer's stream comes through a node of another availability zone, and
-// that node dies, again and again at any event. The stream goes on through
-// another node of that zone, from one run, without a lost or doubled token.
-func TestStreamOutlivesTheNodeItComesThrough(t *testing.T) {
+// The node of another availability zone that forwards a stream fails at various events.
+// The stream must continue through another node of that zone, from a single run, without
+// a lost or duplicate token.
+func TestStreamContinuesAfterForwardingNodeFails(t *testing.T) {
 	for _, at := range []int{1, 5, 20, 21} {
 		t.Run(fmt.Sprint(at), func(t *testing.T) {
 			is := is.New(t)
 			var far *rig
 			reach := func() *rig { return far }
-			peers := fakePeers{"a": breaking(reach, at), "b": breaking(reach, 0), "c": breaking(reach, 0)}
+			peers := fakePeers{"a": cuttingPeer(reach, at), "b": cuttingPeer(reach, 0), "c": cuttingPeer(reach, 0)}
 			near, f := twoZones(t, peers)
 			far = f
 			q := near.chat("q", 20, true)
 			c := near.serve(context.Background(), q)
-			own(t, q, c)
+			checkWholeAnswer(t, q, c)
 			is.Equal(far.engines[0].Executions("q"), 1)
 		})
 	}
 }
 
-// A node of another availability zone refuses: the request did not run, and
-// the next node is asked.
-func TestRefusalOfANodeIsTriedElsewhere(t *testing.T) {
+// A node of another availability zone refuses a request, which did not run: the next node
+// must be tried.
+func TestRefusalOfANodeIsRetriedElsewhere(t *testing.T) {
 	is := is.New(t)
 	var far *rig
 	refuse := func(context.Context, *request.Request, answer.Writer) *outcome.Error {
 		return outcome.New(outcome.ShuttingDown, outcome.NotRun, "no new work", "try again")
 	}
-	peers := fakePeers{"a": refuse, "b": breaking(func() *rig { return far }, 0)}
+	peers := fakePeers{"a": refuse, "b": cuttingPeer(func() *rig { return far }, 0)}
 	near, f := twoZones(t, peers)
 	far = f
 	q := near.chat("q", 20, true)
-	own(t, q, near.serve(context.Background(), q))
+	checkWholeAnswer(t, q, near.serve(context.Background(), q))
 	is.Equal(near.router.begun, 2)
 }
 
-// Another node ends an answer as whole, but an event of it is missing here.
-func TestMissingEventFromANodeIsNoticed(t *testing.T) {
+// Another node marks a response as complete, but one of its events did not arrive: the
+// response must end as cut.
+func TestMissingEventFromANodeIsDetected(t *testing.T) {
 	is := is.New(t)
 	peers := fakePeers{"a": func(_ context.Context, _ *request.Request, w answer.Writer) *outcome.Error {
 		w.Start(answer.Head{Status: 200, Stream: true})
@@ -107,8 +108,9 @@
 	is.Equal(len(c.frames), 1)
 }
 
-// The link breaks after a receipt was passed on. It may have run there.
-func TestLostLinkOfAReceiptIsUnknown(t *testing.T) {
+// The link breaks after a non-idempotent request was forwarded. It may have run there, so
+// it must not be retried.
+func TestBrokenLinkOfNonIdempotentRequestIsUnknown(t *testing.T) {
 	is := is.New(t)
 	asked := 0
 	lost := func(context.Context, *request.Request, answer.Writer) *outcome.Error {
@@ -121,7 +123,8 @@
 	is.Equal(asked, 1)
 }
 
-// Another node repeats an event after a break of its own. The caller gets it once.
+// Another node repeats an event after reconnecting to the engine. The caller must receive
+// it once.
 func TestRepeatedEventFromANodeIsDropped(t *testing.T) {
 	is := is.New(t)
 	peers := fakePeers{"a": func(_ context.Context, _ *request.Request, w answer.Writer) *outcome.Error {
@@ -139,11 +142,11 @@
 	is.Equal(c.end.Frames, uint64(3))
 }
 
-// The link to another node dies within an answer that is not a stream. The
-// caller has nothing of it yet, and the request is idempotent: the next node
-// gives the whole answer.
-func TestCutAnswerOfANodeIsTriedElsewhere(t *testing.T) {
-	for _, size := range []int{10, 3000} { // within and beyond what is held back
+// The link to another node breaks within a non-streaming response of an idempotent
+// request. If nothing was sent to the caller yet, the next node must give the complete
+// response.
+func TestCutAnswerOfANodeIsRetriedElsewhere(t *testing.T) {
+	for _, size := range []int{10, 3000} { // below and above AnswerBuffer
 		is := is.New(t)
 		cut := func(_ context.Context, _ *request.Request, w answer.Writer) *outcome.Error {
 			w.Start(answer.Head{Status: 200})
--- a/internal/dispatch/pressure.go
+++ b/internal/dispatch/pressure.go
@@ -19,39 +19,40 @@
 	"chervilloom/internal/view"
 )
 
-// pressureID names a life of an endpoint to the guard of what endpoints take.
-func (r *endpointRun) pressureID() backpressure.ID { return backpressure.ID(r.endpoint) }
+// backpressureID returns the ID of the endpoint's incarnation for the backpressure guard.
+func (r *endpointRun) backpressureID() backpressure.ID { return backpressure.ID(r.incarnation) }
 
-// taken asks for one request to be sent.
-func (r *endpointRun) taken() *outcome.Error {
-	if r.d.opt.Backpressure.Take(r.pressureID()) {
+// acquireSend asks the backpressure guard for permission to send one request.
+func (r *endpointRun) acquireSend() *outcome.Error {
+	if r.d.opt.Backpressure.Take(r.backpressureID()) {
 		return nil
 	}
-	return takesNothing(cmp.Or(r.d.opt.Backpressure.RetryAfter(r.pressureID()), defaultComeBack)).WithCause(errUnsent)
+	return overloadedError(cmp.Or(r.d.opt.Backpressure.RetryAfter(r.backpressureID()), defaultRetryAfter)).WithCause(errUnsent)
 }
 
-// errUnsent is the cause of a try that was held back before anything was sent.
-var errUnsent = errors.New("dispatch: held back before it was sent")
+// errUnsent is the cause of a try that backpressure stopped before anything was sent.
+var errUnsent = errors.New("dispatch: stopped by backpressure before sending")
 
-// takesNothing refuses a request that no endpoint takes now. Callers that are refused for
-// the same time return over as much again.
-func takesNothing(heldFor time.Duration) *outcome.Error {
-	after := heldFor + time.Duration(rand.Float64()*float64(heldFor))
+// overloadedError returns the error for a request that no endpoint accepts now. The retry
+// delay is randomized between delay and twice delay, so that callers refused together do
+// not return together.
+func overloadedError(delay time.Duration) *outcome.Error {
+	after := delay + time.Duration(rand.Float64()*float64(delay))
 	return outcome.New(outcome.Overloaded, outcome.NotRun, "the endpoints take nothing more now", "send the request again later").After(after)
 }
 
-// answered takes up what the endpoint says of how much it takes. It reports whether it asks for
-// a backoff.
-func (r *endpointRun) answered(resp *http.Response, sent clock.Instant) (backsOff bool) {
+// recordSignals passes the backpressure signals of a response to the guard. It reports
+// whether the endpoint asks for a backoff.
+func (r *endpointRun) recordSignals(resp *http.Response, sent clock.Instant) (asksBackoff bool) {
 	signals, err := signalsOf(resp)
 	if err != nil {
-		r.d.opt.Log.Debug("answer's header not readable", "request", r.req.ID, "endpoint", r.endpoint, "err", err)
+		r.d.opt.Log.Debug("response header is unreadable", "request", r.req.ID, "endpoint", r.incarnation, "err", err)
 	}
-	r.d.opt.Backpressure.Answered(r.pressureID(), signals, sent)
+	r.d.opt.Backpressure.Answered(r.backpressureID(), signals, sent)
 	return signals.RetryAfter > 0
 }
 
-// signalsOf reads what an answer says of its endpoint.
+// signalsOf parses the backpressure signals in the headers of a response.
 func signalsOf(resp *http.Response) (s backpressure.Signals, err error) {
 	s.Leaving = resp.Header.Get(engine.HeaderLeaving) == "1"
 	err = s.ReadLimit(resp.Header.Get(engine.HeaderRateLimit))
@@ -61,41 +62,43 @@
 	return s, err
 }
 
-// held is what of a request's endpoints takes nothing from this node now.
-type held struct {
-	tried   []route.Tried // those endpoints, as destinations that the request shall not get
-	heldFor time.Duration // until the first of them takes something again; 0: none does
-	others  bool          // an endpoint that isn't among them carries what is asked for as well
+// limitedEndpoints describes the endpoints of a request that accept nothing from this
+// node now.
+type limitedEndpoints struct {
+	excluded       []route.Tried // the endpoints, as destinations to exclude
+	availableAfter time.Duration // until the first of them accepts a request; 0 if unknown
+	othersMatch    bool          // another endpoint can also serve the request
 }
 
-// heldBack returns what takes nothing from this node now.
-func (d *Dispatcher) heldBack(req *request.Request, snap *view.Snapshot) (h held) {
+// findLimited returns the endpoints of the request that accept nothing from this node
+// now.
+func (d *Dispatcher) findLimited(req *request.Request, snap *view.Snapshot) (limited limitedEndpoints) {
 	ids := d.opt.Backpressure.Held()
 	if len(ids) == 0 {
-		return held{}
+		return limitedEndpoints{}
 	}
-	for vm, id := range carriers(req, snap) {
+	for vm, id := range matchingEndpoints(req, snap) {
 		if !slices.Contains(ids, id) {
-			h.others = true
+			limited.othersMatch = true
 			continue
 		}
-		h.tried = append(h.tried, route.Tried{VM: vm})
+		limited.excluded = append(limited.excluded, route.Tried{VM: vm})
 		if d.opt.Backpressure.Leaving(id) {
 			continue
 		}
-		after := cmp.Or(d.opt.Backpressure.RetryAfter(id), defaultComeBack)
-		if h.heldFor == 0 || after < h.heldFor {
-			h.heldFor = after
+		after := cmp.Or(d.opt.Backpressure.RetryAfter(id), defaultRetryAfter)
+		if limited.availableAfter == 0 || after < limited.availableAfter {
+			limited.availableAfter = after
 		}
 	}
-	return h
+	return limited
 }
 
-// carriers returns the VMs whose endpoints carry what a request asks for, whether or not they
-// can serve now, with the lives that these are in. Leaving ones are not among them.
-func carriers(req *request.Request, snap *view.Snapshot) iter.Seq2[fleet.VM, backpressure.ID] {
+// matchingEndpoints returns the VMs whose endpoints match a request, whether or not they
+// can serve now, with the IDs of their incarnations. Leaving endpoints are omitted.
+func matchingEndpoints(req *request.Request, snap *view.Snapshot) iter.Seq2[fleet.VM, backpressure.ID] {
 	if req.Class == request.ClassModel {
-		return leaders(req, snap)
+		return matchingLeaders(req, snap)
 	}
 	return func(yield func(fleet.VM, backpressure.ID) bool) {
 		for i := range snap.VMs {
@@ -103,21 +106,21 @@
 			if v.Record.Service != req.Service || v.Leaving || v.Record.State == fleet.StateLeaving {
 				continue
 			}
-			if !yield(v.Record.VM, backpressure.ID(lifeOf(v.Record.VM, v.Load.Boot))) {
+			if !yield(v.Record.VM, backpressure.ID(incarnationID(v.Record.VM, v.Load.Boot))) {
 				return
 			}
 		}
 	}
 }
 
-func leaders(req *request.Request, snap *view.Snapshot) iter.Seq2[fleet.VM, backpressure.ID] {
+func matchingLeaders(req *request.Request, snap *view.Snapshot) iter.Seq2[fleet.VM, backpressure.ID] {
 	return func(yield func(fleet.VM, backpressure.ID) bool) {
 		for i := range snap.Groups {
 			g := &snap.Groups[i]
 			if g.Phase != fleet.PhaseServing || g.Model != req.Target.Model {
 				continue
 			}
-			if m := leader(g); !yield(m.VM, backpressure.ID(lifeOf(m.VM, m.Boot))) {
+			if m := leader(g); !yield(m.VM, backpressure.ID(incarnationID(m.VM, m.Boot))) {
 				return
 			}
 		}
--- a/internal/dispatch/pressure_test.go
+++ b/internal/dispatch/pressure_test.go
@@ -19,16 +19,17 @@
 )
 
 const (
-	// pressureTime is a grace of a second, one of the checks' windows of 4 s, and some more.
-	pressureTime  = 6 * time.Second
-	pressurePause = 15 * time.Millisecond
+	// pressureDuration covers the grace period of one second and one check window of 4 s,
+	// with a margin.
+	pressureDuration = 6 * time.Second
+	pressurePause    = 15 * time.Millisecond
 )
 
-// sendFor sends requests one after another for a while and returns how many failed.
+// sendFor sends requests sequentially for pressureDuration and returns the failures.
 func (r *rig) sendFor(name string, make func(id string) *request.Request) (failed []string) {
 	pause := time.NewTicker(pressurePause)
 	defer pause.Stop()
-	for k, end := 0, time.Now().Add(pressureTime); time.Now().Before(end); k++ {
+	for k, end := 0, time.Now().Add(pressureDuration); time.Now().Before(end); k++ {
 		req := make(fmt.Sprintf("%s.%d", name, k))
 		if c := r.serve(context.Background(), req); !c.end.Whole {
 			failed = append(failed, fmt.Sprintf("%s: %v", req.ID, c.end.Error))
@@ -38,24 +39,24 @@
 	return failed
 }
 
-// Guards against endpoints in need that get their usual share from a node that knows the limit.
-func TestRateLimitOfAnEndpointIsKept(t *testing.T) {
+// Guards against a node that knows an endpoint's rate limit and exceeds it.
+func TestEndpointRateLimitIsRespected(t *testing.T) {
 	testPressure(t, pressure.Signals{Limit: 1.9})
 }
 
-// Guards against endpoints that asked for rest and get requests all the same.
-func TestEndpointAtRestIsLeft(t *testing.T) {
+// Guards against requests to an endpoint that asked for a backoff.
+func TestEndpointInBackoffGetsNoRequests(t *testing.T) {
 	testPressure(t, pressure.Signals{RetryAfter: 2250 * time.Millisecond})
 }
 
-// Guards against endpoints that say in their answers that they leave and get requests until
-// a probe says so too.
-func TestEndpointThatSaysItLeavesIsLeft(t *testing.T) {
+// Guards against endpoints that announce in their responses that they leave and receive
+// requests until a probe reports it.
+func TestLeavingEndpointGetsNoRequests(t *testing.T) {
 	testPressure(t, pressure.Signals{Leaving: true})
 }
 
-// testPressure sends traffic while one of two engines and one of two plain endpoints say how
-// much they take: these keep to it, and all is served.
+// testPressure sends traffic while one of two engines and one of two plain endpoints
+// announce limits: the limits must be kept and all requests served.
 func testPressure(t *testing.T, signals pressure.Signals) {
 	r := newRig(t, nil)
 	engine, other := r.addEngine(standin.Options{}), r.addEngine(standin.Options{})
@@ -76,14 +77,14 @@
 	clients.Wait()
 	for name, broken := range map[string][]string{"engine": engine.Pressure.Broken(), "plain": plain.Pressure.Broken()} {
 		if len(broken) > 0 {
-			t.Errorf("%s: %d times, first %s", name, len(broken), broken[0])
+			t.Errorf("%s: limit violated %d times, first %s", name, len(broken), broken[0])
 		}
 	}
-	t.Logf("at them %d and %d, beside %d and %d", engine.Pressure.Arrivals(), plain.Pressure.Arrivals(), other.Pressure.Arrivals(), second.Pressure.Arrivals())
+	t.Logf("arrivals: limited endpoints %d and %d, others %d and %d", engine.Pressure.Arrivals(), plain.Pressure.Arrivals(), other.Pressure.Arrivals(), second.Pressure.Arrivals())
 }
 
-// Guards against an endpoint that is left out for what an earlier life of it said.
-func TestNextLifeOfAnEndpointIsUsed(t *testing.T) {
+// Guards against applying the signals of an earlier incarnation of an endpoint.
+func TestRestartedEndpointIsUsed(t *testing.T) {
 	r := newRig(t, nil)
 	plain, other := r.addService(), r.addService()
 	setBoot := func() {
@@ -108,8 +109,9 @@
 	}
 }
 
-// Guards against an endpoint that is avoided as a failing one long after its rest is over.
-func TestRestIsNoFailureOfItsEndpoint(t *testing.T) {
+// Guards against treating a backoff as a failure, which would keep the endpoint avoided
+// long after the backoff is over.
+func TestBackoffIsNoEndpointFailure(t *testing.T) {
 	r := newRig(t, nil)
 	plain, _ := r.addService(), r.addService()
 	plain.Pressure.Set(pressure.Signals{RetryAfter: time.Minute})
@@ -119,53 +121,54 @@
 	}
 	for _, res := range r.router.results {
 		if res.Failed {
-			t.Errorf("a try is held against an endpoint: %+v", res)
+			t.Errorf("a try counts as a failure of its endpoint: %+v", res)
 		}
 	}
 }
 
-// hidingRouter leaves an endpoint out of some choices, as if a probe was answered late.
+// hidingRouter omits an endpoint from some choices, as after a late probe reply.
 type hidingRouter struct {
 	*listRouter
-	hides int
+	remaining int
 }
 
 func (h *hidingRouter) Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.Tried) (route.Choice, *outcome.Error) {
-	if h.hides > 0 {
-		h.hides--
+	if h.remaining > 0 {
+		h.remaining--
 		tried = append(tried, route.Tried{VM: "s2"})
 	}
 	return h.listRouter.Pick(req, snap, now, tried)
 }
 
-// Guards against callers that are refused because one endpoint is held back while a late probe
+// Guards against refusals because one endpoint is in backoff while a late probe reply
 // hides the other one.
-func TestRequestWaitsBesideAnEndpointThatIsHeldBack(t *testing.T) {
+func TestRequestWaitsWhileAnotherEndpointIsInBackoff(t *testing.T) {
 	h := &hidingRouter{}
 	r := newRig(t, func(o *Options) {
 		h.listRouter = o.Router.(*listRouter)
-		o.Router, o.PickWait = h, patience
+		o.Router, o.PickWait = h, waitTimeout
 	})
-	resting, _ := r.addService(), r.addService()
-	resting.Pressure.Set(pressure.Signals{RetryAfter: time.Minute})
+	limited, _ := r.addService(), r.addService()
+	limited.Pressure.Set(pressure.Signals{RetryAfter: time.Minute})
 	for i := range 2 {
 		if c := r.serve(context.Background(), r.lookup(fmt.Sprintf("rest.%d", i))); !c.end.Whole {
 			t.Error(c.end.Error)
 		}
-		h.hides = 2
+		h.remaining = 2
 	}
-	if n := resting.Pressure.Arrivals(); n != 1 {
-		t.Errorf("%d arrivals at the endpoint at rest, want 1", n)
+	if n := limited.Pressure.Arrivals(); n != 1 {
+		t.Errorf("%d arrivals at the endpoint in backoff, want 1", n)
 	}
 }
 
-// takingRouter has another request take what an endpoint takes once it is chosen.
-type takingRouter struct {
+// competingRouter simulates a concurrent request that uses up the limit of an endpoint after
+// it was chosen.
+type competingRouter struct {
 	*listRouter
 	guard *backpressure.Guard
 }
 
-func (r *takingRouter) Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.Tried) (route.Choice, *outcome.Error) {
+func (r *competingRouter) Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.Tried) (route.Choice, *outcome.Error) {
 	c, err := r.listRouter.Pick(req, snap, now, tried)
 	if err == nil && c.VM.Record.VM == "s1" {
 		r.guard.Take("s1@")
@@ -173,23 +176,24 @@
 	return c, err
 }
 
-// Guards against callers that are refused for want of retries although nothing was sent.
-func TestSendHeldBackTakesNoRetry(t *testing.T) {
+// Guards against consuming retry budget for a send that backpressure stopped, although
+// nothing was sent.
+func TestUnsentTryConsumesNoRetryBudget(t *testing.T) {
 	guard := backpressure.New(backpressure.Options{Clock: clock.Boot{}})
 	r := newRig(t, func(o *Options) {
-		o.Router, o.Backpressure = &takingRouter{o.Router.(*listRouter), guard}, guard
+		o.Router, o.Backpressure = &competingRouter{o.Router.(*listRouter), guard}, guard
 	})
 	limited, _ := r.addService(), r.addService()
 	limit := 40.0
 	guard.Answered("s1@", backpressure.Signals{Limit: &limit}, r.clock.Now())
 	r.retry.allow = false
 	for i := range 3 {
-		testkit.Eventually(t, "the endpoint takes a request", func() bool { return guard.Allows("s1@") })
+		testkit.Eventually(t, "the limit allows a request", func() bool { return guard.Allows("s1@") })
 		if c := r.serve(context.Background(), r.lookup(fmt.Sprint(i))); !c.end.Whole {
 			t.Error(c.end.Error)
 		}
 	}
 	if limited.Pressure.Arrivals() != 0 || r.retry.asked != 0 {
-		t.Errorf("%d arrivals at the limited endpoint, %d retries asked for, want none", limited.Pressure.Arrivals(), r.retry.asked)
+		t.Errorf("%d arrivals at the limited endpoint, %d retries requested, want none", limited.Pressure.Arrivals(), r.retry.asked)
 	}
 }
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -10,55 +10,60 @@
 	"chervilloom/internal/view"
 )
 
-// endpointRun is a request at an endpoint, as the quarantine knows it.
+// endpointRun is a request at an endpoint, as reported to the quarantine and backpressure
+// guards.
 type endpointRun struct {
-	d        *Dispatcher
-	req      *request.Request
-	fp       quarantine.Fingerprint
-	endpoint string // one life of it
-	addr     string
+	d           *Dispatcher
+	req         *request.Request
+	fingerprint quarantine.Fingerprint
+	incarnation string // from incarnationID
+	addr        string
 }
 
-func (d *Dispatcher) runAtMember(req *request.Request, m *fleet.Member) *endpointRun {
-	return &endpointRun{d, req, fingerprintOf(req), lifeOf(m.VM, m.Boot), m.Addr}
+func (d *Dispatcher) newMemberRun(req *request.Request, m *fleet.Member) *endpointRun {
+	return &endpointRun{d, req, fingerprintOf(req), incarnationID(m.VM, m.Boot), m.Addr}
 }
 
-// runAtService tells the lives of a plain endpoint apart by the boot of its newest load
-// report. While a restart isn't reported yet its end counts with the former life's.
-func (d *Dispatcher) runAtService(req *request.Request, vm *view.VM) *endpointRun {
-	return &endpointRun{d, req, fingerprintOf(req), lifeOf(vm.Record.VM, vm.Load.Boot), vm.Record.Addr}
+// newServiceRun identifies the incarnation of a plain endpoint by the boot ID of its
+// latest load report. Until a restart is reported, failures count for the previous
+// incarnation.
+func (d *Dispatcher) newServiceRun(req *request.Request, vm *view.VM) *endpointRun {
+	return &endpointRun{d, req, fingerprintOf(req), incarnationID(vm.Record.VM, vm.Load.Boot), vm.Record.Addr}
 }
 
-// lifeOf names one life of an endpoint.
-func lifeOf(vm fleet.VM, boot fleet.BootID) string { return string(vm) + "@" + string(boot) }
+// incarnationID identifies one incarnation of an endpoint.
+func incarnationID(vm fleet.VM, boot fleet.BootID) string { return string(vm) + "@" + string(boot) }
 
-// fingerprintOf is the same at each node that a request is passed on to.
+// fingerprintOf returns the fingerprint of a request, which is the same on every node
+// that forwards it.
 func fingerprintOf(req *request.Request) quarantine.Fingerprint {
 	return quarantine.Of(string(req.Organisation), req.Method, req.Service, req.Path, req.Body)
 }
 
-// allowed refuses a request that ends the endpoints that run it, and one that the endpoint
-// doesn't take now. It is asked immediately before each send, whichever try it is.
-func (r *endpointRun) allowed(ctx context.Context) *outcome.Error {
-	if v, refused := r.d.opt.Quarantine.Refused(ctx, r.fp); refused {
+// checkAllowed returns an error for a request that crashes the endpoints that run it, and
+// for one that the endpoint does not accept now. It must be called immediately before
+// each send, including retries.
+func (r *endpointRun) checkAllowed(ctx context.Context) *outcome.Error {
+	if v, refused := r.d.opt.Quarantine.Refused(ctx, r.fingerprint); refused {
 		return v.Refusal()
 	}
-	return r.taken()
+	return r.acquireSend()
 }
 
-// broke notes that the endpoint gave no whole answer, unless the try was ended here.
-func (r *endpointRun) broke(ctx context.Context) {
+// recordBroken records that the endpoint gave no complete response, unless the try was
+// cancelled by this node.
+func (r *endpointRun) recordBroken(ctx context.Context) {
 	if ctx.Err() == nil {
-		r.d.opt.Quarantine.Broke(r.endpoint, r.addr, r.fp, quarantine.AttemptID(r.req.ID))
+		r.d.opt.Quarantine.Broke(r.incarnation, r.addr, r.fingerprint, quarantine.AttemptID(r.req.ID))
 	}
 }
 
-// ended notes how the run ended.
-func (r *endpointRun) ended(ctx context.Context, err *outcome.Error) {
+// recordEnd records how the run ended.
+func (r *endpointRun) recordEnd(ctx context.Context, err *outcome.Error) {
 	switch {
 	case err == nil:
-		r.d.opt.Quarantine.Sound(r.fp)
+		r.d.opt.Quarantine.Sound(r.fingerprint)
 	case err.Kind == outcome.AnswerCut, err.Kind == outcome.EndpointFailed && err.Outcome != outcome.NotRun:
-		r.broke(ctx)
+		r.recordBroken(ctx)
 	}
 }
--- a/internal/dispatch/resume.go
+++ b/internal/dispatch/resume.go
@@ -11,66 +11,66 @@
 	"chervilloom/internal/view"
 )
 
-// serveResume goes on with a stream that broke between the caller and the
-// node it came through. The event id holds all that is needed.
+// serveResume continues a stream after the connection between the caller and its node
+// broke. The event ID contains everything needed.
 func (d *Dispatcher) serveResume(ctx context.Context, s *session) *outcome.Error {
 	id, err := relay.ParseEventID(s.req.ResumeID)
 	if err != nil || !relay.Owns(s.req.Organisation, id.Stream) {
 		return outcome.New(outcome.BadRequest, outcome.NotRun, "the event id names no stream of this organisation",
 			"send the id of the last event received, unchanged").WithCause(err)
 	}
-	s.next, s.lastID = id.Offset+1, s.req.ResumeID
+	s.nextOffset, s.lastEventID = id.Offset+1, s.req.ResumeID
 	snap := d.opt.View.Snapshot()
-	g := groupOf(snap, id)
+	g := findGroup(snap, id)
 	if g == nil {
-		return answerCut("the group that answered is gone or has changed; the rest of the answer is lost", nil)
+		return answerCutError("the group that answered is gone or has changed; the rest of the answer is lost", nil)
 	}
-	keeper := relay.NodeOf(id.Stream)
-	if done, err := d.resumeAtKeeper(ctx, s, snap, keeper); done {
+	origin := relay.NodeOf(id.Stream)
+	if done, err := d.resumeAtOrigin(ctx, s, snap, origin); done {
 		return err
 	}
 	if g.Zone == snap.Zone {
-		return d.resumeHere(ctx, s, g)
+		return d.resumeInZone(ctx, s, g)
 	}
 	if s.req.Hops > 0 || d.opt.Peers == nil {
-		return answerCut("the group that answered is in another availability zone", nil)
+		return answerCutError("the group that answered is in another availability zone", nil)
 	}
-	return d.resumeElsewhere(ctx, s, keeper, answerCut("no node of the endpoint's availability zone can be reached", nil))
+	return d.resumeElsewhere(ctx, s, origin, answerCutError("no node of the endpoint's availability zone can be reached", nil))
 }
 
-// resumeAtKeeper passes the request to the node that asked for the stream: it
-// may still keep it, and would cancel it behind another node's back. It reports
-// false when that node is this one or cannot take the request.
-func (d *Dispatcher) resumeAtKeeper(ctx context.Context, s *session, snap *view.Snapshot, keeper fleet.VM) (done bool, err *outcome.Error) {
-	if s.req.Hops > 0 || d.opt.Peers == nil || keeper == snap.Self.VM || !alive(snap, keeper) {
+// resumeAtOrigin forwards the request to the node that started the stream: that node may
+// still keep the stream, and would cancel it while another node reads it. It reports
+// false if that node is this one or cannot serve the request.
+func (d *Dispatcher) resumeAtOrigin(ctx context.Context, s *session, snap *view.Snapshot, origin fleet.VM) (done bool, err *outcome.Error) {
+	if s.req.Hops > 0 || d.opt.Peers == nil || origin == snap.Self.VM || !isAlive(snap, origin) {
 		return false, nil
 	}
-	if !d.answers(ctx, keeper) {
+	if !d.nodeResponds(ctx, origin) {
 		return false, nil
 	}
-	err = d.resumeAt(ctx, s, keeper)
-	if err == nil || ctx.Err() != nil || s.begun {
+	err = d.resumeAtNode(ctx, s, origin)
+	if err == nil || ctx.Err() != nil || s.started {
 		return true, err
 	}
 	return false, nil
 }
 
-// keeperAnswer bounds the wait for a sign of life of the node that may keep a
-// stream. Membership believes in a dead node for some seconds, and a new link to
-// it is given up only after as long: the caller's stream would stand still
-// meanwhile, although this node can go on with it.
-const keeperAnswer = 500 * time.Millisecond
+// nodeCheckTimeout bounds the liveness check of the node that may keep a stream.
+// Membership lists a dead node as alive for some seconds, and connecting to it takes as
+// long to fail. The caller's stream would stall meanwhile, although this node can
+// continue it.
+const nodeCheckTimeout = 500 * time.Millisecond
 
-func (d *Dispatcher) answers(ctx context.Context, vm fleet.VM) bool {
+func (d *Dispatcher) nodeResponds(ctx context.Context, vm fleet.VM) bool {
 	if d.opt.Answers == nil {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, keeperAnswer)
+	ctx, cancel := context.WithTimeout(ctx, nodeCheckTimeout)
 	defer cancel()
 	return d.opt.Answers(ctx, vm)
 }
 
-func alive(snap *view.Snapshot, id fleet.VM) bool {
+func isAlive(snap *view.Snapshot, id fleet.VM) bool {
 	for i := range snap.Nodes {
 		if snap.Nodes[i].VM == id {
 			return snap.Nodes[i].State == view.NodeAlive
@@ -79,23 +79,23 @@
 	return false
 }
 
-// resumeHere goes on with a stream of an engine of this availability zone, at
-// the event after the session's last.
-func (d *Dispatcher) resumeHere(ctx context.Context, s *session, g *view.Group) *outcome.Error {
-	id, err := relay.ParseEventID(s.lastID)
+// resumeInZone resumes a stream of an engine in this availability zone, at the event
+// after the session's last.
+func (d *Dispatcher) resumeInZone(ctx context.Context, s *session, g *view.Group) *outcome.Error {
+	id, err := relay.ParseEventID(s.lastEventID)
 	if err != nil {
-		return badCall(err)
+		return badRequestError(err)
 	}
-	guarded, unwatch := d.guard.watch(ctx, s, g)
+	guarded, unwatch := d.lossGuard.watch(ctx, s, g)
 	defer unwatch()
-	f := &following{d: d, s: s, g: g, t: &try{}, st: relay.NewStream(id.StreamRef, s.next), at: d.runAtMember(s.req, leader(g))}
-	d.linger.resume(f.abandoned())
-	resp, cut := f.reopen(ctx, guarded, nil)
+	f := &streamRelay{d: d, s: s, g: g, t: &try{}, st: relay.NewStream(id.StreamRef, s.nextOffset), endpoint: d.newMemberRun(s.req, leader(g))}
+	d.detached.remove(f.abandonedStream())
+	resp, cut := f.resume(ctx, guarded, nil)
 	if cut != nil {
 		return cut
 	}
 	f.head = answer.Head{
-		Status: resp.StatusCode, Header: incoming(resp), Stream: true,
+		Status: resp.StatusCode, Header: incomingHeaders(resp), Stream: true,
 		Endpoint: id.VM, Group: id.Group, Generation: id.Generation,
 	}
 	return f.run(ctx, guarded, resp)
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -33,8 +33,8 @@
 	forever   = clock.Instant(1 << 62)
 )
 
-// patience bounds waits for what must happen; no verdict depends on it.
-const patience = testkit.Patience
+// waitTimeout bounds waits for expected events; no test result depends on its value.
+const waitTimeout = testkit.Patience
 
 // rig is a dispatcher in front of stand-in endpoints.
 type rig struct {
@@ -42,7 +42,7 @@
 	d       *Dispatcher
 	clock   clock.Boot
 	router  *listRouter
-	retry   *countRetry
+	retry   *countingRetry
 	mu      sync.Mutex
 	snap    *view.Snapshot
 	engines []*standin.Engine
@@ -51,7 +51,7 @@
 
 func newRig(t *testing.T, change func(*Options)) *rig {
 	t.Helper()
-	r := &rig{t: t, retry: &countRetry{allow: true}, snap: &view.Snapshot{Zone: testZone, Self: fleet.Node{VM: "n1"}}}
+	r := &rig{t: t, retry: &countingRetry{allow: true}, snap: &view.Snapshot{Zone: testZone, Self: fleet.Node{VM: "n1"}}}
 	r.router = &listRouter{}
 	opt := Options{View: r, Clock: r.clock, Router: r.router, Retry: r.retry}
 	if change != nil {
@@ -72,14 +72,14 @@
 	return r
 }
 
-// Snapshot makes the rig a view.Source.
+// Snapshot implements view.Source.
 func (r *rig) Snapshot() *view.Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.snap
 }
 
-// change publishes a changed copy of the snapshot.
+// change publishes a modified copy of the snapshot.
 func (r *rig) change(f func(*view.Snapshot)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,7 +91,7 @@
 	r.snap = &next
 }
 
-// addEngine starts an engine that is a group of its own.
+// addEngine starts an engine that forms a group of its own.
 func (r *rig) addEngine(opt standin.Options) *standin.Engine {
 	r.t.Helper()
 	n := len(r.engines) + 1
@@ -151,8 +151,8 @@
 	return s
 }
 
-// addDead adds an endpoint of the service that takes no connection.
-func (r *rig) addDead() {
+// addUnreachable adds an endpoint of the service that refuses connections.
+func (r *rig) addUnreachable() {
 	srv := httptest.NewServer(nil)
 	addr := srv.Listener.Addr().String()
 	srv.Close()
@@ -160,7 +160,8 @@
 	r.change(func(sn *view.Snapshot) { sn.VMs = append(sn.VMs, view.VM{Record: rec}) })
 }
 
-// listRouter picks what was not tried, in the snapshot's order, and counts.
+// listRouter picks the first untried destination in the snapshot's order, and counts
+// tries.
 type listRouter struct {
 	mu      sync.Mutex
 	begun   int
@@ -208,16 +209,16 @@
 	l.results = append(l.results, res)
 }
 
-// countRetry allows all retries or none, and counts.
-type countRetry struct {
+// countingRetry allows all retries or none, and counts the requests for one.
+type countingRetry struct {
 	mu    sync.Mutex
 	allow bool
 	asked int
 }
 
-func (c *countRetry) First(request.Class) {}
+func (c *countingRetry) First(request.Class) {}
 
-func (c *countRetry) Allow(request.Class) (bool, time.Duration) {
+func (c *countingRetry) Allow(request.Class) (bool, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.asked++
@@ -227,7 +228,7 @@
 	return true, 0
 }
 
-// collector is an answer.Writer that keeps the answer.
+// collector is an answer.Writer that stores the response.
 type collector struct {
 	mu       sync.Mutex
 	head     answer.Head
@@ -235,7 +236,7 @@
 	end      answer.End
 	started  int
 	finished int
-	refuse   int // Frame fails from this frame on; 0: never
+	failFrom int // Frame fails from this frame on; 0: never
 	done     chan struct{}
 }
 
@@ -253,7 +254,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.frames = append(c.frames, f)
-	if c.refuse > 0 && len(c.frames) >= c.refuse {
+	if c.failFrom > 0 && len(c.frames) >= c.failFrom {
 		return fmt.Errorf("the caller's connection is gone")
 	}
 	return nil
@@ -269,7 +270,7 @@
 	}
 }
 
-// replay gives the answer to another writer.
+// replay writes the response to another writer.
 func (c *collector) replay(w answer.Writer) {
 	w.Start(c.head)
 	for _, f := range c.frames {
@@ -309,14 +310,14 @@
 	return out
 }
 
-// serve sends the request and returns when it is finished.
+// serve sends the request and returns when it has finished.
 func (r *rig) serve(ctx context.Context, req *request.Request) *collector {
 	c := newCollector()
 	r.d.Serve(ctx, req, c)
 	return c
 }
 
-func (r *rig) deadline() clock.Instant { return r.clock.Now().Add(patience) }
+func (r *rig) deadline() clock.Instant { return r.clock.Now().Add(waitTimeout) }
 
 func (r *rig) receipt(id string) *request.Request {
 	return &request.Request{
--- a/internal/dispatch/service.go
+++ b/internal/dispatch/service.go
@@ -11,8 +11,8 @@
 	"chervilloom/internal/view"
 )
 
-// headerServiceNotRun is "true" on a plain service's 503 that promises that
-// nothing ran; engine.HeaderNotRun says the same.
+// headerServiceNotRun is "true" on a 503 of a plain service that guarantees that the
+// request did not run; engine.HeaderNotRun means the same.
 const headerServiceNotRun = "Service-Not-Run"
 
 func promisesNotRun(h http.Header) bool {
@@ -21,73 +21,73 @@
 
 // sendService makes one try at an endpoint of a plain service.
 func (d *Dispatcher) sendService(ctx context.Context, s *session, vm *view.VM, t *try) *outcome.Error {
-	ctx, cancel := context.WithCancel(ctx) // closes what is left of the answer
+	ctx, cancel := context.WithCancel(ctx) // closes the unread part of the response
 	defer cancel()
 	r, err := d.fetch(ctx, s.req, vm, t)
 	if err == nil {
 		err = d.deliver(ctx, s, r)
 	}
-	t.blamed = t.blamed || err != nil && err.Kind == outcome.AnswerCut
+	t.endpointFailed = t.endpointFailed || err != nil && err.Kind == outcome.AnswerCut
 	return err
 }
 
-// fetch asks an endpoint of a plain service. What the reply does not hold is
-// open until ctx ends.
+// fetch sends a request to an endpoint of a plain service. The unbuffered rest of the
+// reply can be read until ctx ends.
 func (d *Dispatcher) fetch(ctx context.Context, req *request.Request, vm *view.VM, t *try) (*reply, *outcome.Error) {
 	r, err := newCall(ctx, req, vm.Record.Addr)
 	if err != nil {
-		return nil, badCall(err)
+		return nil, badRequestError(err)
 	}
-	run := d.runAtService(req, vm)
-	if refused := run.allowed(ctx); refused != nil {
+	run := d.newServiceRun(req, vm)
+	if refused := run.checkAllowed(ctx); refused != nil {
 		return nil, refused
 	}
-	rep, told := d.exchange(ctx, req, vm, t, r, run)
-	run.ended(ctx, told)
-	return rep, told
+	rep, oerr := d.exchange(ctx, req, vm, t, r, run)
+	run.recordEnd(ctx, oerr)
+	return rep, oerr
 }
 
-// exchange sends the call and receives its answer.
+// exchange sends the call and receives its response.
 func (d *Dispatcher) exchange(ctx context.Context, req *request.Request, vm *view.VM, t *try, r *http.Request, run *endpointRun) (*reply, *outcome.Error) {
 	sent := d.opt.Clock.Now()
 	resp, sn, err := d.client.do(r, req.Idempotent)
 	if err != nil {
-		t.blamed = ctx.Err() == nil
-		return nil, d.failed(ctx, sn, err)
+		t.endpointFailed = ctx.Err() == nil
+		return nil, d.sendError(ctx, sn, err)
 	}
-	t.first(d.opt.Clock.Now())
-	backsOff := run.answered(resp, sent)
-	if oerr := checkService(resp, req.Idempotent); oerr != nil {
+	t.markFirstByte(d.opt.Clock.Now())
+	asksBackoff := run.recordSignals(resp, sent)
+	if oerr := checkServiceResponse(resp, req.Idempotent); oerr != nil {
 		resp.Body.Close()
-		t.blamed = !backsOff // what it asks for is kept; held against it, it would be avoided long after
+		t.endpointFailed = !asksBackoff // a backoff is enforced separately; a failure would outlast it
 		return nil, oerr
 	}
-	h := answer.Head{Status: resp.StatusCode, Header: incoming(resp), Endpoint: vm.Record.VM}
-	rep, oerr := d.receive(ctx, resp, h, wholeDocument)
+	h := answer.Head{Status: resp.StatusCode, Header: incomingHeaders(resp), Endpoint: vm.Record.VM}
+	rep, oerr := d.receive(ctx, resp, h, checkDocument)
 	if oerr != nil || rep.rest == nil {
 		resp.Body.Close()
 	}
 	return rep, oerr
 }
 
-// checkService tells a refusal from an answer. Whatever else a service
-// answers is the caller's answer, errors included; only for a call that may be
-// repeated is a failing gateway or server a reason to ask another one.
-func checkService(resp *http.Response, idempotent bool) *outcome.Error {
-	if !isAnswer(resp) {
-		return refusedUnknown(resp)
+// checkServiceResponse returns an error for a refusal. Any other response of a service,
+// including an error status, is forwarded to the caller; a gateway error or 503 without
+// the not-run guarantee is retried elsewhere only if the request is idempotent.
+func checkServiceResponse(resp *http.Response, idempotent bool) *outcome.Error {
+	if !isFinalStatus(resp) {
+		return unknownRefusal(resp)
 	}
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable:
 		if promisesNotRun(resp.Header) {
-			return refusedNotRun(resp)
+			return notRunRefusal(resp)
 		}
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 	default:
 		return nil
 	}
 	if idempotent {
-		return refusedUnknown(resp)
+		return unknownRefusal(resp)
 	}
 	return nil
 }
--- a/internal/dispatch/session.go
+++ b/internal/dispatch/session.go
@@ -12,74 +12,74 @@
 	"chervilloom/internal/route"
 )
 
-// session is one request on its way through any number of tries. It alone
-// touches the writer: Start once, Finish once.
+// session is the state of one request over all its tries. It is the only user of the
+// writer and calls Start and Finish at most once.
 type session struct {
-	req       *request.Request
-	w         answer.Writer
-	tried     []route.Tried
-	tries     int
-	exhausted bool
-	ran       outcome.Outcome // worst outcome of the tries so far
-	last      *outcome.Error  // of the newest failed try
-	begun     bool
-	stream    bool   // the answer that began is a stream
-	gone      bool   // whoever is behind the writer has left
-	next      uint64 // offset of the next event of a stream
-	frames    uint64
-	bytes     uint64
-	hash      *xxhash.Digest
-	wait      *wait  // of the guard, during a try at a group
-	lastID    string // event id of the last event passed on
+	req           *request.Request
+	w             answer.Writer
+	tried         []route.Tried
+	tries         int
+	noDestination bool
+	ran           outcome.Outcome // worst outcome of the tries so far
+	last          *outcome.Error  // of the latest failed try
+	started       bool
+	stream        bool   // the response that started is a stream
+	callerGone    bool   // a write to the caller failed
+	nextOffset    uint64 // offset of the next event of a stream
+	frames        uint64
+	bytes         uint64
+	hash          *xxhash.Digest
+	watched       *watchedAnswer // entry in lossGuard, during a try at a group
+	lastEventID   string         // ID of the last event forwarded
 }
 
 func newSession(req *request.Request, w answer.Writer) *session {
 	return &session{req: req, w: w, ran: outcome.NotRun, hash: xxhash.New()}
 }
 
-// start opens the answer unless it is open already.
+// start starts the response unless it has started.
 func (s *session) start(h answer.Head) *outcome.Error {
-	if s.begun {
+	if s.started {
 		return nil
 	}
-	s.begun, s.stream = true, h.Stream
-	if s.wait != nil {
-		s.wait.begun.Store(true)
+	s.started, s.stream = true, h.Stream
+	if s.watched != nil {
+		s.watched.started.Store(true)
 	}
 	if err := s.w.Start(h); err != nil {
-		s.gone = true
-		return callerGone(outcome.Ran).WithCause(err)
+		s.callerGone = true
+		return callerGoneError(outcome.Ran).WithCause(err)
 	}
 	return nil
 }
 
-// frame passes on a piece. Events that were passed on before are dropped, and
-// one that does not follow the last ends the answer: this is the last place
-// where a lost or doubled token can be stopped, whoever sent it.
+// frame forwards a frame. It drops stream events that were already forwarded, and an
+// event that does not follow the last one ends the response: this is the last check
+// against lost or duplicate tokens, whichever component caused them.
 func (s *session) frame(f answer.Frame) *outcome.Error {
 	if s.stream {
-		if f.Offset < s.next {
+		if f.Offset < s.nextOffset {
 			return nil
 		}
-		if f.Offset > s.next {
-			return answerCut("a part of the stream is missing", nil)
+		if f.Offset > s.nextOffset {
+			return answerCutError("a part of the stream is missing", nil)
 		}
-		s.next++
+		s.nextOffset++
 	}
 	s.frames++
 	s.bytes += uint64(len(f.Data))
 	s.hash.Write(f.Data)
 	if f.ID != "" {
-		s.lastID = f.ID
+		s.lastEventID = f.ID
 	}
 	if err := s.w.Frame(f); err != nil {
-		s.gone = true
-		return callerGone(outcome.Ran).WithCause(err)
+		s.callerGone = true
+		return callerGoneError(outcome.Ran).WithCause(err)
 	}
 	return nil
 }
 
-// finish closes the answer; a nil error means that it is whole.
+// finish ends the response; a nil error marks it as complete.
 func (s *session) finish(err *outcome.Error) {
 	s.w.Finish(answer.End{
 		Whole:  err == nil,
@@ -90,28 +90,28 @@
 	})
 }
 
-// add takes the outcome of a failed try into account.
-func (s *session) add(err *outcome.Error) {
+// recordFailure records the outcome of a failed try; nil is ignored.
+func (s *session) recordFailure(err *outcome.Error) {
 	if err != nil {
-		s.ran = worse(s.ran, err.Outcome)
+		s.ran = worseOutcome(s.ran, err.Outcome)
 		s.last = err
 	}
 }
 
-// nothingLeft returns what is told when the router has no more to offer. A
-// request that may have run is told by its last try: "no capacity" would sound
-// as if it had not.
-func (s *session) nothingLeft(none *outcome.Error) *outcome.Error {
+// noDestinationError returns the error for a request without a destination left. If an
+// earlier try may have run, it is the error of the last try: "no capacity" would imply
+// that the request did not run.
+func (s *session) noDestinationError(none *outcome.Error) *outcome.Error {
 	if s.ran == outcome.NotRun {
 		return none
 	}
 	return s.last.After(max(s.last.RetryAfter, none.RetryAfter))
 }
 
-// told returns err with the outcome of all tries together: a last try that did
-// not run does not undo an earlier one that may have.
-func (s *session) told(err *outcome.Error) *outcome.Error {
-	o := worse(s.ran, err.Outcome)
+// withWorstOutcome returns err with the combined outcome of all tries: a last try that
+// did not run does not cancel an earlier one that may have.
+func (s *session) withWorstOutcome(err *outcome.Error) *outcome.Error {
+	o := worseOutcome(s.ran, err.Outcome)
 	if o == err.Outcome {
 		return err
 	}
@@ -120,12 +120,12 @@
 	return &c
 }
 
-func (s *session) facts(ctx context.Context, err *outcome.Error, maxTries int, left time.Duration) facts {
-	return facts{
-		left: left,
+func (s *session) retryInput(ctx context.Context, err *outcome.Error, maxTries int, timeLeft time.Duration) retryInput {
+	return retryInput{
+		timeLeft: timeLeft,
 
 		tries: s.tries, maxTries: maxTries, err: err,
-		idempotent: s.req.Idempotent, begun: s.begun, exhausted: s.exhausted,
-		over: s.gone || ctx.Err() != nil,
+		idempotent: s.req.Idempotent, started: s.started, noDestination: s.noDestination,
+		ended: s.callerGone || ctx.Err() != nil,
 	}
 }
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -17,91 +17,90 @@
 	"chervilloom/internal/view"
 )
 
-// A stream that breaks is resumed at its endpoint, until it goes on or
-// resumeLimit has passed without an event. The first resume comes at once
-// enough for nobody to notice; the waits between the next ones double, so that
-// a network that comes back is not met by all streams at once.
+// A broken stream is resumed at its endpoint until events arrive again or resumeLimit has
+// passed without an event. The first wait is short enough to go unnoticed; the following
+// ones double, so that a network that recovers does not get all resumes at once.
 const (
-	resumeLimit = 8 * time.Second
-	firstWait   = 10 * time.Millisecond
-	longestWait = time.Second
+	resumeLimit   = 8 * time.Second
+	minResumeWait = 10 * time.Millisecond
+	maxResumeWait = time.Second
 )
 
-// following is one stream on its way to the caller, over as many connections
-// to its engine as it takes.
-type following struct {
-	d    *Dispatcher
-	s    *session
-	g    *view.Group
-	t    *try
-	head answer.Head
-	st   *relay.Stream
-	at   *endpointRun
-
-	silent clock.Instant // when the stream broke first since its last event
-	wait   time.Duration // before the next resume
+// streamRelay forwards one stream to the caller, over any number of connections to its
+// engine.
+type streamRelay struct {
+	d        *Dispatcher
+	s        *session
+	g        *view.Group
+	t        *try
+	head     answer.Head
+	st       *relay.Stream
+	endpoint *endpointRun
+
+	brokenSince clock.Instant // time of the first break since the last event
+	nextWait    time.Duration // delay before the next resume
 }
 
-// run passes the stream on. It closes resp's body. ctx is the request's,
-// guarded the one that also ends when the replica is lost.
-func (f *following) run(ctx, guarded context.Context, resp *http.Response) *outcome.Error {
+// run forwards the stream. It closes resp's body. ctx is the request's context; guarded
+// is also cancelled when the replica is lost.
+func (f *streamRelay) run(ctx, guarded context.Context, resp *http.Response) *outcome.Error {
 	for {
 		before := f.t.tokens
-		err := f.copy(resp)
+		err := f.copyEvents(resp)
 		resp.Body.Close()
 		if f.t.tokens > before {
-			f.wait = 0
+			f.nextWait = 0
 		}
 		if err == io.EOF {
-			return f.s.start(f.head) // a resumed stream may have had only its end left
+			return f.s.start(f.head) // a resumed stream may contain only the end marker
 		}
-		if told := f.final(ctx, err); told != nil {
-			f.leave(told)
-			return told
+		if oerr := f.finalError(ctx, err); oerr != nil {
+			f.leave(oerr)
+			return oerr
 		}
-		f.at.broke(guarded) // the look at the endpoint must not wait until resuming is given up
+		f.endpoint.recordBroken(guarded) // check the endpoint now, not only after resuming has failed
 		var cut *outcome.Error
-		if resp, cut = f.reopen(ctx, guarded, err); cut != nil {
+		if resp, cut = f.resume(ctx, guarded, err); cut != nil {
 			return cut
 		}
 	}
 }
 
-// mark begins the bound on resumes, once until events come again. An endpoint
-// that takes every resume and sends nothing would otherwise be asked without
-// end, and the caller would wait for its deadline.
-func (f *following) mark() {
-	if f.wait == 0 {
-		f.silent, f.wait = f.d.opt.Clock.Now(), firstWait
+// startResumeLimit starts the time limit on resumes, once until events arrive again.
+// Without it, an endpoint that accepts every resume and sends nothing would be asked
+// until the caller's deadline.
+func (f *streamRelay) startResumeLimit() {
+	if f.nextWait == 0 {
+		f.brokenSince, f.nextWait = f.d.opt.Clock.Now(), minResumeWait
 	}
 }
 
-func (f *following) abandoned() abandoned {
-	return abandoned{leader(f.g).Addr, f.st.Ref().Stream}
+func (f *streamRelay) abandonedStream() abandonedStream {
+	return abandonedStream{leader(f.g).Addr, f.st.Ref().Stream}
 }
 
-// leave ends the stream at the engine, or keeps it for a caller that may come back.
-func (f *following) leave(told *outcome.Error) {
-	f.d.leave(f.abandoned(), told.Kind == outcome.CallerGone && f.s.lastID != "")
+// leave cancels the stream at the engine, or keeps it if the caller may resume it.
+func (f *streamRelay) leave(oerr *outcome.Error) {
+	f.d.detach(f.abandonedStream(), oerr.Kind == outcome.CallerGone && f.s.lastEventID != "")
 }
 
-// final returns what the caller is told when the stream must not go on.
-func (f *following) final(ctx context.Context, err error) *outcome.Error {
-	var told *outcome.Error
+// finalError returns the error for the caller if the stream must not be resumed, or nil.
+func (f *streamRelay) finalError(ctx context.Context, err error) *outcome.Error {
+	var oerr *outcome.Error
 	switch {
-	case errors.As(err, &told):
-		return told
+	case errors.As(err, &oerr):
+		return oerr
 	case ctx.Err() != nil:
-		return f.d.stopped(ctx, outcome.Ran)
+		return f.d.stoppedError(ctx, outcome.Ran)
 	case !relay.Resumable(err):
-		f.t.blamed = true
-		return answerCut("the endpoint's stream is broken", err)
+		f.t.endpointFailed = true
+		return answerCutError("the endpoint's stream is broken", err)
 	}
 	return nil
 }
 
-// copy passes on events until the stream or the connection ends.
-func (f *following) copy(resp *http.Response) error {
+// copyEvents forwards events until the stream or the connection ends.
+func (f *streamRelay) copyEvents(resp *http.Response) error {
 	r := relay.NewReader(resp.Body, f.d.opt.EventBound)
 	for {
 		frame, ok, err := f.st.Read(r)
@@ -112,69 +111,69 @@
 			continue
 		}
 		f.t.tokens++
-		if told := f.s.start(f.head); told != nil {
-			return told
+		if oerr := f.s.start(f.head); oerr != nil {
+			return oerr
 		}
-		if told := f.s.frame(frame); told != nil {
-			return told
+		if oerr := f.s.frame(frame); oerr != nil {
+			return oerr
 		}
 	}
 }
 
-// reopen asks the endpoint for the rest of the stream. Asking runs nothing, so
-// that it is safe for any request.
-func (f *following) reopen(ctx, guarded context.Context, cause error) (*http.Response, *outcome.Error) {
-	f.mark()
+// resume requests the rest of the stream from the endpoint. It starts no new run, so it
+// is safe for any request.
+func (f *streamRelay) resume(ctx, guarded context.Context, cause error) (*http.Response, *outcome.Error) {
+	f.startResumeLimit()
 	for {
-		wait := f.wait
-		f.wait = min(2*wait, longestWait)
+		wait := f.nextWait
+		f.nextWait = min(2*wait, maxResumeWait)
 		switch {
 		case !clock.Sleep(guarded, wait):
-			return nil, f.lost(ctx, because(guarded, cause))
-		case !f.d.opt.Clock.Now().Before(f.silent.Add(resumeLimit)):
-			f.d.abandon(f.abandoned()) // the engine may still produce for nobody
-			f.t.blamed = true
-			return nil, answerCut("the endpoint's stream broke and cannot be resumed", cause)
+			return nil, f.lostError(ctx, cancelCause(guarded, cause))
+		case !f.d.opt.Clock.Now().Before(f.brokenSince.Add(resumeLimit)):
+			f.d.queueCancel(f.abandonedStream()) // the engine may still be generating
+			f.t.endpointFailed = true
+			return nil, answerCutError("the endpoint's stream broke and cannot be resumed", cause)
 		}
-		resp, err := f.open(guarded)
+		resp, err := f.requestRest(guarded)
 		if err != nil {
 			cause = err
 			continue
 		}
 		f.d.metrics.resumes.Inc()
-		if cut := f.check(resp); cut != nil {
+		if cut := f.checkResumed(resp); cut != nil {
 			resp.Body.Close()
-			f.t.blamed = true
+			f.t.endpointFailed = true
 			return nil, cut
 		}
 		return resp, nil
 	}
 }
 
-// lost tells why the wait for a stream ended.
-func (f *following) lost(ctx context.Context, cause error) *outcome.Error {
+// lostError returns the reason why waiting for the stream ended.
+func (f *streamRelay) lostError(ctx context.Context, cause error) *outcome.Error {
 	if ctx.Err() != nil {
-		told := f.d.stopped(ctx, outcome.Ran)
-		f.leave(told)
-		return told
+		oerr := f.d.stoppedError(ctx, outcome.Ran)
+		f.leave(oerr)
+		return oerr
 	}
-	f.d.abandon(f.abandoned())
-	f.t.blamed = true
-	return answerCut("the group that answers has lost a member", cause)
+	f.d.queueCancel(f.abandonedStream())
+	f.t.endpointFailed = true
+	return answerCutError("the group that answers has lost a member", cause)
 }
 
-// check refuses an answer to a resume that is not the rest of this stream.
-func (f *following) check(resp *http.Response) *outcome.Error {
-	if err := checkEngine(resp, f.g); err != nil {
-		return answerCut("the endpoint changed generation within the stream", err)
+// checkResumed rejects a response to a resume that is not the rest of this stream.
+func (f *streamRelay) checkResumed(resp *http.Response) *outcome.Error {
+	if err := checkEngineResponse(resp, f.g); err != nil {
+		return answerCutError("the endpoint changed generation within the stream", err)
 	}
 	if !isEventStream(resp) {
-		return answerCut("the endpoint no longer has the stream", fmt.Errorf("dispatch: status %d", resp.StatusCode))
+		return answerCutError("the endpoint no longer has the stream", fmt.Errorf("dispatch: status %d", resp.StatusCode))
 	}
 	return nil
 }
 
-func (f *following) open(ctx context.Context) (*http.Response, error) {
+func (f *streamRelay) requestRest(ctx context.Context) (*http.Response, error) {
 	u := streamURL(leader(f.g).Addr, f.st.Ref().Stream) + "?from=" + strconv.FormatUint(f.st.From(), 10)
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
 	if err != nil {
@@ -189,8 +188,8 @@
 	return "http://" + addr + "/v1/streams/" + url.PathEscape(stream)
 }
 
-// because returns the reason for which the guard gave up, or err.
-func because(guarded context.Context, err error) error {
+// cancelCause returns the reason given by lossGuard, or err if there is none.
+func cancelCause(guarded context.Context, err error) error {
 	if cause := context.Cause(guarded); cause != nil && !errors.Is(cause, guarded.Err()) {
 		return cause
 	}
--- a/internal/dispatch/stream_test.go
+++ b/internal/dispatch/stream_test.go
@@ -26,8 +26,9 @@
 	"chervilloom/internal/view"
 )
 
-// own fails the test unless c holds the whole answer to q, each token once.
-func own(t *testing.T, q *request.Request, c *collector) {
+// checkWholeAnswer fails the test unless c has the complete response to q, with each
+// token once.
+func checkWholeAnswer(t *testing.T, q *request.Request, c *collector) {
 	t.Helper()
 	want := standin.ExpectedTokens(q.Body)
 	if !c.end.Whole {
@@ -41,10 +42,9 @@
 	}
 }
 
-// Hundreds of scorers stream at once from two groups. Connections break after
-// a few tokens, by a reset or by a clean end, again and again. Each stream is
-// resumed at its engine, and each scorer gets every token of the own answer
-// once, from a single run.
+// Connections of hundreds of concurrent streams from two groups break repeatedly after a
+// few tokens, by a reset or by a clean end. Each stream must be resumed at its engine and
+// deliver every token once, from a single run.
 func TestConcurrentStreamsSurviveBrokenConnections(t *testing.T) {
 	for _, clean := range []bool{false, true} {
 		t.Run(fmt.Sprintf("clean=%v", clean), func(t *testing.T) {
@@ -64,16 +64,16 @@
 			}
 			wg.Wait()
 			for i, q := range reqs {
-				own(t, q, got[i])
+				checkWholeAnswer(t, q, got[i])
 				is.Equal(r.engines[0].Executions(q.ID)+r.engines[1].Executions(q.ID), 1)
 			}
 		})
 	}
 }
 
-// A scorer's phone loses its connection in the middle of a summary and asks
-// another node for the rest with the last event's id. That node knows nothing
-// but the id and its own view. The two parts joined are the whole answer.
+// A caller loses its connection within a stream and resumes at another node with the last
+// event's ID. That node has only the ID and its own view; both parts joined must be the
+// complete response.
 func TestCallerResumesAtAnotherNode(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
@@ -82,8 +82,8 @@
 	for _, at := range []int{1, 7, 50, 51} {
 		q.ID = fmt.Sprintf("a%d", at)
 		first := newCollector()
-		first.refuse = at
-		// The first node dies before it can cancel: nobody runs its ring.
+		first.failFrom = at
+		// The first node fails before it can cancel: its Run is not running.
 		dead := New(r.d.opt)
 		dead.Serve(context.Background(), q, first)
 		is.Equal(first.end.Error.Kind, outcome.CallerGone)
@@ -97,13 +97,13 @@
 		is.True(rest.end.Whole)
 		first.frames = append(first.frames, rest.frames...)
 		first.end = answer.End{Whole: true, Frames: uint64(len(first.frames))}
-		own(t, q, first)
+		checkWholeAnswer(t, q, first)
 		is.Equal(e.Executions(q.ID), 1)
 	}
 }
 
-// A caller sends the event id of another organisation's stream. It must learn
-// nothing of that answer.
+// An organisation sends the event ID of another organisation's stream. It must not
+// receive any of that response.
 func TestResumeOfAnotherOrganisationIsRefused(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
@@ -111,23 +111,24 @@
 	c := r.serve(context.Background(), r.chat("a", 5, true))
 	id, err := relay.ParseEventID(c.frames[1].ID)
 	is.NoErr(err)
-	thief := r.chat("b", 5, true)
-	thief.Organisation = "lapwise"
-	thief.ResumeID = id.String()
-	is.Equal(r.serve(context.Background(), thief).end.Error.Kind, outcome.BadRequest)
-	// Nor does a stream id with the thief's own tag name that stream.
+	other := r.chat("b", 5, true)
+	other.Organisation = "lapwise"
+	other.ResumeID = id.String()
+	is.Equal(r.serve(context.Background(), other).end.Error.Kind, outcome.BadRequest)
+	// A stream ID with the other organisation's own tag must not match that stream
+	// either.
 	nonce, _, _ := strings.Cut(id.Stream, "-")
 	_, tag, _ := strings.Cut(relay.NewStreamID("lapwise", "n1"), "-")
 	id.Stream = nonce + "-" + tag
-	thief.ResumeID = id.String()
-	got := r.serve(context.Background(), thief)
+	other.ResumeID = id.String()
+	got := r.serve(context.Background(), other)
 	is.True(!got.end.Whole)
 	is.Equal(len(got.frames), 0)
 }
 
-// A driver closes the browser in the middle of a stream. Nobody waits for the
-// rest, so the engine is told to stop.
-func TestCallerLeavingCancelsAtTheEngine(t *testing.T) {
+// A caller disconnects within a stream and does not return: the stream must be cancelled
+// at the engine.
+func TestCallerDisconnectCancelsAtTheEngine(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, func(o *Options) { o.ResumeGrace = time.Millisecond })
 	cancelled := r.countCancels(r.addEngine(standin.Options{TokensPerSecond: 200}))
@@ -138,18 +139,18 @@
 		defer close(done)
 		r.d.Serve(ctx, r.chat("a", 5000, true), c)
 	}()
-	testkit.Eventually(t, "events come", func() bool { return c.count() > 2 })
+	testkit.Eventually(t, "events arrive", func() bool { return c.count() > 2 })
 	cancel()
 	<-done
 	is.Equal(c.end.Error.Kind, outcome.CallerGone)
 	is.Equal(c.end.Error.Outcome, outcome.Ran)
-	testkit.Eventually(t, "the engine is told", func() bool { return cancelled.Load() == 1 })
+	testkit.Eventually(t, "the cancel arrives", func() bool { return cancelled.Load() == 1 })
 }
 
 // countCancels counts the cancels that reach the engine of the first group.
 func (r *rig) countCancels(e *standin.Engine) *atomic.Int64 {
 	n := new(atomic.Int64)
-	r.front(0, func(w http.ResponseWriter, q *http.Request) {
+	r.proxyLeader(0, func(w http.ResponseWriter, q *http.Request) {
 		if q.Method == http.MethodDelete {
 			n.Add(1)
 		}
@@ -158,20 +159,20 @@
 	return n
 }
 
-// A driver's phone changes its network in the middle of a stream and comes
-// back within the grace, through another node. That node passes the request to
-// the one that keeps the stream, which would else cancel it: the driver has
-// the whole answer from one run, and the engine was told nothing.
-func TestCallerComesBackThroughAnotherNode(t *testing.T) {
+// A caller disconnects within a stream and resumes through another node within the grace
+// period. That node must forward the request to the node that keeps the stream, which
+// would otherwise cancel it: the response must be complete, from one run, without a
+// cancel at the engine.
+func TestCallerResumesThroughAnotherNode(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, func(o *Options) { o.ResumeGrace = time.Hour })
 	cancelled := r.countCancels(r.addEngine(standin.Options{TokensPerSecond: 500}))
 	first := newCollector()
-	first.refuse = 7
+	first.failFrom = 7
 	q := r.chat("a", 50, true)
 	r.d.Serve(context.Background(), q, first)
 	is.Equal(first.end.Error.Kind, outcome.CallerGone)
-	is.Equal(len(r.d.linger.due), 1)
+	is.Equal(len(r.d.detached.keptUntil), 1)
 
 	passed := 0
 	peers := fakePeers{"n1": func(ctx context.Context, req *request.Request, w answer.Writer) *outcome.Error {
@@ -196,26 +197,26 @@
 	is.True(rest.end.Whole)
 	first.frames = append(first.frames, rest.frames...)
 	first.end = answer.End{Whole: true, Frames: uint64(len(first.frames))}
-	own(t, q, first)
+	checkWholeAnswer(t, q, first)
 	is.Equal(passed, 1)
-	is.Equal(len(r.d.linger.due), 0)
+	is.Equal(len(r.d.detached.keptUntil), 0)
 	is.Equal(cancelled.Load(), int64(0))
 
-	// The keeper died a moment ago and membership still believes in it: it gives
-	// no sign of life, and the other node asks the engine itself.
+	// The origin node has just failed and is still alive in the membership: it does not
+	// respond, and the other node must resume at the engine itself.
 	other.d.opt.Answers = func(context.Context, fleet.VM) bool { return false }
 	is.True(other.serve(context.Background(), again).end.Whole)
 	is.Equal(passed, 1)
 	other.d.opt.Answers = nil
 
-	// The keeper is dead: the other node asks the engine itself.
+	// The origin node is marked as dead: the other node must resume at the engine itself.
 	other.change(func(s *view.Snapshot) { s.Nodes[0].State = view.NodeDead })
 	is.True(other.serve(context.Background(), again).end.Whole)
 	is.Equal(passed, 1)
 }
 
-// front puts a handler between the dispatcher and the leader of group i.
-func (r *rig) front(i int, h http.HandlerFunc) {
+// proxyLeader puts a handler between the dispatcher and the leader of group i.
+func (r *rig) proxyLeader(i int, h http.HandlerFunc) {
 	srv := httptest.NewServer(h)
 	r.t.Cleanup(func() {
 		srv.CloseClientConnections()
@@ -228,10 +229,10 @@
 	})
 }
 
-// A group's engine restarts as if nothing had happened and is put into another
-// generation, while this node still believes in the old one. The request must
-// not be answered by it: it is refused "not run" and goes to another group.
-func TestRestartedEngineIsNotAsked(t *testing.T) {
+// A group's engine has restarted while this node's view still contains the previous
+// incarnation. The engine must not run the request: it refuses it as not run, and another
+// group answers.
+func TestRestartedEngineRunsNoRequest(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
 	restarted := r.addEngine(standin.Options{})
@@ -239,14 +240,13 @@
 	restarted.Restart()
 	q := r.chat("a", 8, true)
 	c := r.serve(context.Background(), q)
-	own(t, q, c)
+	checkWholeAnswer(t, q, c)
 	is.Equal(c.head.Group, fleet.GroupID("g2"))
 	is.Equal(restarted.Executions("a"), 0)
 }
 
-// An engine does not check the generation it is called with and answers for
-// the one it is in. Its answer comes from a replica that nobody has seen
-// whole, so that none of it may reach the caller.
+// An engine responds for another generation than the one requested. That replica was
+// never seen complete, so none of the response may reach the caller.
 func TestAnswerOfAnotherGenerationIsRefused(t *testing.T) {
 	for name, change := range map[string]func(http.Header){
 		"generation":    func(h http.Header) { h.Set(engine.HeaderGeneration, "g1/2") },
@@ -259,7 +259,7 @@
 				is := is.New(t)
 				r := newRig(t, nil)
 				e := r.addEngine(standin.Options{})
-				r.front(0, func(w http.ResponseWriter, q *http.Request) {
+				r.proxyLeader(0, func(w http.ResponseWriter, q *http.Request) {
 					e.ServeHTTP(&headerChanger{ResponseWriter: w, change: change}, q)
 				})
 				c := r.serve(context.Background(), r.chat("a", 8, stream))
@@ -272,7 +272,7 @@
 	}
 }
 
-// headerChanger changes an answer's headers as they go out.
+// headerChanger modifies the headers of a response when they are written.
 type headerChanger struct {
 	http.ResponseWriter
 	change func(http.Header)
@@ -294,9 +294,9 @@
 
 func (h *headerChanger) Unwrap() http.ResponseWriter { return h.ResponseWriter }
 
-// The engine restarts in the middle of a stream: what it would say now is not
-// the rest of this answer. The caller has a part and is told that it is cut.
-func TestRestartWithinAStreamIsToldAsCut(t *testing.T) {
+// The engine restarts within a stream, and its output is no longer the rest of this
+// response. The response must end as cut.
+func TestRestartWithinAStreamIsReportedAsCut(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
 	e := r.addEngine(standin.Options{TokensPerSecond: 300})
@@ -307,7 +307,7 @@
 		defer close(done)
 		r.d.Serve(context.Background(), r.chat("a", 5000, true), c)
 	}()
-	testkit.Eventually(t, "events come", func() bool { return c.count() > 2 })
+	testkit.Eventually(t, "events arrive", func() bool { return c.count() > 2 })
 	e.Restart()
 	<-done
 	is.Equal(c.finished, 1)
@@ -315,9 +315,9 @@
 	is.Equal(c.end.Error.Outcome, outcome.Ran)
 }
 
-// The first group's engine fails before any event; the request is idempotent
-// and the caller has seen nothing, so that another group answers it.
-func TestModelCallIsTriedElsewhere(t *testing.T) {
+// The first group's engine fails before any event. The request is idempotent and nothing
+// was sent to the caller, so another group must answer it.
+func TestModelCallIsRetriedElsewhere(t *testing.T) {
 	for name, st := range map[string]fault.Stages{
 		"headers read":   {DropBeforeBody: fault.Always},
 		"ran, no answer": {DropAfterRun: fault.Always},
@@ -339,9 +339,9 @@
 	}
 }
 
-// A protest ruling is marked as not repeatable. The engine takes it and breaks
-// without an answer: it must not be asked anywhere else.
-func TestMarkedModelCallRunsAtMostOnce(t *testing.T) {
+// The engine accepts a request that is marked as not repeatable and fails without a
+// response: the request must not be sent to another engine.
+func TestNonIdempotentModelCallRunsAtMostOnce(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
 	r.addEngine(standin.Options{}).SetFaults(standin.Faults{Stages: fault.Stages{DropAfterRun: fault.Always}})
@@ -353,9 +353,9 @@
 	is.Equal(r.engines[0].Executions("a")+r.engines[1].Executions("a"), 1)
 }
 
-// A completion that is not streamed is cut half-way, by a reset or by chunks
-// that end properly. The caller must not get the half.
-func TestCutCompletionIsNotPassedOn(t *testing.T) {
+// A non-streaming completion is cut midway, by a reset or by a proper end of the chunks.
+// The caller must not receive a part of it.
+func TestCutCompletionIsNotForwarded(t *testing.T) {
 	for name, st := range map[string]fault.Stages{
 		"reset": {CutAnswer: fault.Always}, "clean end": {CutAnswerClean: fault.Always},
 	} {
@@ -370,9 +370,9 @@
 	}
 }
 
-// A member has not been seen lately: the group gets no request, even though
-// its engine would answer.
-func TestStaleGroupIsNotAsked(t *testing.T) {
+// A member is missing or its last probe reply is too old: the group must not receive a
+// request, even if its engine would answer.
+func TestStaleGroupGetsNoRequest(t *testing.T) {
 	for name, change := range map[string]func(*view.Group){
 		"a member missing": func(g *view.Group) { g.Whole = false },
 		"not seen lately":  func(g *view.Group) { g.FreshUntil = 1 },
--- a/internal/dispatch/truth_test.go
+++ b/internal/dispatch/truth_test.go
@@ -13,17 +13,16 @@
 	"chervilloom/internal/standin/service"
 )
 
-// A clerk sends a receipt, the endpoint's connection breaks at each stage in
-// turn, and the clerk is told whether the receipt was issued. "not-run" must
-// mean that the endpoint's own counter says zero, "ran" that it says one, and
-// no receipt is ever issued twice, whatever the clerk is told.
-func TestOutcomeAgreesWithTheEndpointsCount(t *testing.T) {
+// The endpoint's connection breaks at each stage of a non-idempotent request in turn.
+// "not-run" must mean that the endpoint's own counter is zero, "ran" that it is one, and
+// no request may run twice, whatever the reported outcome.
+func TestOutcomeMatchesExecutions(t *testing.T) {
 	cases := []struct {
-		name   string
-		stages fault.Stages
-		runs   int
-		told   outcome.Outcome
-		whole  bool
+		name    string
+		stages  fault.Stages
+		runs    int
+		outcome outcome.Outcome
+		whole   bool
 	}{
 		{"whole", fault.Stages{}, 1, "", true},
 		{"headers read", fault.Stages{DropBeforeBody: fault.Always}, 0, outcome.Unknown, false},
@@ -48,30 +47,29 @@
 			if tc.whole {
 				return
 			}
-			is.Equal(c.end.Error.Outcome, tc.told)
-			is.Equal(c.started, 0) // the truth can still be told in a status
+			is.Equal(c.end.Error.Outcome, tc.outcome)
+			is.Equal(c.started, 0) // the outcome can still be sent as a status
 		})
 	}
 }
 
-// A clerk sends a receipt while every endpoint is down: nothing listens. No
-// byte can have left, so "not-run" is told and the clerk may send it again.
+// Every endpoint refuses connections. No byte can have been sent, so the outcome must be
+// "not-run" and the request may be sent again.
 func TestRefusedDialIsNotRun(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
-	r.addDead()
+	r.addUnreachable()
 	c := r.serve(context.Background(), r.receipt("a"))
 	is.Equal(c.end.Error.Outcome, outcome.NotRun)
 	is.True(c.end.Error.RetryAfter > 0)
 }
 
-// A clerk sends a receipt, the first endpoint is down and the second is not.
-// The first try did not run, so that the second is safe, and the clerk gets
-// the receipt without having to ask again.
-func TestNotRunIsTriedElsewhere(t *testing.T) {
+// The first endpoint is down and the second is not. The first try did not run, so a
+// non-idempotent request may be retried at the second.
+func TestNotRunIsRetriedElsewhere(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
-	r.addDead()
+	r.addUnreachable()
 	s := r.addService()
 	c := r.serve(context.Background(), r.receipt("a"))
 	is.True(c.end.Whole)
@@ -81,11 +79,10 @@
 	is.True(r.router.results[0].Failed)
 }
 
-// A clerk sends receipts over a connection that the endpoint has kept open.
-// The endpoint runs one and then drops the reused connection. net/http resends
-// by itself on a reused connection: GET always, POST with an Idempotency-Key.
-// Each receipt must have run once, in every form in which it can be sent.
-func TestReusedConnectionNeverRunsTwice(t *testing.T) {
+// The endpoint runs a request on a reused connection and then drops the connection.
+// net/http resends on its own on a reused connection: GET always, POST with an
+// Idempotency-Key. Each request must run once, in every form in which it can be sent.
+func TestReusedConnectionNeverRunsARequestTwice(t *testing.T) {
 	forms := []struct {
 		name   string
 		change func(*request.Request)
@@ -104,7 +101,7 @@
 			is := is.New(t)
 			r := newRig(t, nil)
 			s := r.addService()
-			// Warm connections of both kinds, then break the reused ones.
+			// Open connections of both transports, then break the reused ones.
 			is.True(r.serve(context.Background(), r.lookup("warm")).end.Whole)
 			is.True(r.serve(context.Background(), r.receipt("warm")).end.Whole)
 			s.SetFaults(service.Faults{Stages: fault.Stages{DropReusedAfter: fault.Always}})
@@ -119,15 +116,15 @@
 				}
 				c := r.serve(context.Background(), q)
 				is.Equal(s.Executions(q.Method, "/receipts", key), 1)
-				// A connection of its own also spares the clerk the unknown.
+				// With a new connection per request, no outcome is unknown either.
 				is.True(c.end.Whole)
 			}
 		})
 	}
 }
 
-// The same lookup may be resent by net/http and by the dispatcher: the clerk
-// sees an answer although the reused connection died.
+// A lookup on a reused connection that breaks must succeed: net/http and the dispatcher
+// may both resend it.
 func TestLookupSurvivesReusedConnection(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
@@ -138,9 +135,9 @@
 	is.Equal(s.Faults().DropReused, 0)
 }
 
-// A lookup's endpoint breaks at each stage; another endpoint has the answer.
-// The lookup may run twice, so the clerk never sees the failure.
-func TestLookupIsTriedElsewhere(t *testing.T) {
+// A lookup's endpoint fails at each stage in turn. The lookup may run twice, so another
+// endpoint must answer it.
+func TestLookupIsRetriedElsewhere(t *testing.T) {
 	for name, st := range map[string]fault.Stages{
 		"headers read":    {DropBeforeBody: fault.Always},
 		"ran, no answer":  {DropAfterRun: fault.Always},
@@ -160,13 +157,13 @@
 	}
 }
 
-// The budget of retries is spent: the clerk gets the final answer at once,
-// with when to come back, instead of being held until the deadline.
-func TestSpentBudgetIsToldAtOnce(t *testing.T) {
+// With an exhausted retry budget the error must be returned immediately with a retry
+// delay, not held until the deadline.
+func TestExhaustedBudgetReturnsImmediately(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
 	r.retry.allow = false
-	r.addDead()
+	r.addUnreachable()
 	r.addService()
 	c := r.serve(context.Background(), r.lookup("a"))
 	is.Equal(c.end.Error.Outcome, outcome.NotRun)
@@ -174,20 +171,20 @@
 	is.Equal(r.router.begun, 1)
 }
 
-// The first endpoint ran a lookup and broke, the second is down. That the last
-// try did not run says nothing of the first: "not-run" would be a lie.
-func TestEarlierTryIsNotForgotten(t *testing.T) {
+// The first endpoint ran a lookup and failed, the second is down. The last try did not
+// run, but "not-run" would be wrong for the request.
+func TestOutcomeCoversEarlierTries(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
 	r.addService().SetFaults(service.Faults{Stages: fault.Stages{DropAfterRun: fault.Always}})
-	r.addDead()
+	r.addUnreachable()
 	c := r.serve(context.Background(), r.lookup("a"))
 	is.Equal(c.end.Error.Outcome, outcome.Unknown)
 }
 
-// The deadline has passed before the request is sent: it must not be sent, and
-// "not-run" is told.
-func TestExpiredDeadlineIsNotSent(t *testing.T) {
+// The deadline has passed before the request is sent: it must not be sent, and the
+// outcome is "not-run".
+func TestExpiredRequestIsNotSent(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
 	s := r.addService()
@@ -199,9 +196,9 @@
 	is.Equal(s.Executions("POST", "/receipts", "a"), 0)
 }
 
-// The endpoint hangs with the request in hand until the deadline passes. It
-// may have run: "unknown".
-func TestDeadlineWhileWaitingIsUnknown(t *testing.T) {
+// The endpoint stalls with the request until the deadline passes. It may have run, so the
+// outcome is "unknown".
+func TestDeadlineDuringRunIsUnknown(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
 	s := r.addService()
--- a/internal/dispatch/wire.go
+++ b/internal/dispatch/wire.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// The sizes of the connection pool to the endpoints. A group's leader answers
-// tens of streams at once, each on a connection of its own.
+// Limits of the connection pool to the endpoints. The leader of a group serves tens of
+// streams at once, each on its own connection.
 const (
 	idleConns         = 2048
 	idleConnsPerHost  = 128
@@ -20,41 +20,40 @@
 	maxEndpointHeader = 64 << 10
 )
 
-// meteredConn counts the writes begun on a connection. The count is raised
-// before the bytes go out: a write that fails half-way counts as sent.
-type meteredConn struct {
+// countingConn counts the writes started on a connection. The count is incremented before
+// the write, so a write that fails midway counts as sent.
+type countingConn struct {
 	net.Conn
 	writes atomic.Uint64
 }
 
-func (c *meteredConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	c.writes.Add(1)
 	return c.Conn.Write(b)
 }
 
-// client holds the connections to endpoints.
+// client sends HTTP requests to endpoints.
 //
-// net/http resends a request by itself when a reused connection breaks: GET
-// and HEAD always, others when they carry an Idempotency-Key and their body
-// can be read again. A call that may run at most once would run twice without
-// anyone knowing. Such calls go through single, which opens a connection for
-// each (net/http never resends on one that was not reused), and their body
-// cannot be rewound. A new connection also cannot be one that the endpoint is
-// just closing for idleness, which would turn a call that never ran into an
-// unknown one.
+// net/http resends a request on its own if a reused connection breaks: GET and HEAD
+// always, others if they have an Idempotency-Key and a body that can be read again. A
+// request that may run at most once could silently run twice. Such requests use the
+// unpooled transport, which opens a connection for each (net/http never resends on a new
+// connection), and their body cannot be rewound. A new connection is also never one that
+// the endpoint is just closing as idle, which would change the outcome of a request that
+// did not run to unknown.
 type client struct {
-	pooled *http.Transport
-	single *http.Transport
+	pooled   *http.Transport
+	unpooled *http.Transport
 }
 
 func newClient(dialTimeout time.Duration) *client {
 	return &client{
-		pooled: newTransport(dialTimeout, false),
-		single: newTransport(dialTimeout, true),
+		pooled:   newTransport(dialTimeout, false),
+		unpooled: newTransport(dialTimeout, true),
 	}
 }
 
-func newTransport(dialTimeout time.Duration, single bool) *http.Transport {
+func newTransport(dialTimeout time.Duration, unpooled bool) *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	http1 := new(http.Protocols)
 	http1.SetHTTP1(true)
@@ -64,11 +63,11 @@
 			if err != nil {
 				return nil, err
 			}
-			return &meteredConn{Conn: c}, nil
+			return &countingConn{Conn: c}, nil
 		},
 		Protocols:              http1,
 		DisableCompression:     true,
-		DisableKeepAlives:      single,
+		DisableKeepAlives:      unpooled,
 		MaxIdleConns:           idleConns,
 		MaxIdleConnsPerHost:    idleConnsPerHost,
 		IdleConnTimeout:        idleConnTimeout,
@@ -78,15 +77,15 @@
 
 func (c *client) close() {
 	c.pooled.CloseIdleConnections()
-	c.single.CloseIdleConnections()
+	c.unpooled.CloseIdleConnections()
 }
 
-// do sends r. The sends tell afterwards whether any byte of it left.
-func (c *client) do(r *http.Request, idempotent bool) (*http.Response, *sends, error) {
-	s := &sends{}
+// do sends r. The returned sendTracker reports whether any byte of it was written.
+func (c *client) do(r *http.Request, idempotent bool) (*http.Response, *sendTracker, error) {
+	s := &sendTracker{}
 	trace := &httptrace.ClientTrace{GotConn: s.gotConn}
 	r = r.WithContext(httptrace.WithClientTrace(r.Context(), trace))
-	tr := c.single
+	tr := c.unpooled
 	if idempotent {
 		tr = c.pooled
 	}
@@ -94,33 +93,33 @@
 	return resp, s, err
 }
 
-// sends remembers the connections that a request was given, each with its
-// count of writes at that time.
-type sends struct {
+// sendTracker records the connections assigned to a request, each with its write count at
+// that time.
+type sendTracker struct {
 	mu    sync.Mutex
-	conns []sendMark
+	conns []connWrites
 }
 
-type sendMark struct {
-	conn   *meteredConn // nil: a connection whose writes are not counted
+type connWrites struct {
+	conn   *countingConn // nil if its writes are not counted
 	writes uint64
 }
 
-func (s *sends) gotConn(info httptrace.GotConnInfo) {
-	m := sendMark{}
-	if c, ok := info.Conn.(*meteredConn); ok {
-		m = sendMark{conn: c, writes: c.writes.Load()}
+func (s *sendTracker) gotConn(info httptrace.GotConnInfo) {
+	m := connWrites{}
+	if c, ok := info.Conn.(*countingConn); ok {
+		m = connWrites{conn: c, writes: c.writes.Load()}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns = append(s.conns, m)
 }
 
-// seal is called after a request failed. It closes the connections, so that a
-// write that is about to begin fails, and then reports whether any write had
-// begun. Without the close a writer goroutine of net/http could send the
-// request after it was told as "not run".
-func (s *sends) seal() (sent bool) {
+// closeAndCheck must be called after a request failed. It closes the connections, so that
+// a pending write fails, and then reports whether any write had started. Without the
+// close, a writer goroutine of net/http could send the request after "not run" was
+// reported.
+func (s *sendTracker) closeAndCheck() (sent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.conns {
@@ -135,14 +134,14 @@
 	return sent
 }
 
-// onceBody is a request body that net/http cannot read a second time: it is of
-// no type that http.NewRequest knows how to rewind, and it is not nil even
-// when empty, because a request without a body counts as replayable.
-type onceBody struct {
+// unrewindableBody is a request body that net/http cannot rewind: http.NewRequest does not know
+// its type. It is non-nil even if empty, because net/http treats a request without a body
+// as replayable.
+type unrewindableBody struct {
 	data []byte
 }
 
-func (b *onceBody) Read(p []byte) (int, error) {
+func (b *unrewindableBody) Read(p []byte) (int, error) {
 	if len(b.data) == 0 {
 		return 0, io.EOF
 	}
@@ -151,4 +150,4 @@
 	return n, nil
 }
 
-func (b *onceBody) Close() error { return nil }
+func (b *unrewindableBody) Close() error { return nil }
--- a/internal/dispatch/wire_test.go
+++ b/internal/dispatch/wire_test.go
@@ -20,20 +20,19 @@
 	"chervilloom/internal/view"
 )
 
-// The deadline passes between the moment net/http takes a connection and the
-// moment its writer goroutine writes. "Not run" is told; the write must not go
-// out afterwards.
-func TestSealedConnectionSendsNothingLater(t *testing.T) {
+// The deadline passes after net/http obtained a connection and before its writer
+// goroutine writes. The outcome is "not run", so the write must not go out afterwards.
+func TestClosedConnectionSendsNothingLater(t *testing.T) {
 	is := is.New(t)
 	near, far := net.Pipe()
 	defer far.Close()
-	c := &meteredConn{Conn: near}
-	s := &sends{}
+	c := &countingConn{Conn: near}
+	s := &sendTracker{}
 	s.gotConn(httptrace.GotConnInfo{Conn: c})
-	is.True(!s.seal())
+	is.True(!s.closeAndCheck())
 	_, err := c.Write([]byte("late"))
 	is.True(err != nil)
-	is.True(s.seal()) // a write was tried; had it been before, it would count as sent
+	is.True(s.closeAndCheck()) // the failed write counts as sent, as one before the close would
 }
 
 func TestUncountedConnectionCountsAsSent(t *testing.T) {
@@ -41,15 +40,15 @@
 	near, far := net.Pipe()
 	defer far.Close()
 	defer near.Close()
-	s := &sends{}
+	s := &sendTracker{}
 	s.gotConn(httptrace.GotConnInfo{Conn: near})
-	is.True(s.seal())
+	is.True(s.closeAndCheck())
 }
 
-// Hundreds of receipts end at random moments: before, while and after they are
-// sent, and while the endpoint runs them. Whoever is told "not-run" must find
-// the endpoint's count at zero, also later; nobody's receipt runs twice.
-func TestNotRunIsTrueAtAnyMoment(t *testing.T) {
+// Hundreds of requests are cancelled at random times: before, during and after sending,
+// and while the endpoint runs them. For each "not-run" the endpoint's counter must be
+// zero, also later, and no request may run twice.
+func TestNotRunIsCorrectAtAnyTime(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t, nil)
 	s := service.New(service.Options{VM: "s1", Delay: config.Duration(500 * time.Microsecond)})
@@ -60,7 +59,7 @@
 	})
 	rng := rand.New(rand.NewPCG(1, 2))
 	const receipts = 400
-	told := make([]outcome.Outcome, receipts)
+	outcomes := make([]outcome.Outcome, receipts)
 	var wg sync.WaitGroup
 	for i := range receipts {
 		q := r.receipt(fmt.Sprintf("r%d", i))
@@ -69,7 +68,7 @@
 			defer cancel()
 			c := r.serve(ctx, q)
 			if !c.end.Whole {
-				told[i] = c.end.Error.Outcome
+				outcomes[i] = c.end.Error.Outcome
 			}
 		})
 		if i%20 == 19 {
@@ -77,9 +76,9 @@
 		}
 	}
 	wg.Wait()
-	srv.Close() // returns when every call that arrived has ended
+	srv.Close() // returns when every received call has ended
 	kinds := make(map[outcome.Outcome]int)
-	for i, o := range told {
+	for i, o := range outcomes {
 		kinds[o]++
 		n := s.Executions("POST", "/receipts", fmt.Sprintf("r%d", i))
 		is.True(n <= 1)
@@ -90,5 +89,5 @@
 			is.Equal(n, 1)
 		}
 	}
-	t.Logf("told: %v", kinds)
+	t.Logf("outcomes: %v", kinds)
 }
