--- a/internal/retry/backoff.go
+++ b/internal/retry/backoff.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Backoff spreads retries in time with decorrelated jitter: each wait is drawn
-// between the base and three times the one before. Requests that failed at the
-// same moment do not come back at the same moment.
+// Backoff computes retry delays with decorrelated jitter: each wait is drawn between Base
+// and three times the previous wait. Requests that failed together are not retried
+// together.
 type Backoff struct {
-	Base time.Duration // least wait; default 5ms
-	Most time.Duration // largest wait; default 500ms
+	Base time.Duration // minimum wait; default 5ms
+	Most time.Duration // maximum wait; default 500ms
 }
 
 const (
-	defaultBase = 5 * time.Millisecond
-	defaultMost = 500 * time.Millisecond
-	growth      = 3
+	defaultBase  = 5 * time.Millisecond
+	defaultMost  = 500 * time.Millisecond
+	jitterFactor = 3
 )
 
 func (b Backoff) withDefaults() Backoff {
@@ -22,10 +22,10 @@
 	return b
 }
 
-// Next returns the wait that follows last (0: none before). draw is uniform in
-// [0, 1).
+// Next returns the wait that follows last (0 for the first retry). draw must be uniform
+// in [0, 1).
 func (b Backoff) Next(last time.Duration, draw float64) time.Duration {
 	b = b.withDefaults()
-	top := min(growth*max(last, b.Base), b.Most)
-	return min(b.Base+time.Duration(draw*float64(top-b.Base)), b.Most)
+	upper := min(jitterFactor*max(last, b.Base), b.Most)
+	return min(b.Base+time.Duration(draw*float64(upper-b.Base)), b.Most)
 }
--- a/internal/retry/ejector.go
+++ b/internal/retry/ejector.go
@@ -10,29 +10,29 @@
 	"chervilloom/internal/clock"
 )
 
-// Ejector is Outliers for concurrent use. Asking for a candidate that is not
-// ejected takes no lock.
+// Ejector wraps Outliers for concurrent use. Usable takes no lock for a candidate that is
+// not ejected.
 type Ejector struct {
 	clock clock.Clock
 	log   *slog.Logger
 
-	mu  sync.Mutex
-	set *Outliers
-	// out is the set of ejected candidates, replaced whole at each change.
-	out atomic.Pointer[map[ID]struct{}]
+	mu       sync.Mutex
+	outliers *Outliers
+	// ejectedIDs is the set of ejected candidates; each change replaces the whole map.
+	ejectedIDs atomic.Pointer[map[ID]struct{}]
 
 	ejections *prometheus.CounterVec
 	ejected   prometheus.Gauge
 }
 
-// NewEjector returns an ejector that knows no candidates. c may be nil: a
-// monotonic clock; reg may be nil.
+// NewEjector returns an Ejector without candidates. If c is nil, a monotonic clock is
+// used; reg may be nil.
 func NewEjector(o OutlierOptions, c clock.Clock, log *slog.Logger, reg prometheus.Registerer) *Ejector {
 	if c == nil {
-		c = newSteady()
+		c = newSteadyClock()
 	}
 	e := &Ejector{
-		clock: c, log: log, set: NewOutliers(o),
+		clock: c, log: log, outliers: NewOutliers(o),
 		ejections: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "chervilloom_retry_ejections_total", Help: "Ejections of endpoints and groups, by reason.",
 		}, []string{"reason"}),
@@ -40,21 +40,21 @@
 			Name: "chervilloom_retry_ejected_candidates", Help: "Endpoints and groups that are ejected now.",
 		}),
 	}
-	e.out.Store(&map[ID]struct{}{})
+	e.ejectedIDs.Store(&map[ID]struct{}{})
 	if reg != nil {
 		reg.MustRegister(e.ejections, e.ejected)
 	}
 	return e
 }
 
-// SetCandidates tells who there is to choose from. It copies ids.
+// SetCandidates replaces the set of candidates. It copies ids.
 func (e *Ejector) SetCandidates(ids []ID) {
 	e.step("", Candidates{IDs: ids}, true)
 }
 
-// Usable reports whether a request may be sent to the candidate now. It gives
-// out the one trial of a candidate whose ejection is over, so ask only for the
-// one that the request goes to, and report its result.
+// Usable reports whether a request may be sent to the candidate now. After an ejection it
+// grants a single trial request, so it must be called only for the candidate that the
+// request is sent to, and the result must be reported.
 func (e *Ejector) Usable(id ID) bool {
 	if !e.Ejected(id) {
 		return true
@@ -62,14 +62,14 @@
 	return e.step(id, Wanted{ID: id}, false).Verdict != Refuse
 }
 
-// Ejected reports whether the candidate is ejected or waits for its trial. It
-// changes nothing.
+// Ejected reports whether the candidate is ejected or in its trial. It changes no state.
 func (e *Ejector) Ejected(id ID) bool {
-	_, out := (*e.out.Load())[id]
+	_, out := (*e.ejectedIDs.Load())[id]
 	return out
 }
 
-// Report tells how a request ended. failed means that the candidate is to blame.
+// Report records the result of a request. failed means that the failure counts against
+// the candidate.
 func (e *Ejector) Report(id ID, failed bool) {
 	if failed {
 		e.step(id, Failed{ID: id}, false)
@@ -82,14 +82,14 @@
 	now := e.clock.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	d := e.set.Step(now, ev)
+	d := e.outliers.Step(now, ev)
 	switch d.Verdict {
 	case Eject:
 		e.ejections.WithLabelValues(d.Reason).Inc()
-		e.log.Warn("ejected", "id", id, "reason", d.Reason, "ejected_seconds", d.Until.Sub(now).Seconds())
+		e.log.Warn("candidate ejected", "id", id, "reason", d.Reason, "ejected_seconds", d.Until.Sub(now).Seconds())
 		publish = true
 	case Return:
-		e.log.Info("ejected no more", "id", id)
+		e.log.Info("ejection ended", "id", id)
 		publish = true
 	}
 	if publish {
@@ -99,12 +99,12 @@
 }
 
 func (e *Ejector) publish() {
-	out := make(map[ID]struct{}, e.set.ejected)
-	for id, m := range e.set.members {
-		if m.out {
+	out := make(map[ID]struct{}, e.outliers.ejected)
+	for id, m := range e.outliers.members {
+		if m.ejected {
 			out[id] = struct{}{}
 		}
 	}
 	e.ejected.Set(float64(len(out)))
-	e.out.Store(&out)
+	e.ejectedIDs.Store(&out)
 }
--- a/internal/retry/outliers.go
+++ b/internal/retry/outliers.go
@@ -8,15 +8,15 @@
 	"chervilloom/internal/clock"
 )
 
-// OutlierOptions tune the ejection. Zero values stand for the defaults.
+// OutlierOptions configures the ejection. Zero values are replaced by the defaults.
 type OutlierOptions struct {
-	Consecutive int           // failures in a row that eject; default 5
-	MinRequests int           // results in the window before rates are compared; default 20
-	Margin      float64       // failure rate above the peers' median that ejects; default 0.25
-	MaxShare    float64       // of the candidates that may be ejected at once; default 0.3
-	First       time.Duration // length of a first ejection; default 2s
-	Longest     time.Duration // of any ejection; default 60s
-	Trial       time.Duration // how long a trial's result is waited for; default 5s
+	Consecutive int           // consecutive failures that cause an ejection; default 5
+	MinRequests int           // minimum results in the window for comparing rates; default 20
+	Margin      float64       // failure rate above the peers' median that causes an ejection; default 0.25
+	MaxShare    float64       // maximum share of candidates ejected at once; default 0.3
+	First       time.Duration // duration of a candidate's first ejection; default 2s
+	Longest     time.Duration // maximum duration of an ejection; default 60s
+	Trial       time.Duration // timeout of a trial's result; default 5s
 }
 
 func (o OutlierOptions) withDefaults() OutlierOptions {
@@ -30,22 +30,22 @@
 	return o
 }
 
-// ID names an endpoint or a serving group.
+// ID identifies an endpoint or a serving group.
 type ID string
 
-// Event is something that the ejection learns of.
+// Event is an input of Outliers.Step.
 type Event interface{ event() }
 
-// The events.
+// Types of events.
 type (
-	// Candidates sets who there is to choose from. Who is no longer named is
-	// forgotten.
+	// Candidates replaces the set of candidates. The state of those that are not listed
+	// is dropped.
 	Candidates struct{ IDs []ID }
-	// Succeeded tells of a good result.
+	// Succeeded reports a successful request.
 	Succeeded struct{ ID ID }
-	// Failed tells of a result that the endpoint is to blame for.
+	// Failed reports a failure caused by the candidate.
 	Failed struct{ ID ID }
-	// Wanted asks to send a request.
+	// Wanted asks whether a request may be sent.
 	Wanted struct{ ID ID }
 )
 
@@ -54,64 +54,64 @@
 func (Failed) event()     {}
 func (Wanted) event()     {}
 
-// Verdict is what follows from an event.
+// Verdict is the result of an event.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts.
 const (
-	Keep   Verdict = iota // nothing changed; a wanted request may go
+	Keep   Verdict = iota // nothing changed; a wanted request may be sent
 	Eject                 // ejected until Decision.Until
-	Refuse                // a wanted request may not go: ejected
-	Trial                 // the wanted request may go as the one trial
-	Return                // the trial succeeded: ejected no more
+	Refuse                // a wanted request must not be sent: the candidate is ejected
+	Trial                 // the wanted request may be sent as the single trial
+	Return                // the trial succeeded and the ejection ended
 )
 
 // Decision is a verdict with its reason.
 type Decision struct {
 	Verdict Verdict
-	Until   clock.Instant // Eject
+	Until   clock.Instant // set for Eject
 	Reason  string
 }
 
-// The reasons.
+// Reasons of decisions.
 const (
-	reasonRow     = "failures in a row"
-	reasonRate    = "failure rate above the peers'"
-	reasonTrial   = "the trial failed"
-	reasonCap     = "as many are ejected as may be"
-	reasonEjected = "ejected"
+	reasonConsecutive = "failures in a row"
+	reasonRate        = "failure rate above the peers'"
+	reasonTrial       = "the trial failed"
+	reasonLimit       = "as many are ejected as may be"
+	reasonEjected     = "ejected"
 )
 
-// Outliers ejects candidates that fail while their peers do not. It is a state
-// machine without clock, lock or random source.
+// Outliers ejects candidates that fail while their peers do not. It is a state machine
+// without a clock, lock or random source.
 type Outliers struct {
 	opt     OutlierOptions
-	members map[ID]*member
+	members map[ID]*candidateState
 	ejected int
 }
 
-// member is what is known of one candidate.
-type member struct {
-	row       int // failures in a row
-	window    window
-	out       bool
-	until     clock.Instant // out: the end of the ejection
-	trial     clock.Instant // out: when the trial was let go; 0: none is under way
-	ejections int           // lengthens the next one
-	returned  clock.Instant
+// candidateState is the state of one candidate.
+type candidateState struct {
+	consecutiveFailures int
+	window              resultWindow
+	ejected             bool
+	ejectedUntil        clock.Instant // if ejected: end of the ejection
+	trialStarted        clock.Instant // if ejected: start of the trial, 0 if none
+	ejections           int           // number of ejections; each doubles the next duration
+	restoredAt          clock.Instant
 }
 
-// NewOutliers returns a state machine that knows no candidates.
+// NewOutliers returns a state machine without candidates.
 func NewOutliers(o OutlierOptions) *Outliers {
-	return &Outliers{opt: o.withDefaults(), members: map[ID]*member{}}
+	return &Outliers{opt: o.withDefaults(), members: map[ID]*candidateState{}}
 }
 
-// Step applies an event. Events of unknown candidates change nothing: a late
-// result must not bring back who has left.
+// Step applies an event. Events of unknown candidates are ignored: a late result must not
+// restore a removed candidate.
 func (s *Outliers) Step(now clock.Instant, ev Event) Decision {
 	switch ev := ev.(type) {
 	case Candidates:
-		s.set(ev.IDs)
+		s.setCandidates(ev.IDs)
 	case Succeeded:
 		return s.succeeded(now, s.members[ev.ID])
 	case Failed:
@@ -122,117 +122,119 @@
 	return Decision{}
 }
 
-func (s *Outliers) set(ids []ID) {
-	next := make(map[ID]*member, len(ids))
+func (s *Outliers) setCandidates(ids []ID) {
+	next := make(map[ID]*candidateState, len(ids))
 	for _, id := range ids {
 		if next[id] = s.members[id]; next[id] == nil {
-			next[id] = &member{}
+			next[id] = &candidateState{}
 		}
 	}
 	s.members, s.ejected = next, 0
 	for _, m := range next {
-		if m.out {
+		if m.ejected {
 			s.ejected++
 		}
 	}
-	s.keepCap()
+	s.enforceLimit()
 }
 
-// keepCap brings back those whose ejection ends first while more are out than
-// may be: when others have left, the ejected could be all that there is.
-func (s *Outliers) keepCap() {
-	if s.ejected <= s.limit() {
+// enforceLimit ends the ejections that expire first while more candidates are ejected
+// than allowed: after a removal of candidates, all remaining ones could be ejected.
+func (s *Outliers) enforceLimit() {
+	if s.ejected <= s.maxEjected() {
 		return
 	}
 	var out []ID
 	for id, m := range s.members {
-		if m.out {
+		if m.ejected {
 			out = append(out, id)
 		}
 	}
 	slices.SortFunc(out, func(a, b ID) int {
-		return cmp.Or(cmp.Compare(s.members[a].until, s.members[b].until), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(s.members[a].ejectedUntil, s.members[b].ejectedUntil), cmp.Compare(a, b))
 	})
-	for _, id := range out[:s.ejected-max(s.limit(), 0)] {
+	for _, id := range out[:s.ejected-max(s.maxEjected(), 0)] {
 		m := s.members[id]
-		*m = member{ejections: m.ejections}
+		*m = candidateState{ejections: m.ejections}
 		s.ejected--
 	}
 }
 
-func (s *Outliers) succeeded(now clock.Instant, m *member) Decision {
+func (s *Outliers) succeeded(now clock.Instant, m *candidateState) Decision {
 	if m == nil {
 		return Decision{}
 	}
-	m.row = 0
+	m.consecutiveFailures = 0
 	m.window.add(now, false)
-	if !m.out || m.trial == 0 {
-		s.forgive(now, m)
+	if !m.ejected || m.trialStarted == 0 {
+		s.reducePenalty(now, m)
 		return Decision{}
 	}
-	// What was counted before the ejection speaks of the fault that is over.
-	*m = member{ejections: m.ejections, returned: now}
+	// Results from before the ejection belong to a failure that is over.
+	*m = candidateState{ejections: m.ejections, restoredAt: now}
 	s.ejected--
 	return Decision{Verdict: Return, Reason: "the trial succeeded"}
 }
 
-// forgive shortens the next ejection of who has been good for long.
-func (s *Outliers) forgive(now clock.Instant, m *member) {
-	if m.ejections > 0 && !m.out && now.Sub(m.returned) > s.opt.Longest {
+// reducePenalty shortens the next ejection of a candidate without an ejection for longer
+// than Longest.
+func (s *Outliers) reducePenalty(now clock.Instant, m *candidateState) {
+	if m.ejections > 0 && !m.ejected && now.Sub(m.restoredAt) > s.opt.Longest {
 		m.ejections--
-		m.returned = now
+		m.restoredAt = now
 	}
 }
 
-func (s *Outliers) failed(now clock.Instant, m *member) Decision {
+func (s *Outliers) failed(now clock.Instant, m *candidateState) Decision {
 	if m == nil {
 		return Decision{}
 	}
-	m.row++
+	m.consecutiveFailures++
 	m.window.add(now, true)
 	switch {
-	case m.out && m.trial != 0:
+	case m.ejected && m.trialStarted != 0:
 		return s.eject(now, m, reasonTrial)
-	case m.out:
+	case m.ejected:
 		return Decision{} // sent before the ejection
-	case m.row >= s.opt.Consecutive:
-		return s.eject(now, m, reasonRow)
-	case s.worseThanPeers(now, m):
+	case m.consecutiveFailures >= s.opt.Consecutive:
+		return s.eject(now, m, reasonConsecutive)
+	case s.isWorseThanPeers(now, m):
 		return s.eject(now, m, reasonRate)
 	}
 	return Decision{}
 }
 
-func (s *Outliers) eject(now clock.Instant, m *member, reason string) Decision {
-	if !m.out {
-		if s.ejected >= s.limit() {
-			return Decision{Reason: reasonCap}
+func (s *Outliers) eject(now clock.Instant, m *candidateState, reason string) Decision {
+	if !m.ejected {
+		if s.ejected >= s.maxEjected() {
+			return Decision{Reason: reasonLimit}
 		}
 		s.ejected++
 	}
-	long := min(s.opt.First<<min(m.ejections, 10), s.opt.Longest)
+	duration := min(s.opt.First<<min(m.ejections, 10), s.opt.Longest)
 	m.ejections++
-	m.out, m.trial, m.until = true, 0, now.Add(long)
-	return Decision{Verdict: Eject, Until: m.until, Reason: reason}
+	m.ejected, m.trialStarted, m.ejectedUntil = true, 0, now.Add(duration)
+	return Decision{Verdict: Eject, Until: m.ejectedUntil, Reason: reason}
 }
 
-// limit is how many may be ejected at once. When everyone fails, the fault is
-// not an endpoint's, and ejecting more only loads the rest. One of two may go;
-// the last never.
-func (s *Outliers) limit() int {
+// maxEjected returns how many candidates may be ejected at once. If all fail, the cause
+// is not a single endpoint, and ejecting more only overloads the rest. One of two may be
+// ejected; the last candidate never.
+func (s *Outliers) maxEjected() int {
 	n := len(s.members)
 	return min(max(int(s.opt.MaxShare*float64(n)), 1), n-1)
 }
 
-// worseThanPeers compares the failure rate with the median of the others'.
-func (s *Outliers) worseThanPeers(now clock.Instant, m *member) bool {
+// isWorseThanPeers reports whether the failure rate exceeds the median of the others' by
+// at least Margin.
+func (s *Outliers) isWorseThanPeers(now clock.Instant, m *candidateState) bool {
 	rate, n := m.window.rate(now)
 	if n < s.opt.MinRequests || rate < s.opt.Margin {
 		return false
 	}
 	var others []float64
 	for _, o := range s.members {
-		if r, n := o.window.rate(now); o != m && !o.out && n >= s.opt.MinRequests {
+		if r, n := o.window.rate(now); o != m && !o.ejected && n >= s.opt.MinRequests {
 			others = append(others, r)
 		}
 	}
@@ -243,16 +245,16 @@
 	return rate >= others[len(others)/2]+s.opt.Margin
 }
 
-func (s *Outliers) wanted(now clock.Instant, m *member) Decision {
+func (s *Outliers) wanted(now clock.Instant, m *candidateState) Decision {
 	switch {
-	case m == nil || !m.out:
+	case m == nil || !m.ejected:
 		return Decision{}
-	case now.Before(m.until):
+	case now.Before(m.ejectedUntil):
 		return Decision{Verdict: Refuse, Reason: reasonEjected}
-	case m.trial != 0 && now.Sub(m.trial) < s.opt.Trial:
+	case m.trialStarted != 0 && now.Sub(m.trialStarted) < s.opt.Trial:
 		return Decision{Verdict: Refuse, Reason: "a trial is under way"}
 	}
-	// Also when the result of an earlier trial never came.
-	m.trial = now
+	// Also reached if the result of the previous trial never arrived.
+	m.trialStarted = now
 	return Decision{Verdict: Trial, Reason: "the ejection is over"}
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -18,10 +18,10 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func TestBudgetBoundsRetries(t *testing.T) {
-	// Every try fails, and every request asks for retries as often as it may.
-	// Whatever the order and pace: no class gets more retries than its burst,
-	// its share of first tries and the floor together, and a refusal's advice
-	// holds: after the wait there is a retry.
+	// Every try fails and is retried as often as allowed, in any order and at any pace.
+	// No class may get more retries than its burst, its share of first tries and the
+	// floor together, and after the wait returned with a refusal a retry must be
+	// available.
 	rapid.Check(t, func(t *rapid.T) {
 		c := clock.NewManual(clock.Instant(time.Hour))
 		b := NewBudget(BudgetOptions{Clock: c})
@@ -34,7 +34,7 @@
 			case 1:
 				firsts++
 				b.First(request.ClassModel)
-				b.First(request.ClassLookup) // another class's tries earn nothing here
+				b.First(request.ClassLookup) // tries of another class earn nothing here
 			default:
 				ok, wait := b.Allow(request.ClassModel)
 				if ok {
@@ -43,14 +43,14 @@
 				}
 				c.Advance(wait)
 				if ok, _ := b.Allow(request.ClassModel); !ok {
-					t.Fatalf("no retry after the advised wait of %v", wait)
+					t.Fatalf("no retry after the returned wait of %v", wait)
 				}
 				retries++
 			}
 		}
 		most := defaultBurst + defaultRatio*float64(firsts) + defaultFloor*c.Now().Sub(start).Seconds()
 		if float64(retries) > most+1e-6 {
-			t.Fatalf("%d retries of at most %.2f", retries, most)
+			t.Fatalf("%d retries, want at most %.2f", retries, most)
 		}
 	})
 }
@@ -60,7 +60,7 @@
 		b, last := Backoff{}.withDefaults(), time.Duration(0)
 		for range 20 {
 			next := b.Next(last, rapid.Float64Range(0, 0.999).Draw(t, "draw"))
-			if next < b.Base || next > min(b.Most, growth*max(last, b.Base)) {
+			if next < b.Base || next > min(b.Most, jitterFactor*max(last, b.Base)) {
 				t.Fatalf("%v follows %v", next, last)
 			}
 			last = next
@@ -76,10 +76,10 @@
 	return out
 }
 
-func TestEjectionStaysUnderItsCap(t *testing.T) {
-	// Everything fails, or a part, while candidates come and go. Whatever the
-	// order: the cap holds, one candidate always stays, and nobody is ejected
-	// for ever: after the longest ejection a request is let go.
+func TestEjectedShareStaysWithinLimit(t *testing.T) {
+	// All or some candidates fail while candidates are added and removed, in any order.
+	// The limit must be kept, at least one candidate must stay, and after the longest
+	// ejection every candidate must get a request.
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewOutliers(OutlierOptions{})
 		all := ids(12)
@@ -113,9 +113,9 @@
 }
 
 func TestEjectionGrowsAndEndsWithATrial(t *testing.T) {
-	// One endpoint of ten fails each request. It is ejected, one trial is let
-	// go when the ejection is over, its failure ejects for twice as long, and
-	// its success brings the endpoint back.
+	// One endpoint of ten fails each request. It must be ejected and get a single trial
+	// after the ejection; a failed trial must double the ejection, and a successful one
+	// end it.
 	is := is.New(t)
 	c := clock.NewManual(clock.Instant(time.Hour))
 	e := NewEjector(OutlierOptions{}, c, slog.New(slog.NewTextHandler(io.Discard, nil)), nil)
@@ -140,9 +140,9 @@
 }
 
 func TestRateIsComparedWithPeers(t *testing.T) {
-	// Half of the answers of one endpoint fail, never five in a row. Alone in
-	// this it is ejected; when all are like that, the fault is elsewhere and
-	// nobody is.
+	// Half of the requests to one endpoint fail, never five in a row. If only this
+	// endpoint fails it must be ejected; if all endpoints fail alike, the cause is
+	// elsewhere and none may be.
 	for name, others := range map[string]bool{"alone": false, "like all": true} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -11,44 +11,44 @@
 	windowStep  = time.Second
 )
 
-// window counts results of the last ten seconds.
-type window struct {
-	step  int64 // of the newest slot
-	slots [windowSlots]tally
+// resultWindow counts the results of the last ten seconds.
+type resultWindow struct {
+	currentStep int64 // number of the latest slot
+	slots       [windowSlots]resultCount
 }
 
-type tally struct{ good, bad uint32 }
+type resultCount struct{ succeeded, failed uint32 }
 
-func (w *window) add(now clock.Instant, bad bool) {
+func (w *resultWindow) add(now clock.Instant, failed bool) {
 	w.advance(now)
-	t := &w.slots[w.step%windowSlots]
-	if bad {
-		t.bad++
+	t := &w.slots[w.currentStep%windowSlots]
+	if failed {
+		t.failed++
 		return
 	}
-	t.good++
+	t.succeeded++
 }
 
-// advance empties the slots that have become too old.
-func (w *window) advance(now clock.Instant) {
+// advance clears the slots that have expired.
+func (w *resultWindow) advance(now clock.Instant) {
 	step := int64(now) / int64(windowStep)
-	for s := max(w.step+1, step-windowSlots+1); s <= step; s++ {
-		w.slots[s%windowSlots] = tally{}
+	for s := max(w.currentStep+1, step-windowSlots+1); s <= step; s++ {
+		w.slots[s%windowSlots] = resultCount{}
 	}
-	w.step = max(w.step, step)
+	w.currentStep = max(w.currentStep, step)
 }
 
-// rate returns the share of bad results and the number of all.
-func (w *window) rate(now clock.Instant) (float64, int) {
+// rate returns the share of failures and the number of results.
+func (w *resultWindow) rate(now clock.Instant) (float64, int) {
 	w.advance(now)
-	var sum tally
+	var sum resultCount
 	for _, t := range w.slots {
-		sum.good += t.good
-		sum.bad += t.bad
+		sum.succeeded += t.succeeded
+		sum.failed += t.failed
 	}
-	n := sum.good + sum.bad
+	n := sum.succeeded + sum.failed
 	if n == 0 {
 		return 0, 0
 	}
-	return float64(sum.bad) / float64(n), int(n)
+	return float64(sum.failed) / float64(n), int(n)
 }
--- a/internal/retry/windowed.go
+++ b/internal/retry/windowed.go
@@ -7,72 +7,72 @@
 	"chervilloom/internal/clock"
 )
 
-// Windowed allows repeats up to a bound over any window of time: a ratio of the
-// first tries in the window, and a slack beside it. All of it may be taken at once.
-// When an endpoint with thirty streams is lost they all go on elsewhere within a
-// few milliseconds; a bucket that is filled at the same mean rate held six repeats
-// and left the other streams to their clients. It is safe for concurrent use.
+// Windowed limits repeats over any time window to a ratio of the first tries in the
+// window plus a fixed slack. All of them may be used at once: if an endpoint with thirty
+// streams fails, all streams are repeated within a few milliseconds. A token bucket with
+// the same mean rate had six repeats and left the other streams to their clients. It is
+// safe for concurrent use.
 type Windowed struct {
 	Clock  clock.Clock
 	Window time.Duration
 	Ratio  float64
-	Slack  func() float64 // repeats in a window that are allowed at any traffic
+	Slack  func() float64 // repeats per window allowed at any traffic
 
-	mu     sync.Mutex
-	first  slotCounts
-	repeat slotCounts
+	mu      sync.Mutex
+	firsts  slotCounts
+	repeats slotCounts
 }
 
-// budgetSlots is how many slots a window is counted in. The oldest slot counts
-// whole, so at most a twentieth more than a window is looked at.
-const budgetSlots = 20
+// windowedSlots is the number of slots in a window. The oldest slot is counted
+// completely, so up to a twentieth more than a window is covered.
+const windowedSlots = 20
 
-// slotCounts counts events by the time in which they fell.
+// slotCounts counts events in time slots.
 type slotCounts struct {
-	count [budgetSlots + 1]float64
-	at    int64 // number of the newest slot
+	counts  [windowedSlots + 1]float64
+	current int64 // number of the latest slot
 }
 
-// move makes now the newest slot.
-func (s *slotCounts) move(now int64) {
-	for n := max(s.at+1, now-budgetSlots); n <= now; n++ {
-		s.count[n%int64(len(s.count))] = 0
+// advance makes now the latest slot and clears expired ones.
+func (s *slotCounts) advance(now int64) {
+	for n := max(s.current+1, now-windowedSlots); n <= now; n++ {
+		s.counts[n%int64(len(s.counts))] = 0
 	}
-	s.at = max(s.at, now)
+	s.current = max(s.current, now)
 }
 
-func (s *slotCounts) add() { s.count[s.at%int64(len(s.count))]++ }
+func (s *slotCounts) add() { s.counts[s.current%int64(len(s.counts))]++ }
 
 func (s *slotCounts) sum() float64 {
 	n := 0.0
-	for _, c := range s.count {
+	for _, c := range s.counts {
 		n += c
 	}
 	return n
 }
 
-func (w *Windowed) move() {
-	now := int64(w.Clock.Now()) / int64(w.Window/budgetSlots)
-	w.first.move(now)
-	w.repeat.move(now)
+func (w *Windowed) advance() {
+	now := int64(w.Clock.Now()) / int64(w.Window/windowedSlots)
+	w.firsts.advance(now)
+	w.repeats.advance(now)
 }
 
-// First counts a request's first try.
+// First counts the first try of a request.
 func (w *Windowed) First() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.move()
-	w.first.add()
+	w.advance()
+	w.firsts.add()
 }
 
-// Allow takes one repeat from the budget and reports whether there was one.
+// Allow consumes one repeat from the budget and reports whether one was available.
 func (w *Windowed) Allow() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.move()
-	if w.repeat.sum()+1 > w.Ratio*w.first.sum()+w.Slack() {
+	w.advance()
+	if w.repeats.sum()+1 > w.Ratio*w.firsts.sum()+w.Slack() {
 		return false
 	}
-	w.repeat.add()
+	w.repeats.add()
 	return true
 }
--- a/internal/retry/windowed_test.go
+++ b/internal/retry/windowed_test.go
@@ -10,16 +10,16 @@
 	"chervilloom/internal/clock"
 )
 
-// handClock is a clock that a test moves.
-type handClock struct{ now clock.Instant }
+// manualClock is a clock set by the test.
+type manualClock struct{ now clock.Instant }
 
-func (c *handClock) Now() clock.Instant { return c.now }
+func (c *manualClock) Now() clock.Instant { return c.now }
 
-// An engine is lost with thirty streams of a node that takes 25 requests a second.
-// All of them go on elsewhere at once; a bucket of the same mean rate let seven.
-func TestAllStreamsOfALostEngineMoveAtOnce(t *testing.T) {
+// An engine with thirty streams fails, at a node with 25 requests per second. All streams
+// must be repeated at once; a token bucket with the same mean rate allowed seven.
+func TestAllStreamsOfALostEngineRepeatAtOnce(t *testing.T) {
 	is := is.New(t)
-	c := &handClock{now: clock.Instant(time.Hour)}
+	c := &manualClock{now: clock.Instant(time.Hour)}
 	w := &Windowed{Clock: c, Window: 10 * time.Second, Ratio: 0.16, Slack: func() float64 { return 13 }}
 	for range 250 {
 		c.now = c.now.Add(40 * time.Millisecond)
@@ -30,16 +30,16 @@
 	}
 }
 
-// Whatever the traffic, repeats in any window stay under the ratio of the first
-// tries in that window, a slot more, and the slack.
-func TestRepeatsKeepToTheBoundOfAnyWindow(t *testing.T) {
+// At any traffic, repeats in any window stay below the ratio of the first tries in that
+// window plus one slot, plus the slack.
+func TestRepeatsStayWithinTheLimitOfAnyWindow(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		const (
 			window = 10 * time.Second
 			ratio  = 0.2
 			slack  = 5.0
 		)
-		c := &handClock{now: clock.Instant(time.Hour)}
+		c := &manualClock{now: clock.Instant(time.Hour)}
 		w := &Windowed{Clock: c, Window: window, Ratio: ratio, Slack: func() float64 { return slack }}
 		var first, repeat []clock.Instant
 		for range rapid.IntRange(1, 400).Draw(r, "events") {
@@ -54,16 +54,16 @@
 			}
 			repeat = append(repeat, c.now)
 			since := c.now.Add(-window)
-			firsts := within(first, since.Add(-window/budgetSlots))
-			if n := within(repeat, since); float64(n) > ratio*float64(firsts)+slack {
-				r.Fatalf("%d repeats beside %d first tries", n, firsts)
+			firsts := countAfter(first, since.Add(-window/windowedSlots))
+			if n := countAfter(repeat, since); float64(n) > ratio*float64(firsts)+slack {
+				r.Fatalf("%d repeats with %d first tries", n, firsts)
 			}
 		}
 	})
 }
 
-// within counts the instants after since.
-func within(all []clock.Instant, since clock.Instant) int {
+// countAfter counts the instants after since.
+func countAfter(all []clock.Instant, since clock.Instant) int {
 	n := 0
 	for _, at := range all {
 		if at.After(since) {
