--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -1,10 +1,10 @@
-// Package prefix keeps an approximate set of the prompt prefixes in each
-// engine's cache, fed by cache events that come late and with gaps.
+// Package prefix maintains an approximate set of the prompt prefixes in each engine's
+// cache, updated by cache events that arrive late and with gaps.
 //
-// The set is a hint: a prefix in it is probably cached, one that is missing may
-// be cached all the same. It is bounded per engine, it is emptied when the
-// engine restarts, and it is distrusted after a gap. An Index belongs to one
-// goroutine; the maps that it hands out are never changed and may be shared.
+// The set is a hint: a prefix in it is probably cached, and a missing one may be cached
+// too. The set is bounded per engine, cleared when the engine restarts, and partly
+// dropped after a gap. An Index must be used by one goroutine only; the maps it returns
+// are never modified and may be shared.
 package prefix
 
 import (
@@ -13,87 +13,87 @@
 	"chervilloom/internal/fleet"
 )
 
-// DefaultLimit is the number of prefixes kept for an engine.
+// DefaultLimit is the default maximum number of prefixes per engine.
 const DefaultLimit = 2048
 
-// Stats counts what was seen of one engine in its present life.
+// Stats holds the counters of one engine since its last restart.
 type Stats struct {
 	Entries    int
 	Events     uint64
 	Gaps       uint64
-	Missed     uint64 // events that the gaps swallowed
-	Distrusted uint64 // entries dropped for gaps
+	Missed     uint64 // events missing in the gaps
+	Distrusted uint64 // entries dropped because of gaps
 	evictions  uint64
 }
 
-// Index holds one set for each engine.
+// Index holds one set per engine.
 type Index struct {
 	limit int
-	sets  map[fleet.VM]*set
+	sets  map[fleet.VM]*cacheSet
 }
 
-// New returns an index that keeps up to limit prefixes for each engine; 0 stands
-// for DefaultLimit.
+// New returns an Index with up to limit prefixes per engine, or DefaultLimit if limit is
+// 0.
 func New(limit int) *Index {
 	if limit <= 0 {
 		limit = DefaultLimit
 	}
-	return &Index{limit: limit, sets: make(map[fleet.VM]*set)}
+	return &Index{limit: limit, sets: make(map[fleet.VM]*cacheSet)}
 }
 
-// Apply takes the events of one life of an engine, in any order. Events of
-// another life empty the set first: a restarted engine's cache is cold.
+// Apply applies events of one incarnation of an engine, in any order. A different boot ID
+// clears the set first, because the cache of a restarted engine is empty.
 func (x *Index) Apply(vm fleet.VM, boot fleet.BootID, events []engine.CacheEvent, now clock.Instant) {
 	s, ok := x.sets[vm]
 	if !ok || s.boot != boot {
-		s = newSet(boot, x.limit)
+		s = newCacheSet(boot, x.limit)
 		x.sets[vm] = s
 	}
 	for _, ev := range events {
 		s.apply(ev, now)
 	}
-	s.settle(now)
+	s.dropDoubted(now)
 }
 
-// Set returns the prefixes believed to be in the engine's cache, or nil when
-// nothing is known. The same map comes back until the set has changed.
+// Set returns the prefixes that are probably in the engine's cache, or nil if the engine
+// is unknown. It returns the same map until the set is rebuilt.
 func (x *Index) Set(vm fleet.VM, now clock.Instant) map[uint64]struct{} {
 	s, ok := x.sets[vm]
 	if !ok {
 		return nil
 	}
-	s.settle(now)
+	s.dropDoubted(now)
 	return s.publish(now)
 }
 
-// Changed returns what Set returns and whether it differs from what the last
-// call returned. The first call in a life of the engine counts as a change: what
-// was told of the life before must be replaced.
+// Changed returns the result of Set and whether it differs from that of the previous
+// call. The first call for an incarnation always reports a change, so that the prefixes
+// published for the previous incarnation are replaced.
 func (x *Index) Changed(vm fleet.VM, now clock.Instant) (map[uint64]struct{}, bool) {
 	s, ok := x.sets[vm]
 	if !ok {
 		return nil, false
 	}
-	s.settle(now)
+	s.dropDoubted(now)
 	m := s.publish(now)
-	changed := s.told != s.builds
-	s.told = s.builds
+	changed := s.reportedBuild != s.builds
+	s.reportedBuild = s.builds
 	return m, changed
 }
 
-// Last returns the highest sequence seen of the engine's life, to ask for the
-// events after it; 0 when the life is not known.
+// Last returns the highest sequence number received from the incarnation, for requesting
+// later events; 0 if the incarnation is unknown.
 func (x *Index) Last(vm fleet.VM, boot fleet.BootID) uint64 {
 	if s, ok := x.sets[vm]; ok && s.boot == boot {
-		return s.last
+		return s.lastSequence
 	}
 	return 0
 }
 
-// Forget drops an engine that is gone.
+// Forget removes an engine.
 func (x *Index) Forget(vm fleet.VM) { delete(x.sets, vm) }
 
-// Stats returns the counts of an engine's present life.
+// Stats returns the counters of an engine's current incarnation.
 func (x *Index) Stats(vm fleet.VM) Stats {
 	s, ok := x.sets[vm]
 	if !ok {
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -27,7 +27,7 @@
 	return engine.CacheEvent{Sequence: seq, Prefix: hash, Evicted: true}
 }
 
-func has(x *Index, hash uint64, now clock.Instant) bool {
+func containsPrefix(x *Index, hash uint64, now clock.Instant) bool {
 	_, ok := x.Set("vm", now)[hash]
 	return ok
 }
@@ -40,36 +40,36 @@
 	}{
 		{"stored", []engine.CacheEvent{stored(1, 7)}, true},
 		{"stored and evicted", []engine.CacheEvent{stored(1, 7), evicted(2, 7)}, false},
-		{"the storing comes after its eviction", []engine.CacheEvent{stored(1, 1), evicted(3, 7), stored(2, 7)}, false},
-		{"the eviction comes after a newer storing", []engine.CacheEvent{stored(1, 1), stored(3, 7), evicted(2, 7)}, true},
-		{"twice the same", []engine.CacheEvent{stored(1, 7), evicted(2, 7), evicted(2, 7), stored(3, 7), stored(3, 7)}, true},
+		{"late store after its eviction", []engine.CacheEvent{stored(1, 1), evicted(3, 7), stored(2, 7)}, false},
+		{"late eviction after a newer store", []engine.CacheEvent{stored(1, 1), stored(3, 7), evicted(2, 7)}, true},
+		{"duplicate events", []engine.CacheEvent{stored(1, 7), evicted(2, 7), evicted(2, 7), stored(3, 7), stored(3, 7)}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			x := New(0)
 			x.Apply("vm", "b1", c.events, start)
-			is.New(t).Equal(has(x, 7, start), c.want)
+			is.New(t).Equal(containsPrefix(x, 7, start), c.want)
 		})
 	}
 }
 
-// The engine restarts between two batches of events. What its cache held is
-// gone, but no eviction was published. Requests sent for the old entries would
-// find a cold cache on a group that is picked for being warm.
-func TestRestartEmptiesTheSet(t *testing.T) {
+// An engine restarts between two batches of events, without eviction events for its old
+// cache. The old entries must be removed, or requests would be routed to an engine with a
+// cold cache.
+func TestRestartClearsTheSet(t *testing.T) {
 	is := is.New(t)
 	x := New(0)
 	x.Apply("vm", "b1", []engine.CacheEvent{stored(1, 7), stored(2, 8)}, start)
 	x.Apply("vm", "b2", []engine.CacheEvent{stored(1, 9)}, start)
-	is.True(!has(x, 7, start))
-	is.True(has(x, 9, start))
+	is.True(!containsPrefix(x, 7, start))
+	is.True(containsPrefix(x, 9, start))
 	is.Equal(x.Last("vm", "b1"), uint64(0))
 }
 
-// A batch of events is lost on its way, evictions among them. The entries from
-// before the gap look cached for ever, as no second eviction of them comes.
-// The oldest go at once, the others when they have been doubted long enough.
-func TestGapIsDistrusted(t *testing.T) {
+// A batch of events with evictions is lost. The entries from before the gap must not stay
+// forever, since no second eviction event follows: the oldest are dropped immediately,
+// the others when their doubt expires.
+func TestEntriesBeforeAGapExpire(t *testing.T) {
 	is := is.New(t)
 	x := New(0)
 	var events []engine.CacheEvent
@@ -81,13 +81,13 @@
 	st := x.Stats("vm")
 	is.Equal(st.Gaps, uint64(1))
 	is.Equal(st.Missed, uint64(20))
-	is.Equal(st.Entries, 21) // no eviction was ever seen: none is assumed in the gap
-	later := start.Add(doubtFor)
-	is.True(!has(x, 119, later))
-	is.True(has(x, 200, later))
+	is.Equal(st.Entries, 21) // no eviction was received, so none is assumed in the gap
+	later := start.Add(doubtDuration)
+	is.True(!containsPrefix(x, 119, later))
+	is.True(containsPrefix(x, 200, later))
 }
 
-func TestGapDropsOldestAtOnce(t *testing.T) {
+func TestGapDropsOldestImmediately(t *testing.T) {
 	is := is.New(t)
 	x := New(0)
 	var events []engine.CacheEvent
@@ -96,24 +96,24 @@
 	}
 	x.Apply("vm", "b1", events, start)
 	x.Apply("vm", "b1", []engine.CacheEvent{stored(51, 200)}, start)
-	is.True(!has(x, 100, start))
-	is.True(has(x, 119, start))
-	is.Equal(x.Stats("vm").Distrusted, uint64(5)) // half of the ten missed
+	is.True(!containsPrefix(x, 100, start))
+	is.True(containsPrefix(x, 119, start))
+	is.Equal(x.Stats("vm").Distrusted, uint64(5)) // half of the ten missed events
 }
 
-func TestPublishedSetIsNotChanged(t *testing.T) {
+func TestPublishedSetIsNotModified(t *testing.T) {
 	is := is.New(t)
 	x := New(0)
 	x.Apply("vm", "b1", []engine.CacheEvent{stored(1, 7)}, start)
 	old := x.Set("vm", start)
 	x.Apply("vm", "b1", []engine.CacheEvent{evicted(2, 7)}, start)
-	later := start.Add(rebuildEvery)
+	later := start.Add(rebuildInterval)
 	is.Equal(len(old), 1)
 	is.Equal(len(x.Set("vm", later)), 0)
 }
 
-// Any mix of events leaves the set within its bound, linked without loss, and
-// equal to the cache when nothing was missed and all came in order.
+// After any events the set must be within its limit and consistently linked, and equal to
+// the cache if no event was missed or out of order.
 func TestSetProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 16
@@ -134,7 +134,7 @@
 		checkLinks(t, x.sets["vm"])
 		got := x.Set("vm", start.Add(time.Second))
 		if len(got) > limit {
-			t.Fatalf("%d prefixes over the limit of %d", len(got), limit)
+			t.Fatalf("%d prefixes exceed the limit of %d", len(got), limit)
 		}
 		for h, in := range cache {
 			if _, ok := got[h]; ordered && ok != in {
@@ -144,10 +144,10 @@
 	})
 }
 
-func checkLinks(t *rapid.T, s *set) {
+func checkLinks(t *rapid.T, s *cacheSet) {
 	n := 0
-	for i := s.oldest; i != none; i = s.slots[i].newer {
-		if s.index[s.slots[i].hash] != i {
+	for i := s.oldest; i != noSlot; i = s.entries[i].newer {
+		if s.index[s.entries[i].hash] != i {
 			t.Fatalf("slot %d is linked but not indexed", i)
 		}
 		n++
@@ -175,22 +175,21 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*len(batch)), "ns/event")
 }
 
-// BenchmarkMemory reports the bytes that a full set holds, its published map
-// included.
+// BenchmarkMemory reports the memory of a full set, including its published map.
 func BenchmarkMemory(b *testing.B) {
 	for _, engines := range []int{50, 100, 200} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
-				x := fill(engines)
-				b.ReportMetric(float64(heap()-before)/float64(engines), "B/engine")
+				before := heapBytes()
+				x := newFullIndex(engines)
+				b.ReportMetric(float64(heapBytes()-before)/float64(engines), "B/engine")
 				runtime.KeepAlive(x)
 			}
 		})
 	}
 }
 
-func fill(engines int) *Index {
+func newFullIndex(engines int) *Index {
 	x := New(0)
 	events := make([]engine.CacheEvent, DefaultLimit)
 	for e := range engines {
@@ -204,7 +203,7 @@
 	return x
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/prefix/set.go
+++ b/internal/prefix/set.go
@@ -8,105 +8,105 @@
 	"chervilloom/internal/fleet"
 )
 
-const none = int32(-1)
+const noSlot = int32(-1)
 
-// slot is one prefix, linked in the order in which the engine stored them.
-type slot struct {
+// entry is one prefix, linked in the order in which the engine stored them.
+type entry struct {
 	hash     uint64
 	sequence uint64
 	older    int32
 	newer    int32
 }
 
-// doubt marks what was believed when events were missed.
+// doubt marks the entries that may have been evicted by missed events.
 type doubt struct {
-	upTo  uint64 // entries of this sequence or lower may be gone
+	upTo  uint64 // entries up to this sequence number may be evicted
 	until clock.Instant
 }
 
-// set is what is believed of one engine's cache in one life.
-type set struct {
-	boot    fleet.BootID
-	limit   int
-	last    uint64 // highest sequence seen; 0: none
-	slots   []slot
-	free    []int32
-	index   map[uint64]int32
-	oldest  int32
-	newest  int32
-	evicted evictions
-	doubts  []doubt
-	stats   Stats
+// cacheSet is the estimated cache content of one incarnation of an engine.
+type cacheSet struct {
+	boot            fleet.BootID
+	limit           int
+	lastSequence    uint64 // highest sequence number received; 0: none
+	entries         []entry
+	freeSlots       []int32
+	index           map[uint64]int32
+	oldest          int32
+	newest          int32
+	recentEvictions evictionLog
+	doubts          []doubt
+	stats           Stats
 
-	published map[uint64]struct{}
-	builtAt   clock.Instant
-	dirty     bool
-	builds    uint64 // of published
-	told      uint64 // the build that Changed returned last
+	published     map[uint64]struct{}
+	builtAt       clock.Instant
+	dirty         bool
+	builds        uint64 // number of rebuilds of published
+	reportedBuild uint64 // value of builds at the last call of Changed
 }
 
-func newSet(boot fleet.BootID, limit int) *set {
-	return &set{boot: boot, limit: limit, index: make(map[uint64]int32), oldest: none, newest: none, dirty: true}
+func newCacheSet(boot fleet.BootID, limit int) *cacheSet {
+	return &cacheSet{boot: boot, limit: limit, index: make(map[uint64]int32), oldest: noSlot, newest: noSlot, dirty: true}
 }
 
-func (s *set) apply(ev engine.CacheEvent, now clock.Instant) {
+func (s *cacheSet) apply(ev engine.CacheEvent, now clock.Instant) {
 	s.stats.Events++
-	if s.last != 0 && ev.Sequence > s.last+1 {
-		s.gap(ev.Sequence-s.last-1, now)
+	if s.lastSequence != 0 && ev.Sequence > s.lastSequence+1 {
+		s.recordGap(ev.Sequence-s.lastSequence-1, now)
 	}
-	s.last = max(s.last, ev.Sequence)
+	s.lastSequence = max(s.lastSequence, ev.Sequence)
 	if ev.Evicted {
 		s.stats.evictions++
-		s.evicted.add(ev.Prefix, ev.Sequence)
+		s.recentEvictions.add(ev.Prefix, ev.Sequence)
 		s.removeBefore(ev.Prefix, ev.Sequence)
 		return
 	}
-	// An event that comes late must not undo a newer eviction.
-	if s.evicted.after(ev.Prefix, ev.Sequence) {
+	// A late event must not undo a newer eviction.
+	if s.recentEvictions.hasAfter(ev.Prefix, ev.Sequence) {
 		return
 	}
 	s.store(ev.Prefix, ev.Sequence)
 }
 
-// gap distrusts the set after missed events. Some of them were evictions; the
-// share of evictions among the events seen tells how many. Engines evict what
-// was unused longest, so that many of the oldest are dropped at once. What is
-// left may hold a few that are gone: it is dropped after doubtFor unless the
-// engine stores it anew. A wrong hint costs the computing of one prompt.
-func (s *set) gap(missed uint64, now clock.Instant) {
+// recordGap handles missed events. Their number of evictions is estimated from the share
+// of evictions among the received events; engines evict the least recently used prefixes,
+// so that many of the oldest entries are dropped immediately. The remaining entries may
+// still include evicted ones and are dropped after doubtDuration unless the engine stores
+// them again. A wrong hint costs the computation of one prompt.
+func (s *cacheSet) recordGap(missed uint64, now clock.Instant) {
 	s.stats.Gaps++
 	s.stats.Missed += missed
 	lost := uint64(float64(missed)*s.evictionShare() + 0.5)
-	for ; lost > 0 && s.oldest != none; lost-- {
+	for ; lost > 0 && s.oldest != noSlot; lost-- {
 		s.remove(s.oldest)
 		s.stats.Distrusted++
 	}
 	if n := len(s.doubts); n == maxDoubts {
-		s.doubts[n-1].upTo = s.last
+		s.doubts[n-1].upTo = s.lastSequence
 		return
 	}
-	s.doubts = append(s.doubts, doubt{upTo: s.last, until: now.Add(doubtFor)})
+	s.doubts = append(s.doubts, doubt{upTo: s.lastSequence, until: now.Add(doubtDuration)})
 }
 
-func (s *set) evictionShare() float64 {
+func (s *cacheSet) evictionShare() float64 {
 	if s.stats.Events < 16 {
 		return 0.5
 	}
 	return float64(s.stats.evictions) / float64(s.stats.Events)
 }
 
-// settle drops what was doubted for long enough.
-func (s *set) settle(now clock.Instant) {
+// dropDoubted drops the entries whose doubt has expired.
+func (s *cacheSet) dropDoubted(now clock.Instant) {
 	for len(s.doubts) > 0 && !now.Before(s.doubts[0].until) {
 		s.dropUpTo(s.doubts[0].upTo)
 		s.doubts = append(s.doubts[:0], s.doubts[1:]...)
 	}
 }
 
-func (s *set) dropUpTo(sequence uint64) {
-	for i := s.oldest; i != none; {
-		next := s.slots[i].newer
-		if s.slots[i].sequence <= sequence {
+func (s *cacheSet) dropUpTo(sequence uint64) {
+	for i := s.oldest; i != noSlot; {
+		next := s.entries[i].newer
+		if s.entries[i].sequence <= sequence {
 			s.remove(i)
 			s.stats.Distrusted++
 		}
@@ -114,77 +114,77 @@
 	}
 }
 
-func (s *set) store(hash, sequence uint64) {
+func (s *cacheSet) store(hash, sequence uint64) {
 	if i, ok := s.index[hash]; ok {
-		if s.slots[i].sequence >= sequence {
+		if s.entries[i].sequence >= sequence {
 			return
 		}
 		s.unlink(i)
-		s.slots[i].sequence = sequence
+		s.entries[i].sequence = sequence
 		s.link(i)
 		return
 	}
 	if len(s.index) >= s.limit {
 		s.remove(s.oldest)
 	}
-	i := s.take()
-	s.slots[i] = slot{hash: hash, sequence: sequence}
+	i := s.allocateSlot()
+	s.entries[i] = entry{hash: hash, sequence: sequence}
 	s.index[hash] = i
 	s.link(i)
 	s.dirty = true
 }
 
-func (s *set) take() int32 {
-	if n := len(s.free); n > 0 {
-		i := s.free[n-1]
-		s.free = s.free[:n-1]
+func (s *cacheSet) allocateSlot() int32 {
+	if n := len(s.freeSlots); n > 0 {
+		i := s.freeSlots[n-1]
+		s.freeSlots = s.freeSlots[:n-1]
 		return i
 	}
-	s.slots = append(s.slots, slot{})
-	return int32(len(s.slots) - 1)
+	s.entries = append(s.entries, entry{})
+	return int32(len(s.entries) - 1)
 }
 
-func (s *set) removeBefore(hash, sequence uint64) {
-	if i, ok := s.index[hash]; ok && s.slots[i].sequence < sequence {
+func (s *cacheSet) removeBefore(hash, sequence uint64) {
+	if i, ok := s.index[hash]; ok && s.entries[i].sequence < sequence {
 		s.remove(i)
 	}
 }
 
-func (s *set) remove(i int32) {
+func (s *cacheSet) remove(i int32) {
 	s.unlink(i)
-	delete(s.index, s.slots[i].hash)
-	s.free = append(s.free, i)
+	delete(s.index, s.entries[i].hash)
+	s.freeSlots = append(s.freeSlots, i)
 	s.dirty = true
 }
 
-func (s *set) link(i int32) {
-	s.slots[i].older, s.slots[i].newer = s.newest, none
-	if s.newest != none {
-		s.slots[s.newest].newer = i
+func (s *cacheSet) link(i int32) {
+	s.entries[i].older, s.entries[i].newer = s.newest, noSlot
+	if s.newest != noSlot {
+		s.entries[s.newest].newer = i
 	} else {
 		s.oldest = i
 	}
 	s.newest = i
 }
 
-func (s *set) unlink(i int32) {
-	older, newer := s.slots[i].older, s.slots[i].newer
-	if older != none {
-		s.slots[older].newer = newer
+func (s *cacheSet) unlink(i int32) {
+	older, newer := s.entries[i].older, s.entries[i].newer
+	if older != noSlot {
+		s.entries[older].newer = newer
 	} else {
 		s.oldest = newer
 	}
-	if newer != none {
-		s.slots[newer].older = older
+	if newer != noSlot {
+		s.entries[newer].older = older
 	} else {
 		s.newest = older
 	}
 }
 
-// publish returns the set as a map that is never changed again. It is rebuilt at
-// most once in rebuildEvery: a rebuild copies the whole set.
-func (s *set) publish(now clock.Instant) map[uint64]struct{} {
-	if !s.dirty || s.published != nil && now.Sub(s.builtAt) < rebuildEvery {
+// publish returns the set as a map that is never modified afterwards. The map is rebuilt
+// at most once per rebuildInterval, because a rebuild copies the whole set.
+func (s *cacheSet) publish(now clock.Instant) map[uint64]struct{} {
+	if !s.dirty || s.published != nil && now.Sub(s.builtAt) < rebuildInterval {
 		return s.published
 	}
 	m := make(map[uint64]struct{}, len(s.index))
@@ -196,19 +196,19 @@
 	return m
 }
 
-// evictions remembers the newest evicted prefixes.
-type evictions struct {
+// evictionLog keeps the latest evicted prefixes.
+type evictionLog struct {
 	ring [256]struct{ hash, sequence uint64 }
 	next int
 }
 
-func (e *evictions) add(hash, sequence uint64) {
+func (e *evictionLog) add(hash, sequence uint64) {
 	e.ring[e.next].hash, e.ring[e.next].sequence = hash, sequence
 	e.next = (e.next + 1) % len(e.ring)
 }
 
-// after reports whether hash was evicted by a later event than sequence.
-func (e *evictions) after(hash, sequence uint64) bool {
+// hasAfter reports whether hash was evicted by an event after sequence.
+func (e *evictionLog) hasAfter(hash, sequence uint64) bool {
 	for i := range e.ring {
 		if e.ring[i].hash == hash && e.ring[i].sequence > sequence {
 			return true
@@ -218,7 +218,7 @@
 }
 
 const (
-	maxDoubts    = 8
-	doubtFor     = 2 * time.Minute
-	rebuildEvery = 250 * time.Millisecond
+	maxDoubts       = 8
+	doubtDuration   = 2 * time.Minute
+	rebuildInterval = 250 * time.Millisecond
 )
