--- a/internal/probe/bench_test.go
+++ b/internal/probe/bench_test.go
@@ -14,30 +14,30 @@
 	"chervilloom/internal/view"
 )
 
-// BenchmarkDarkDomain reports how long a live endpoint waits between two probes
-// while most of 200 watched endpoints go dark, each of whose probes takes the
-// whole timeout.
-func BenchmarkDarkDomain(b *testing.B) {
-	for _, dark := range []int{0, 100, 180} {
-		b.Run(fmt.Sprintf("%d-of-200-dark", dark), func(b *testing.B) {
+// BenchmarkDomainOutage reports the longest interval between two probes of a live
+// endpoint while most of 200 watched endpoints do not respond and each of their probes
+// takes the full timeout.
+func BenchmarkDomainOutage(b *testing.B) {
+	for _, down := range []int{0, 100, 180} {
+		b.Run(fmt.Sprintf("%d-of-200-down", down), func(b *testing.B) {
 			worst := time.Duration(0)
 			for range b.N {
-				worst = max(worst, darkDomain(dark))
+				worst = max(worst, probeGapDuringOutage(down))
 			}
 			b.ReportMetric(float64(worst.Milliseconds()), "worst-gap-ms")
 		})
 	}
 }
 
-func darkDomain(dark int) time.Duration {
-	w, e := fleetOf(200)
+func probeGapDuringOutage(down int) time.Duration {
+	w, e := newFleet(200)
 	p := New(Settings{}, e, w, w, clock.Boot{}, 1, prometheus.NewRegistry())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- p.Run(ctx) }()
 	time.Sleep(time.Second)
 	e.mu.Lock()
-	for i := range dark {
+	for i := range down {
 		e.hang[fmt.Sprintf("vm%03d:1", i)] = true
 	}
 	e.mu.Unlock()
@@ -45,7 +45,7 @@
 	cancel()
 	<-done
 	worst := time.Duration(0)
-	for i := dark; i < 200; i++ {
+	for i := down; i < 200; i++ {
 		r := w.probed(fleet.VM(fmt.Sprintf("vm%03d", i)))
 		for k := 1; k < len(r); k++ {
 			worst = max(worst, r[k].Sent.Sub(r[k-1].Sent))
@@ -58,9 +58,9 @@
 	return &view.Assignment{First: membership.TopK, Watchers: 2}
 }
 
-// BenchmarkWatched finds a node's endpoints among 200 of its zone with 123 nodes.
+// BenchmarkWatched measures Watched with 200 endpoints and 123 nodes in the zone.
 func BenchmarkWatched(b *testing.B) {
-	w, _ := fleetOf(200)
+	w, _ := newFleet(200)
 	for i := 1; i < 123; i++ {
 		vm := fleet.VM(fmt.Sprintf("n%d", i))
 		w.snap.Nodes = append(w.snap.Nodes, view.Node{Node: fleet.Node{VM: vm}, Zone: "z", State: view.NodeAlive})
--- a/internal/probe/cache.go
+++ b/internal/probe/cache.go
@@ -10,18 +10,18 @@
 
 func newCache() *prefix.Index { return prefix.New(prefix.DefaultLimit) }
 
-// cacheEvents folds the engine's newest cache events into the target's index,
-// which belongs to the worker that probes the target.
-func (p *Prober) cacheEvents(ctx context.Context, t *target, boot fleet.BootID) {
-	ctx, cancel := context.WithTimeout(ctx, p.set.Timeout)
+// updateCache applies the engine's new cache events to the target's index, which belongs
+// to the worker that probes the target.
+func (p *Prober) updateCache(ctx context.Context, t *target, boot fleet.BootID) {
+	ctx, cancel := context.WithTimeout(ctx, p.settings.Timeout)
 	defer cancel()
-	events, err := p.endpoints.CacheEvents(ctx, t.rec.Addr, t.cache.Last(t.rec.VM, boot))
+	events, err := p.endpoints.CacheEvents(ctx, t.record.Addr, t.cache.Last(t.record.VM, boot))
 	if err != nil {
-		return // a hint; the next poll asks from the same sequence on
+		return // only a hint; the next poll requests events from the same sequence number
 	}
 	now := p.clock.Now()
-	t.cache.Apply(t.rec.VM, boot, events, now)
-	if set, changed := t.cache.Changed(t.rec.VM, now); changed {
-		p.sink.Put(view.Cached{VM: t.rec.VM, Boot: boot, Prefixes: set})
+	t.cache.Apply(t.record.VM, boot, events, now)
+	if set, changed := t.cache.Changed(t.record.VM, now); changed {
+		p.sink.Put(view.Cached{VM: t.record.VM, Boot: boot, Prefixes: set})
 	}
 }
--- a/internal/probe/cache_test.go
+++ b/internal/probe/cache_test.go
@@ -17,11 +17,11 @@
 	"chervilloom/internal/view"
 )
 
-// cacheFeed gives one batch of cache events for each poll.
+// cacheFeed returns one batch of cache events per poll.
 type cacheFeed struct {
 	endpoints
 	batches [][]engine.CacheEvent
-	after   []uint64 // what each poll asked for
+	after   []uint64 // the sequence number requested by each poll
 }
 
 func (f *cacheFeed) CacheEvents(_ context.Context, _ string, after uint64) ([]engine.CacheEvent, error) {
@@ -31,13 +31,13 @@
 	return b, nil
 }
 
-// putEvents keeps what the prober tells, in order.
+// putEvents records the events put by the prober, in order.
 type putEvents []view.Event
 
 func (p *putEvents) Put(e view.Event) { *p = append(*p, e) }
 
-// told returns the prefixes of the newest view.Cached, sorted.
-func (p putEvents) told() []uint64 {
+// lastPrefixes returns the prefixes of the latest view.Cached, sorted.
+func (p putEvents) lastPrefixes() []uint64 {
 	var got []uint64
 	if len(p) > 0 {
 		got = slices.Sorted(maps.Keys(p[len(p)-1].(view.Cached).Prefixes))
@@ -45,7 +45,7 @@
 	return got
 }
 
-func TestCacheEventsFold(t *testing.T) {
+func TestCacheEventsAreApplied(t *testing.T) {
 	ev := func(seq, prefix uint64) engine.CacheEvent { return engine.CacheEvent{Sequence: seq, Prefix: prefix} }
 	out := func(seq, prefix uint64) engine.CacheEvent {
 		return engine.CacheEvent{Sequence: seq, Prefix: prefix, Evicted: true}
@@ -57,35 +57,35 @@
 		after   []uint64
 		puts    int
 	}{
-		"added":                 {[][]engine.CacheEvent{{ev(1, 10), ev(2, 20)}}, []fleet.BootID{"a"}, []uint64{10, 20}, []uint64{0}, 1},
-		"evicted":               {[][]engine.CacheEvent{{ev(1, 10), ev(2, 20), out(3, 10)}}, []fleet.BootID{"a"}, []uint64{20}, []uint64{0}, 1},
-		"late ones ignored":     {[][]engine.CacheEvent{{ev(1, 10), out(2, 10)}, {ev(1, 10)}}, []fleet.BootID{"a", "a"}, nil, []uint64{0, 2}, 1},
-		"nothing new":           {[][]engine.CacheEvent{{ev(1, 10)}, {}}, []fleet.BootID{"a", "a"}, []uint64{10}, []uint64{0, 1}, 1},
-		"a gap in a short life": {[][]engine.CacheEvent{{ev(1, 10)}, {ev(3, 20)}}, []fleet.BootID{"a", "a"}, []uint64{20}, []uint64{0, 1}, 2},
-		"a new life forgets":    {[][]engine.CacheEvent{{ev(1, 10)}, {ev(1, 30)}}, []fleet.BootID{"a", "b"}, []uint64{30}, []uint64{0, 0}, 2},
-		"a cold new life":       {[][]engine.CacheEvent{{ev(1, 10)}, {}}, []fleet.BootID{"a", "b"}, nil, []uint64{0, 0}, 2},
-		"starts in between":     {[][]engine.CacheEvent{{ev(7, 10), ev(8, 20)}}, []fleet.BootID{"a"}, []uint64{10, 20}, []uint64{0}, 1},
+		"added":                    {[][]engine.CacheEvent{{ev(1, 10), ev(2, 20)}}, []fleet.BootID{"a"}, []uint64{10, 20}, []uint64{0}, 1},
+		"evicted":                  {[][]engine.CacheEvent{{ev(1, 10), ev(2, 20), out(3, 10)}}, []fleet.BootID{"a"}, []uint64{20}, []uint64{0}, 1},
+		"late store ignored":       {[][]engine.CacheEvent{{ev(1, 10), out(2, 10)}, {ev(1, 10)}}, []fleet.BootID{"a", "a"}, nil, []uint64{0, 2}, 1},
+		"no new events":            {[][]engine.CacheEvent{{ev(1, 10)}, {}}, []fleet.BootID{"a", "a"}, []uint64{10}, []uint64{0, 1}, 1},
+		"gap after few events":     {[][]engine.CacheEvent{{ev(1, 10)}, {ev(3, 20)}}, []fleet.BootID{"a", "a"}, []uint64{20}, []uint64{0, 1}, 2},
+		"restart clears the set":   {[][]engine.CacheEvent{{ev(1, 10)}, {ev(1, 30)}}, []fleet.BootID{"a", "b"}, []uint64{30}, []uint64{0, 0}, 2},
+		"restart without events":   {[][]engine.CacheEvent{{ev(1, 10)}, {}}, []fleet.BootID{"a", "b"}, nil, []uint64{0, 0}, 2},
+		"first sequence above one": {[][]engine.CacheEvent{{ev(7, 10), ev(8, 20)}}, []fleet.BootID{"a"}, []uint64{10, 20}, []uint64{0}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			feed, told, now := &cacheFeed{batches: c.batches}, putEvents{}, clock.NewManual(1)
 			p := New(Settings{}, feed, nil, &told, now, 1, prometheus.NewRegistry())
-			tg := &target{rec: fleet.Record{VM: "vm"}, cache: newCache()}
+			tg := &target{record: fleet.Record{VM: "vm"}, cache: newCache()}
 			for _, boot := range c.boots {
-				p.cacheEvents(t.Context(), tg, boot)
+				p.updateCache(t.Context(), tg, boot)
 				now.Advance(time.Second)
 			}
-			is.Equal(told.told(), c.want)
+			is.Equal(told.lastPrefixes(), c.want)
 			is.Equal(feed.after, c.after)
 			is.Equal(len(told), c.puts)
 		})
 	}
 }
 
-// The engine drops one batch of cache events, as it does now and then. If the
-// node forgot everything it knew, all prompts would look cold there and go to
-// groups that have to compute them again. It keeps what is likely still cached.
-func TestGapKeepsWhatIsLikelyCached(t *testing.T) {
+// The engine drops one batch of cache events, which happens occasionally. The node must
+// keep the prefixes that are probably still cached: otherwise all prompts would be routed
+// to groups that must compute them again.
+func TestGapKeepsProbablyCachedPrefixes(t *testing.T) {
 	is := is.New(t)
 	var first []engine.CacheEvent
 	for i := range uint64(64) {
@@ -94,18 +94,18 @@
 	feed := &cacheFeed{batches: [][]engine.CacheEvent{first, {{Sequence: 70, Prefix: 100}}}}
 	told, now := putEvents{}, clock.NewManual(1)
 	p := New(Settings{}, feed, nil, &told, now, 1, prometheus.NewRegistry())
-	tg := &target{rec: fleet.Record{VM: "vm"}, cache: newCache()}
-	p.cacheEvents(t.Context(), tg, "a")
+	tg := &target{record: fleet.Record{VM: "vm"}, cache: newCache()}
+	p.updateCache(t.Context(), tg, "a")
 	now.Advance(time.Second)
-	p.cacheEvents(t.Context(), tg, "a")
-	is.Equal(len(told.told()), 65)
+	p.updateCache(t.Context(), tg, "a")
+	is.Equal(len(told.lastPrefixes()), 65)
 }
 
 func TestCacheIsBounded(t *testing.T) {
 	is := is.New(t)
 	feed, told, now := &cacheFeed{}, putEvents{}, clock.NewManual(1)
 	p := New(Settings{}, feed, nil, &told, now, 1, prometheus.NewRegistry())
-	tg := &target{rec: fleet.Record{VM: "vm"}, cache: newCache()}
+	tg := &target{record: fleet.Record{VM: "vm"}, cache: newCache()}
 	for i := range uint64(3) {
 		var batch []engine.CacheEvent
 		for j := range uint64(prefix.DefaultLimit) {
@@ -113,8 +113,8 @@
 			batch = append(batch, engine.CacheEvent{Sequence: n, Prefix: n})
 		}
 		feed.batches = append(feed.batches, batch)
-		p.cacheEvents(t.Context(), tg, "a")
+		p.updateCache(t.Context(), tg, "a")
 		now.Advance(time.Second)
 	}
-	is.Equal(len(told.told()), prefix.DefaultLimit)
+	is.Equal(len(told.lastPrefixes()), prefix.DefaultLimit)
 }
--- a/internal/probe/check.go
+++ b/internal/probe/check.go
@@ -17,17 +17,16 @@
 // ErrNotWhole is wrapped by the errors of Check.
 var ErrNotWhole = errors.New("probe: the group is not whole")
 
-// Probe probes the members now and returns until when the answers are fresh, and
-// whether every member reports the group's generation and the boot id that it
-// names. Calls for the same generation at the same time share one round of
-// probes: many requests may find a group stale at once. The answers go into the
-// view as well.
+// Probe probes all members immediately. It returns the time until which the results are
+// fresh, and whether every member reports the group's generation and its expected boot
+// ID. Concurrent calls for the same generation share one round of probes, because many
+// requests may find a group stale at once. The results are also put into the view.
 func (p *Prober) Probe(ctx context.Context, g *view.Group) (clock.Instant, bool) {
 	until, err := p.check(ctx, &g.Group)
 	return until, err == nil
 }
 
-// Check is Probe for callers that need the reason.
+// Check is like Probe but returns the reason as an error.
 func (p *Prober) Check(ctx context.Context, g *fleet.Group) error {
 	_, err := p.check(ctx, g)
 	return err
@@ -39,8 +38,8 @@
 	}
 	key := fmt.Sprintf("%s/%d", g.ID, g.Generation)
 	shared := p.checks.DoChan(key, func() (any, error) {
-		// Not ended with the first caller: the others wait for it too.
-		return p.round(context.WithoutCancel(ctx), g)
+		// Not cancelled with the first caller: the other callers need the result.
+		return p.probeMembers(context.WithoutCancel(ctx), g)
 	})
 	select {
 	case r := <-shared:
@@ -50,9 +49,9 @@
 	}
 }
 
-// round probes all members at once and returns until when the oldest answer is
-// fresh.
-func (p *Prober) round(ctx context.Context, g *fleet.Group) (clock.Instant, error) {
+// probeMembers probes all members concurrently and returns the time until which the
+// oldest result is fresh.
+func (p *Prober) probeMembers(ctx context.Context, g *fleet.Group) (clock.Instant, error) {
 	var mu sync.Mutex
 	oldest := p.clock.Now()
 	var eg errgroup.Group
@@ -67,27 +66,27 @@
 		})
 	}
 	err := eg.Wait()
-	return oldest.Add(p.fresh()), err
+	return oldest.Add(p.freshDuration()), err
 }
 
 func (p *Prober) checkMember(ctx context.Context, g *fleet.Group, m *fleet.Member) (clock.Instant, error) {
 	sent := p.clock.Now()
-	st, err := p.state(ctx, fleet.Record{VM: m.VM, Addr: m.Addr})
+	st, err := p.fetchState(ctx, fleet.Record{VM: m.VM, Addr: m.Addr})
 	if err != nil {
-		// Failures stays 0: checks of many requests may fail at once, which
-		// must not look like many probes in a row.
+		// Failures stays 0: the checks of many requests may fail at once, and must not
+		// count as consecutive probe failures.
 		p.sink.Put(view.Probed{VM: m.VM, Sent: sent, Failing: sent})
 		return sent, fmt.Errorf("%w: %s: %w", ErrNotWhole, m.VM, err)
 	}
 	p.sink.Put(view.Probed{VM: m.VM, Sent: sent, RTT: p.clock.Now().Sub(sent), Answered: true, State: st})
-	if why := view.StateFault(g, m, &st); why != "" {
-		return sent, fmt.Errorf("%w: %s %s", ErrNotWhole, m.VM, why)
+	if fault := view.StateFault(g, m, &st); fault != "" {
+		return sent, fmt.Errorf("%w: %s %s", ErrNotWhole, m.VM, fault)
 	}
 	return sent, nil
 }
 
-// fresh is the age up to which a probe lets a group serve.
-func (p *Prober) fresh() time.Duration {
+// freshDuration returns the maximum age of a probe result with which a group may serve.
+func (p *Prober) freshDuration() time.Duration {
 	if doc := p.source.Snapshot().Config; doc != nil {
 		return doc.Policy.ProbeFresh.Or(view.DefaultProbeFresh)
 	}
--- a/internal/probe/metrics.go
+++ b/internal/probe/metrics.go
@@ -34,7 +34,7 @@
 	return m
 }
 
-func (m *metrics) probe(answered bool, rtt time.Duration) {
+func (m *metrics) observeProbe(answered bool, rtt time.Duration) {
 	if !answered {
 		m.failed.Inc()
 		return
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -1,9 +1,9 @@
-// Package probe asks the endpoints of this node's availability zone for their
-// state, load and cache events, and puts the answers into the view.
+// Package probe requests the state, load and cache events of the endpoints in this node's
+// availability zone, and puts the results into the view.
 //
-// Each endpoint is watched by two nodes, the highest in rendezvous order for
-// it, so that the number of probes does not grow with the number of nodes. One
-// goroutine keeps the schedule; a bounded pool of workers sends the probes.
+// Each endpoint is watched by two nodes, the two with the highest rendezvous rank for it,
+// so that the number of probes does not grow with the number of nodes. One goroutine runs
+// the schedule; a bounded pool of workers sends the probes.
 package probe
 
 import (
@@ -16,24 +16,24 @@
 	"chervilloom/internal/view"
 )
 
-// Endpoints is the part of the endpoints' client that probes need. Plain
-// services answer State with their VM, boot id and whether they are leaving.
+// Endpoints is the part of the endpoint client used for probes. Plain services report in
+// State only their VM, boot ID and whether they are leaving.
 type Endpoints interface {
 	State(ctx context.Context, addr string) (fleet.EngineState, error)
 	LoadReport(ctx context.Context, addr string) (fleet.Load, error)
 	CacheEvents(ctx context.Context, addr string, after uint64) ([]engine.CacheEvent, error)
 }
 
-// Sink takes the results; it never blocks.
+// Sink receives the results. Put must not block.
 type Sink interface{ Put(view.Event) }
 
-// Settings tune the prober; zero values stand for the defaults.
+// Settings configures a Prober. Zero values are replaced by the defaults.
 type Settings struct {
-	Period    time.Duration // between probes of one endpoint; default 300 ms
-	Timeout   time.Duration // of one probe; default 250 ms
-	LoadEvery time.Duration // between load reports of one endpoint; default 600 ms
-	Watchers  int           // nodes that watch an endpoint; default 2
-	Workers   int           // probes in flight at once; default 96
+	Period    time.Duration // interval between probes of one endpoint; default 300 ms
+	Timeout   time.Duration // timeout of one probe; default 250 ms
+	LoadEvery time.Duration // interval between load reports of one endpoint; default 600 ms
+	Watchers  int           // number of nodes that watch an endpoint; default 2
+	Workers   int           // maximum probes in flight; default 96
 }
 
 func (s Settings) withDefaults() Settings {
@@ -54,8 +54,8 @@
 	return s
 }
 
-// jitter spreads d over 0.8 d .. 1.2 d, so that probes of many endpoints and
-// nodes do not fall into step.
+// jitter returns a random duration between 0.8 d and 1.2 d, so that probes of many
+// endpoints and nodes do not synchronize.
 func jitter(rng *rand.Rand, d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.8 + 0.4*rng.Float64()))
 }
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -22,25 +22,25 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// endpoints answer by address; one that hangs answers nothing until the caller
-// gives up.
+// endpoints is a fake client with one state per address; a hanging endpoint does not
+// respond until the context ends.
 type endpoints struct {
-	mu     sync.Mutex
-	states map[string]fleet.EngineState
-	hang   map[string]bool
-	asked  map[string]int
-	gate   chan struct{} // when set, State waits for it
+	mu       sync.Mutex
+	states   map[string]fleet.EngineState
+	hang     map[string]bool
+	requests map[string]int
+	gate     chan struct{} // if set, State waits until it is closed
 }
 
 func newEndpoints() *endpoints {
-	return &endpoints{states: map[string]fleet.EngineState{}, hang: map[string]bool{}, asked: map[string]int{}}
+	return &endpoints{states: map[string]fleet.EngineState{}, hang: map[string]bool{}, requests: map[string]int{}}
 }
 
 func (e *endpoints) State(ctx context.Context, addr string) (fleet.EngineState, error) {
 	e.mu.Lock()
 	st, ok := e.states[addr]
 	hang, gate := e.hang[addr], e.gate
-	e.asked[addr]++
+	e.requests[addr]++
 	e.mu.Unlock()
 	if gate != nil {
 		select {
@@ -62,30 +62,30 @@
 func (e *endpoints) LoadReport(_ context.Context, addr string) (fleet.Load, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return fleet.Load{Boot: e.states[addr].Boot, Sequence: uint64(e.asked[addr])}, nil
+	return fleet.Load{Boot: e.states[addr].Boot, Sequence: uint64(e.requests[addr])}, nil
 }
 
 func (e *endpoints) CacheEvents(_ context.Context, _ string, after uint64) ([]engine.CacheEvent, error) {
 	return []engine.CacheEvent{{Sequence: after + 1, Prefix: after + 100}}, nil
 }
 
-// world is a fixed snapshot as source and a list as sink.
-type world struct {
+// viewStub is a view.Source with a fixed snapshot and a Sink that records events.
+type viewStub struct {
 	snap   *view.Snapshot
 	mu     sync.Mutex
 	events []view.Event
 }
 
-func (w *world) Snapshot() *view.Snapshot { return w.snap }
+func (w *viewStub) Snapshot() *view.Snapshot { return w.snap }
 
-func (w *world) Put(e view.Event) {
+func (w *viewStub) Put(e view.Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.events = append(w.events, e)
 }
 
-// probed returns the results for the VM so far.
-func (w *world) probed(vm fleet.VM) []view.Probed {
+// probed returns the probe results of the VM so far.
+func (w *viewStub) probed(vm fleet.VM) []view.Probed {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []view.Probed
@@ -97,8 +97,8 @@
 	return out
 }
 
-func fleetOf(n int) (*world, *endpoints) {
-	w, e := &world{snap: &view.Snapshot{Self: fleet.Node{VM: "n0"}, Zone: "z"}}, newEndpoints()
+func newFleet(n int) (*viewStub, *endpoints) {
+	w, e := &viewStub{snap: &view.Snapshot{Self: fleet.Node{VM: "n0"}, Zone: "z"}}, newEndpoints()
 	for i := range n {
 		vm := fleet.VM(fmt.Sprintf("vm%03d", i))
 		addr := string(vm) + ":1"
@@ -108,7 +108,7 @@
 	return w, e
 }
 
-func run(t testing.TB, w *world, e *endpoints, set Settings) *Prober {
+func startProber(t testing.TB, w *viewStub, e *endpoints, set Settings) *Prober {
 	t.Helper()
 	p := New(set, e, w, w, clock.Boot{}, 1, prometheus.NewRegistry())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -121,26 +121,26 @@
 	return p
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	for !ok() {
 		if ctx.Err() != nil {
-			t.Fatal("not reached: " + what)
+			t.Fatal("timed out: " + what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-func quick() Settings {
+func fastSettings() Settings {
 	return Settings{Period: 5 * time.Millisecond, Timeout: 20 * time.Millisecond, LoadEvery: 5 * time.Millisecond}
 }
 
 func TestEveryEndpointHasTwoWatchers(t *testing.T) {
 	is := is.New(t)
 	nodes := []fleet.VM{"n0", "n1", "n2", "n3", "n4"}
-	w, _ := fleetOf(40)
+	w, _ := newFleet(40)
 	w.snap.VMs = append(w.snap.VMs,
 		view.VM{Record: fleet.Record{VM: "far", Kind: fleet.KindEngine, Addr: "x:1", Zone: "y"}},
 		view.VM{Record: fleet.Record{VM: "n1", Kind: fleet.KindEntry, Addr: "x:2", Zone: "z"}},
@@ -170,26 +170,26 @@
 
 func TestResultsAreReported(t *testing.T) {
 	is := is.New(t)
-	w, e := fleetOf(4)
+	w, e := newFleet(4)
 	delete(e.states, "vm001:1")                                      // refuses connections
 	e.hang["vm002:1"] = true                                         // is paused
-	e.states["vm003:1"] = fleet.EngineState{VM: "vm999", Boot: "b1"} // another VM has got the address
-	run(t, w, e, quick())
+	e.states["vm003:1"] = fleet.EngineState{VM: "vm999", Boot: "b1"} // the address now belongs to another VM
+	startProber(t, w, e, fastSettings())
 	for _, vm := range []fleet.VM{"vm001", "vm002", "vm003"} {
-		until(t, "three failures of "+string(vm), func() bool { return len(w.probed(vm)) >= 3 })
+		eventually(t, "three failures of "+string(vm), func() bool { return len(w.probed(vm)) >= 3 })
 		p := w.probed(vm)
 		is.True(!p[0].Answered)
 		is.Equal(p[0].Failures, 1)
 		is.Equal(p[2].Failures, 3)
 		is.Equal(p[2].Failing, p[0].Sent)
 	}
-	until(t, "answers", func() bool { return len(w.probed("vm000")) >= 2 })
+	eventually(t, "probe replies", func() bool { return len(w.probed("vm000")) >= 2 })
 	is.True(w.probed("vm000")[0].Answered)
 	e.mu.Lock()
 	e.hang["vm002:1"] = false
 	e.mu.Unlock()
-	until(t, "the paused endpoint is back", func() bool { p := w.probed("vm002"); return p[len(p)-1].Answered })
-	until(t, "loads and prefixes", func() bool {
+	eventually(t, "the paused endpoint responds again", func() bool { p := w.probed("vm002"); return p[len(p)-1].Answered })
+	eventually(t, "loads and prefixes", func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		loads := slices.ContainsFunc(w.events, func(ev view.Event) bool { _, ok := ev.(view.Loaded); return ok })
@@ -197,28 +197,28 @@
 	})
 }
 
-func TestEndpointsThatLeaveTheListAreNoLongerProbed(t *testing.T) {
-	w, e := fleetOf(2)
-	p := New(quick(), e, w, w, clock.Boot{}, 1, prometheus.NewRegistry())
+func TestRemovedEndpointsAreNotProbed(t *testing.T) {
+	w, e := newFleet(2)
+	p := New(fastSettings(), e, w, w, clock.Boot{}, 1, prometheus.NewRegistry())
 	p.refresh()
 	w.snap = &view.Snapshot{Self: w.snap.Self, Zone: "z", VMs: w.snap.VMs[:1]}
 	p.refresh()
 	gone := 0
-	for _, t := range p.plan {
-		if t.gone {
+	for _, t := range p.schedule {
+		if t.removed {
 			gone++
 		}
 	}
 	is := is.New(t)
 	is.Equal(gone, 1)
-	for _, t := range p.plan {
-		t.due = 0
+	for _, t := range p.schedule {
+		t.probeDue = 0
 	}
-	p.send()
+	p.dispatchDue()
 	is.Equal(len(p.jobs), 1)
 }
 
-func groupOf(n int) *view.Group {
+func newGroup(n int) *view.Group {
 	g := &view.Group{Group: fleet.Group{ID: "g", Generation: 2}}
 	for i := range n {
 		vm := fleet.VM(fmt.Sprintf("vm%03d", i))
@@ -227,67 +227,67 @@
 	return g
 }
 
-// A request reaches a group of which a member is gone. The group's probes were
-// stale at dispatch, so the members are asked again; one that does not answer,
-// or answers as another life or from another place, keeps the request away.
-func TestCheckAsksEveryMember(t *testing.T) {
+// A group's probe results are stale at dispatch, so its members are probed again. A
+// member that does not respond, or reports another incarnation or assignment, must keep
+// the request away from the group.
+func TestCheckProbesEveryMember(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault func(*endpoints)
 		ok    bool
 	}{
-		"all there":      {func(*endpoints) {}, true},
-		"one hangs":      {func(e *endpoints) { e.hang["vm001:1"] = true }, false},
-		"one is gone":    {func(e *endpoints) { delete(e.states, "vm002:1") }, false},
-		"one restarted":  {func(e *endpoints) { st := e.states["vm002:1"]; st.Boot = "b2"; e.states["vm002:1"] = st }, false},
-		"one moved on":   {func(e *endpoints) { st := e.states["vm001:1"]; st.Generation = 3; e.states["vm001:1"] = st }, false},
-		"one is leaving": {func(e *endpoints) { st := e.states["vm001:1"]; st.Leaving = true; e.states["vm001:1"] = st }, false},
+		"all respond":                {func(*endpoints) {}, true},
+		"one hangs":                  {func(e *endpoints) { e.hang["vm001:1"] = true }, false},
+		"one is gone":                {func(e *endpoints) { delete(e.states, "vm002:1") }, false},
+		"one restarted":              {func(e *endpoints) { st := e.states["vm002:1"]; st.Boot = "b2"; e.states["vm002:1"] = st }, false},
+		"one has another generation": {func(e *endpoints) { st := e.states["vm001:1"]; st.Generation = 3; e.states["vm001:1"] = st }, false},
+		"one is leaving":             {func(e *endpoints) { st := e.states["vm001:1"]; st.Leaving = true; e.states["vm001:1"] = st }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w, e := fleetOf(3)
+			w, e := newFleet(3)
 			c.fault(e)
 			clk := clock.NewManual(clock.Instant(time.Hour))
-			p := New(quick(), e, w, w, clk, 1, prometheus.NewRegistry())
-			until, ok := p.Probe(context.Background(), groupOf(3))
+			p := New(fastSettings(), e, w, w, clk, 1, prometheus.NewRegistry())
+			until, ok := p.Probe(context.Background(), newGroup(3))
 			is.Equal(ok, c.ok)
 			if ok {
 				is.Equal(until, clk.Now().Add(view.DefaultProbeFresh))
 			} else {
-				is.True(errors.Is(p.Check(context.Background(), &groupOf(3).Group), ErrNotWhole))
+				is.True(errors.Is(p.Check(context.Background(), &newGroup(3).Group), ErrNotWhole))
 			}
 			for _, vm := range []fleet.VM{"vm000", "vm001", "vm002"} {
 				for _, r := range w.probed(vm) {
-					is.Equal(r.Failures, 0) // many checks must not look like many probes in a row
+					is.Equal(r.Failures, 0) // checks must not count as consecutive probe failures
 				}
 			}
 		})
 	}
 }
 
-// A burst of requests finds a group stale. They share one round of probes: were
-// each to ask every member, the burst would hit the members many times over.
-func TestChecksOfOneGenerationShareARound(t *testing.T) {
+// Many requests find a group stale at once. They must share one round of probes, or the
+// burst would probe the members many times.
+func TestConcurrentChecksShareAProbeRound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w, e := fleetOf(2)
+		w, e := newFleet(2)
 		e.gate = make(chan struct{})
 		p := New(Settings{Timeout: time.Minute}, e, w, w, clock.Boot{}, 1, prometheus.NewRegistry())
 		const callers = 20
 		results := make(chan error, callers)
 		gone, leave := context.WithCancel(context.Background())
-		go func() { results <- p.Check(gone, &groupOf(2).Group) }()
+		go func() { results <- p.Check(gone, &newGroup(2).Group) }()
 		synctest.Wait() // the round has begun
 		for range callers {
-			go func() { results <- p.Check(context.Background(), &groupOf(2).Group) }()
+			go func() { results <- p.Check(context.Background(), &newGroup(2).Group) }()
 		}
 		synctest.Wait()
-		leave() // the caller that began it is gone; the others still get its result
+		leave() // the caller that began it has left; the others still get its result
 		is.True(<-results != nil)
 		close(e.gate)
 		for range callers {
 			is.NoErr(<-results)
 		}
-		is.Equal(e.asked["vm000:1"], 1)
-		is.Equal(e.asked["vm001:1"], 1)
+		is.Equal(e.requests["vm000:1"], 1)
+		is.Equal(e.requests["vm001:1"], 1)
 	})
 }
--- a/internal/probe/prober.go
+++ b/internal/probe/prober.go
@@ -18,63 +18,63 @@
 	"chervilloom/internal/view"
 )
 
-// Prober watches the endpoints that rendezvous order gives to this node.
+// Prober watches the endpoints that are assigned to this node by rendezvous order.
 type Prober struct {
-	set       Settings
+	settings  Settings
 	endpoints Endpoints
 	source    view.Source
 	sink      Sink
 	clock     clock.Clock
-	rng       *rand.Rand // used by Run's goroutine alone
+	rng       *rand.Rand // used only by Run's goroutine
 	metrics   *metrics
 
-	jobs  chan *target // scheduler to workers; full: the probe waits its turn
-	done  chan *target // workers to scheduler; full: the worker waits
-	plan  schedule     // this and what follows: touched by Run's goroutine alone
-	all   map[fleet.VM]*target
-	share view.Assignment
+	jobs       chan *target // scheduler to workers; if full, the probe waits in the schedule
+	done       chan *target // workers to scheduler; if full, the worker waits
+	schedule   schedule     // this and the following fields are used only by Run's goroutine
+	targets    map[fleet.VM]*target
+	assignment view.Assignment
 
-	checks singleflight.Group // by group and generation
+	checks singleflight.Group // keyed by group and generation
 }
 
-// target is one watched endpoint. It belongs to the scheduler while it waits
-// and to one worker while it is probed.
+// target is one watched endpoint. It is owned by the scheduler while it waits and by one
+// worker while it is probed.
 type target struct {
-	rec      fleet.Record
-	due      clock.Instant
-	loadDue  clock.Instant
-	failing  clock.Instant
-	failures int
-	cache    *prefix.Index // of this target alone
-	gone     bool
+	record              fleet.Record
+	probeDue            clock.Instant
+	loadDue             clock.Instant
+	failingSince        clock.Instant
+	consecutiveFailures int
+	cache               *prefix.Index // prefixes of this target only
+	removed             bool
 }
 
-// New returns a prober; Run starts it. The seed spreads the schedule.
-func New(set Settings, e Endpoints, src view.Source, sink Sink, c clock.Clock, seed uint64, reg prometheus.Registerer) *Prober {
-	set = set.withDefaults()
+// New returns a Prober; Run starts it. The seed randomizes the schedule.
+func New(settings Settings, e Endpoints, src view.Source, sink Sink, c clock.Clock, seed uint64, reg prometheus.Registerer) *Prober {
+	settings = settings.withDefaults()
 	return &Prober{
-		set: set, endpoints: e, source: src, sink: sink, clock: c,
-		rng:     rand.New(rand.NewPCG(seed, 1)),
-		metrics: newMetrics(reg),
-		jobs:    make(chan *target, set.Workers),
-		done:    make(chan *target, set.Workers),
-		all:     map[fleet.VM]*target{},
-		share:   view.Assignment{First: membership.TopK, Watchers: set.Watchers},
+		settings: settings, endpoints: e, source: src, sink: sink, clock: c,
+		rng:        rand.New(rand.NewPCG(seed, 1)),
+		metrics:    newMetrics(reg),
+		jobs:       make(chan *target, settings.Workers),
+		done:       make(chan *target, settings.Workers),
+		targets:    map[fleet.VM]*target{},
+		assignment: view.Assignment{First: membership.TopK, Watchers: settings.Watchers},
 	}
 }
 
 // Run probes until ctx ends.
 func (p *Prober) Run(ctx context.Context) error {
 	var workers sync.WaitGroup
-	for range p.set.Workers {
-		workers.Go(func() { p.work(ctx) })
+	for range p.settings.Workers {
+		workers.Go(func() { p.runWorker(ctx) })
 	}
 	defer workers.Wait()
-	refresh := time.NewTicker(p.set.Period)
+	refresh := time.NewTicker(p.settings.Period)
 	defer refresh.Stop()
 	p.refresh()
 	for {
-		timer := time.NewTimer(p.untilNext())
+		timer := time.NewTimer(p.untilNextProbe())
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -82,76 +82,76 @@
 		case <-refresh.C:
 			p.refresh()
 		case t := <-p.done:
-			p.again(t)
+			p.reschedule(t)
 		case <-timer.C:
 		}
 		timer.Stop()
-		p.send()
+		p.dispatchDue()
 	}
 }
 
-// refresh brings the targets in line with the newest snapshot.
+// refresh updates the targets from the latest snapshot.
 func (p *Prober) refresh() {
 	now := p.clock.Now()
-	want := Watched(p.source.Snapshot(), &p.share)
-	keep := make(map[fleet.VM]bool, len(want))
-	for _, r := range want {
+	wanted := Watched(p.source.Snapshot(), &p.assignment)
+	keep := make(map[fleet.VM]bool, len(wanted))
+	for _, r := range wanted {
 		keep[r.VM] = true
-		t := p.all[r.VM]
-		if t != nil && t.rec.Addr == r.Addr {
+		t := p.targets[r.VM]
+		if t != nil && t.record.Addr == r.Addr {
 			continue
 		}
 		if t != nil {
-			t.gone = true
+			t.removed = true
 		}
-		t = &target{rec: r, cache: newCache(), due: now.Add(time.Duration(p.rng.Int64N(int64(p.set.Period))))}
-		p.all[r.VM] = t
-		heap.Push(&p.plan, t)
+		t = &target{record: r, cache: newCache(), probeDue: now.Add(time.Duration(p.rng.Int64N(int64(p.settings.Period))))}
+		p.targets[r.VM] = t
+		heap.Push(&p.schedule, t)
 	}
-	for vm, t := range p.all {
+	for vm, t := range p.targets {
 		if !keep[vm] {
-			t.gone = true
-			delete(p.all, vm)
+			t.removed = true
+			delete(p.targets, vm)
 		}
 	}
-	p.metrics.watched.Set(float64(len(p.all)))
+	p.metrics.watched.Set(float64(len(p.targets)))
 }
 
-func (p *Prober) untilNext() time.Duration {
-	if len(p.plan) == 0 || len(p.jobs) == cap(p.jobs) {
-		return p.set.Period // or until a worker is done
+func (p *Prober) untilNextProbe() time.Duration {
+	if len(p.schedule) == 0 || len(p.jobs) == cap(p.jobs) {
+		return p.settings.Period // or until a worker has finished
 	}
-	return max(p.plan[0].due.Sub(p.clock.Now()), time.Millisecond)
+	return max(p.schedule[0].probeDue.Sub(p.clock.Now()), time.Millisecond)
 }
 
-// send hands the targets that are due to the workers. When all workers are busy
-// the rest stay in the schedule: probes get slower, not more.
-func (p *Prober) send() {
+// dispatchDue sends the targets that are due to the workers. If all workers are busy, the
+// rest stay in the schedule: overload delays probes and does not add any.
+func (p *Prober) dispatchDue() {
 	now := p.clock.Now()
-	for len(p.plan) > 0 && !p.plan[0].due.After(now) {
-		t := p.plan[0]
-		if t.gone {
-			heap.Pop(&p.plan)
+	for len(p.schedule) > 0 && !p.schedule[0].probeDue.After(now) {
+		t := p.schedule[0]
+		if t.removed {
+			heap.Pop(&p.schedule)
 			continue
 		}
 		select {
 		case p.jobs <- t:
-			heap.Pop(&p.plan)
+			heap.Pop(&p.schedule)
 		default:
 			return
 		}
 	}
 }
 
-func (p *Prober) again(t *target) {
-	if t.gone {
+func (p *Prober) reschedule(t *target) {
+	if t.removed {
 		return
 	}
-	t.due = p.clock.Now().Add(jitter(p.rng, p.set.Period))
-	heap.Push(&p.plan, t)
+	t.probeDue = p.clock.Now().Add(jitter(p.rng, p.settings.Period))
+	heap.Push(&p.schedule, t)
 }
 
-func (p *Prober) work(ctx context.Context) {
+func (p *Prober) runWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -170,24 +170,24 @@
 func (p *Prober) probe(ctx context.Context, t *target) {
 	sent := p.clock.Now()
 	wantLoad := !sent.Before(t.loadDue)
-	st, err := p.state(ctx, t.rec)
+	st, err := p.fetchState(ctx, t.record)
 	now := p.clock.Now()
 	if ctx.Err() != nil {
-		return // shutting down: says nothing of the endpoint
+		return // shutting down: the result is not evidence about the endpoint
 	}
-	p.report(t, view.Probed{VM: t.rec.VM, Sent: sent, RTT: now.Sub(sent), Answered: err == nil, State: st})
+	p.report(t, view.Probed{VM: t.record.VM, Sent: sent, RTT: now.Sub(sent), Answered: err == nil, State: st})
 	if err == nil && wantLoad {
-		t.loadDue = sent.Add(p.set.LoadEvery)
-		p.load(ctx, t)
-		if st.Group != "" && st.Rank == 0 { // requests go to the leader, so its cache matters
-			p.cacheEvents(ctx, t, st.Boot)
+		t.loadDue = sent.Add(p.settings.LoadEvery)
+		p.fetchLoad(ctx, t)
+		if st.Group != "" && st.Rank == 0 { // requests are sent to the leader, so only its cache matters
+			p.updateCache(ctx, t, st.Boot)
 		}
 	}
 }
 
-// state probes one engine and checks that the VM that answers is the VM asked.
-func (p *Prober) state(ctx context.Context, r fleet.Record) (fleet.EngineState, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.set.Timeout)
+// fetchState probes one engine and returns an error if another VM responds.
+func (p *Prober) fetchState(ctx context.Context, r fleet.Record) (fleet.EngineState, error) {
+	ctx, cancel := context.WithTimeout(ctx, p.settings.Timeout)
 	defer cancel()
 	st, err := p.endpoints.State(ctx, r.Addr)
 	if err == nil && st.VM != r.VM {
@@ -196,28 +196,28 @@
 	return st, err
 }
 
-// report counts failures in a row and passes the result on.
+// report counts consecutive failures and puts the result into the view.
 func (p *Prober) report(t *target, e view.Probed) {
-	p.metrics.probe(e.Answered, e.RTT)
+	p.metrics.observeProbe(e.Answered, e.RTT)
 	if e.Answered {
-		t.failing, t.failures = 0, 0
+		t.failingSince, t.consecutiveFailures = 0, 0
 	} else {
-		if t.failures == 0 {
-			t.failing = e.Sent
+		if t.consecutiveFailures == 0 {
+			t.failingSince = e.Sent
 		}
-		t.failures++
-		e.Failing, e.Failures = t.failing, t.failures
+		t.consecutiveFailures++
+		e.Failing, e.Failures = t.failingSince, t.consecutiveFailures
 	}
 	p.sink.Put(e)
 }
 
-func (p *Prober) load(ctx context.Context, t *target) {
-	ctx, cancel := context.WithTimeout(ctx, p.set.Timeout)
+func (p *Prober) fetchLoad(ctx context.Context, t *target) {
+	ctx, cancel := context.WithTimeout(ctx, p.settings.Timeout)
 	defer cancel()
-	load, err := p.endpoints.LoadReport(ctx, t.rec.Addr)
+	load, err := p.endpoints.LoadReport(ctx, t.record.Addr)
 	if err != nil {
-		return // the next report replaces it; the probe tells whether the VM lives
+		return // the next report replaces it; probes detect whether the VM is alive
 	}
-	load.VM = t.rec.VM
+	load.VM = t.record.VM
 	p.sink.Put(view.Loaded{At: p.clock.Now(), Load: load})
 }
--- a/internal/probe/watch.go
+++ b/internal/probe/watch.go
@@ -5,17 +5,17 @@
 	"chervilloom/internal/view"
 )
 
-// Watched returns the endpoints of the snapshot's availability zone that its node
-// is to watch among the zone's usable nodes.
-func Watched(snap *view.Snapshot, share *view.Assignment) []fleet.Record {
-	share.Update(append(snap.ZoneNodes(), snap.Self.VM))
+// Watched returns the endpoints of the snapshot's availability zone that are assigned to
+// its own node among the zone's usable nodes.
+func Watched(snap *view.Snapshot, assignment *view.Assignment) []fleet.Record {
+	assignment.Update(append(snap.ZoneNodes(), snap.Self.VM))
 	var out []fleet.Record
 	for i := range snap.VMs {
 		r := &snap.VMs[i].Record
 		if r.Zone != snap.Zone || r.Kind == fleet.KindEntry || r.Addr == "" {
 			continue
 		}
-		if share.Watches(snap.Self.VM, string(r.VM)) {
+		if assignment.Watches(snap.Self.VM, string(r.VM)) {
 			out = append(out, *r)
 		}
 	}
