--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -66,9 +66,9 @@
 	return s.publish(now)
 }
 
-// Changed returns the result of Set and whether it differs from that of the previous
-// call. The first call for an incarnation always reports a change, so that the prefixes
-// published for the previous incarnation are replaced.
+// Changed returns the prefixes of an engine and whether they differ from those of the
+// previous call. The first call for an incarnation always reports a change, so that the
+// prefixes published for the previous incarnation are replaced.
 func (x *Index) Changed(vm fleet.VM, now clock.Instant) (map[uint64]struct{}, bool) {
 	s, ok := x.sets[vm]
 	if !ok {
--- a/internal/probe/cache_test.go
+++ b/internal/probe/cache_test.go
@@ -68,16 +68,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			feed, told, now := &cacheFeed{batches: c.batches}, putEvents{}, clock.NewManual(1)
-			p := New(Settings{}, feed, nil, &told, now, 1, prometheus.NewRegistry())
+			feed, sink, now := &cacheFeed{batches: c.batches}, putEvents{}, clock.NewManual(1)
+			p := New(Settings{}, feed, nil, &sink, now, 1, prometheus.NewRegistry())
 			tg := &target{record: fleet.Record{VM: "vm"}, cache: newCache()}
 			for _, boot := range c.boots {
 				p.updateCache(t.Context(), tg, boot)
 				now.Advance(time.Second)
 			}
-			is.Equal(told.lastPrefixes(), c.want)
+			is.Equal(sink.lastPrefixes(), c.want)
 			is.Equal(feed.after, c.after)
-			is.Equal(len(told), c.puts)
+			is.Equal(len(sink), c.puts)
 		})
 	}
 }
@@ -92,19 +92,19 @@
 		first = append(first, engine.CacheEvent{Sequence: i + 1, Prefix: i})
 	}
 	feed := &cacheFeed{batches: [][]engine.CacheEvent{first, {{Sequence: 70, Prefix: 100}}}}
-	told, now := putEvents{}, clock.NewManual(1)
-	p := New(Settings{}, feed, nil, &told, now, 1, prometheus.NewRegistry())
+	sink, now := putEvents{}, clock.NewManual(1)
+	p := New(Settings{}, feed, nil, &sink, now, 1, prometheus.NewRegistry())
 	tg := &target{record: fleet.Record{VM: "vm"}, cache: newCache()}
 	p.updateCache(t.Context(), tg, "a")
 	now.Advance(time.Second)
 	p.updateCache(t.Context(), tg, "a")
-	is.Equal(len(told.lastPrefixes()), 65)
+	is.Equal(len(sink.lastPrefixes()), 65)
 }
 
 func TestCacheIsBounded(t *testing.T) {
 	is := is.New(t)
-	feed, told, now := &cacheFeed{}, putEvents{}, clock.NewManual(1)
-	p := New(Settings{}, feed, nil, &told, now, 1, prometheus.NewRegistry())
+	feed, sink, now := &cacheFeed{}, putEvents{}, clock.NewManual(1)
+	p := New(Settings{}, feed, nil, &sink, now, 1, prometheus.NewRegistry())
 	tg := &target{record: fleet.Record{VM: "vm"}, cache: newCache()}
 	for i := range uint64(3) {
 		var batch []engine.CacheEvent
@@ -116,5 +116,5 @@
 		p.updateCache(t.Context(), tg, "a")
 		now.Advance(time.Second)
 	}
-	is.Equal(len(told.lastPrefixes()), prefix.DefaultLimit)
+	is.Equal(len(sink.lastPrefixes()), prefix.DefaultLimit)
 }
--- a/internal/retry/ejector.go
+++ b/internal/retry/ejector.go
@@ -10,8 +10,8 @@
 	"chervilloom/internal/clock"
 )
 
-// Ejector wraps Outliers for concurrent use. Usable takes no lock for a candidate that is
-// not ejected.
+// Ejector wraps Outliers for concurrent use. Checking a candidate that is not ejected
+// takes no lock.
 type Ejector struct {
 	clock clock.Clock
 	log   *slog.Logger
