--- a/internal/dispatch/pressure.go
+++ b/internal/dispatch/pressure.go
@@ -66,7 +66,7 @@
 // node now.
 type limitedEndpoints struct {
 	excluded       []route.Tried // the endpoints, as destinations to exclude
-	availableAfter time.Duration // until the first of them accepts a request; 0 if unknown
+	availableAfter time.Duration // until the first of them accepts a request; 0 if none does
 	othersMatch    bool          // another endpoint can also serve the request
 }
 
--- a/internal/probe/bench_test.go
+++ b/internal/probe/bench_test.go
@@ -58,7 +58,8 @@
 	return &view.Assignment{First: membership.TopK, Watchers: 2}
 }
 
-// BenchmarkWatched measures Watched with 200 endpoints and 123 nodes in the zone.
+// BenchmarkWatched measures the selection of a node's endpoints, with 200 endpoints and
+// 123 nodes in the zone.
 func BenchmarkWatched(b *testing.B) {
 	w, _ := newFleet(200)
 	for i := 1; i < 123; i++ {
--- a/internal/retry/outliers.go
+++ b/internal/retry/outliers.go
@@ -176,8 +176,8 @@
 	return Decision{Verdict: Return, Reason: "the trial succeeded"}
 }
 
-// reducePenalty shortens the next ejection of a candidate without an ejection for longer
-// than Longest.
+// reducePenalty shortens the next ejection of a candidate that has not been ejected for
+// longer than the maximum ejection.
 func (s *Outliers) reducePenalty(now clock.Instant, m *candidateState) {
 	if m.ejections > 0 && !m.ejected && now.Sub(m.restoredAt) > s.opt.Longest {
 		m.ejections--
