--- a/internal/retry/ejector.go
+++ b/internal/retry/ejector.go
@@ -86,7 +86,7 @@
 	switch d.Verdict {
 	case Eject:
 		e.ejections.WithLabelValues(d.Reason).Inc()
-		e.log.Warn("candidate ejected", "id", id, "reason", d.Reason, "ejected_seconds", d.Until.Sub(now).Seconds())
+		e.log.Warn("ejected", "id", id, "reason", d.Reason, "ejected_seconds", d.Until.Sub(now).Seconds())
 		publish = true
 	case Return:
 		e.log.Info("ejection ended", "id", id)
