--- a/internal/group/account.go
+++ b/internal/group/account.go
@@ -4,34 +4,34 @@
 	"chervilloom/internal/fleet"
 )
 
-// account sums up what the users measure: replicas that are wanted and do not
-// serve, and accelerators that serve nobody.
-func (p *planner) account() {
+// summarize computes the quantities that the objective weighs: wanted replicas
+// that do not serve, and live accelerators outside of serving groups.
+func (p *planner) summarize() {
 	serving := map[string]int{}
-	others := map[string]int{}
-	busy := map[fleet.VM]bool{}
-	for _, it := range p.items {
+	notServing := map[string]int{}
+	inService := map[fleet.VM]bool{}
+	for _, it := range p.groups {
 		g := &it.row.Group
 		switch {
-		case g.Phase == fleet.PhaseServing && it.assess.state == whole:
+		case g.Phase == fleet.PhaseServing && it.assess.state == ready:
 			serving[g.Spec]++
 			for i := range g.Members {
-				busy[g.Members[i].VM] = true
+				inService[g.Members[i].VM] = true
 			}
 		case g.Phase != fleet.PhaseDissolved:
-			others[g.Spec]++
+			notServing[g.Spec]++
 		}
 	}
 	for i := range p.doc.Groups {
 		name := p.doc.Groups[i].Name
-		want := p.bySpec[name].want
+		want := p.bySpec[name].wanted
 		p.out.Specs = append(p.out.Specs, SpecState{
-			Name: name, Wanted: want, Serving: serving[name], Other: others[name], Down: max(0, want-serving[name]),
+			Name: name, Wanted: want, Serving: serving[name], Other: notServing[name], Down: max(0, want-serving[name]),
 		})
 	}
 	for id, v := range p.vms {
 		r := &v.Record
-		if r.Kind == fleet.KindEngine && r.Zone == p.in.Snap.Zone && !busy[id] && p.health(v) == alive {
+		if r.Kind == fleet.KindEngine && r.Zone == p.in.Snap.Zone && !inService[id] && p.health(v) == alive {
 			p.out.Stranded += max(r.Accelerators, 1)
 		}
 	}
--- a/internal/group/change.go
+++ b/internal/group/change.go
@@ -10,61 +10,63 @@
 	"chervilloom/internal/view"
 )
 
-// builder collects the checks and writes of one transaction.
-type builder struct {
+// txnBuilder collects the checks and writes of one transaction.
+type txnBuilder struct {
 	p   *planner
 	txn platform.Txn
 }
 
-// begin starts a transaction that holds only while the lease row is unchanged:
-// a planner whose lease was taken over cannot commit.
-func (p *planner) begin() *builder {
-	b := &builder{p: p}
-	b.check(platform.TableLeases, p.in.Grant.Duty, p.in.Grant.Version)
+// newTxn starts a transaction that is conditional on the version of the lease
+// row: a planner whose lease was taken over cannot commit.
+func (p *planner) newTxn() *txnBuilder {
+	b := &txnBuilder{p: p}
+	b.addCheck(platform.TableLeases, p.in.Grant.Duty, p.in.Grant.Version)
 	return b
 }
 
-func (b *builder) check(table, key string, version uint64) {
+func (b *txnBuilder) addCheck(table, key string, version uint64) {
 	b.txn.Checks = append(b.txn.Checks, platform.Check{Table: table, Key: key, Version: version})
 }
 
-func (b *builder) write(table, key string, value any) {
+func (b *txnBuilder) addWrite(table, key string, value any) {
 	data, err := json.Marshal(value)
-	if err != nil { // claims and groups hold strings and numbers
+	if err != nil { // claims and groups contain only strings and numbers
 		panic(err)
 	}
 	b.txn.Writes = append(b.txn.Writes, platform.Write{Table: table, Key: key, Value: data})
 }
 
-// claim writes the VM's row with the next fence and returns that fence. The
-// fence goes above the highest the engine has seen too: a table restored to an
-// older state would otherwise hand out fences that the engine refuses.
-func (b *builder) claim(vm fleet.VM, id fleet.GroupID, gen fleet.Generation) fleet.Fence {
+// addClaim writes the VM's claim row with the next fence and returns that fence.
+// The fence is also higher than the one the engine reports: after a restore of
+// the table to an older state, the engine would refuse a fence derived from the
+// row alone.
+func (b *txnBuilder) addClaim(vm fleet.VM, id fleet.GroupID, gen fleet.Generation) fleet.Fence {
 	old := b.p.in.Claims[vm]
 	fence := old.Fence
 	if v := b.p.vms[vm]; v != nil {
 		fence = max(fence, v.Probe.State.Fence)
 	}
 	fence++
-	b.check(platform.TableVMs, string(vm), old.Version)
-	b.write(platform.TableVMs, string(vm), view.Claim{Group: id, Generation: gen, Fence: fence})
-	b.p.taken[vm] = true
+	b.addCheck(platform.TableVMs, string(vm), old.Version)
+	b.addWrite(platform.TableVMs, string(vm), view.Claim{Group: id, Generation: gen, Fence: fence})
+	b.p.claimed[vm] = true
 	return fence
 }
 
-func (b *builder) group(g *fleet.Group, version uint64) {
-	b.check(platform.TableGroups, string(g.ID), version)
-	b.write(platform.TableGroups, string(g.ID), g)
+func (b *txnBuilder) addGroup(g *fleet.Group, version uint64) {
+	b.addCheck(platform.TableGroups, string(g.ID), version)
+	b.addWrite(platform.TableGroups, string(g.ID), g)
 }
 
-func (b *builder) done(kind Kind, g *fleet.Group, facts ...explain.Fact) {
+func (b *txnBuilder) addChange(kind Kind, g *fleet.Group, facts ...explain.Fact) {
 	b.p.out.Changes = append(b.p.out.Changes, Change{
 		Kind: kind, Group: *g, Txn: b.txn, Reason: g.Reason, Facts: facts,
 	})
 }
 
-// facts are what is believed of the group's members, with the age of each.
-func (p *planner) facts(g *fleet.Group) []explain.Fact {
+// memberFacts returns the observed state of each member of the group and the
+// load of its leader, with the age of each observation.
+func (p *planner) memberFacts(g *fleet.Group) []explain.Fact {
 	out := make([]explain.Fact, 0, len(g.Members)+1)
 	for i := range g.Members {
 		m := &g.Members[i]
@@ -99,87 +101,90 @@
 	return f
 }
 
-// written marks the group's row as changed by this plan.
-func (p *planner) written(it *item) {
+// markChanged records that this plan writes the group's row.
+func (p *planner) markChanged(it *assessedGroup) {
 	it.changed = true
-	delete(p.mem.broken, it.row.Group.ID)
+	delete(p.mem.brokenSince, it.row.Group.ID)
 }
 
-// serve marks the group as serving: every member reports this generation.
-func (p *planner) serve(it *item) {
+// markServing moves the group to the serving phase: every member reports its
+// generation.
+func (p *planner) markServing(it *assessedGroup) {
 	g := it.row.Group
 	g.Phase = fleet.PhaseServing
-	b := p.begin()
-	b.group(&g, it.row.Version)
-	b.done(Serve, &g, p.facts(&g)...)
-	p.written(it)
+	b := p.newTxn()
+	b.addGroup(&g, it.row.Version)
+	b.addChange(Serve, &g, p.memberFacts(&g)...)
+	p.markChanged(it)
 }
 
-// drain stops new requests to the group.
-func (p *planner) drain(it *item, reason string) {
+// drainGroup moves the group to the draining phase, in which it gets no new
+// requests.
+func (p *planner) drainGroup(it *assessedGroup, reason string) {
 	g := it.row.Group
 	g.Phase, g.Reason = fleet.PhaseDraining, reason
-	since(p.mem.draining, g.ID, p.in.Now)
-	b := p.begin()
-	b.group(&g, it.row.Version)
-	b.done(Drain, &g, p.facts(&g)...)
-	p.written(it)
+	sinceFirst(p.mem.drainingSince, g.ID, p.in.Now)
+	b := p.newTxn()
+	b.addGroup(&g, it.row.Version)
+	b.addChange(Drain, &g, p.memberFacts(&g)...)
+	p.markChanged(it)
 }
 
-// dissolve frees the group's VMs. A VM that is already claimed elsewhere is
-// left alone.
-func (p *planner) dissolve(it *item, reason string) {
+// dissolveGroup releases the group's VMs. A VM that another group has claimed is
+// left unchanged.
+func (p *planner) dissolveGroup(it *assessedGroup, reason string) {
 	g := it.row.Group
 	g.Phase, g.Reason = fleet.PhaseDissolved, reason
-	b := p.begin()
+	b := p.newTxn()
 	for i := range g.Members {
 		if p.in.Claims[g.Members[i].VM].Group == g.ID {
-			b.claim(g.Members[i].VM, "", 0)
+			b.addClaim(g.Members[i].VM, "", 0)
 		}
 	}
-	b.group(&g, it.row.Version)
-	b.done(Dissolve, &g, p.facts(&g)...)
-	p.written(it)
+	b.addGroup(&g, it.row.Version)
+	b.addChange(Dissolve, &g, p.memberFacts(&g)...)
+	p.markChanged(it)
 }
 
-// forget deletes the row of a dissolved group.
-func (p *planner) forget(it *item) {
+// deleteGroup deletes the row of a dissolved group.
+func (p *planner) deleteGroup(it *assessedGroup) {
 	g := it.row.Group
 	g.Reason = "dissolved long ago"
-	b := p.begin()
-	b.check(platform.TableGroups, string(g.ID), it.row.Version)
+	b := p.newTxn()
+	b.addCheck(platform.TableGroups, string(g.ID), it.row.Version)
 	b.txn.Writes = append(b.txn.Writes, platform.Write{Table: platform.TableGroups, Key: string(g.ID), Delete: true})
-	b.done(Forget, &g)
-	p.written(it)
+	b.addChange(Forget, &g)
+	p.markChanged(it)
 }
 
-// releaseOrphans frees VMs whose claim names a group that does not exist, and
-// raises the fence of free VMs whose engine is in a group by an order that the
-// table does not know of, so that an order to leave is not refused.
+// releaseOrphans releases VMs whose claim names a group that does not exist. It
+// also raises the fence of unclaimed VMs whose engine reports a group that it
+// joined by an order missing from the table, so that the engine accepts the
+// order to leave.
 func (p *planner) releaseOrphans() {
-	known := make(map[fleet.GroupID]bool, len(p.items))
-	for _, it := range p.items {
+	known := make(map[fleet.GroupID]bool, len(p.groups))
+	for _, it := range p.groups {
 		known[it.row.Group.ID] = it.row.Group.Phase != fleet.PhaseDissolved
 	}
 	for i := range p.in.Snap.VMs {
 		v := &p.in.Snap.VMs[i]
 		vm := v.Record.VM
-		if v.Record.Zone != p.in.Snap.Zone || v.Record.Kind != fleet.KindEngine || p.taken[vm] {
+		if v.Record.Zone != p.in.Snap.Zone || v.Record.Kind != fleet.KindEngine || p.claimed[vm] {
 			continue
 		}
 		c, row := p.in.Claims[vm]
 		st := &v.Probe.State
 		switch {
 		case c.Group != "" && !known[c.Group]:
-			p.release(vm, c.Group, fmt.Sprintf("%s was claimed by a group that does not exist", vm))
+			p.releaseVM(vm, c.Group, fmt.Sprintf("%s was claimed by a group that does not exist", vm))
 		case c.Group == "" && st.Group != "" && (!row || st.Fence > c.Fence):
-			p.release(vm, st.Group, fmt.Sprintf("%s is in a group by an order that the table does not know", vm))
+			p.releaseVM(vm, st.Group, fmt.Sprintf("%s is in a group by an order that the table does not know", vm))
 		}
 	}
 }
 
-func (p *planner) release(vm fleet.VM, id fleet.GroupID, reason string) {
-	b := p.begin()
-	b.claim(vm, "", 0)
-	b.done(Release, &fleet.Group{ID: id, Reason: reason})
+func (p *planner) releaseVM(vm fleet.VM, id fleet.GroupID, reason string) {
+	b := p.newTxn()
+	b.addClaim(vm, "", 0)
+	b.addChange(Release, &fleet.Group{ID: id, Reason: reason})
 }
--- a/internal/group/fake_test.go
+++ b/internal/group/fake_test.go
@@ -13,14 +13,14 @@
 	"chervilloom/internal/platform"
 )
 
-// fakeTable is the transactional table in memory.
+// fakeTable is an in-memory transactional table.
 type fakeTable struct {
 	mu      sync.Mutex
 	rows    map[string]platform.Row
 	down    bool
 	commits int
-	// loseNext makes the next commit take effect and its answer be lost.
-	loseNext bool
+	// loseNextReply makes the next commit take effect but return ErrAmbiguous.
+	loseNextReply bool
 }
 
 func newFakeTable() *fakeTable { return &fakeTable{rows: map[string]platform.Row{}} }
@@ -83,36 +83,36 @@
 		t.rows[w.Table+"/"+w.Key] = r
 		written = append(written, r)
 	}
-	if t.loseNext {
-		t.loseNext = false
+	if t.loseNextReply {
+		t.loseNextReply = false
 		return platform.Result{}, platform.ErrAmbiguous
 	}
 	return platform.Result{Committed: true, Rows: written}, nil
 }
 
-// fakeEngine is one engine VM. Loading takes as many calls of tick as loadTicks.
+// fakeEngine is one engine VM. It is loaded after loadTicks ticks.
 type fakeEngine struct {
-	state   fleet.EngineState
-	checks  bool // refuses orders with an old fence
-	dead    bool
-	left    float64 // ticks until loaded
-	running int
-	loadSeq uint64
+	state       fleet.EngineState
+	checksFence bool // refuses orders with an old fence
+	dead        bool
+	ticksLeft   float64 // ticks until loaded
+	running     int
+	loadSeq     uint64
 }
 
-// fakeEngines answers for the engines by address.
+// fakeEngines implements the engine client for a set of engines by address.
 type fakeEngines struct {
 	mu        sync.Mutex
 	byAddr    map[string]*fakeEngine
 	loadTicks int
-	// store, when set, is how many load ticks the weight store serves in one
-	// tick, all engines together.
-	store float64
+	// storeRate, if not 0, is the number of load ticks that the weight store
+	// serves in one tick, summed over all engines.
+	storeRate float64
 }
 
 var errNoAnswer = errors.New("no answer")
 
-func (f *fakeEngines) at(addr string) (*fakeEngine, error) {
+func (f *fakeEngines) lookup(addr string) (*fakeEngine, error) {
 	e := f.byAddr[addr]
 	if e == nil || e.dead {
 		return nil, errNoAnswer
@@ -123,11 +123,11 @@
 func (f *fakeEngines) State(_ context.Context, addr string) (fleet.EngineState, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	e, err := f.at(addr)
+	e, err := f.lookup(addr)
 	if err != nil {
 		return fleet.EngineState{}, err
 	}
-	if f.store == 0 {
+	if f.storeRate == 0 {
 		e.tick(1)
 	}
 	return e.state, nil
@@ -136,7 +136,7 @@
 func (f *fakeEngines) LoadReport(_ context.Context, addr string) (fleet.Load, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	e, err := f.at(addr)
+	e, err := f.lookup(addr)
 	if err != nil {
 		return fleet.Load{}, err
 	}
@@ -151,7 +151,7 @@
 func (f *fakeEngines) Order(_ context.Context, addr string, o engine.Order) (engine.OrderResult, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	e, err := f.at(addr)
+	e, err := f.lookup(addr)
 	if err != nil {
 		return engine.OrderResult{}, err
 	}
@@ -159,65 +159,66 @@
 }
 
 func (e *fakeEngine) tick(n float64) {
-	if e.left > 0 {
-		e.left -= min(n, e.left)
-		e.state.Loaded = e.left == 0
+	if e.ticksLeft > 0 {
+		e.ticksLeft -= min(n, e.ticksLeft)
+		e.state.Loaded = e.ticksLeft == 0
 	}
 }
 
-// serve lets the weight store serve all that load for one tick.
-func (f *fakeEngines) serve() {
+// tickStore divides one tick of the weight store among the loading engines.
+func (f *fakeEngines) tickStore() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	loading := 0
 	for _, e := range f.byAddr {
-		if e.left > 0 {
+		if e.ticksLeft > 0 {
 			loading++
 		}
 	}
 	for _, e := range f.byAddr {
-		e.tick(min(1, f.store/float64(max(loading, 1))))
+		e.tick(min(1, f.storeRate/float64(max(loading, 1))))
 	}
 }
 
 func (e *fakeEngine) order(o engine.Order, loadTicks float64) engine.OrderResult {
 	st := &e.state
-	if o.Boot != st.Boot || e.checks && o.Fence < st.Fence {
+	if o.Boot != st.Boot || e.checksFence && o.Fence < st.Fence {
 		return engine.OrderResult{State: *st}
 	}
-	if e.checks {
+	if e.checksFence {
 		st.Fence = o.Fence
 	}
 	if o.Verb == engine.VerbLeave {
 		*st = fleet.EngineState{VM: st.VM, Boot: st.Boot, Fence: st.Fence, Leaving: st.Leaving}
-		e.left = 0
+		e.ticksLeft = 0
 		return engine.OrderResult{Accepted: true, State: *st}
 	}
 	if !st.Loaded || st.Model != o.Model || st.Version != o.Version {
-		if st.Model != o.Model || st.Version != o.Version || e.left == 0 {
-			e.left = loadTicks
+		if st.Model != o.Model || st.Version != o.Version || e.ticksLeft == 0 {
+			e.ticksLeft = loadTicks
 		}
-		st.Loaded = e.left == 0
+		st.Loaded = e.ticksLeft == 0
 	}
 	st.Group, st.Generation, st.Rank = o.Group, o.Generation, o.Rank
 	st.Model, st.Version, st.Adapters = o.Model, o.Version, o.Adapters
 	return engine.OrderResult{Accepted: true, State: *st}
 }
 
-// reboot gives the VM a new life under the same address.
+// reboot restarts the engine with a new boot id at the same address.
 func (e *fakeEngine) reboot(boot fleet.BootID) {
-	*e = fakeEngine{state: fleet.EngineState{VM: e.state.VM, Boot: boot}, checks: e.checks, loadSeq: 0}
+	*e = fakeEngine{state: fleet.EngineState{VM: e.state.VM, Boot: boot}, checksFence: e.checksFence, loadSeq: 0}
 }
 
-// fleetOf makes engines in domains of the given sizes and their list rows.
-func fleetOf(zone fleet.AvailabilityZone, sizes ...int) (*fakeEngines, []fleet.Record) {
+// newFleet returns engines in domains of the given sizes, and the platform's
+// records of them.
+func newFleet(zone fleet.AvailabilityZone, sizes ...int) (*fakeEngines, []fleet.Record) {
 	f := &fakeEngines{byAddr: map[string]*fakeEngine{}}
 	var list []fleet.Record
 	for d, n := range sizes {
 		for i := range n {
 			vm := fleet.VM(fmt.Sprintf("%s-d%d-%02d", zone, d, i))
 			addr := string(vm) + ":1"
-			f.byAddr[addr] = &fakeEngine{state: fleet.EngineState{VM: vm, Boot: fleet.BootID("boot1-" + string(vm))}, checks: true}
+			f.byAddr[addr] = &fakeEngine{state: fleet.EngineState{VM: vm, Boot: fleet.BootID("boot1-" + string(vm))}, checksFence: true}
 			list = append(list, fleet.Record{
 				VM: vm, Kind: fleet.KindEngine, Addr: addr, Zone: zone,
 				Domain: fleet.FabricDomain(fmt.Sprintf("%s-d%d", zone, d)), Accelerators: 8, State: fleet.StateLive,
--- a/internal/group/health.go
+++ b/internal/group/health.go
@@ -6,24 +6,24 @@
 	"chervilloom/internal/view"
 )
 
-// health is what is concluded about a VM.
+// health is the state of a VM as derived from its probes and the platform's list.
 type health int
 
 const (
-	unknown health = iota // nothing can be concluded: neither use it nor give it up
+	unknown health = iota // not enough information: neither used nor replaced
 	alive
-	leaving // answers, takes no new work
+	leaving // answers probes, gets no new work
 	dead
 )
 
-// healthOf concludes from the newest word about a VM.
+// healthOf derives a VM's health from its newest probe results.
 //
-// Both a time and a count of unanswered probes are asked for: a node that was
-// paused finds the probes it had in flight timed out, long after they were
-// sent. Going by time alone it would call every member dead at its wake.
+// A VM counts as dead only after both a time and a number of unanswered probes:
+// on a node that resumes after a pause, the probes that were in flight time out
+// long after they were sent, and by time alone every member would be dead.
 func healthOf(v *view.VM, now clock.Instant, t *Tune) health {
 	if v == nil {
-		return dead // neither listed nor answering for longer than the list lags
+		return dead // neither listed nor answering, for longer than the lag of the list
 	}
 	p := &v.Probe
 	if p.Failing != 0 {
@@ -35,26 +35,27 @@
 	if p.Answered == 0 || now.Sub(p.Answered) > t.StaleAfter {
 		return unknown
 	}
-	if v.Leaving || missing(v, now, t) {
+	if v.Leaving || isUnlisted(v, now, t) {
 		return leaving
 	}
 	return alive
 }
 
-// health is healthOf with the list's word on missing VMs weighed.
+// health returns healthOf, but ignores that the VM is missing from the
+// platform's list when the list looks truncated.
 func (p *planner) health(v *view.VM) health {
 	h := healthOf(v, p.in.Now, &p.in.Tune)
-	if h == leaving && !v.Leaving && p.listFault {
+	if h == leaving && !v.Leaving && p.listTruncated {
 		return alive
 	}
 	return h
 }
 
-// listMisses reports whether the list lacks more of the zone's answering engine
-// VMs than go away in the ordinary course. A list that came back cut short would
-// otherwise have every group drained.
-func (p *planner) listMisses() bool {
-	answering, missed := 0, 0
+// isListTruncated reports whether the platform's list lacks more of the zone's
+// answering engine VMs than leave in normal operation. A truncated list would
+// otherwise cause every group to be drained.
+func (p *planner) isListTruncated() bool {
+	answering, unlisted := 0, 0
 	for _, v := range p.vms {
 		r := &v.Record
 		if r.Kind != fleet.KindEngine || r.Zone != p.in.Snap.Zone || v.Probe.Answered == 0 || v.Probe.Failing != 0 {
@@ -62,102 +63,105 @@
 		}
 		answering++
 		if !v.Listed {
-			missed++
+			unlisted++
 		}
 	}
-	return missed > max(unlistedAtOnce, answering/4)
+	return unlisted > max(maxUnlistedVMs, answering/4)
 }
 
-// unlistedAtOnce is how many answering VMs may always be missing from the list.
-const unlistedAtOnce = 2
+// maxUnlistedVMs answering VMs, or a quarter of them if that is more, may be
+// missing from the list before it counts as truncated.
+const maxUnlistedVMs = 2
 
-// missing reports whether the VM has been gone from the list for long.
-func missing(v *view.VM, now clock.Instant, t *Tune) bool {
+// isUnlisted reports whether the VM has been missing from the platform's list for
+// longer than Tune.MissingAfter.
+func isUnlisted(v *view.VM, now clock.Instant, t *Tune) bool {
 	return !v.Listed && v.Unlisted != 0 && now.Sub(v.Unlisted) > t.MissingAfter
 }
 
-// groupState is what is concluded about a group.
+// groupState is the state of a group as derived from the health of its members.
 type groupState int
 
 const (
-	waiting groupState = iota // some member is loading or not known well enough
-	whole
-	fading // every member answers, some are leaving
-	broken // some member is gone, restarted or has lost the replica
-	dark   // every member is dead
+	pending        groupState = iota // some member is loading, or its health is unknown
+	ready                            // every member reports the generation
+	membersLeaving                   // every member answers, some are leaving
+	broken                           // some member is dead, has restarted or has lost the replica
+	allDead                          // every member is dead
 )
 
-// assessment is a group's state and what is wrong with its members.
+// assessment is a group's state and the faults of its members.
 type assessment struct {
 	state     groupState
-	gone      []int  // indexes of members that need another VM
-	restarted bool   // some member lives on under a new boot id
-	reason    string // of fading and broken
+	toReplace []int  // indexes of members that need another VM
+	restarted bool   // some member answers with a new boot id
+	reason    string // set when members are leaving or faulty
 }
 
 func (p *planner) assess(g *fleet.Group) assessment {
 	var a assessment
-	reporting, deadMembers, hurt := 0, 0, 0
+	reporting, deadMembers, faulty := 0, 0, 0
 	for i := range g.Members {
 		m := &g.Members[i]
 		v := p.vms[m.VM]
 		switch h := p.health(v); {
 		case h == dead:
 			deadMembers++
-			a.gone = append(a.gone, i)
+			a.toReplace = append(a.toReplace, i)
 			a.reason = string(m.VM) + " is dead"
 		case h == leaving:
-			a.gone = append(a.gone, i)
-			if hurt+deadMembers == 0 {
+			a.toReplace = append(a.toReplace, i)
+			if faulty+deadMembers == 0 {
 				a.reason = string(m.VM) + " is leaving"
 			}
 			if v.Probe.State.Boot != m.Boot {
-				hurt++
+				faulty++
 			}
 		case h == unknown:
 		case v.Probe.State.Boot != m.Boot:
-			hurt++
+			faulty++
 			a.restarted = true
-			if p.mem.restarts(m.VM, p.in.Now) >= unsteadyAfter {
-				a.gone = append(a.gone, i)
+			if p.mem.recentRestarts(m.VM, p.in.Now) >= unstableRestarts {
+				a.toReplace = append(a.toReplace, i)
 			}
 			a.reason = string(m.VM) + " restarted"
 		case v.Probe.State.Fence > m.Fence:
-			// The table was restored to an older state: orders with the fence
-			// that it holds would be refused.
-			hurt++
+			// The table was restored to an older state: the engine would refuse
+			// orders with the fence of its claim.
+			faulty++
 			a.reason = string(m.VM) + " has seen a newer fence than its claim holds"
-		case p.lostReplica(g, m, &v.Probe.State):
-			hurt++
+		case p.hasLostReplica(g, m, &v.Probe.State):
+			faulty++
 			a.reason = string(m.VM) + " holds the replica no more"
 		case view.StateFault(g, m, &v.Probe.State) == "":
 			reporting++
 		}
 	}
-	a.state = conclude(len(g.Members), deadMembers, hurt, len(a.gone), reporting)
+	a.state = groupStateOf(len(g.Members), deadMembers, faulty, len(a.toReplace), reporting)
 	return a
 }
 
-func conclude(members, deadMembers, hurt, gone, reporting int) groupState {
+func groupStateOf(members, deadMembers, faulty, toReplace, reporting int) groupState {
 	switch {
 	case deadMembers == members:
-		return dark
-	case deadMembers+hurt > 0:
+		return allDead
+	case deadMembers+faulty > 0:
 		return broken
-	case gone > 0:
-		return fading
+	case toReplace > 0:
+		return membersLeaving
 	case reporting == members:
-		return whole
+		return ready
 	}
-	return waiting
+	return pending
 }
 
-// lostReplica reports whether a member that is in its place will not become
-// loaded again by itself: it was loaded once, or it takes too long. Orders
-// cannot help, for the engine takes the same order as done; a new generation can.
-func (p *planner) lostReplica(g *fleet.Group, m *fleet.Member, st *fleet.EngineState) bool {
+// hasLostReplica reports whether a member that has joined the generation will not
+// become loaded by itself: it was loaded before, or it exceeds the load limit.
+// Repeating the order has no effect, because the engine treats it as already
+// carried out; only a new generation makes the engine load again.
+func (p *planner) hasLostReplica(g *fleet.Group, m *fleet.Member, st *fleet.EngineState) bool {
 	if st.Group != g.ID || st.Generation != g.Generation || st.Rank != m.Rank || st.Loaded {
 		return false
 	}
-	return g.Phase != fleet.PhaseForming || p.mem.loadingFor(m.VM, p.in.Now) > p.in.Tune.LoadLimit
+	return g.Phase != fleet.PhaseForming || p.mem.loadingTime(m.VM, p.in.Now) > p.in.Tune.LoadLimit
 }
--- a/internal/group/live_test.go
+++ b/internal/group/live_test.go
@@ -20,8 +20,8 @@
 	"chervilloom/internal/view"
 )
 
-// TestMain gives the properties a fixed seed, so that a run has the same verdict
-// each time; -rapid.seed=N explores others.
+// TestMain fixes the seed of the property tests, so that every run has the same
+// result; -rapid.seed=N selects another one.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
@@ -32,7 +32,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-func doc(vms, replicas int) *config.Document {
+func testDocument(vms, replicas int) *config.Document {
 	return &config.Document{
 		Version: 1,
 		Models:  []config.Model{{Name: "m", Current: "v1", Versions: []string{"v1"}}},
@@ -42,8 +42,8 @@
 	}
 }
 
-// live is a node's control path with fakes at its ends.
-type live struct {
+// liveNode is a node's running control path with a fake table and fake engines.
+type liveNode struct {
 	table   *fakeTable
 	engines *fakeEngines
 	merger  *view.Merger
@@ -51,9 +51,9 @@
 	stop    func()
 }
 
-func startLive(t *testing.T, d *config.Document, sizes ...int) *live {
+func startLiveNode(t *testing.T, d *config.Document, sizes ...int) *liveNode {
 	t.Helper()
-	engines, list := fleetOf("z", sizes...)
+	engines, list := newFleet("z", sizes...)
 	table := newFakeTable()
 	self := fleet.Node{VM: "node1", Incarnation: 1}
 	clk := clock.Boot{}
@@ -79,7 +79,7 @@
 	}
 	m.Put(view.List{At: clk.Now(), Records: list})
 	m.Put(view.Configured{Revision: 1, Document: d})
-	l := &live{table: table, engines: engines, merger: m, prober: pr}
+	l := &liveNode{table: table, engines: engines, merger: m, prober: pr}
 	l.stop = func() {
 		cancel()
 		for range 4 {
@@ -90,23 +90,23 @@
 	return l
 }
 
-// until polls the snapshot for a condition; the deadline is far beyond what
-// the condition needs and only ends a test that would hang.
-func (l *live) until(t *testing.T, what string, ok func(*view.Snapshot) bool) *view.Snapshot {
+// waitFor polls the snapshot until the condition is true. The timeout is much
+// longer than any condition needs; it only ends a test that would hang.
+func (l *liveNode) waitFor(t *testing.T, what string, condition func(*view.Snapshot) bool) *view.Snapshot {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	for ctx.Err() == nil {
-		if s := l.merger.Snapshot(); ok(s) {
+		if s := l.merger.Snapshot(); condition(s) {
 			return s
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("not reached: %s; groups: %+v", what, l.merger.Snapshot().Groups)
+	t.Fatalf("timeout waiting for %s; groups: %+v", what, l.merger.Snapshot().Groups)
 	return nil
 }
 
-func serving(s *view.Snapshot) []view.Group {
+func servingGroups(s *view.Snapshot) []view.Group {
 	var out []view.Group
 	for _, g := range s.Groups {
 		if g.Whole && g.Phase == fleet.PhaseServing && s.At.Before(g.FreshUntil) {
@@ -116,35 +116,34 @@
 	return out
 }
 
-// A group of four engine VMs is formed through the table: probes find the
-// engines, the lease is acquired, one transaction claims four VMs of one
-// domain, orders make them join, and the group serves when all four say so.
+// A group of four engine VMs is formed through the table: probes find the engines,
+// the lease is acquired, one transaction claims four VMs of one domain, orders
+// make them join, and the group serves once all four report the generation.
 func TestFormsAGroupThatServes(t *testing.T) {
 	is := is.New(t)
-	l := startLive(t, doc(4, 1), 5)
-	s := l.until(t, "one serving group", func(s *view.Snapshot) bool { return len(serving(s)) == 1 })
-	g := serving(s)[0]
+	l := startLiveNode(t, testDocument(4, 1), 5)
+	s := l.waitFor(t, "one serving group", func(s *view.Snapshot) bool { return len(servingGroups(s)) == 1 })
+	g := servingGroups(s)[0]
 	is.Equal(len(g.Members), 4)
 	is.Equal(g.Model, "m")
 	is.NoErr(l.prober.Check(context.Background(), &g.Group))
 }
 
-// The caller sees the group go away for a moment and come back. A member dies;
-// its probes go unanswered; a spare of the same fabric domain is claimed
-// together with the survivors for the next generation.
+// A member dies and no longer answers probes. The next generation must consist of
+// the remaining members and a spare of the same fabric domain.
 func TestReplacesADeadMember(t *testing.T) {
 	is := is.New(t)
-	l := startLive(t, doc(4, 1), 5)
-	s := l.until(t, "one serving group", func(s *view.Snapshot) bool { return len(serving(s)) == 1 })
-	old := serving(s)[0]
+	l := startLiveNode(t, testDocument(4, 1), 5)
+	s := l.waitFor(t, "one serving group", func(s *view.Snapshot) bool { return len(servingGroups(s)) == 1 })
+	old := servingGroups(s)[0]
 	l.engines.mu.Lock()
 	l.engines.byAddr[old.Members[1].Addr].dead = true
 	l.engines.mu.Unlock()
-	s = l.until(t, "the next generation serves", func(s *view.Snapshot) bool {
-		now := serving(s)
+	s = l.waitFor(t, "the next generation serves", func(s *view.Snapshot) bool {
+		now := servingGroups(s)
 		return len(now) == 1 && now[0].Generation > old.Generation
 	})
-	g := serving(s)[0]
+	g := servingGroups(s)[0]
 	is.Equal(g.ID, old.ID)
 	for _, m := range g.Members {
 		is.True(m.VM != old.Members[1].VM)
--- a/internal/group/measure_test.go
+++ b/internal/group/measure_test.go
@@ -13,33 +13,33 @@
 	"chervilloom/internal/view"
 )
 
-// darkZone is a zone of vms VMs in fabric domains of 48 with groups of 8, one
-// domain of which has just gone dark.
-func darkZone(tb testing.TB, vms, groups int) *world {
+// newZoneWithDomainOutage returns a zone with vms VMs in fabric domains of 48 and
+// groups of 8 VMs; all VMs of one domain have just died.
+func newZoneWithDomainOutage(tb testing.TB, vms, groups int) *world {
 	var sizes []int
-	for left := vms; left > 0; left -= 48 {
-		sizes = append(sizes, min(48, left))
+	for remaining := vms; remaining > 0; remaining -= 48 {
+		sizes = append(sizes, min(48, remaining))
 	}
 	w := newWorld(specs(spec("a", 8, groups)), sizes...)
 	w.settle(tb, 10)
-	var dark []fleet.VM
+	var dead []fleet.VM
 	for vm, v := range w.vms {
 		if v.Record.Domain == "z-d0" {
-			dark = append(dark, vm)
+			dead = append(dead, vm)
 		}
 	}
-	w.kill(dark...)
+	w.failProbes(dead...)
 	return w
 }
 
-// BenchmarkPlanAfterADarkDomain makes one plan for all groups of a zone after
-// one fabric domain has gone dark.
-func BenchmarkPlanAfterADarkDomain(b *testing.B) {
+// BenchmarkPlanAfterDomainOutage makes one plan for all groups of a zone after the
+// outage of one fabric domain.
+func BenchmarkPlanAfterDomainOutage(b *testing.B) {
 	for _, c := range []struct{ vms, groups int }{{50, 4}, {200, 18}, {600, 65}, {600, 75}} {
 		b.Run(fmt.Sprintf("%dvms-%dgroups", c.vms, c.groups), func(b *testing.B) {
-			w := darkZone(b, c.vms, c.groups)
+			w := newZoneWithDomainOutage(b, c.vms, c.groups)
 			in := Input{
-				Now: w.now, Snap: w.snapshot(), Claims: w.claims, Groups: w.groups, Targets: w.wants,
+				Now: w.now, Snap: w.snapshot(), Claims: w.claims, Groups: w.groups, Targets: w.targets,
 				Grant: w.grant, Tune: w.tune,
 			}
 			changes := 0
@@ -52,20 +52,21 @@
 	}
 }
 
-// measureSim is a zone with one node that is stepped more finely.
-func measureSim(d *config.Document, loadTicks int, sizes ...int) *sim {
+// newMeasurementSim returns a simulation of one node with steps of 50 ms and
+// without checks of the invariants.
+func newMeasurementSim(d *config.Document, loadTicks int, sizes ...int) *sim {
 	s := newSim(d, 1, loadTicks, true, sizes...)
-	s.tick, s.trusted = 50*time.Millisecond, true
+	s.stepInterval, s.unchecked = 50*time.Millisecond, true
 	return s
 }
 
 func (s *sim) tune(t Tune) { s.nodes[0].rec.Tune = t }
 
-// BenchmarkDetection reports, for each setting of the detection, the time from
-// the death of a member until its group is whole again with a spare (weights
-// load for 2 s), and how many of 20 pauses of a member, 0.2 s to 2 s long, cost
-// a needless new generation. Probes go out every 300 ms, plans are made every
-// 200 ms; the moment of the fault is random.
+// BenchmarkDetection reports, for each setting of the failure detection, the time
+// from the death of a member until its group serves again with a spare (loading
+// weights takes 2 s), and how many of 20 pauses of a member of 0.2 s to 2 s cause
+// a needless new generation. Probes are sent every 300 ms and plans made every
+// 200 ms; the time of the fault is random.
 func BenchmarkDetection(b *testing.B) {
 	for _, c := range []struct {
 		after  time.Duration
@@ -79,8 +80,8 @@
 			for n := range b.N {
 				for seed := range uint64(20) {
 					rng := rand.New(rand.NewPCG(seed, uint64(n)))
-					took = append(took, deathToWhole(rng, tune))
-					needless += pauseCost(rng, tune)
+					took = append(took, timeToRepair(rng, tune))
+					needless += countNeedlessRepair(rng, tune)
 				}
 			}
 			slices.Sort(took)
@@ -91,32 +92,33 @@
 	}
 }
 
-func startMeasured(rng *rand.Rand, tune Tune) *sim {
-	s := measureSim(doc(8, 1), 7, 10)
-	s.nodes[0].every = 6 // of 50 ms: probes each 300 ms
+func newDetectionSim(rng *rand.Rand, tune Tune) *sim {
+	s := newMeasurementSim(testDocument(8, 1), 7, 10)
+	s.nodes[0].probeEvery = 6 // steps of 50 ms: a probe every 300 ms
 	s.nodes[0].planEvery = 4
 	s.tune(tune)
 	s.run(10*time.Second + time.Duration(rng.Int64N(600))*time.Millisecond)
 	return s
 }
 
-func deathToWhole(rng *rand.Rand, tune Tune) time.Duration {
-	s := startMeasured(rng, tune)
-	g := serving(s.nodes[0].Snapshot())[0]
+func timeToRepair(rng *rand.Rand, tune Tune) time.Duration {
+	s := newDetectionSim(rng, tune)
+	g := servingGroups(s.nodes[0].Snapshot())[0]
 	s.engines.byAddr[g.Members[rng.IntN(8)].Addr].dead = true
 	died := s.clk.Now()
 	for {
-		s.run(s.tick)
-		if now := serving(s.nodes[0].Snapshot()); len(now) == 1 && now[0].Generation > g.Generation {
+		s.run(s.stepInterval)
+		if now := servingGroups(s.nodes[0].Snapshot()); len(now) == 1 && now[0].Generation > g.Generation {
 			return s.clk.Now().Sub(died)
 		}
 	}
 }
 
-// pauseCost returns 1 when a pause of a member led to a new generation.
-func pauseCost(rng *rand.Rand, tune Tune) int {
-	s := startMeasured(rng, tune)
-	g := serving(s.nodes[0].Snapshot())[0]
+// countNeedlessRepair returns 1 if a pause of a member led to a new generation,
+// else 0.
+func countNeedlessRepair(rng *rand.Rand, tune Tune) int {
+	s := newDetectionSim(rng, tune)
+	g := servingGroups(s.nodes[0].Snapshot())[0]
 	e := s.engines.byAddr[g.Members[rng.IntN(8)].Addr]
 	e.dead = true
 	s.run(200*time.Millisecond + time.Duration(rng.Int64N(1800))*time.Millisecond)
@@ -130,18 +132,18 @@
 	return 0
 }
 
-// BenchmarkHolderDiesToo reports the time from the death of a member until its
-// group is whole again when the node that holds the zone's lease dies in the same
-// moment, for two terms of the lease and for a successor that comes first in rank
-// or second, as long as the others have not noticed that the holder is dead.
-func BenchmarkHolderDiesToo(b *testing.B) {
+// BenchmarkHolderAndMemberDie reports the time from the death of a member until
+// its group serves again when the node that holds the zone's lease dies at the
+// same time. It covers two lease terms, and a successor of rank 0 and of rank 1,
+// the rank it has until the others have detected the holder's death.
+func BenchmarkHolderAndMemberDie(b *testing.B) {
 	for _, term := range []time.Duration{3 * time.Second, 6 * time.Second} {
 		for _, rank := range []int{0, 1} {
 			b.Run(fmt.Sprintf("term-%v/rank-%d", term, rank), func(b *testing.B) {
 				var took []time.Duration
 				for n := range b.N {
 					for seed := range uint64(20) {
-						took = append(took, holderDies(rand.New(rand.NewPCG(seed, uint64(n))), term, rank))
+						took = append(took, timeToRepairWithHolderDead(rand.New(rand.NewPCG(seed, uint64(n))), term, rank))
 					}
 				}
 				slices.Sort(took)
@@ -152,39 +154,39 @@
 	}
 }
 
-func holderDies(rng *rand.Rand, term time.Duration, rank int) time.Duration {
-	s := newSim(doc(8, 1), 2, 7, true, 10)
-	s.tick, s.trusted = 50*time.Millisecond, true
+func timeToRepairWithHolderDead(rng *rand.Rand, term time.Duration, rank int) time.Duration {
+	s := newSim(testDocument(8, 1), 2, 7, true, 10)
+	s.stepInterval, s.unchecked = 50*time.Millisecond, true
 	for i, n := range s.nodes {
-		n.every, n.planEvery = 6, 4
+		n.probeEvery, n.planEvery = 6, 4
 		n.lease.Params = lease.DefaultParams(term)
 		n.lease.Rank = func() int { return i * rank }
 	}
 	s.run(15*time.Second + time.Duration(rng.Int64N(int64(term))))
 	holder := s.holder()
 	other := s.nodes[1-holder]
-	g := serving(other.Snapshot())[0]
+	g := servingGroups(other.Snapshot())[0]
 	s.nodes[holder].paused = true
 	s.engines.byAddr[g.Members[rng.IntN(8)].Addr].dead = true
 	died := s.clk.Now()
 	for {
-		s.run(s.tick)
-		if now := serving(other.Snapshot()); len(now) == 1 && now[0].Generation > g.Generation {
+		s.run(s.stepInterval)
+		if now := servingGroups(other.Snapshot()); len(now) == 1 && now[0].Generation > g.Generation {
 			return s.clk.Now().Sub(died)
 		}
 	}
 }
 
-// BenchmarkLoadsAfterADarkDomain lets a domain with six groups of eight go dark
-// beside a free one, with a weight store that serves 16 VMs at full speed, 5 s
-// each, and reports when the groups serve again: the mean, the first and the
-// last, and the most VMs that loaded at once.
-func BenchmarkLoadsAfterADarkDomain(b *testing.B) {
+// BenchmarkLoadsAfterDomainOutage simulates the outage of a domain with six groups
+// of eight VMs while another domain is free. The weight store serves 16 VMs at
+// full speed, which load for 5 s each. It reports the mean, first and last time
+// at which a group serves again, and the maximum number of concurrent loads.
+func BenchmarkLoadsAfterDomainOutage(b *testing.B) {
 	for _, bound := range []int{8, 16, 24, 1000} {
 		b.Run(fmt.Sprintf("at-once-%d", bound), func(b *testing.B) {
 			var all loadResult
 			for n := range b.N {
-				all.add(loadsAfterDark(bound, uint64(n)))
+				all.add(loadsAfterDomainOutage(bound, uint64(n)))
 			}
 			b.ReportMetric(all.mean/float64(b.N), "mean-s")
 			b.ReportMetric(all.first/float64(b.N), "first-s")
@@ -206,20 +208,20 @@
 	r.most = max(r.most, o.most)
 }
 
-func loadsAfterDark(bound int, seed uint64) loadResult {
+func loadsAfterDomainOutage(bound int, seed uint64) loadResult {
 	const groups = 6
-	s := measureSim(doc(8, groups), 100, 48, 48)
+	s := newMeasurementSim(testDocument(8, groups), 100, 48, 48)
 	s.doc.Objective = config.Objective{DowntimeWeight: 1, StrandingWeight: 1}
 	tune := DefaultTune()
 	s.tune(tune)
-	s.nodes[0].every, s.nodes[0].planEvery = 6, 4
-	for _, r := range s.list { // all groups are formed in the first domain
+	s.nodes[0].probeEvery, s.nodes[0].planEvery = 6, 4
+	for _, r := range s.list { // with the second domain down, all groups form in the first
 		if r.Domain == "z-d1" {
 			s.engines.byAddr[r.Addr].dead = true
 		}
 	}
 	s.run(time.Minute + time.Duration(seed%6)*50*time.Millisecond)
-	s.engines.store = 16
+	s.engines.storeRate = 16
 	tune.LoadsAtOnce = bound
 	s.tune(tune)
 	for _, r := range s.list {
@@ -229,9 +231,9 @@
 	var done []float64
 	r := loadResult{}
 	for len(done) < groups {
-		s.run(s.tick)
+		s.run(s.stepInterval)
 		n := 0
-		for _, g := range serving(s.nodes[0].Snapshot()) {
+		for _, g := range servingGroups(s.nodes[0].Snapshot()) {
 			if g.Domain == "z-d1" {
 				n++
 			}
@@ -241,7 +243,7 @@
 		}
 		loading := 0
 		for _, e := range s.engines.byAddr {
-			if e.left > 0 && !e.dead {
+			if e.ticksLeft > 0 && !e.dead {
 				loading++
 			}
 		}
@@ -254,11 +256,11 @@
 	return r
 }
 
-// BenchmarkStranding plays 1000 random changes of the wanted replicas over ten
-// domains of odd sizes, for twelve seeds, and reports for each placement the mean
-// number of free VMs that wanted replicas could have used were they not spread
-// over remainders, and the mean share of a model's replicas in its fullest
-// domain. All placements see the same changes.
+// BenchmarkStranding applies 1000 random changes of the wanted replicas to ten
+// domains of random sizes, for twelve seeds. For each placement policy it reports
+// the mean number of free VMs that wanted replicas could not use because the VMs
+// were spread over several domains, and the mean share of a spec's replicas in
+// the domain with the most of them. All policies get the same changes.
 func BenchmarkStranding(b *testing.B) {
 	for _, sizes := range [][]int{{8, 5, 4, 2}, {8, 6}, {16, 8, 3}} {
 		for _, policy := range []string{"first-fit", "best-fit", "planner"} {
@@ -268,9 +270,9 @@
 				for range b.N {
 					stranded, together = nil, nil
 					for seed := range uint64(seeds) {
-						y := playYard(policy, sizes, seed)
-						stranded = append(stranded, y.stranded)
-						together = append(together, y.together)
+						tr := runPlacementTrial(policy, sizes, seed)
+						stranded = append(stranded, tr.stranded)
+						together = append(together, tr.concentration)
 					}
 				}
 				b.ReportMetric(mean(stranded), "strandedVMs")
@@ -290,104 +292,104 @@
 	return sum / float64(len(x))
 }
 
-// yard places replicas without the rest of the control path.
-type yard struct {
-	p                  *planner
-	vms                int
-	want               []int
-	have               [][][]*view.VM
-	stranded, together float64
+// placementTrial runs a placement policy without the rest of the control path.
+type placementTrial struct {
+	p                       *planner
+	vms                     int
+	wanted                  []int
+	placed                  [][][]*view.VM
+	stranded, concentration float64
 }
 
-func playYard(policy string, sizes []int, seed uint64) *yard {
+func runPlacementTrial(policy string, sizes []int, seed uint64) *placementTrial {
 	const changes = 1000
 	wants, picks := rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 2))
-	y := newYard(sizes, wants)
+	tr := newPlacementTrial(sizes, wants)
 	counted := 0
 	for range changes {
 		i := wants.IntN(len(sizes))
-		y.want[i] = wants.IntN(2*y.vms/len(sizes)/sizes[i] + 1)
-		y.shrink(i, picks)
-		if short := y.grow(policy); short > 0 {
-			y.stranded += float64(min(short, y.freeVMs())) / changes
+		tr.wanted[i] = wants.IntN(2*tr.vms/len(sizes)/sizes[i] + 1)
+		tr.shrink(i, picks)
+		if short := tr.grow(policy); short > 0 {
+			tr.stranded += float64(min(short, tr.freeVMs())) / changes
 		}
-		for i := range y.have {
-			if len(y.have[i]) > 1 {
-				y.together += y.fullest(i)
+		for i := range tr.placed {
+			if len(tr.placed[i]) > 1 {
+				tr.concentration += tr.maxDomainShare(i)
 				counted++
 			}
 		}
 	}
-	y.together /= float64(counted)
-	return y
+	tr.concentration /= float64(counted)
+	return tr
 }
 
-func newYard(sizes []int, rng *rand.Rand) *yard {
+func newPlacementTrial(sizes []int, rng *rand.Rand) *placementTrial {
 	d := specs()
 	for i, n := range sizes {
 		d.Groups = append(d.Groups, spec(fmt.Sprint(i), n, 0))
 	}
 	d.Objective = config.Objective{DowntimeWeight: 10, StrandingWeight: 1}
-	y := &yard{want: make([]int, len(sizes)), have: make([][][]*view.VM, len(sizes))}
+	tr := &placementTrial{wanted: make([]int, len(sizes)), placed: make([][][]*view.VM, len(sizes))}
 	var domains []int
 	for range 10 {
 		domains = append(domains, 10+rng.IntN(30))
-		y.vms += domains[len(domains)-1]
+		tr.vms += domains[len(domains)-1]
 	}
 	w := newWorld(d, domains...)
-	y.p = newPlanner(&Input{Now: w.now, Snap: w.snapshot(), Claims: w.claims, Tune: w.tune}, w.mem)
-	y.p.collectFree()
-	y.p.collectItems()
-	return y
+	tr.p = newPlanner(&Input{Now: w.now, Snap: w.snapshot(), Claims: w.claims, Tune: w.tune}, w.mem)
+	tr.p.collectFreeVMs()
+	tr.p.assessGroups()
+	return tr
 }
 
-func (y *yard) freeVMs() int {
+func (tr *placementTrial) freeVMs() int {
 	n := 0
-	for _, vms := range y.p.free {
+	for _, vms := range tr.p.freeVMs {
 		n += len(vms)
 	}
 	return n
 }
 
-// shrink frees the surplus replicas of a spec, whichever are done first.
-func (y *yard) shrink(i int, rng *rand.Rand) {
-	for len(y.have[i]) > y.want[i] {
-		k := rng.IntN(len(y.have[i]))
-		for _, v := range y.have[i][k] {
-			y.p.free[v.Record.Domain] = append(y.p.free[v.Record.Domain], v)
+// shrink frees the surplus replicas of a spec, chosen at random.
+func (tr *placementTrial) shrink(i int, rng *rand.Rand) {
+	for len(tr.placed[i]) > tr.wanted[i] {
+		k := rng.IntN(len(tr.placed[i]))
+		for _, v := range tr.placed[i][k] {
+			tr.p.freeVMs[v.Record.Domain] = append(tr.p.freeVMs[v.Record.Domain], v)
 		}
-		y.have[i] = slices.Delete(y.have[i], k, k+1)
+		tr.placed[i] = slices.Delete(tr.placed[i], k, k+1)
 	}
 }
 
-// grow places what is wanted, the largest first, and returns how many VMs' worth
-// of replicas found no room.
-func (y *yard) grow(policy string) int {
+// grow places the missing replicas, the largest specs first, and returns the number
+// of VMs of the replicas that could not be placed.
+func (tr *placementTrial) grow(policy string) int {
 	short := 0
-	for i := range y.want {
-		s := &y.p.doc.Groups[i]
-		for len(y.have[i]) < y.want[i] {
-			vms := y.place(policy, s, i)
+	for i := range tr.wanted {
+		s := &tr.p.doc.Groups[i]
+		for len(tr.placed[i]) < tr.wanted[i] {
+			vms := tr.place(policy, s, i)
 			if vms == nil {
-				short += (y.want[i] - len(y.have[i])) * s.VMs
+				short += (tr.wanted[i] - len(tr.placed[i])) * s.VMs
 				break
 			}
-			y.p.takeSpares(vms)
-			y.have[i] = append(y.have[i], vms)
+			tr.p.removeFree(vms)
+			tr.placed[i] = append(tr.placed[i], vms)
 		}
 	}
 	return short
 }
 
-func (y *yard) place(policy string, s *config.GroupSpec, i int) []*view.VM {
+func (tr *placementTrial) place(policy string, s *config.GroupSpec, i int) []*view.VM {
 	if policy == "planner" {
-		return y.p.placeIn(s, y.perDomain(i))
+		return tr.p.chooseInDomain(s, tr.countPerDomain(i))
 	}
 	best := fleet.FabricDomain("")
 	for d := range 10 {
 		name := fleet.FabricDomain(fmt.Sprintf("z-d%d", d))
-		n := len(y.p.free[name])
-		if n < s.VMs || best != "" && (policy == "first-fit" || n >= len(y.p.free[best])) {
+		n := len(tr.p.freeVMs[name])
+		if n < s.VMs || best != "" && (policy == "first-fit" || n >= len(tr.p.freeVMs[best])) {
 			continue
 		}
 		best = name
@@ -395,22 +397,23 @@
 	if best == "" {
 		return nil
 	}
-	return slices.Clone(y.p.free[best][:s.VMs])
+	return slices.Clone(tr.p.freeVMs[best][:s.VMs])
 }
 
-func (y *yard) perDomain(i int) map[fleet.FabricDomain]int {
+func (tr *placementTrial) countPerDomain(i int) map[fleet.FabricDomain]int {
 	n := map[fleet.FabricDomain]int{}
-	for _, vms := range y.have[i] {
+	for _, vms := range tr.placed[i] {
 		n[vms[0].Record.Domain]++
 	}
 	return n
 }
 
-// fullest is the share of the spec's replicas in the domain with most of them.
-func (y *yard) fullest(i int) float64 {
+// maxDomainShare returns the share of the spec's replicas in the domain with the
+// most of them.
+func (tr *placementTrial) maxDomainShare(i int) float64 {
 	most := 0
-	for _, n := range y.perDomain(i) {
+	for _, n := range tr.countPerDomain(i) {
 		most = max(most, n)
 	}
-	return float64(most) / float64(len(y.have[i]))
+	return float64(most) / float64(len(tr.placed[i]))
 }
--- a/internal/group/memory.go
+++ b/internal/group/memory.go
@@ -9,57 +9,58 @@
 )
 
 const (
-	// restartWindow is how long a restart counts against a VM.
+	// restartWindow is the time for which a restart counts against a VM.
 	restartWindow = 10 * time.Minute
-	// unsteadyAfter restarts within the window a VM is used last.
-	unsteadyAfter = 3
+	// unstableRestarts within the window make a VM unstable: its group replaces it.
+	unstableRestarts = 3
 )
 
-// Memory is what the planner remembers between plans. It is lost with the
-// process; then the times it holds start anew, which delays and never hastens.
+// Memory is the planner's state between plans. It is lost with the process; the
+// times in it then start again, which delays decisions but never advances them.
 type Memory struct {
-	draining  map[fleet.GroupID]clock.Instant
-	broken    map[fleet.GroupID]clock.Instant
-	dissolved map[fleet.GroupID]clock.Instant
-	joined    map[fleet.VM]joinedAt
-	boots     map[fleet.VM]boots
-	formed    uint64
+	drainingSince  map[fleet.GroupID]clock.Instant
+	brokenSince    map[fleet.GroupID]clock.Instant
+	dissolvedSince map[fleet.GroupID]clock.Instant
+	joins          map[fleet.VM]joinTime
+	boots          map[fleet.VM]bootHistory
+	groupsFormed   uint64
 }
 
-// joinedAt is when a member was first seen in its place.
-type joinedAt struct {
+// joinTime is the time at which a VM was first seen loading for a generation.
+type joinTime struct {
 	group fleet.GroupID
 	gen   fleet.Generation
 	at    clock.Instant
 }
 
-// boots counts a VM's restarts.
-type boots struct {
-	boot  fleet.BootID
-	times []clock.Instant // of the newest restarts, at most unsteadyAfter
+// bootHistory is a VM's current boot id and the times of its newest restarts.
+type bootHistory struct {
+	boot         fleet.BootID
+	restartTimes []clock.Instant // of the newest restarts, at most unstableRestarts
 }
 
 // NewMemory returns an empty memory.
 func NewMemory() *Memory {
 	return &Memory{
-		draining:  map[fleet.GroupID]clock.Instant{},
-		broken:    map[fleet.GroupID]clock.Instant{},
-		dissolved: map[fleet.GroupID]clock.Instant{},
-		joined:    map[fleet.VM]joinedAt{},
-		boots:     map[fleet.VM]boots{},
+		drainingSince:  map[fleet.GroupID]clock.Instant{},
+		brokenSince:    map[fleet.GroupID]clock.Instant{},
+		dissolvedSince: map[fleet.GroupID]clock.Instant{},
+		joins:          map[fleet.VM]joinTime{},
+		boots:          map[fleet.VM]bootHistory{},
 	}
 }
 
-// Restart returns the memory for a new tenure of the lease: only the count of
-// groups goes on, so that no id is drawn twice.
+// Restart returns the memory for a new tenure of the lease. It keeps only the
+// number of groups formed, so that no group id is used twice.
 func (m *Memory) Restart() *Memory {
 	n := NewMemory()
-	n.formed = m.formed
+	n.groupsFormed = m.groupsFormed
 	return n
 }
 
-// since returns when the group was first put into m.
-func since(m map[fleet.GroupID]clock.Instant, id fleet.GroupID, now clock.Instant) clock.Instant {
+// sinceFirst returns the time at which the group was first seen in m, and records
+// now if it is new.
+func sinceFirst(m map[fleet.GroupID]clock.Instant, id fleet.GroupID, now clock.Instant) clock.Instant {
 	if at, ok := m[id]; ok {
 		return at
 	}
@@ -67,40 +68,41 @@
 	return now
 }
 
-// watch notes restarts and members that took their place.
-func (m *Memory) watch(p *planner) {
+// observe records restarts and the times at which VMs began to load.
+func (m *Memory) observe(p *planner) {
 	for id, v := range p.vms {
 		st := &v.Probe.State
 		if st.Boot != "" {
-			m.noteBoot(id, st.Boot, p.in.Now)
+			m.recordBoot(id, st.Boot, p.in.Now)
 		}
 		if st.Group == "" || st.Loaded {
-			delete(m.joined, id)
+			delete(m.joins, id)
 			continue
 		}
-		if j := m.joined[id]; j.group != st.Group || j.gen != st.Generation {
-			m.joined[id] = joinedAt{st.Group, st.Generation, p.in.Now}
+		if j := m.joins[id]; j.group != st.Group || j.gen != st.Generation {
+			m.joins[id] = joinTime{st.Group, st.Generation, p.in.Now}
 		}
 	}
 }
 
-func (m *Memory) noteBoot(vm fleet.VM, boot fleet.BootID, now clock.Instant) {
+func (m *Memory) recordBoot(vm fleet.VM, boot fleet.BootID, now clock.Instant) {
 	b := m.boots[vm]
 	if b.boot == boot {
 		return
 	}
 	if b.boot != "" {
-		b.times = append(b.times, now)
-		b.times = b.times[max(0, len(b.times)-unsteadyAfter):]
+		b.restartTimes = append(b.restartTimes, now)
+		b.restartTimes = b.restartTimes[max(0, len(b.restartTimes)-unstableRestarts):]
 	}
 	b.boot = boot
 	m.boots[vm] = b
 }
 
-// restarts counts the VM's restarts within the window.
-func (m *Memory) restarts(vm fleet.VM, now clock.Instant) int {
+// recentRestarts returns the number of the VM's restarts within the window, at
+// most unstableRestarts.
+func (m *Memory) recentRestarts(vm fleet.VM, now clock.Instant) int {
 	n := 0
-	for _, at := range m.boots[vm].times {
+	for _, at := range m.boots[vm].restartTimes {
 		if now.Sub(at) <= restartWindow {
 			n++
 		}
@@ -108,24 +110,24 @@
 	return n
 }
 
-// loadingFor returns for how long the VM has been loading in its place.
-func (m *Memory) loadingFor(vm fleet.VM, now clock.Instant) time.Duration {
-	j, ok := m.joined[vm]
+// loadingTime returns how long the VM has been loading for its generation.
+func (m *Memory) loadingTime(vm fleet.VM, now clock.Instant) time.Duration {
+	j, ok := m.joins[vm]
 	if !ok {
 		return 0
 	}
 	return now.Sub(j.at)
 }
 
-// sweep forgets groups and VMs that exist no more.
-func (m *Memory) sweep(p *planner) {
-	known := make(map[fleet.GroupID]bool, len(p.items))
-	for _, it := range p.items {
+// evict removes groups and VMs that no longer exist.
+func (m *Memory) evict(p *planner) {
+	known := make(map[fleet.GroupID]bool, len(p.groups))
+	for _, it := range p.groups {
 		known[it.row.Group.ID] = true
 	}
-	for _, times := range []map[fleet.GroupID]clock.Instant{m.draining, m.broken, m.dissolved} {
+	for _, times := range []map[fleet.GroupID]clock.Instant{m.drainingSince, m.brokenSince, m.dissolvedSince} {
 		maps.DeleteFunc(times, func(id fleet.GroupID, _ clock.Instant) bool { return !known[id] })
 	}
-	maps.DeleteFunc(m.joined, func(vm fleet.VM, _ joinedAt) bool { return p.vms[vm] == nil })
-	maps.DeleteFunc(m.boots, func(vm fleet.VM, _ boots) bool { return p.vms[vm] == nil })
+	maps.DeleteFunc(m.joins, func(vm fleet.VM, _ joinTime) bool { return p.vms[vm] == nil })
+	maps.DeleteFunc(m.boots, func(vm fleet.VM, _ bootHistory) bool { return p.vms[vm] == nil })
 }
--- a/internal/group/metrics.go
+++ b/internal/group/metrics.go
@@ -9,15 +9,15 @@
 )
 
 type metrics struct {
-	changes    *prometheus.CounterVec
-	orders     *prometheus.CounterVec
-	readFailed prometheus.Counter
-	planTime   prometheus.Histogram
-	waiting    prometheus.Gauge
-	replicas   *prometheus.GaugeVec
-	downtime   *prometheus.CounterVec
-	stranded   prometheus.Gauge
-	strandedIn prometheus.Counter
+	changes         *prometheus.CounterVec
+	orders          *prometheus.CounterVec
+	readFailed      prometheus.Counter
+	planTime        prometheus.Histogram
+	postponed       prometheus.Gauge
+	replicas        *prometheus.GaugeVec
+	downtime        *prometheus.CounterVec
+	stranded        prometheus.Gauge
+	strandedSeconds prometheus.Counter
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
@@ -39,20 +39,21 @@
 			Help:    "Time to make one plan.",
 			Buckets: prometheus.ExponentialBuckets(0.0001, 2, 12),
 		}),
-		waiting: prometheus.NewGauge(prometheus.GaugeOpts{
+		postponed: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "chervilloom_group_waiting_decisions",
 			Help: "Things that the newest plan could not do yet.",
 		}),
 	}
-	m.objective()
-	reg.MustRegister(m.changes, m.orders, m.readFailed, m.planTime, m.waiting)
-	reg.MustRegister(m.replicas, m.downtime, m.stranded, m.strandedIn)
+	m.initObjective()
+	reg.MustRegister(m.changes, m.orders, m.readFailed, m.planTime, m.postponed)
+	reg.MustRegister(m.replicas, m.downtime, m.stranded, m.strandedSeconds)
 	return m
 }
 
-// objective makes the metrics of what the users weigh against each other. Only
-// the holder of the zone's lease counts, so they add up over nodes.
-func (m *metrics) objective() {
+// initObjective creates the metrics of the quantities that the objective weighs.
+// Only the holder of the zone's lease updates them, so that sums over nodes count
+// each replica once.
+func (m *metrics) initObjective() {
 	m.replicas = prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Name: "chervilloom_group_replicas",
 		Help: "Replicas of each spec in the zone: wanted, serving and other.",
@@ -65,17 +66,17 @@
 		Name: "chervilloom_group_stranded_accelerators",
 		Help: "Accelerators of live VMs that are in no serving group.",
 	})
-	m.strandedIn = prometheus.NewCounter(prometheus.CounterOpts{
+	m.strandedSeconds = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "chervilloom_group_stranded_accelerator_seconds_total",
 		Help: "Time for which accelerators were stranded, summed over accelerators.",
 	})
 }
 
-// planned counts a plan; since is the time from the plan before, 0 for the first
-// of a tenure.
-func (m *metrics) planned(took, since time.Duration, p *Plan) {
+// observePlan records a plan; since is the time from the previous plan, 0 for the
+// first one of a tenure.
+func (m *metrics) observePlan(took, since time.Duration, p *Plan) {
 	m.planTime.Observe(took.Seconds())
-	m.waiting.Set(float64(len(p.Notes)))
+	m.postponed.Set(float64(len(p.Notes)))
 	for i := range p.Specs {
 		s := &p.Specs[i]
 		m.replicas.WithLabelValues(s.Name, "wanted").Set(float64(s.Wanted))
@@ -84,18 +85,21 @@
 		m.downtime.WithLabelValues(s.Name).Add(float64(s.Down) * since.Seconds())
 	}
 	m.stranded.Set(float64(p.Stranded))
-	m.strandedIn.Add(float64(p.Stranded) * since.Seconds())
+	m.strandedSeconds.Add(float64(p.Stranded) * since.Seconds())
 }
 
-// retired is called when the lease is lost: another node counts from now on.
-func (m *metrics) retired() {
+// resetGauges clears the gauges when the lease is lost; the new holder sets its
+// own.
+func (m *metrics) resetGauges() {
 	m.replicas.Reset()
 	m.stranded.Set(0)
-	m.waiting.Set(0)
+	m.postponed.Set(0)
 }
 
-func (m *metrics) change(k Kind, result string) { m.changes.WithLabelValues(string(k), result).Inc() }
+func (m *metrics) countChange(k Kind, result string) {
+	m.changes.WithLabelValues(string(k), result).Inc()
+}
 
-func (m *metrics) order(v engine.Verb, result string) {
+func (m *metrics) countOrder(v engine.Verb, result string) {
 	m.orders.WithLabelValues(string(v), result).Inc()
 }
--- a/internal/group/place.go
+++ b/internal/group/place.go
@@ -14,67 +14,68 @@
 	"chervilloom/internal/view"
 )
 
-// domainDarkShare is the share of time for which a fabric domain is taken to be
-// dark when spreading is weighed against stranding.
-const domainDarkShare = 0.01
-
-// form plans one new group of the spec and reports whether there was room.
-func (p *planner) form(s *config.GroupSpec) bool {
-	vms := p.place(s)
+// domainOutageFraction is the assumed fraction of time for which a fabric domain
+// is down; it weighs spreading against stranding.
+const domainOutageFraction = 0.01
+
+// formGroup plans one new group of the spec and reports whether enough VMs were
+// free.
+func (p *planner) formGroup(s *config.GroupSpec) bool {
+	vms := p.chooseVMs(s)
 	if vms == nil {
-		p.note(s.Name, "wait", fmt.Sprintf("no room for a replica of %d VMs", s.VMs))
+		p.postpone(s.Name, "wait", fmt.Sprintf("no room for a replica of %d VMs", s.VMs))
 		return false
 	}
-	p.mem.formed++
+	p.mem.groupsFormed++
 	g := fleet.Group{
-		ID:         p.newID(s.Name),
+		ID:         p.newGroupID(s.Name),
 		Spec:       s.Name,
 		Generation: 1, Phase: fleet.PhaseForming,
 		Zone: p.in.Snap.Zone, Domain: vms[0].Record.Domain,
 		Model: s.Model, Version: s.ModelVer, Adapters: slices.Clone(s.Adapters),
-		Reason: fmt.Sprintf("%d groups, %d wanted", p.bySpec[s.Name].have(), p.bySpec[s.Name].want),
+		Reason: fmt.Sprintf("%d groups, %d wanted", p.bySpec[s.Name].total(), p.bySpec[s.Name].wanted),
 	}
 	for _, v := range vms {
 		g.Members = append(g.Members, fleet.Member{VM: v.Record.VM})
 	}
-	b := p.begin()
+	b := p.newTxn()
 	p.claimMembers(b, &g)
-	b.group(&g, 0)
-	b.done(Form, &g, explain.Fact{
-		Name: "free VMs of " + string(g.Domain), Value: strconv.Itoa(len(p.free[g.Domain])), Age: p.in.Now.Sub(p.in.Snap.At),
+	b.addGroup(&g, 0)
+	b.addChange(Form, &g, explain.Fact{
+		Name: "free VMs of " + string(g.Domain), Value: strconv.Itoa(len(p.freeVMs[g.Domain])), Age: p.in.Now.Sub(p.in.Snap.At),
 	})
-	p.bySpec[s.Name].planned++
-	p.takeSpares(vms)
+	p.bySpec[s.Name].added++
+	p.removeFree(vms)
 	return true
 }
 
-// newID returns an id that no group had before, also when the table was restored
-// to an older state: an engine that still reports the place it had in a group of
-// the same id and generation would count as a member of the new one. So the id
-// names the life of the process that drew it, not something read from the table.
-func (p *planner) newID(spec string) fleet.GroupID {
-	life := uint32(xxhash.Sum64String(p.in.Snap.Self.String()))
-	return fleet.GroupID(fmt.Sprintf("%s.%s.%08x-%d", p.in.Snap.Zone, spec, life, p.mem.formed))
+// newGroupID returns an id that no group had before, even if the table was
+// restored to an older state: an engine that still reports an earlier group with
+// the same id and generation would count as a member of the new one. The id is
+// therefore derived from the node's incarnation and not from the table.
+func (p *planner) newGroupID(spec string) fleet.GroupID {
+	processHash := uint32(xxhash.Sum64String(p.in.Snap.Self.String()))
+	return fleet.GroupID(fmt.Sprintf("%s.%s.%08x-%d", p.in.Snap.Zone, spec, processHash, p.mem.groupsFormed))
 }
 
-// place chooses the VMs of a new group, or nil.
-func (p *planner) place(s *config.GroupSpec) []*view.VM {
+// chooseVMs returns the VMs for a new group of the spec, nil if too few are free.
+func (p *planner) chooseVMs(s *config.GroupSpec) []*view.VM {
 	if !s.OneDomain {
-		if vms := p.scattered(s.VMs); len(vms) == s.VMs {
+		if vms := p.chooseAcrossDomains(s.VMs); len(vms) == s.VMs {
 			return vms
 		}
 		return nil
 	}
-	return p.placeIn(s, p.replicasPerDomain(s.Name))
+	return p.chooseInDomain(s, p.replicasPerDomain(s.Name))
 }
 
-// placeIn chooses the fabric domain, given how many replicas of the spec each
-// holds, and VMs in it.
-func (p *planner) placeIn(s *config.GroupSpec, counts map[fleet.FabricDomain]int) []*view.VM {
+// chooseInDomain returns VMs of the fabric domain with the lowest cost, nil if no
+// domain has enough; counts is the number of replicas of the spec in each domain.
+func (p *planner) chooseInDomain(s *config.GroupSpec, counts map[fleet.FabricDomain]int) []*view.VM {
 	best := fleet.FabricDomain("")
-	var bestCost placeCost
-	for _, d := range slices.Sorted(maps.Keys(p.free)) {
-		if len(p.free[d]) < s.VMs {
+	var bestCost placementCost
+	for _, d := range slices.Sorted(maps.Keys(p.freeVMs)) {
+		if len(p.freeVMs[d]) < s.VMs {
 			continue
 		}
 		if c := p.costOf(d, s, counts[d]); best == "" || c.less(bestCost) {
@@ -84,41 +85,42 @@
 	if best == "" {
 		return nil
 	}
-	return slices.Clone(p.free[best][:s.VMs])
+	return slices.Clone(p.freeVMs[best][:s.VMs])
 }
 
-// placeCost orders the fabric domains for a new replica.
-type placeCost struct {
-	weighed float64 // by the objective
-	same    int     // replicas of the spec in the domain
-	left    int     // free VMs that remain
+// placementCost orders the fabric domains for a new replica; the lowest is best.
+type placementCost struct {
+	weighted float64 // weighted by the objective
+	sameSpec int     // replicas of the spec in the domain
+	freeLeft int     // free VMs after the placement
 }
 
-func (c placeCost) less(o placeCost) bool {
-	if c.weighed != o.weighed {
-		return c.weighed < o.weighed
+func (c placementCost) less(o placementCost) bool {
+	if c.weighted != o.weighted {
+		return c.weighted < o.weighted
 	}
-	if c.same != o.same {
-		return c.same < o.same
+	if c.sameSpec != o.sameSpec {
+		return c.sameSpec < o.sameSpec
 	}
-	return c.left < o.left
+	return c.freeLeft < o.freeLeft
 }
 
-// costOf weighs what a replica in the domain strands against what a dark domain
-// would take down together.
-func (p *planner) costOf(d fleet.FabricDomain, s *config.GroupSpec, same int) placeCost {
-	free := len(p.free[d])
-	stranded := stranding(free-s.VMs, p.sizes) - stranding(free, p.sizes) + lostRoom(free, s.VMs, p.sizes)
-	accelerators := max(p.free[d][0].Record.Accelerators, 1)
+// costOf weighs the VMs that a replica in the domain would strand against the
+// replicas that an outage of the domain would stop together.
+func (p *planner) costOf(d fleet.FabricDomain, s *config.GroupSpec, same int) placementCost {
+	free := len(p.freeVMs[d])
+	stranded := strandedVMs(free-s.VMs, p.replicaSizes) - strandedVMs(free, p.replicaSizes) + lostCapacity(free, s.VMs, p.replicaSizes)
+	accelerators := max(p.freeVMs[d][0].Record.Accelerators, 1)
 	o := p.doc.Objective
-	return placeCost{
-		weighed: o.StrandingWeight*float64(stranded*accelerators) + o.DowntimeWeight*domainDarkShare*float64(same),
-		same:    same,
-		left:    free - s.VMs,
+	return placementCost{
+		weighted: o.StrandingWeight*float64(stranded*accelerators) + o.DowntimeWeight*domainOutageFraction*float64(same),
+		sameSpec: same,
+		freeLeft: free - s.VMs,
 	}
 }
 
-// replicasPerDomain counts the spec's groups, those of this plan included.
+// replicasPerDomain counts the spec's groups by fabric domain, including those
+// that this plan forms.
 func (p *planner) replicasPerDomain(spec string) map[fleet.FabricDomain]int {
 	n := map[fleet.FabricDomain]int{}
 	for _, it := range p.bySpec[spec].current {
@@ -132,29 +134,30 @@
 	return n
 }
 
-// stranding returns how many of n free VMs of one fabric domain no set of
-// replicas of the given sizes can use.
-func stranding(n int, sizes []int) int {
+// strandedVMs returns how many of n free VMs of one fabric domain are left over by
+// the set of replicas of the given sizes that uses the most of them.
+func strandedVMs(n int, sizes []int) int {
 	if n <= 0 || len(sizes) == 0 {
 		return 0
 	}
-	reach := make([]bool, n+1)
-	reach[0] = true
+	reachable := make([]bool, n+1)
+	reachable[0] = true
 	most := 0
 	for i := 1; i <= n; i++ {
 		for _, s := range sizes {
-			if s > 0 && s <= i && reach[i-s] {
-				reach[i], most = true, i
+			if s > 0 && s <= i && reachable[i-s] {
+				reachable[i], most = true, i
 			}
 		}
 	}
 	return n - most
 }
 
-// lostRoom returns how many VMs' worth of larger replicas a domain with n free
-// VMs can hold no more after a replica of the given size. A small replica belongs
-// into a remainder that no large one can use.
-func lostRoom(n, size int, sizes []int) int {
+// lostCapacity returns by how many VMs the capacity of a domain with n free VMs
+// for larger replicas shrinks when a replica of the given size is placed in it.
+// Adding it to the cost places small replicas in remainders that are too small for
+// large ones.
+func lostCapacity(n, size int, sizes []int) int {
 	lost := 0
 	for _, s := range sizes {
 		if s > size {
@@ -164,14 +167,14 @@
 	return lost
 }
 
-// scattered returns up to n free VMs of any fabric domain, taking first those
-// that replicas bound to one domain can use least.
-func (p *planner) scattered(n int) []*view.VM {
-	left := make(map[fleet.FabricDomain]int, len(p.free))
-	for d, vms := range p.free {
+// chooseAcrossDomains returns up to n free VMs of any fabric domain. It prefers
+// VMs whose removal strands the fewest VMs for replicas bound to one domain.
+func (p *planner) chooseAcrossDomains(n int) []*view.VM {
+	left := make(map[fleet.FabricDomain]int, len(p.freeVMs))
+	for d, vms := range p.freeVMs {
 		left[d] = len(vms)
 	}
-	domains := slices.Sorted(maps.Keys(p.free))
+	domains := slices.Sorted(maps.Keys(p.freeVMs))
 	var out []*view.VM
 	for len(out) < n {
 		best, bestCost := fleet.FabricDomain(""), 0
@@ -179,7 +182,7 @@
 			if left[d] == 0 {
 				continue
 			}
-			cost := stranding(left[d]-1, p.sizes) - stranding(left[d], p.sizes)
+			cost := strandedVMs(left[d]-1, p.replicaSizes) - strandedVMs(left[d], p.replicaSizes)
 			if best == "" || cost < bestCost || cost == bestCost && left[d] < left[best] {
 				best, bestCost = d, cost
 			}
@@ -188,17 +191,17 @@
 			break
 		}
 		left[best]--
-		out = append(out, p.free[best][left[best]])
+		out = append(out, p.freeVMs[best][left[best]])
 	}
 	return out
 }
 
-func (p *planner) takeSpares(vms []*view.VM) {
+func (p *planner) removeFree(vms []*view.VM) {
 	for _, v := range vms {
 		d := v.Record.Domain
-		p.free[d] = slices.DeleteFunc(p.free[d], func(f *view.VM) bool { return f == v })
-		if len(p.free[d]) == 0 {
-			delete(p.free, d)
+		p.freeVMs[d] = slices.DeleteFunc(p.freeVMs[d], func(f *view.VM) bool { return f == v })
+		if len(p.freeVMs[d]) == 0 {
+			delete(p.freeVMs, d)
 		}
 	}
 }
--- a/internal/group/plan.go
+++ b/internal/group/plan.go
@@ -1,12 +1,13 @@
 // Package group forms serving groups out of VMs, repairs, drains and dissolves
 // them.
 //
-// Make is pure: belief, table rows and time in, transactions and orders out.
-// The Reconciler reads the table, plans, commits and sends orders, under the
-// lease of its availability zone. Each transaction checks the rows of the
-// lease, of the group and of every VM that it writes, so two planners that race
-// cannot both win, and a planner that was paused past its lease cannot win at
-// all once another has acquired it.
+// Make is a pure function from the view, the table rows and the time to
+// transactions and orders. The Reconciler reads the table, plans, commits and
+// sends orders while it holds the lease of its availability zone. Each
+// transaction checks the versions of the lease row, of the group row and of every
+// VM row that it writes. Of two racing planners at most one commits, and a planner
+// that was paused past the end of its lease cannot commit once another node has
+// acquired the lease.
 package group
 
 import (
@@ -23,61 +24,62 @@
 	"chervilloom/internal/view"
 )
 
-// Tune holds the times and bounds of the planner.
+// Tune holds the timeouts and limits of the planner.
 type Tune struct {
-	DeadAfter     time.Duration // probes unanswered for this long: the member is dead
-	DeadProbes    int           // and at least this many in a row
-	StaleAfter    time.Duration // without a newer word nothing is concluded
-	MissingAfter  time.Duration // gone from the platform's list for this long: treated as leaving
-	DissolveAfter time.Duration // a group that cannot be repaired is dissolved after this
-	DrainSettle   time.Duration // all nodes know of a drain after this
-	DrainLimit    time.Duration // a drain that takes longer is cut
-	LoadLimit     time.Duration // a member that has loaded for longer is started anew
-	LoadsAtOnce   int           // VMs of the zone that load weights at once
-	// UnfencedSettle is how long after taking a lease over from another node
-	// engines that ignore fences get no order and no group of them serves: an
-	// order that the former holder still had on its way arrives before that.
+	DeadAfter     time.Duration // a member is dead after its probes were unanswered for this long
+	DeadProbes    int           // and after at least this many consecutive failures
+	StaleAfter    time.Duration // age after which the last probe answer no longer gives a VM's health
+	MissingAfter  time.Duration // a VM missing from the platform's list for this long counts as leaving
+	DissolveAfter time.Duration // a group that cannot be repaired is dissolved after this time
+	DrainSettle   time.Duration // time until all nodes have learned of a drain
+	DrainLimit    time.Duration // a drain that takes longer is ended
+	LoadLimit     time.Duration // a member that loads for longer gets a new generation
+	LoadsAtOnce   int           // VMs of the zone that may load weights concurrently
+	// UnfencedSettle is the time after a takeover of the lease from another node
+	// in which engines that ignore fences get no orders and their groups do not
+	// start to serve. Orders of the former holder that are in flight arrive within
+	// this time.
 	UnfencedSettle time.Duration
 }
 
-// drainLimit is longer than the longest deadline that a request may have (30
-// minutes), so that a drain cuts nothing that its caller still waits for. A VM
-// that is gone before that ends the drain at once: its group is broken.
-const drainLimit = 31 * time.Minute
+// drainTimeout exceeds the longest deadline of a request (30 minutes), so that a
+// drain ends no request that its caller still waits for. If a member dies earlier,
+// the group is broken and the drain ends immediately.
+const drainTimeout = 31 * time.Minute
 
 // DefaultTune returns the defaults.
 func DefaultTune() Tune {
 	return Tune{
 		DeadAfter: 1500 * time.Millisecond, DeadProbes: 3, StaleAfter: 3 * time.Second,
 		MissingAfter: 30 * time.Second, DissolveAfter: time.Minute,
-		DrainSettle: 3 * time.Second, DrainLimit: drainLimit,
+		DrainSettle: 3 * time.Second, DrainLimit: drainTimeout,
 		LoadLimit: 10 * time.Minute, LoadsAtOnce: 16, UnfencedSettle: 2 * time.Second,
 	}
 }
 
-// Input is what a plan is made of.
+// Input is the input of Make.
 type Input struct {
 	Now     clock.Instant
 	Snap    *view.Snapshot
 	Claims  map[fleet.VM]view.Claim // rows of the claims table
-	Groups  []view.TableGroup       // rows of the zone's groups
-	Targets map[string]int          // replicas that the zone should hold, by spec name
+	Groups  []view.TableGroup       // rows of the groups table for the zone
+	Targets map[string]int          // wanted replicas in the zone, by spec name
 	Grant   lease.Grant
 	Tune    Tune
 }
 
-// Kind names what a change does to a group.
+// Kind is the kind of a change to a group.
 type Kind string
 
 // The kinds of change.
 const (
-	Form     Kind = "form"     // a new group
-	Repair   Kind = "repair"   // a new generation of a group
-	Serve    Kind = "serve"    // every member has reported the generation
-	Drain    Kind = "drain"    // no new request
-	Dissolve Kind = "dissolve" // the VMs are free again
-	Forget   Kind = "forget"   // the row of a dissolved group is deleted
-	Release  Kind = "release"  // a VM whose group does not exist is free again
+	Form     Kind = "form"     // creates a group
+	Repair   Kind = "repair"   // starts a new generation of a group
+	Serve    Kind = "serve"    // starts serving: every member reports the generation
+	Drain    Kind = "drain"    // stops new requests to the group
+	Dissolve Kind = "dissolve" // releases the group's VMs
+	Forget   Kind = "forget"   // deletes the row of a dissolved group
+	Release  Kind = "release"  // releases a VM whose group does not exist
 )
 
 // Change is one transaction of a plan.
@@ -89,107 +91,107 @@
 	Facts  []explain.Fact
 }
 
-// Plan is what is to be done now.
+// Plan is the output of Make: the transactions and orders to carry out now.
 type Plan struct {
 	Changes []Change
 	Orders  []VMOrder
 	Notes   []Note
-	Specs   []SpecState // one for each spec of the configuration
-	// Stranded counts the accelerators of VMs that are alive and in no group that
-	// takes requests.
+	Specs   []SpecState // one per spec of the configuration
+	// Stranded is the number of accelerators of live VMs that are in no serving
+	// group.
 	Stranded int
 }
 
-// SpecState is how a spec fares in the zone.
+// SpecState counts the replicas of a spec in the zone.
 type SpecState struct {
 	Name                         string
-	Wanted, Serving, Other, Down int // Other: forming, broken or draining; Down: wanted and not serving
+	Wanted, Serving, Other, Down int // Other: forming, broken or draining; Down: wanted but not serving
 }
 
-// Note is a decision to do nothing yet, and why.
+// Note is an action that the plan postpones, with the reason.
 type Note struct {
 	Subject, Decision, Reason string
 }
 
-// planner holds one run of Make.
+// planner is the state of one call of Make.
 type planner struct {
-	in     *Input
-	mem    *Memory
-	doc    *config.Document
-	vms    map[fleet.VM]*view.VM
-	free   map[fleet.FabricDomain][]*view.VM
-	sizes  []int              // VMs of the replicas that need one fabric domain
-	taken  map[fleet.VM]bool  // rows written by this plan
-	items  []*item            // by group id
-	bySpec map[string]*census // every spec and every spec name that a group has
-	// listFault: the list misses too many VMs that answer to be believed.
-	listFault bool
-	out       Plan
+	in           *Input
+	mem          *Memory
+	doc          *config.Document
+	vms          map[fleet.VM]*view.VM
+	freeVMs      map[fleet.FabricDomain][]*view.VM
+	replicaSizes []int                  // VMs per replica of the specs that need a single fabric domain
+	claimed      map[fleet.VM]bool      // VMs whose claim row this plan writes
+	groups       []*assessedGroup       // by group id
+	bySpec       map[string]*specGroups // by spec name: the configured specs and those of existing groups
+	// listTruncated: too many VMs that answer probes are missing from the list.
+	listTruncated bool
+	out           Plan
 }
 
-// item is one group with what is concluded about it.
-type item struct {
+// assessedGroup is one group with its assessment.
+type assessedGroup struct {
 	row     *view.TableGroup
 	assess  assessment
-	counted bool // among its spec's current groups
+	counted bool // included in its spec's current groups
 	changed bool // this plan writes its row
 }
 
-// Make plans for one availability zone. It returns an empty plan while too
-// little is known.
+// Make returns the plan for one availability zone. The plan is empty while the
+// configuration or the platform's list of VMs is unknown.
 func Make(in *Input, mem *Memory) Plan {
-	// Without a list of VMs no zone seems to have room for anything, and every
-	// group would be drained as one too many.
+	// Without a list of VMs no zone has capacity, and every group would be
+	// drained as surplus.
 	if in.Snap.Config == nil || in.Snap.ListSeen == 0 {
 		return Plan{}
 	}
 	p := newPlanner(in, mem)
-	p.mem.watch(p)
-	p.collectFree()
-	p.collectItems()
-	for _, it := range p.items {
-		p.step(it)
+	p.mem.observe(p)
+	p.collectFreeVMs()
+	p.assessGroups()
+	for _, it := range p.groups {
+		p.stepGroup(it)
 	}
 	p.repairAll()
-	p.scale()
+	p.scaleSpecs()
 	p.releaseOrphans()
-	p.orders()
-	p.account()
-	p.mem.sweep(p)
+	p.planOrders()
+	p.summarize()
+	p.mem.evict(p)
 	return p.out
 }
 
 func newPlanner(in *Input, mem *Memory) *planner {
 	p := &planner{
 		in: in, mem: mem, doc: in.Snap.Config,
-		vms:   make(map[fleet.VM]*view.VM, len(in.Snap.VMs)),
-		taken: map[fleet.VM]bool{},
+		vms:     make(map[fleet.VM]*view.VM, len(in.Snap.VMs)),
+		claimed: map[fleet.VM]bool{},
 	}
 	for i := range in.Snap.VMs {
 		p.vms[in.Snap.VMs[i].Record.VM] = &in.Snap.VMs[i]
 	}
-	p.listFault = p.listMisses()
+	p.listTruncated = p.isListTruncated()
 	for i := range p.doc.Groups {
-		if s := &p.doc.Groups[i]; s.OneDomain && !slices.Contains(p.sizes, s.VMs) {
-			p.sizes = append(p.sizes, s.VMs)
+		if s := &p.doc.Groups[i]; s.OneDomain && !slices.Contains(p.replicaSizes, s.VMs) {
+			p.replicaSizes = append(p.replicaSizes, s.VMs)
 		}
 	}
 	return p
 }
 
-// collectFree finds the VMs that a group may be formed of, by fabric domain,
-// the steadiest first.
-func (p *planner) collectFree() {
-	p.free = map[fleet.FabricDomain][]*view.VM{}
+// collectFreeVMs collects the VMs that may join a new group, by fabric domain,
+// those with the fewest recent restarts first.
+func (p *planner) collectFreeVMs() {
+	p.freeVMs = map[fleet.FabricDomain][]*view.VM{}
 	for i := range p.in.Snap.VMs {
 		v := &p.in.Snap.VMs[i]
 		if p.isFree(v) {
-			p.free[v.Record.Domain] = append(p.free[v.Record.Domain], v)
+			p.freeVMs[v.Record.Domain] = append(p.freeVMs[v.Record.Domain], v)
 		}
 	}
-	for _, vms := range p.free {
+	for _, vms := range p.freeVMs {
 		slices.SortStableFunc(vms, func(a, b *view.VM) int {
-			return cmp.Compare(p.mem.restarts(a.Record.VM, p.in.Now), p.mem.restarts(b.Record.VM, p.in.Now))
+			return cmp.Compare(p.mem.recentRestarts(a.Record.VM, p.in.Now), p.mem.recentRestarts(b.Record.VM, p.in.Now))
 		})
 	}
 }
@@ -205,66 +207,67 @@
 	return p.health(v) == alive
 }
 
-func (p *planner) collectItems() {
+func (p *planner) assessGroups() {
 	for i := range p.in.Groups {
 		row := &p.in.Groups[i]
 		if len(row.Group.Members) > 0 {
-			p.items = append(p.items, &item{row: row, assess: p.assess(&row.Group)})
+			p.groups = append(p.groups, &assessedGroup{row: row, assess: p.assess(&row.Group)})
 		}
 	}
-	slices.SortFunc(p.items, func(a, b *item) int { return cmp.Compare(a.row.Group.ID, b.row.Group.ID) })
-	p.takeCensus()
+	slices.SortFunc(p.groups, func(a, b *assessedGroup) int { return cmp.Compare(a.row.Group.ID, b.row.Group.ID) })
+	p.classifyGroups()
 }
 
-// step plans what a group needs by itself.
-func (p *planner) step(it *item) {
+// stepGroup plans the phase changes of a group that depend only on its own state.
+func (p *planner) stepGroup(it *assessedGroup) {
 	g := &it.row.Group
 	switch g.Phase {
 	case fleet.PhaseDissolved:
-		if p.in.Now.Sub(since(p.mem.dissolved, g.ID, p.in.Now)) > forgetDissolved {
-			p.forget(it)
+		if p.in.Now.Sub(sinceFirst(p.mem.dissolvedSince, g.ID, p.in.Now)) > dissolvedRetention {
+			p.deleteGroup(it)
 		}
 		return
 	case fleet.PhaseDraining:
-		p.drainStep(it)
+		p.stepDraining(it)
 		return
 	case fleet.PhaseForming:
-		if it.assess.state == whole && p.settled(g) {
-			p.serve(it)
+		if it.assess.state == ready && p.isSettled(g) {
+			p.markServing(it)
 		}
 	}
-	if it.assess.state == dark && p.allMissing(g) {
-		p.dissolve(it, "its VMs are dead and gone from the platform's list")
+	if it.assess.state == allDead && p.allUnlisted(g) {
+		p.dissolveGroup(it, "its VMs are dead and gone from the platform's list")
 	}
 }
 
-// allMissing reports whether the platform has listed no member for long. A dark
-// group is kept until then: when it was only cut off, it comes back whole.
-func (p *planner) allMissing(g *fleet.Group) bool {
+// allUnlisted reports whether every member is missing from the platform's list
+// for longer than Tune.MissingAfter. A group whose members are all dead is kept
+// until then: after a mere network partition it is complete again.
+func (p *planner) allUnlisted(g *fleet.Group) bool {
 	return !slices.ContainsFunc(g.Members, func(m fleet.Member) bool {
 		v := p.vms[m.VM]
-		return v != nil && !missing(v, p.in.Now, &p.in.Tune)
+		return v != nil && !isUnlisted(v, p.in.Now, &p.in.Tune)
 	})
 }
 
-// forgetDissolved is how long the row of a dissolved group is kept, so that
-// slow readers learn that it was dissolved.
-const forgetDissolved = time.Minute
+// dissolvedRetention is the time for which the row of a dissolved group is kept,
+// so that slow readers learn that it was dissolved.
+const dissolvedRetention = time.Minute
 
-// settled reports whether orders of a former holder of the lease can no longer
-// reach the group's engines.
-func (p *planner) settled(g *fleet.Group) bool {
+// isSettled reports whether orders of a former holder of the lease can no longer
+// affect the group's engines.
+func (p *planner) isSettled(g *fleet.Group) bool {
 	for i := range g.Members {
-		if !p.mayOrder(g.Members[i].VM) {
+		if !p.canOrder(g.Members[i].VM) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayOrder reports whether the VM may get an order: at any time when it checks
-// fences, else once the former holder's orders have run out.
-func (p *planner) mayOrder(vm fleet.VM) bool {
+// canOrder reports whether the VM may get an order: always if its engine checks
+// fences or the lease was not taken over, else only after UnfencedSettle.
+func (p *planner) canOrder(vm fleet.VM) bool {
 	if !p.in.Grant.TakenOver || p.checksFence(vm) {
 		return true
 	}
@@ -275,6 +278,6 @@
 	return p.doc.ChecksFence(string(vm))
 }
 
-func (p *planner) note(subject, decision, reason string) {
+func (p *planner) postpone(subject, decision, reason string) {
 	p.out.Notes = append(p.out.Notes, Note{subject, decision, reason})
 }
--- a/internal/group/plan_test.go
+++ b/internal/group/plan_test.go
@@ -11,17 +11,17 @@
 	"chervilloom/internal/fleet"
 )
 
-func TestPlacementKeepsWholeReplicasPossible(t *testing.T) {
+func TestPlacementAvoidsStranding(t *testing.T) {
 	for name, c := range map[string]struct {
 		sizes []int
 		specs []config.GroupSpec
 		want  map[string]int // free VMs left by domain
 	}{
-		"the full domain rather than 13, which would strand 5": {[]int{13, 8}, []config.GroupSpec{spec("a", 8, 1)}, map[string]int{"z-d0": 13}},
-		"a remainder that another size fits":                   {[]int{13, 12}, []config.GroupSpec{spec("a", 8, 1), spec("b", 5, 0)}, map[string]int{"z-d0": 5, "z-d1": 12}},
-		"the larger replica first":                             {[]int{8, 5}, []config.GroupSpec{spec("b", 4, 1), spec("a", 8, 1)}, map[string]int{"z-d1": 1}},
-		"spread over domains where nothing is stranded by it":  {[]int{16, 16}, []config.GroupSpec{spec("a", 8, 2)}, map[string]int{"z-d0": 8, "z-d1": 8}},
-		"no spec takes all while another has none":             {[]int{8}, []config.GroupSpec{spec("a", 4, 2), spec("b", 4, 1)}, map[string]int{}},
+		"an exact fit is preferred to a domain of 13, which would strand 5": {[]int{13, 8}, []config.GroupSpec{spec("a", 8, 1)}, map[string]int{"z-d0": 13}},
+		"a remainder that another size can use":                             {[]int{13, 12}, []config.GroupSpec{spec("a", 8, 1), spec("b", 5, 0)}, map[string]int{"z-d0": 5, "z-d1": 12}},
+		"the larger replica is placed first":                                {[]int{8, 5}, []config.GroupSpec{spec("b", 4, 1), spec("a", 8, 1)}, map[string]int{"z-d1": 1}},
+		"replicas are spread over domains if this strands no VM":            {[]int{16, 16}, []config.GroupSpec{spec("a", 8, 2)}, map[string]int{"z-d0": 8, "z-d1": 8}},
+		"no spec gets all VMs while another has none":                       {[]int{8}, []config.GroupSpec{spec("a", 4, 2), spec("b", 4, 1)}, map[string]int{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -43,17 +43,17 @@
 				}
 			}
 			is.Equal(left, c.want)
-			if name == "no spec takes all while another has none" {
+			if name == "no spec gets all VMs while another has none" {
 				is.Equal(formed, map[string]int{"a": 1, "b": 1})
 			}
 		})
 	}
 }
 
-// The same state, two users: the one that weighs stranded accelerators puts the
-// second replica beside the first and leaves 12 VMs whole for two of the other
-// size; the one that weighs downtime strands four VMs rather than lose both
-// replicas to one dark domain.
+// The same state under two objectives. With a high weight of stranding, the second
+// replica is placed beside the first, which keeps 12 VMs for two replicas of the
+// other size. With a high weight of downtime, it strands four VMs, so that the
+// outage of one domain does not stop both replicas.
 func TestWeightsChangeThePlacement(t *testing.T) {
 	for name, c := range map[string]struct {
 		objective config.Objective
@@ -68,7 +68,7 @@
 			w.doc.Objective = c.objective
 			w.settle(t, 10)
 			is.Equal(w.group(0).Domain, fleet.FabricDomain("z-d0"))
-			w.wants["a"] = 2
+			w.targets["a"] = 2
 			p := w.plan(t)
 			is.Equal(len(p.Changes), 1)
 			is.Equal(p.Changes[0].Group.Domain, c.domain)
@@ -77,18 +77,18 @@
 }
 
 func TestRepair(t *testing.T) {
-	t.Run("a spare takes the dead member's rank", func(t *testing.T) {
+	t.Run("a spare replaces a dead member at its rank", func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(specs(spec("a", 4, 1)), 5)
 		w.settle(t, 10)
-		was := w.group(0).Members[1].VM
-		w.kill(was)
+		replaced := w.group(0).Members[1].VM
+		w.failProbes(replaced)
 		is.Equal(kinds(w.settle(t, 10)), "[repair serve]")
 		is.Equal(w.group(0).Generation, fleet.Generation(2))
-		is.True(w.group(0).Members[1].VM != was)
-		is.Equal(w.claims[was].Group, fleet.GroupID(""))
+		is.True(w.group(0).Members[1].VM != replaced)
+		is.Equal(w.claims[replaced].Group, fleet.GroupID(""))
 	})
-	t.Run("a restarted member stays under its new boot id", func(t *testing.T) {
+	t.Run("a restarted member stays with its new boot id", func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(specs(spec("a", 4, 1)), 5)
 		w.settle(t, 10)
@@ -98,7 +98,7 @@
 		is.Equal(w.group(0).Members[0].VM, m.VM)
 		is.Equal(w.group(0).Members[0].Boot, fleet.BootID("b2"))
 	})
-	t.Run("a member that restarts again and again is replaced", func(t *testing.T) {
+	t.Run("a member that restarts repeatedly is replaced", func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(specs(spec("a", 4, 1)), 5)
 		w.settle(t, 10)
@@ -109,37 +109,37 @@
 		}
 		is.True(w.group(0).Members[0].VM != m)
 	})
-	t.Run("nothing is done while another member may be dying", func(t *testing.T) {
+	t.Run("no repair while another member may be dead", func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(specs(spec("a", 4, 1)), 6)
 		w.settle(t, 10)
-		w.kill(w.group(0).Members[0].VM)
+		w.failProbes(w.group(0).Members[0].VM)
 		dying := &w.vms[w.group(0).Members[1].VM].Probe
 		dying.Failing, dying.Failures = w.now.Add(-300*time.Millisecond), 1
 		is.Equal(kinds(w.plan(t).Changes), "[]")
 	})
-	t.Run("two broken groups become one that serves", func(t *testing.T) {
+	t.Run("two broken groups yield one serving group", func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(specs(spec("a", 4, 2)), 8)
 		w.settle(t, 10)
-		w.kill(w.group(0).Members[0].VM, w.group(1).Members[0].VM, w.group(1).Members[1].VM)
+		w.failProbes(w.group(0).Members[0].VM, w.group(1).Members[0].VM, w.group(1).Members[1].VM)
 		is.Equal(kinds(w.settle(t, 10)), "[dissolve repair serve]")
 		is.Equal(w.phases(), "map[dissolved:1 serving:1]")
 	})
-	t.Run("a group beyond repair is given up after a while", func(t *testing.T) {
+	t.Run("a group that cannot be repaired is dissolved after a delay", func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(specs(spec("a", 4, 1)), 4)
 		w.settle(t, 10)
-		w.kill(w.group(0).Members[0].VM)
+		w.failProbes(w.group(0).Members[0].VM)
 		is.Equal(kinds(w.plan(t).Changes), "[]")
 		w.now = w.now.Add(w.tune.DissolveAfter)
 		is.Equal(kinds(w.plan(t).Changes), "[dissolve]")
 	})
-	t.Run("a group beyond repair is replaced at once where there is room", func(t *testing.T) {
+	t.Run("a group that cannot be repaired is replaced at once if VMs are free", func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(specs(spec("a", 4, 1)), 4, 4)
 		w.settle(t, 10)
-		w.kill(w.group(0).Members[0].VM)
+		w.failProbes(w.group(0).Members[0].VM)
 		is.Equal(kinds(w.settle(t, 10)), "[form dissolve serve]")
 	})
 	t.Run("a member that lost the replica gets a new generation", func(t *testing.T) {
@@ -151,50 +151,50 @@
 	})
 }
 
-func TestDarkDomain(t *testing.T) {
+func TestDomainOutage(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(specs(spec("a", 4, 2)), 8, 8)
 	w.settle(t, 10)
-	var dark []fleet.VM
+	var dead []fleet.VM
 	for vm, v := range w.vms {
 		if v.Record.Domain == "z-d0" {
-			dark = append(dark, vm)
+			dead = append(dead, vm)
 		}
 	}
-	w.kill(dark...)
-	is.Equal(kinds(w.settle(t, 10)), "[form serve]") // in the other domain
-	is.Equal(w.phases(), "map[serving:3]")           // the dark one is kept: it may come back whole
-	for _, vm := range dark {
+	w.failProbes(dead...)
+	is.Equal(kinds(w.settle(t, 10)), "[form serve]") // the form is in the other domain
+	is.Equal(w.phases(), "map[serving:3]")           // the dead group is kept: its members may answer again
+	for _, vm := range dead {
 		w.vms[vm].Probe.Failing, w.vms[vm].Probe.Failures = 0, 0
 	}
-	w.idle(0)
-	is.Equal(kinds(w.settle(t, 1)), "[drain]") // it did: one too many now
-	w.kill(dark...)
-	for _, vm := range dark {
+	w.setLoad(0)
+	is.Equal(kinds(w.settle(t, 1)), "[drain]") // its members answer again: one group is surplus
+	w.failProbes(dead...)
+	for _, vm := range dead {
 		w.vms[vm].Listed, w.vms[vm].Unlisted = false, w.now.Add(-time.Hour)
 	}
 	w.now = w.now.Add(time.Second)
 	for _, c := range w.plan(t).Changes {
-		is.Equal(c.Kind, Dissolve) // gone from the list as well
+		is.Equal(c.Kind, Dissolve) // the VMs are missing from the list as well
 	}
 }
 
-// A member that is leaving takes its group out of service. The group first
-// finishes what it has, then a spare takes the place of the one that leaves.
+// A group with a leaving member is drained. Once its requests are done, a spare
+// replaces the leaving member.
 func TestLeavingMemberDrainsFirst(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(specs(spec("a", 4, 1)), 5)
 	w.settle(t, 10)
 	m := w.group(0).Members[2].VM
 	w.vms[m].Leaving = true
-	w.idle(3)
+	w.setLoad(3)
 	is.Equal(kinds(w.settle(t, 10)), "[drain]")
 	w.now = w.now.Add(w.tune.DrainSettle)
-	w.idle(1)
+	w.setLoad(1)
 	is.Equal(kinds(w.settle(t, 1)), "[]")
-	w.idle(0)
+	w.setLoad(0)
 	w.now = w.now.Add(time.Second)
-	w.idle(0)
+	w.setLoad(0)
 	is.Equal(kinds(w.settle(t, 10)), "[repair serve]")
 	is.True(w.group(0).Members[2].VM != m)
 }
@@ -203,14 +203,14 @@
 	is := is.New(t)
 	w := newWorld(specs(spec("a", 2, 2)), 4)
 	w.settle(t, 10)
-	w.wants["a"] = 1
+	w.targets["a"] = 1
 	is.Equal(kinds(w.settle(t, 5)), "[drain]")
-	w.idle(0) // idle, but other nodes may not have heard of the drain yet
+	w.setLoad(0) // idle, but other nodes may not know of the drain yet
 	is.Equal(kinds(w.settle(t, 5)), "[]")
 	w.now = w.now.Add(w.tune.DrainSettle)
-	w.idle(0)
+	w.setLoad(0)
 	w.now = w.now.Add(time.Second)
-	w.idle(0)
+	w.setLoad(0)
 	is.Equal(kinds(w.settle(t, 5)), "[dissolve]")
 	free := 0
 	for _, v := range w.vms {
@@ -219,25 +219,25 @@
 		}
 	}
 	is.Equal(free, 2)
-	w.wants["a"] = 2 // the VMs can be used again
+	w.targets["a"] = 2 // the released VMs can be used again
 	is.Equal(kinds(w.settle(t, 5)), "[form serve]")
-	w.now = w.now.Add(2 * forgetDissolved)
+	w.now = w.now.Add(2 * dissolvedRetention)
 	is.Equal(kinds(w.settle(t, 5)), "[forget]")
 }
 
-// A new version replaces the old while at least the wanted number of replicas
-// serves, when there is room beside the old ones; without room, one at a time.
+// A new version replaces the old one. If VMs are free, at least the wanted number
+// of replicas serves throughout; without free VMs, one group at a time is replaced.
 func TestVersionRoll(t *testing.T) {
 	for name, c := range map[string]struct {
 		vms, least int
-	}{"with room": {6, 2}, "without room": {4, 1}} {
+	}{"with free VMs": {6, 2}, "without free VMs": {4, 1}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := newWorld(specs(spec("a", 2, 2)), c.vms)
 			w.settle(t, 10)
 			w.doc.Groups[0].ModelVer = "v2"
 			for range 100 {
-				w.idle(0)
+				w.setLoad(0)
 				w.apply(w.plan(t))
 				w.now = w.now.Add(time.Second)
 				serves, current := 0, 0
@@ -255,7 +255,7 @@
 					return
 				}
 			}
-			t.Fatal("the new version never replaced the old")
+			t.Fatal("the new version did not replace the old one")
 		})
 	}
 }
@@ -266,16 +266,16 @@
 	w.tune.LoadsAtOnce = 8
 	w.apply(w.plan(t))
 	p := w.plan(t)
-	is.Equal(orderCount(p, engine.VerbJoin), 8)
+	is.Equal(countOrders(p, engine.VerbJoin), 8)
 	for _, o := range p.Orders { // joined, not loaded yet
-		w.obey(o)
+		w.applyOrder(o)
 		w.vms[o.VM].Probe.State.Loaded = false
 	}
-	is.Equal(orderCount(w.plan(t), engine.VerbJoin), 0)
+	is.Equal(countOrders(w.plan(t), engine.VerbJoin), 0)
 	for i := range 4 { // the first group is loaded
 		w.vms[w.group(0).Members[i].VM].Probe.State.Loaded = true
 	}
-	is.Equal(orderCount(w.plan(t), engine.VerbJoin), 4)
+	is.Equal(countOrders(w.plan(t), engine.VerbJoin), 4)
 }
 
 func TestEnginesThatIgnoreFencesWaitAfterATakeover(t *testing.T) {
@@ -293,14 +293,14 @@
 
 func TestStranding(t *testing.T) {
 	is := is.New(t)
-	is.Equal(stranding(13, []int{8}), 5)
-	is.Equal(stranding(13, []int{8, 5}), 0)
-	is.Equal(stranding(7, []int{8}), 7)
-	is.Equal(stranding(0, []int{8}), 0)
-	is.Equal(stranding(5, nil), 0)
+	is.Equal(strandedVMs(13, []int{8}), 5)
+	is.Equal(strandedVMs(13, []int{8, 5}), 0)
+	is.Equal(strandedVMs(7, []int{8}), 7)
+	is.Equal(strandedVMs(0, []int{8}), 0)
+	is.Equal(strandedVMs(5, nil), 0)
 }
 
-func TestShareIsTheSameSplitEverywhere(t *testing.T) {
+func TestSharesOfZonesAddUp(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(specs(spec("a", 4, 1)), 8, 4)
 	snap := w.snapshot()
@@ -315,17 +315,17 @@
 			snap.Zone = z
 			sum += Share(&w.doc.Groups[0], total, snap)
 		}
-		is.Equal(sum, want) // three fit into z and one into y
+		is.Equal(sum, want) // z has capacity for three and y for one
 	}
 }
 
-// Every group is drained at once. The owner has read the table but not yet the
-// list of VMs, or has no word on the targets, or gets a list that was cut short.
-// None of these says that a group is not wanted.
-func TestNothingIsDrainedForWantOfWord(t *testing.T) {
+// Guards against draining every group on incomplete input: the holder has read the
+// table but not yet the list of VMs, the targets are missing, or the list is
+// truncated. None of these means that a group is not wanted.
+func TestIncompleteInputDrainsNothing(t *testing.T) {
 	for name, lose := range map[string]func(*world){
-		"no targets": func(w *world) { w.wants = nil },
-		"a list cut short": func(w *world) {
+		"no targets": func(w *world) { w.targets = nil },
+		"truncated list": func(w *world) {
 			for _, v := range w.vms {
 				v.Listed, v.Unlisted = false, w.now.Add(-time.Hour)
 			}
@@ -345,13 +345,13 @@
 		w.settle(t, 10)
 		snap := w.snapshot()
 		snap.ListSeen = 0
-		for i := range snap.VMs { // known from claims and probes alone
+		for i := range snap.VMs { // known only from claims and probes
 			snap.VMs[i].Record = fleet.Record{VM: snap.VMs[i].Record.VM}
 		}
 		p := Make(&Input{Now: w.now, Snap: snap, Claims: w.claims, Groups: w.groups, Targets: MinTargets(snap), Grant: w.grant, Tune: w.tune}, w.mem)
 		is.Equal(len(p.Changes)+len(p.Orders), 0)
 	})
-	t.Run("one VM missing is believed", func(t *testing.T) {
+	t.Run("a single unlisted VM counts as leaving", func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(specs(spec("a", 2, 2)), 8)
 		w.settle(t, 10)
@@ -361,12 +361,12 @@
 	})
 }
 
-func TestChangesCarryTheirFacts(t *testing.T) {
+func TestChangesIncludeFacts(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(specs(spec("a", 2, 1)), 3)
 	w.settle(t, 10)
 	m := w.group(0).Members[1].VM
-	w.kill(m)
+	w.failProbes(m)
 	c := w.plan(t).Changes[0]
 	is.Equal(c.Kind, Repair)
 	is.Equal(c.Reason, "repair: "+string(m)+" is dead")
@@ -376,15 +376,15 @@
 	is.Equal(c.Facts[1].Age, 10*time.Second)
 }
 
-func TestAccount(t *testing.T) {
+func TestObjectiveSummary(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(specs(spec("a", 4, 2)), 5, 4)
 	w.settle(t, 10)
 	p := w.plan(t)
 	is.Equal(p.Specs, []SpecState{{Name: "a", Wanted: 2, Serving: 2}})
-	is.Equal(p.Stranded, 8) // one spare of eight accelerators
-	w.kill(w.group(0).Members[0].VM, w.group(0).Members[1].VM)
+	is.Equal(p.Stranded, 8) // one spare VM with eight accelerators
+	w.failProbes(w.group(0).Members[0].VM, w.group(0).Members[1].VM)
 	p = w.plan(t)
 	is.Equal(p.Specs, []SpecState{{Name: "a", Wanted: 2, Serving: 1, Other: 1, Down: 1}})
-	is.Equal(p.Stranded, 3*8) // two survivors and the spare
+	is.Equal(p.Stranded, 3*8) // the two remaining members and the spare
 }
--- a/internal/group/reconciler.go
+++ b/internal/group/reconciler.go
@@ -24,27 +24,27 @@
 
 var tracer = otel.Tracer("chervilloom/group")
 
-// Lease tells whether this node holds the duty now.
+// Lease reports whether this node holds the duty, with the grant.
 type Lease interface {
 	Held(now clock.Instant) (lease.Grant, bool)
 }
 
-// Orderer sends an order to an engine and returns its state after it.
+// Orderer sends an order to an engine and returns the engine's state after it.
 type Orderer interface {
 	Order(ctx context.Context, addr string, o engine.Order) (engine.OrderResult, error)
 }
 
-// Sink takes events for the view; it never blocks.
+// Sink receives events for the view; Put must not block.
 type Sink interface{ Put(view.Event) }
 
-// Targets says how many replicas of each spec the snapshot's zone should hold,
-// by spec name.
+// Targets returns the wanted number of replicas of each spec in the snapshot's
+// zone, by spec name.
 type Targets func(*view.Snapshot) map[string]int
 
 // Duty returns the name of the lease for the zone's groups.
 func Duty(zone fleet.AvailabilityZone) string { return "groups/" + string(zone) }
 
-// Deps is what a Reconciler works with.
+// Deps holds the dependencies and settings of a Reconciler.
 type Deps struct {
 	Zone     fleet.AvailabilityZone
 	Table    Table
@@ -61,34 +61,35 @@
 	Timing   Timing
 }
 
-// Timing holds the reconciler's intervals; zero values stand for the defaults.
+// Timing holds the reconciler's intervals and limits; zero values select the
+// defaults.
 type Timing struct {
 	Tick         time.Duration // between plans; default 200 ms
-	Read         time.Duration // between reads of the table by the holder, besides those after its own writes; default 2 s
+	Read         time.Duration // between the holder's reads of the table, except after failed writes; default 2 s
 	ReadTimeout  time.Duration // of one read of the table; default 2 s
-	SlowRead     time.Duration // between reads by another node, at least; default 3 s
+	SlowRead     time.Duration // minimum between reads of the table by other nodes; default 3 s
 	OrderTimeout time.Duration // of one order; default 1 s
-	// CommitTimeout is for one transaction, the client's read-back included;
+	// CommitTimeout limits one transaction including the client's read-back;
 	// default 3 s.
 	CommitTimeout time.Duration
-	Commits       int           // transactions at once; default 8
-	AtOnce        int           // orders at once; default 16
-	Margin        time.Duration // of the lease that must be left to act; default 500 ms
+	Commits       int           // concurrent transactions; default 8
+	AtOnce        int           // concurrent orders; default 16
+	Margin        time.Duration // remaining lease time required to act; default 500 ms
 }
 
 func (t Timing) withDefaults() Timing {
-	def := func(d *time.Duration, v time.Duration) {
+	setDefault := func(d *time.Duration, v time.Duration) {
 		if *d == 0 {
 			*d = v
 		}
 	}
-	def(&t.Tick, 200*time.Millisecond)
-	def(&t.Read, 2*time.Second)
-	def(&t.ReadTimeout, 2*time.Second)
-	def(&t.SlowRead, 3*time.Second)
-	def(&t.OrderTimeout, time.Second)
-	def(&t.CommitTimeout, 3*time.Second)
-	def(&t.Margin, 500*time.Millisecond)
+	setDefault(&t.Tick, 200*time.Millisecond)
+	setDefault(&t.Read, 2*time.Second)
+	setDefault(&t.ReadTimeout, 2*time.Second)
+	setDefault(&t.SlowRead, 3*time.Second)
+	setDefault(&t.OrderTimeout, time.Second)
+	setDefault(&t.CommitTimeout, 3*time.Second)
+	setDefault(&t.Margin, 500*time.Millisecond)
 	if t.Commits == 0 {
 		t.Commits = 8
 	}
@@ -101,15 +102,16 @@
 // Reconciler carries out the plans of one availability zone.
 type Reconciler struct {
 	Deps
-	metrics *metrics
-	mem     *Memory
-	rows    *rows
-	dirty   bool // the rows must be read before the next plan
-	fence   uint64
-	// retryRead: not to be read before; reads fail while the platform is down.
-	retryRead clock.Instant
-	lastPlan  clock.Instant // of this tenure; 0: none
-	told      map[Note]bool // notes of the plan before
+	metrics     *metrics
+	mem         *Memory
+	rows        *rows
+	rowsStale   bool // the rows must be read again before the next plan
+	tenureFence uint64
+	// nextRead is the earliest time of the next read after a failed one; it limits
+	// reads while the platform is down.
+	nextRead      clock.Instant
+	lastPlan      clock.Instant // in this tenure; 0: none
+	previousNotes map[Note]bool // notes of the previous plan
 }
 
 // New returns a reconciler; Run starts it.
@@ -121,11 +123,11 @@
 	if d.Targets == nil {
 		d.Targets = MinTargets
 	}
-	return &Reconciler{Deps: d, metrics: newMetrics(d.Registry), mem: NewMemory(), dirty: true}
+	return &Reconciler{Deps: d, metrics: newMetrics(d.Registry), mem: NewMemory(), rowsStale: true}
 }
 
-// Run reconciles until ctx ends. The lease must be released only after Run has
-// returned: an order may be on its way until then.
+// Run reconciles until ctx is done. The lease must be released only after Run has
+// returned, because an order may be in flight until then.
 func (r *Reconciler) Run(ctx context.Context) error {
 	tick := time.NewTicker(r.Timing.Tick)
 	defer tick.Stop()
@@ -139,44 +141,47 @@
 	}
 }
 
-// Step reads what is due, plans and acts once.
+// Step runs one cycle: it reads the table if due, plans, commits and sends orders.
+// Without the lease it only reads.
 func (r *Reconciler) Step(ctx context.Context) {
 	now := r.Clock.Now()
 	grant, ok := r.Lease.Held(now)
 	if !ok || grant.Left(now) < r.Timing.Margin {
-		if r.fence != 0 {
-			r.metrics.retired()
+		if r.tenureFence != 0 {
+			r.metrics.resetGauges()
 		}
-		r.fence, r.lastPlan = 0, 0
-		r.read(ctx, now, r.slowRead())
+		r.tenureFence, r.lastPlan = 0, 0
+		r.refreshRows(ctx, now, r.standbyReadInterval())
 		return
 	}
-	if grant.Fence != r.fence {
-		r.fence, r.dirty, r.mem = grant.Fence, true, r.mem.Restart()
+	if grant.Fence != r.tenureFence {
+		r.tenureFence, r.rowsStale, r.mem = grant.Fence, true, r.mem.Restart()
 	}
-	every := r.Timing.Read
-	if r.dirty {
-		every = 0
+	interval := r.Timing.Read
+	if r.rowsStale {
+		interval = 0
 	}
-	if !r.read(ctx, now, every) {
-		return // cut off from the platform: nothing is claimed, what is formed goes on
+	if !r.refreshRows(ctx, now, interval) {
+		return // the platform is unreachable: no new claims; existing groups keep serving
 	}
-	r.act(ctx, grant)
+	r.planAndApply(ctx, grant)
 }
 
-// slowRead grows with the number of nodes, so that their reads together stay a
-// small share of what the table can serve.
-func (r *Reconciler) slowRead() time.Duration {
+// standbyReadInterval returns the interval between reads without the lease. It
+// grows with the number of nodes, so that all of them together use a small share
+// of the table's capacity.
+func (r *Reconciler) standbyReadInterval() time.Duration {
 	const perNode = 50 * time.Millisecond
 	return max(r.Timing.SlowRead, time.Duration(len(r.View.Snapshot().Nodes))*perNode)
 }
 
-// read reports whether the rows are at most every old, reading them when not.
-func (r *Reconciler) read(ctx context.Context, now clock.Instant, every time.Duration) bool {
-	if r.rows != nil && every > 0 && now.Sub(r.rows.at) < every {
+// refreshRows reads the rows unless they are younger than interval, and reports
+// whether they are up to date; interval 0 always reads.
+func (r *Reconciler) refreshRows(ctx context.Context, now clock.Instant, interval time.Duration) bool {
+	if r.rows != nil && interval > 0 && now.Sub(r.rows.readAt) < interval {
 		return true
 	}
-	if now.Before(r.retryRead) {
+	if now.Before(r.nextRead) {
 		return false
 	}
 	rctx, cancel := context.WithTimeout(ctx, r.Timing.ReadTimeout)
@@ -184,15 +189,15 @@
 	fresh, err := readRows(rctx, r.Table, r.Zone, now, r.Log)
 	if err != nil {
 		r.metrics.readFailed.Inc()
-		r.retryRead = r.Clock.Now().Add(r.Timing.Read / 2)
+		r.nextRead = r.Clock.Now().Add(r.Timing.Read / 2)
 		return false
 	}
-	r.rows, r.dirty = fresh, false
+	r.rows, r.rowsStale = fresh, false
 	r.Sink.Put(fresh.event(r.Zone))
 	return true
 }
 
-func (r *Reconciler) act(ctx context.Context, grant lease.Grant) {
+func (r *Reconciler) planAndApply(ctx context.Context, grant lease.Grant) {
 	snap := r.View.Snapshot()
 	now := r.Clock.Now()
 	plan := Make(&Input{
@@ -204,35 +209,35 @@
 		since = now.Sub(r.lastPlan)
 	}
 	r.lastPlan = now
-	r.metrics.planned(r.Clock.Now().Sub(now), since, &plan)
+	r.metrics.observePlan(r.Clock.Now().Sub(now), since, &plan)
 	r.explainNotes(plan.Notes)
 	if !r.commitAll(ctx, grant, plan.Changes) {
-		return // the orders were made for rows that are not known now
+		return // the orders were planned for rows that may have changed
 	}
 	r.sendOrders(ctx, grant, plan.Orders)
 }
 
-// commitAll commits the changes, a few at a time: they touch different rows. It
-// reports whether all landed.
+// commitAll commits the changes concurrently, since they write different rows. It
+// reports whether all were committed.
 func (r *Reconciler) commitAll(ctx context.Context, grant lease.Grant, changes []Change) bool {
 	results := make([]platform.Result, len(changes))
 	var eg errgroup.Group
 	eg.SetLimit(r.Timing.Commits)
-	landed := make([]bool, len(changes))
+	done := make([]bool, len(changes))
 	for i := range changes {
 		eg.Go(func() error {
-			results[i], landed[i] = r.commit(ctx, grant, &changes[i])
+			results[i], done[i] = r.commit(ctx, grant, &changes[i])
 			return nil
 		})
 	}
-	_ = eg.Wait() // commit reports by its results
+	_ = eg.Wait() // commit returns no error, only a result
 	all := true
 	for i := range changes {
-		if !landed[i] {
-			all, r.dirty = false, true
+		if !done[i] {
+			all, r.rowsStale = false, true
 			continue
 		}
-		r.took(&changes[i], &results[i])
+		r.applyCommitted(&changes[i], &results[i])
 	}
 	if len(changes) > 0 {
 		r.Sink.Put(r.rows.event(r.Zone))
@@ -240,8 +245,8 @@
 	return all
 }
 
-// took brings the rows up to date with a change that landed.
-func (r *Reconciler) took(c *Change, res *platform.Result) {
+// applyCommitted updates the cached rows with a committed change.
+func (r *Reconciler) applyCommitted(c *Change, res *platform.Result) {
 	for i := range res.Rows {
 		r.rows.put(&res.Rows[i], r.Log)
 	}
@@ -252,7 +257,8 @@
 	}
 }
 
-// commit writes one change under the lease and reports whether it landed.
+// commit commits one change if the lease is still held with the margin left, and
+// reports whether it was committed.
 func (r *Reconciler) commit(ctx context.Context, grant lease.Grant, c *Change) (platform.Result, bool) {
 	now := r.Clock.Now()
 	held, ok := r.Lease.Held(now)
@@ -268,37 +274,37 @@
 	defer cancel()
 	c.Txn.Attempt = uuid.NewString()
 	res, err := r.Table.Commit(ctx, c.Txn)
-	result := committed
+	result := resultCommitted
 	switch {
 	case errors.Is(err, platform.ErrAmbiguous):
-		// It may have landed. Nothing is assumed: the rows are read again and
-		// the next plan starts from what they hold.
+		// The outcome is unknown: the rows are read again, and the next plan
+		// starts from them.
 		result = "ambiguous"
 	case err != nil:
 		result = "failed"
 	case !res.Committed:
 		result = "conflict"
 	}
-	if result != committed {
+	if result != resultCommitted {
 		span.SetStatus(codes.Error, result)
 	}
-	r.metrics.change(c.Kind, result)
+	r.metrics.countChange(c.Kind, result)
 	r.explainChange(c, result)
-	return res, result == committed
+	return res, result == resultCommitted
 }
 
-const committed = "committed"
+const resultCommitted = "committed"
 
-// explainNotes records the notes that differ from those of the plan before.
+// explainNotes records the notes that the previous plan did not have.
 func (r *Reconciler) explainNotes(notes []Note) {
-	told := make(map[Note]bool, len(notes))
+	current := make(map[Note]bool, len(notes))
 	for _, n := range notes {
-		told[n] = true
-		if !r.told[n] {
+		current[n] = true
+		if !r.previousNotes[n] {
 			r.Explain.Note(explain.Step{Subject: n.Subject, Stage: "group", Decision: n.Decision, Reason: n.Reason})
 		}
 	}
-	r.told = told
+	r.previousNotes = current
 }
 
 func (r *Reconciler) explainChange(c *Change, result string) {
@@ -310,7 +316,7 @@
 		"change", c.Kind, "result", result, "reason", c.Reason)
 }
 
-// MinTargets is the zone's share of each spec's minimum.
+// MinTargets returns the zone's share of each spec's minimum, by spec name.
 func MinTargets(snap *view.Snapshot) map[string]int {
 	out := map[string]int{}
 	if snap.Config == nil {
--- a/internal/group/repair.go
+++ b/internal/group/repair.go
@@ -9,30 +9,30 @@
 	"chervilloom/internal/view"
 )
 
-// drainStep ends a drain: once the leader has nothing left to do, or when
-// nothing is left that a drain could save.
-func (p *planner) drainStep(it *item) {
-	reason, done := p.drained(it)
+// stepDraining ends the drain of a group when its leader has no requests left or
+// the drain can no longer succeed.
+func (p *planner) stepDraining(it *assessedGroup) {
+	reason, done := p.drainResult(it)
 	if !done {
 		return
 	}
-	// A group that drained because a member is leaving is still wanted when no
-	// other could be formed in its place.
-	if it.assess.state == fading && p.wanted(it) && p.renew(it) {
+	// A group that was drained because a member is leaving is repaired if no
+	// other group has replaced it.
+	if it.assess.state == membersLeaving && p.isWanted(it) && p.repairGroup(it) {
 		return
 	}
-	p.dissolve(it, reason)
+	p.dissolveGroup(it, reason)
 }
 
-func (p *planner) drained(it *item) (string, bool) {
+func (p *planner) drainResult(it *assessedGroup) (string, bool) {
 	g := &it.row.Group
-	began := since(p.mem.draining, g.ID, p.in.Now)
-	took := p.in.Now.Sub(began)
+	began := sinceFirst(p.mem.drainingSince, g.ID, p.in.Now)
+	elapsed := p.in.Now.Sub(began)
 	leader := p.vms[g.Members[0].VM]
 	switch {
-	case it.assess.state == broken || it.assess.state == dark:
+	case it.assess.state == broken || it.assess.state == allDead:
 		return "draining, and " + it.assess.reason, true
-	case took > p.in.Tune.DrainLimit:
+	case elapsed > p.in.Tune.DrainLimit:
 		return "the drain took too long", true
 	case leader == nil || leader.Load.Boot != g.Members[0].Boot || leader.Load.Running+leader.Load.Waiting > 0:
 		return "", false
@@ -42,12 +42,12 @@
 	return "", false
 }
 
-// repairAll repairs the broken groups of all fabric domains in one plan, those
-// that need the fewest spares first.
+// repairAll repairs the broken groups of all fabric domains in one plan, in each
+// domain those that need the fewest spares first.
 func (p *planner) repairAll() {
-	perDomain := map[fleet.FabricDomain][]*item{}
+	perDomain := map[fleet.FabricDomain][]*assessedGroup{}
 	var domains []fleet.FabricDomain
-	for _, it := range p.items {
+	for _, it := range p.groups {
 		if !p.needsRepair(it) {
 			continue
 		}
@@ -62,56 +62,56 @@
 	}
 }
 
-// needsRepair reports whether the group must get a new generation. A fading
-// group that serves drains first, so that its requests end well.
-func (p *planner) needsRepair(it *item) bool {
+// needsRepair reports whether the group must get a new generation. A serving group
+// whose members are only leaving is drained first, so that its requests complete.
+func (p *planner) needsRepair(it *assessedGroup) bool {
 	g := &it.row.Group
 	if it.changed || g.Phase == fleet.PhaseDissolved || g.Phase == fleet.PhaseDraining {
 		return false
 	}
-	if it.assess.state != broken && it.assess.state != fading {
-		delete(p.mem.broken, g.ID)
+	if it.assess.state != broken && it.assess.state != membersLeaving {
+		delete(p.mem.brokenSince, g.ID)
 		return false
 	}
-	if it.assess.state == fading && g.Phase == fleet.PhaseServing {
-		p.drain(it, it.assess.reason)
+	if it.assess.state == membersLeaving && g.Phase == fleet.PhaseServing {
+		p.drainGroup(it, it.assess.reason)
 		return false
 	}
 	return true
 }
 
-func (p *planner) repairDomain(items []*item) {
-	slices.SortStableFunc(items, func(a, b *item) int { return cmp.Compare(len(a.assess.gone), len(b.assess.gone)) })
-	var left []*item
+func (p *planner) repairDomain(items []*assessedGroup) {
+	slices.SortStableFunc(items, func(a, b *assessedGroup) int { return cmp.Compare(len(a.assess.toReplace), len(b.assess.toReplace)) })
+	var left []*assessedGroup
 	for _, it := range items {
-		if !p.renew(it) {
+		if !p.repairGroup(it) {
 			left = append(left, it)
 		}
 	}
-	p.sacrifice(left)
+	p.dissolveForSpares(left)
 	for _, it := range left {
 		if !it.changed {
-			p.giveUp(it)
+			p.dissolveOrWait(it)
 		}
 	}
 }
 
-// sacrifice dissolves the group with the most members gone when what is left of
-// it completes another: two groups that each lost a member become one that
-// serves instead of none.
-func (p *planner) sacrifice(left []*item) {
+// dissolveForSpares dissolves the group that lacks the most members if its
+// remaining VMs and the free ones can complete the group that lacks the fewest.
+// Two groups that each lost a member then yield one serving group instead of none.
+func (p *planner) dissolveForSpares(left []*assessedGroup) {
 	if len(left) < 2 {
 		return
 	}
 	first, last := left[0], left[len(left)-1]
-	pool := len(p.free[first.row.Group.Domain]) + p.survivors(last)
-	if pool >= len(first.assess.gone) {
-		p.dissolve(last, fmt.Sprintf("%s; its other VMs complete %s", last.assess.reason, first.row.Group.ID))
+	pool := len(p.freeVMs[first.row.Group.Domain]) + p.countAlive(last)
+	if pool >= len(first.assess.toReplace) {
+		p.dissolveGroup(last, fmt.Sprintf("%s; its other VMs complete %s", last.assess.reason, first.row.Group.ID))
 	}
 }
 
-// survivors counts the members that could serve in another group.
-func (p *planner) survivors(it *item) int {
+// countAlive returns the number of members that another group could use.
+func (p *planner) countAlive(it *assessedGroup) int {
 	n := 0
 	for i := range it.row.Group.Members {
 		v := p.vms[it.row.Group.Members[i].VM]
@@ -122,16 +122,16 @@
 	return n
 }
 
-// renew plans a new generation and reports whether that was possible: a member
-// that restarted stays under its new boot id, a member that is gone is replaced
-// by a free VM of the same fabric domain.
-func (p *planner) renew(it *item) bool {
+// repairGroup plans a new generation of the group and reports whether that was
+// possible. A member that restarted stays with its new boot id; a member to be
+// replaced gets a free VM, of the same fabric domain if the spec requires one.
+func (p *planner) repairGroup(it *assessedGroup) bool {
 	old := &it.row.Group
-	if !p.membersKnown(it) {
+	if !p.areMembersKnown(it) {
 		return false
 	}
-	spares := p.sparesFor(old, len(it.assess.gone))
-	if len(spares) < len(it.assess.gone) {
+	spares := p.spareVMs(old, len(it.assess.toReplace))
+	if len(spares) < len(it.assess.toReplace) {
 		return false
 	}
 	g := *old
@@ -139,23 +139,24 @@
 	g.Phase = fleet.PhaseForming
 	g.Reason = "repair: " + it.assess.reason
 	g.Members = slices.Clone(old.Members)
-	b := p.begin()
-	for n, i := range it.assess.gone {
+	b := p.newTxn()
+	for n, i := range it.assess.toReplace {
 		if vm := old.Members[i].VM; p.in.Claims[vm].Group == old.ID {
-			b.claim(vm, "", 0)
+			b.addClaim(vm, "", 0)
 		}
 		g.Members[i].VM = spares[n].Record.VM
 	}
 	p.claimMembers(b, &g)
-	b.group(&g, it.row.Version)
-	b.done(Repair, &g, p.facts(old)...)
-	p.written(it)
-	p.takeSpares(spares)
+	b.addGroup(&g, it.row.Version)
+	b.addChange(Repair, &g, p.memberFacts(old)...)
+	p.markChanged(it)
+	p.removeFree(spares)
 	return true
 }
 
-// nextGeneration is above the group's own and above any that an engine reports
-// for it: a table restored to an older state has forgotten generations.
+// nextGeneration returns a generation above the group's own and above any that an
+// engine reports for it: a table restored to an older state may lack the newest
+// generations.
 func (p *planner) nextGeneration(g *fleet.Group) fleet.Generation {
 	next := g.Generation
 	for _, v := range p.vms {
@@ -166,13 +167,13 @@
 	return next + 1
 }
 
-// membersKnown reports whether the boot id of every member that stays is known.
-// A member that has just begun to fail may be dead or not: the new generation
-// must not name it.
-func (p *planner) membersKnown(it *item) bool {
+// areMembersKnown reports whether every member that stays is alive, so that its
+// boot id is known. A member whose probes have just begun to fail may be dead: a
+// new generation must not include it.
+func (p *planner) areMembersKnown(it *assessedGroup) bool {
 	g := &it.row.Group
 	for i := range g.Members {
-		if slices.Contains(it.assess.gone, i) {
+		if slices.Contains(it.assess.toReplace, i) {
 			continue
 		}
 		if p.health(p.vms[g.Members[i].VM]) != alive {
@@ -182,40 +183,40 @@
 	return true
 }
 
-// claimMembers claims every member's VM for the group's generation and fills
-// in what the generation names of it.
-func (p *planner) claimMembers(b *builder, g *fleet.Group) {
+// claimMembers claims every member's VM for the group's generation and sets the
+// members' boot ids, addresses, ranks and fences.
+func (p *planner) claimMembers(b *txnBuilder, g *fleet.Group) {
 	for i := range g.Members {
 		m := &g.Members[i]
 		v := p.vms[m.VM]
 		m.Boot = v.Probe.State.Boot
 		m.Addr = v.Record.Addr
 		m.Rank = i
-		m.Fence = b.claim(m.VM, g.ID, g.Generation)
+		m.Fence = b.addClaim(m.VM, g.ID, g.Generation)
 	}
 }
 
-// sparesFor returns up to n free VMs that can join the group.
-func (p *planner) sparesFor(g *fleet.Group, n int) []*view.VM {
+// spareVMs returns up to n free VMs that can join the group.
+func (p *planner) spareVMs(g *fleet.Group, n int) []*view.VM {
 	spec := p.spec(g.Spec)
 	if spec != nil && !spec.OneDomain {
-		return p.scattered(n)
+		return p.chooseAcrossDomains(n)
 	}
-	pool := p.free[g.Domain]
+	pool := p.freeVMs[g.Domain]
 	return slices.Clone(pool[:min(n, len(pool))])
 }
 
-// giveUp dissolves a group that has been beyond repair for long enough, or at
-// once when another group has taken its place.
-func (p *planner) giveUp(it *item) {
+// dissolveOrWait dissolves a group that cannot be repaired: immediately if other
+// groups meet the target without it, else after Tune.DissolveAfter.
+func (p *planner) dissolveOrWait(it *assessedGroup) {
 	g := &it.row.Group
-	waited := p.in.Now.Sub(since(p.mem.broken, g.ID, p.in.Now))
+	waited := p.in.Now.Sub(sinceFirst(p.mem.brokenSince, g.ID, p.in.Now))
 	switch {
-	case !p.wanted(it):
-		p.dissolve(it, it.assess.reason+"; other groups have taken its place")
+	case !p.isWanted(it):
+		p.dissolveGroup(it, it.assess.reason+"; other groups have taken its place")
 	case waited >= p.in.Tune.DissolveAfter:
-		p.dissolve(it, fmt.Sprintf("%s and its fabric domain had no spare VM for %v", it.assess.reason, waited))
+		p.dissolveGroup(it, fmt.Sprintf("%s and its fabric domain had no spare VM for %v", it.assess.reason, waited))
 	default:
-		p.note(string(g.ID), "wait", it.assess.reason+" and its fabric domain has no spare VM")
+		p.postpone(string(g.ID), "wait", it.assess.reason+" and its fabric domain has no spare VM")
 	}
 }
--- a/internal/group/rows.go
+++ b/internal/group/rows.go
@@ -13,31 +13,31 @@
 	"chervilloom/internal/view"
 )
 
-// Table is the part of the platform's table that groups need.
+// Table is the part of the platform's table client that this package uses.
 type Table interface {
 	List(ctx context.Context, table, prefix string) ([]platform.Row, error)
 	Commit(ctx context.Context, txn platform.Txn) (platform.Result, error)
 }
 
-// rows is what was last read of the claims and groups tables.
+// rows caches the claims table and the zone's rows of the groups table.
 type rows struct {
 	claims map[fleet.VM]view.Claim
 	groups map[fleet.GroupID]view.TableGroup
-	at     clock.Instant // when the read was begun
+	readAt clock.Instant // start of the read
 }
 
-// readRows lists the claims and the zone's groups. Group ids start with the
-// zone, so the prefix keeps other zones' rows out.
+// readRows lists the claims and the zone's groups. Group ids begin with the
+// zone's name, so a prefix selects the zone's rows.
 func readRows(ctx context.Context, t Table, zone fleet.AvailabilityZone, now clock.Instant, log *slog.Logger) (*rows, error) {
 	vms, err := t.List(ctx, platform.TableVMs, "")
 	if err != nil {
-		return nil, fmt.Errorf("group: claims not listed: %w", err)
+		return nil, fmt.Errorf("group: cannot list claims: %w", err)
 	}
 	groups, err := t.List(ctx, platform.TableGroups, string(zone)+".")
 	if err != nil {
-		return nil, fmt.Errorf("group: groups not listed: %w", err)
+		return nil, fmt.Errorf("group: cannot list groups of zone: %w", err)
 	}
-	r := &rows{claims: make(map[fleet.VM]view.Claim, len(vms)), groups: make(map[fleet.GroupID]view.TableGroup, len(groups)), at: now}
+	r := &rows{claims: make(map[fleet.VM]view.Claim, len(vms)), groups: make(map[fleet.GroupID]view.TableGroup, len(groups)), readAt: now}
 	for i := range vms {
 		r.put(&vms[i], log)
 	}
@@ -49,13 +49,13 @@
 	return r, nil
 }
 
-// put takes one row in. A row that cannot be read is logged and left out.
+// put stores one decoded row. A row that cannot be decoded is logged and skipped.
 func (r *rows) put(row *platform.Row, log *slog.Logger) {
 	switch row.Table {
 	case platform.TableVMs:
 		c, err := decodeClaim(row)
 		if err != nil {
-			log.Error("claim is not readable; release the VM by hand", "vm", row.Key, "err", err)
+			log.Error("cannot decode claim row; release the VM by hand", "vm", row.Key, "err", err)
 			return
 		}
 		r.claims[fleet.VM(row.Key)] = c
@@ -66,7 +66,7 @@
 		}
 		g := view.TableGroup{Version: row.Version}
 		if err := json.Unmarshal(row.Value, &g.Group); err != nil {
-			log.Error("group is not readable; delete the row by hand", "group", row.Key, "err", err)
+			log.Error("cannot decode group row; delete the row by hand", "group", row.Key, "err", err)
 			return
 		}
 		r.groups[g.Group.ID] = g
@@ -83,9 +83,9 @@
 	return c, err
 }
 
-// event is the rows as the view takes them.
+// event returns the rows as an event for the view.
 func (r *rows) event(zone fleet.AvailabilityZone) view.Table {
-	e := view.Table{At: r.at, Zone: zone, Complete: true}
+	e := view.Table{At: r.readAt, Zone: zone, Complete: true}
 	for vm, c := range r.claims {
 		e.VMs = append(e.VMs, view.TableVM{VM: vm, Claim: c})
 	}
--- a/internal/group/scale.go
+++ b/internal/group/scale.go
@@ -10,21 +10,21 @@
 	"chervilloom/internal/fleet"
 )
 
-// census sorts the live groups of one spec.
-type census struct {
-	spec     *config.GroupSpec // nil: the configuration names it no more
-	want     int
-	untold   bool    // the targets do not name the spec
-	current  []*item // match the spec and serve or will serve
-	outdated []*item // another version, adapters or size
-	serving  int     // of current: whole
-	draining int
-	forming  int  // of current: not whole yet; with those formed by this plan
-	planned  int  // formed by this plan
-	noRoom   bool // no further group can be placed now
+// specGroups classifies the groups of one spec that are not dissolved.
+type specGroups struct {
+	spec       *config.GroupSpec // nil: no longer in the configuration
+	wanted     int
+	noTarget   bool             // the targets do not include the spec
+	current    []*assessedGroup // match the spec; serving, or expected to serve
+	outdated   []*assessedGroup // differ from the spec in model, version, adapters or size
+	serving    int              // those of current whose members all report
+	draining   int
+	forming    int  // those of current that are not serving yet
+	added      int  // added by this plan
+	noCapacity bool // no further group can be placed by this plan
 }
 
-func (c *census) have() int { return len(c.current) + c.planned }
+func (c *specGroups) total() int { return len(c.current) + c.added }
 
 func (p *planner) spec(name string) *config.GroupSpec {
 	if c := p.bySpec[name]; c != nil {
@@ -33,53 +33,54 @@
 	return nil
 }
 
-// matches reports whether the group is what the spec asks for today.
-func matches(g *fleet.Group, s *config.GroupSpec) bool {
+// matchesSpec reports whether the group has the model, version, size and adapters
+// of the spec.
+func matchesSpec(g *fleet.Group, s *config.GroupSpec) bool {
 	return s != nil && g.Model == s.Model && g.Version == s.ModelVer && len(g.Members) == s.VMs &&
 		slices.Equal(g.Adapters, s.Adapters)
 }
 
-func (p *planner) takeCensus() {
-	p.bySpec = make(map[string]*census, len(p.doc.Groups))
+func (p *planner) classifyGroups() {
+	p.bySpec = make(map[string]*specGroups, len(p.doc.Groups))
 	for i := range p.doc.Groups {
 		s := &p.doc.Groups[i]
-		want, told := p.in.Targets[s.Name]
-		p.bySpec[s.Name] = &census{spec: s, want: want, untold: !told}
+		want, hasTarget := p.in.Targets[s.Name]
+		p.bySpec[s.Name] = &specGroups{spec: s, wanted: want, noTarget: !hasTarget}
 	}
-	for _, it := range p.items {
-		p.count(it)
+	for _, it := range p.groups {
+		p.classify(it)
 	}
 	for _, c := range p.bySpec {
-		// No word is not the word "none": what runs goes on.
-		if c.untold {
-			c.want = len(c.current) + len(c.outdated)
+		// A missing target is not a target of zero: existing groups stay.
+		if c.noTarget {
+			c.wanted = len(c.current) + len(c.outdated)
 		}
 	}
 }
 
-func (p *planner) count(it *item) {
+func (p *planner) classify(it *assessedGroup) {
 	g := &it.row.Group
 	if g.Phase == fleet.PhaseDissolved {
 		return
 	}
 	c := p.bySpec[g.Spec]
 	if c == nil {
-		c = &census{}
+		c = &specGroups{}
 		p.bySpec[g.Spec] = c
 	}
 	switch {
 	case g.Phase == fleet.PhaseDraining:
 		c.draining++
-	case it.assess.state == dark:
-		// Counted again when its members come back; until then others are
-		// formed in its place.
-	case !matches(g, c.spec):
+	case it.assess.state == allDead:
+		// Not counted until its members answer again; a replacement is formed
+		// meanwhile.
+	case !matchesSpec(g, c.spec):
 		c.outdated = append(c.outdated, it)
-	case it.assess.state == broken && !p.repairable(it):
+	case it.assess.state == broken && !p.isRepairable(it):
 	default:
 		c.current = append(c.current, it)
 		it.counted = true
-		if it.assess.state == whole {
+		if it.assess.state == ready {
 			c.serving++
 		} else {
 			c.forming++
@@ -87,55 +88,56 @@
 	}
 }
 
-// repairable reports whether the domain has spares for the group. Two groups
-// may count on the same spare; the one that goes without is seen as such by the
-// next plan.
-func (p *planner) repairable(it *item) bool {
-	return len(p.sparesFor(&it.row.Group, len(it.assess.gone))) >= len(it.assess.gone)
+// isRepairable reports whether enough spare VMs are free for the group. Two groups
+// may rely on the same spare; the next plan finds the one that did not get it.
+func (p *planner) isRepairable(it *assessedGroup) bool {
+	return len(p.spareVMs(&it.row.Group, len(it.assess.toReplace))) >= len(it.assess.toReplace)
 }
 
-// wanted reports whether the spec of the group lacks replicas without it.
-func (p *planner) wanted(it *item) bool {
+// isWanted reports whether the group matches its spec and the spec lacks replicas
+// without it.
+func (p *planner) isWanted(it *assessedGroup) bool {
 	g := &it.row.Group
 	c := p.bySpec[g.Spec]
-	others := c.have()
+	others := c.total()
 	if it.counted {
 		others--
 	}
-	return matches(g, c.spec) && others < c.want
+	return matchesSpec(g, c.spec) && others < c.wanted
 }
 
-// scale forms and drains groups until each spec has as many as its target.
-func (p *planner) scale() {
-	for s := p.neediest(); s != nil; s = p.neediest() {
-		if !p.form(s) {
-			p.bySpec[s.Name].noRoom = true
+// scaleSpecs plans new groups and drains until each spec matches its target.
+func (p *planner) scaleSpecs() {
+	for s := p.furthestBelowTarget(); s != nil; s = p.furthestBelowTarget() {
+		if !p.formGroup(s) {
+			p.bySpec[s.Name].noCapacity = true
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.bySpec)) {
 		c := p.bySpec[name]
 		if c.spec == nil {
 			for _, it := range c.outdated {
-				p.drain(it, "the configuration no longer names "+name)
+				p.drainGroup(it, "the configuration no longer names "+name)
 			}
 			continue
 		}
 		p.drainSurplus(c)
-		p.roll(c)
+		p.rollOut(c)
 	}
 }
 
-// neediest returns the spec that has the smallest share of its target and may
-// still have room, so that no spec takes all VMs while another has none; of
-// equals the one with the larger replicas, which are harder to place.
-func (p *planner) neediest() *config.GroupSpec {
-	var best *census
+// furthestBelowTarget returns the spec with the smallest fraction of its target
+// that can still be placed, nil if there is none, so that no spec uses all VMs
+// while another has no group. Ties go to the larger replicas, which are harder to
+// place.
+func (p *planner) furthestBelowTarget() *config.GroupSpec {
+	var best *specGroups
 	for i := range p.doc.Groups {
 		c := p.bySpec[p.doc.Groups[i].Name]
-		if c.noRoom || c.have() >= c.want || c.spec.VMs <= 0 {
+		if c.noCapacity || c.total() >= c.wanted || c.spec.VMs <= 0 {
 			continue
 		}
-		if best == nil || needier(c, best) {
+		if best == nil || isFurtherBelowTarget(c, best) {
 			best = c
 		}
 	}
@@ -145,52 +147,51 @@
 	return best.spec
 }
 
-func needier(a, b *census) bool {
-	if c := cmp.Compare(a.have()*b.want, b.have()*a.want); c != 0 {
+func isFurtherBelowTarget(a, b *specGroups) bool {
+	if c := cmp.Compare(a.total()*b.wanted, b.total()*a.wanted); c != 0 {
 		return c < 0
 	}
 	return a.spec.VMs > b.spec.VMs
 }
 
-// drainSurplus drains the groups beyond the target: those not serving first,
-// then those with the least to do.
-func (p *planner) drainSurplus(c *census) {
-	rows := slices.DeleteFunc(slices.Clone(c.current), func(it *item) bool { return it.changed })
-	surplus := len(c.current) - c.want
+// drainSurplus drains the groups in excess of the target: those not serving first,
+// then those with the fewest requests.
+func (p *planner) drainSurplus(c *specGroups) {
+	candidates := slices.DeleteFunc(slices.Clone(c.current), func(it *assessedGroup) bool { return it.changed })
+	surplus := len(c.current) - c.wanted
 	if surplus <= 0 {
 		return
 	}
-	slices.SortStableFunc(rows, func(a, b *item) int { return cmp.Compare(p.drainCost(a), p.drainCost(b)) })
-	for _, it := range rows[:min(surplus, len(rows))] {
-		p.drain(it, fmt.Sprintf("%d groups, %d wanted", len(c.current), c.want))
+	slices.SortStableFunc(candidates, func(a, b *assessedGroup) int { return cmp.Compare(p.drainCost(a), p.drainCost(b)) })
+	for _, it := range candidates[:min(surplus, len(candidates))] {
+		p.drainGroup(it, fmt.Sprintf("%d groups, %d wanted", len(c.current), c.wanted))
 	}
 }
 
-func (p *planner) drainCost(it *item) int {
+func (p *planner) drainCost(it *assessedGroup) int {
 	leader := p.vms[it.row.Group.Members[0].VM]
-	if it.assess.state != whole || leader == nil {
+	if it.assess.state != ready || leader == nil {
 		return -1
 	}
 	return leader.Load.Running + leader.Load.Waiting
 }
 
-// roll replaces groups of another version: each serving group of the new
-// version lets one of the old go. When there is no room for a new group beside
-// the old ones, one old group goes first, and the next only after the first has
-// been replaced.
-func (p *planner) roll(c *census) {
-	keep := max(c.want-c.serving, 0)
-	if c.noRoom && c.forming+c.planned+c.draining == 0 {
+// rollOut replaces outdated groups: one is drained for each serving group that
+// matches the spec. If no VMs are free for a new group beside the old ones, one
+// old group is drained first, and the next only after that one was replaced.
+func (p *planner) rollOut(c *specGroups) {
+	keep := max(c.wanted-c.serving, 0)
+	if c.noCapacity && c.forming+c.added+c.draining == 0 {
 		keep = min(keep, len(c.outdated)-1)
 	}
 	if len(c.outdated) <= keep {
 		return
 	}
 	old := slices.Clone(c.outdated)
-	slices.SortStableFunc(old, func(a, b *item) int { return cmp.Compare(p.drainCost(a), p.drainCost(b)) })
+	slices.SortStableFunc(old, func(a, b *assessedGroup) int { return cmp.Compare(p.drainCost(a), p.drainCost(b)) })
 	for _, it := range old[:len(old)-max(keep, 0)] {
 		if !it.changed {
-			p.drain(it, "replaced by version "+c.spec.ModelVer)
+			p.drainGroup(it, "replaced by version "+c.spec.ModelVer)
 		}
 	}
 }
--- a/internal/group/send.go
+++ b/internal/group/send.go
@@ -12,34 +12,34 @@
 	"chervilloom/internal/view"
 )
 
-// sendOrders sends the orders and puts the states that come back into the view.
+// sendOrders sends the orders and puts the returned engine states into the view.
 //
-// An engine that ignores fences would obey a stale owner. So an order is begun
-// only while the margin is left on the lease, and it ends before the lease
-// does. Should this process be paused between the check and the send, the order
-// goes out late all the same; then the next owner reads another state back than
-// it wants and orders anew, and no request goes to the group meanwhile, because
-// its members do not all report its generation.
+// An engine that ignores fences would obey a former holder of the lease.
+// Therefore an order starts only while the margin is left on the lease and times
+// out before the lease ends. If the process is paused between this check and the
+// send, the order may still be late. The next holder then sees a state that
+// differs from its claim and sends another order; meanwhile the group gets no
+// requests, because not all of its members report its generation.
 func (r *Reconciler) sendOrders(ctx context.Context, grant lease.Grant, orders []VMOrder) {
-	slots := make(chan struct{}, r.Timing.AtOnce)
+	semaphore := make(chan struct{}, r.Timing.AtOnce)
 	var wg sync.WaitGroup
 	for i := range orders {
 		select {
-		case slots <- struct{}{}:
+		case semaphore <- struct{}{}:
 		case <-ctx.Done():
 		}
 		if ctx.Err() != nil {
 			break
 		}
 		wg.Go(func() {
-			defer func() { <-slots }()
-			r.send(ctx, grant, &orders[i])
+			defer func() { <-semaphore }()
+			r.sendOrder(ctx, grant, &orders[i])
 		})
 	}
 	wg.Wait()
 }
 
-func (r *Reconciler) send(ctx context.Context, grant lease.Grant, o *VMOrder) {
+func (r *Reconciler) sendOrder(ctx context.Context, grant lease.Grant, o *VMOrder) {
 	now := r.Clock.Now()
 	left := grant.Left(now) - r.Timing.Margin
 	if left <= 0 {
@@ -55,11 +55,11 @@
 	case !res.Accepted:
 		result = "refused"
 	}
-	r.metrics.order(o.Order.Verb, result)
+	r.metrics.countOrder(o.Order.Verb, result)
 	if err != nil {
 		r.Log.Debug("order failed", "vm", o.VM, "verb", o.Order.Verb, "err", err)
 	} else {
-		r.noteState(o.VM, now, res.State)
+		r.putState(o.VM, now, res.State)
 	}
 	r.Explain.Note(explain.Step{
 		Subject: string(o.VM), Stage: "order", Decision: string(o.Order.Verb) + " " + result,
@@ -68,7 +68,7 @@
 	})
 }
 
-func (r *Reconciler) noteState(vm fleet.VM, sent clock.Instant, st fleet.EngineState) {
+func (r *Reconciler) putState(vm fleet.VM, sent clock.Instant, st fleet.EngineState) {
 	if st.VM != vm {
 		return
 	}
--- a/internal/group/share.go
+++ b/internal/group/share.go
@@ -11,44 +11,45 @@
 )
 
 // Share splits total replicas of the spec over its availability zones and
-// returns the part of the snapshot's zone. Every zone computes the same split
-// from the spec and the list of VMs, so no agreement is needed; zones without
-// room get no part while others have some.
+// returns the number for the snapshot's zone. Every zone computes the same split
+// from the spec and the list of VMs, so no coordination is needed. A zone gets no
+// more replicas than its VMs have capacity for.
 func Share(s *config.GroupSpec, total int, snap *view.Snapshot) int {
-	room := zoneRoom(s, snap)
-	zones := make([]fleet.VM, 0, len(room)) // ranked like VMs
-	for z := range room {
+	capacity := zoneCapacity(s, snap)
+	zones := make([]fleet.VM, 0, len(capacity)) // of type VM for TopK
+	for z := range capacity {
 		zones = append(zones, fleet.VM(z))
 	}
 	slices.Sort(zones)
-	// Specs start at different zones, so that remainders do not all fall to
-	// the same one.
+	// The zone order differs between specs, so that the remainders do not all go
+	// to the same zone.
 	zones = membership.TopK(s.Name, zones, len(zones))
-	got := map[fleet.VM]int{}
+	assigned := map[fleet.VM]int{}
 	for range total {
-		z, ok := nextZone(zones, got, room)
+		z, ok := nextZone(zones, assigned, capacity)
 		if !ok {
 			break
 		}
-		got[z]++
+		assigned[z]++
 	}
-	return got[fleet.VM(snap.Zone)]
+	return assigned[fleet.VM(snap.Zone)]
 }
 
-// nextZone is the zone with room that has the fewest replicas.
-func nextZone(zones []fleet.VM, got map[fleet.VM]int, room map[fleet.AvailabilityZone]int) (fleet.VM, bool) {
-	open := slices.DeleteFunc(slices.Clone(zones), func(z fleet.VM) bool {
-		return got[z] >= room[fleet.AvailabilityZone(z)]
+// nextZone returns the zone with the fewest replicas among those with capacity
+// left, false if there is none.
+func nextZone(zones []fleet.VM, assigned map[fleet.VM]int, capacity map[fleet.AvailabilityZone]int) (fleet.VM, bool) {
+	withCapacity := slices.DeleteFunc(slices.Clone(zones), func(z fleet.VM) bool {
+		return assigned[z] >= capacity[fleet.AvailabilityZone(z)]
 	})
-	if len(open) == 0 {
+	if len(withCapacity) == 0 {
 		return "", false
 	}
-	return slices.MinFunc(open, func(a, b fleet.VM) int { return cmp.Compare(got[a], got[b]) }), true
+	return slices.MinFunc(withCapacity, func(a, b fleet.VM) int { return cmp.Compare(assigned[a], assigned[b]) }), true
 }
 
-// zoneRoom counts how many replicas each zone's listed VMs could hold if no
-// other spec used them.
-func zoneRoom(s *config.GroupSpec, snap *view.Snapshot) map[fleet.AvailabilityZone]int {
+// zoneCapacity returns how many replicas of the spec each zone's engine VMs
+// have capacity for if no other spec uses them.
+func zoneCapacity(s *config.GroupSpec, snap *view.Snapshot) map[fleet.AvailabilityZone]int {
 	if s.VMs <= 0 {
 		return nil
 	}
@@ -67,11 +68,11 @@
 		}
 		perDomain[r.Zone][d]++
 	}
-	room := map[fleet.AvailabilityZone]int{}
+	capacity := map[fleet.AvailabilityZone]int{}
 	for z, domains := range perDomain {
 		for _, n := range domains {
-			room[z] += n / s.VMs
+			capacity[z] += n / s.VMs
 		}
 	}
-	return room
+	return capacity
 }
--- a/internal/group/sim_test.go
+++ b/internal/group/sim_test.go
@@ -21,29 +21,30 @@
 	"chervilloom/internal/view"
 )
 
-// sim runs the control paths of a few nodes of one zone step by step on a
-// clock that only the test moves. The pure parts and the adapters are the real
-// ones; the table, the engines, the probes' transport and the list are fakes.
+// sim runs the control paths of several nodes of one zone step by step on a manual
+// clock. The planner, the view, the lease and the reconciler are real; the table,
+// the engines, the probes' transport and the platform's list are fakes.
 type sim struct {
 	clk      *clock.Manual
 	table    *fakeTable
 	engines  *fakeEngines
-	list     []fleet.Record // as the platform publishes it now
+	list     []fleet.Record // the platform's current list
 	nodes    []*simNode
 	doc      *config.Document
 	revision uint64
-	// seen is when each engine last truly reported a place, by VM and place.
-	seen   map[fleet.VM]map[place]clock.Instant
-	fences map[fleet.VM]fleet.Fence
-	claims map[fleet.VM]view.Claim
-	// lists are what the platform published, newest last; nodes read them late.
-	lists   [][]fleet.Record
-	fault   string // the first broken promise
-	tick    time.Duration
-	trusted bool // the promises are not checked: for measurements
+	// lastSeen is the time at which each engine was last in a place, by VM and
+	// place, independent of what the nodes know.
+	lastSeen map[fleet.VM]map[place]clock.Instant
+	fences   map[fleet.VM]fleet.Fence
+	claims   map[fleet.VM]view.Claim
+	// lists are the published lists, newest last; nodes may read older ones.
+	lists        [][]fleet.Record
+	violation    string // the first violated invariant
+	stepInterval time.Duration
+	unchecked    bool // skips the checks of the invariants, for measurements
 }
 
-// place is what a generation asks of a member.
+// place is the state in which a generation expects a member.
 type place struct {
 	boot  fleet.BootID
 	group fleet.GroupID
@@ -52,44 +53,44 @@
 }
 
 type simNode struct {
-	sim      *sim
-	self     fleet.Node
-	mu       sync.Mutex // orders put states concurrently
-	state    *view.State
-	lease    *lease.Manager
-	rec      *Reconciler
-	failing  map[fleet.VM]clock.Instant
-	failures map[fleet.VM]int
-	paused   bool // does not step
-	cut      bool // cannot reach the engines
-	blind    bool // cannot reach the platform
-	listLate int  // reads the list of this many ticks ago
-	// every and planEvery are how many ticks lie between two probes of an engine
-	// and two plans; 0: none.
-	every, planEvery, ticks int
-	// beforeCommit and beforeOrder run once, between the decision and its
-	// effect: the moment at which a pause hurts.
+	sim                 *sim
+	self                fleet.Node
+	mu                  sync.Mutex // concurrent orders call Put
+	state               *view.State
+	lease               *lease.Manager
+	rec                 *Reconciler
+	failing             map[fleet.VM]clock.Instant
+	failures            map[fleet.VM]int
+	paused              bool // does not run
+	enginesUnreachable  bool // cannot reach the engines
+	platformUnreachable bool // cannot reach the platform
+	listLagTicks        int  // lag of the list that the node reads, in ticks
+	// probeEvery and planEvery are the intervals of probes and of plans, in ticks;
+	// 0: every tick.
+	probeEvery, planEvery, ticks int
+	// beforeCommit and beforeOrder run once, between a decision and its effect,
+	// where a pause is most harmful.
 	beforeCommit, beforeOrder func()
 }
 
 const (
-	simTick  = 200 * time.Millisecond
-	simTerm  = 3 * time.Second
-	simFresh = view.DefaultProbeFresh
+	simTick       = 200 * time.Millisecond
+	simLeaseTerm  = 3 * time.Second
+	simProbeFresh = view.DefaultProbeFresh
 )
 
 func newSim(d *config.Document, nodes int, loadTicks int, checks bool, sizes ...int) *sim {
-	engines, list := fleetOf("z", sizes...)
+	engines, list := newFleet("z", sizes...)
 	engines.loadTicks = loadTicks
 	for _, e := range engines.byAddr {
-		e.checks = checks
+		e.checksFence = checks
 	}
 	if checks {
 		d.FenceChecked = []string{"*"}
 	}
 	s := &sim{
 		clk: clock.NewManual(clock.Instant(time.Hour)), table: newFakeTable(), engines: engines, list: list,
-		doc: d, revision: 1, tick: simTick, seen: map[fleet.VM]map[place]clock.Instant{}, fences: map[fleet.VM]fleet.Fence{}, claims: map[fleet.VM]view.Claim{},
+		doc: d, revision: 1, stepInterval: simTick, lastSeen: map[fleet.VM]map[place]clock.Instant{}, fences: map[fleet.VM]fleet.Fence{}, claims: map[fleet.VM]view.Claim{},
 	}
 	for i := range nodes {
 		s.addNode(i)
@@ -99,15 +100,15 @@
 
 func (s *sim) addNode(i int) { s.nodes = append(s.nodes, s.newNode(i, 1)) }
 
-func (s *sim) newNode(i int, life fleet.Incarnation) *simNode {
+func (s *sim) newNode(i int, incarnation fleet.Incarnation) *simNode {
 	n := &simNode{
-		sim: s, self: fleet.Node{VM: fleet.VM(fmt.Sprintf("n%d", i)), Incarnation: life},
+		sim: s, self: fleet.Node{VM: fleet.VM(fmt.Sprintf("n%d", i)), Incarnation: incarnation},
 		failing: map[fleet.VM]clock.Instant{}, failures: map[fleet.VM]int{},
 	}
 	n.state = view.NewState(n.self, "z")
 	log := slog.New(slog.DiscardHandler)
 	n.lease = &lease.Manager{
-		Duty: Duty("z"), Self: n.self, Params: lease.DefaultParams(simTerm), Table: n, Clock: s.clk,
+		Duty: Duty("z"), Self: n.self, Params: lease.DefaultParams(simLeaseTerm), Table: n, Clock: s.clk,
 		Rank: func() int { return i }, Log: log,
 	}
 	n.rec = New(Deps{
@@ -119,14 +120,14 @@
 	return n
 }
 
-// Put merges an event at once.
+// Put applies an event to the node's view.
 func (n *simNode) Put(e view.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.state.Apply(e)
 }
 
-// Snapshot builds the node's belief now.
+// Snapshot returns the node's current view.
 func (n *simNode) Snapshot() *view.Snapshot {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -134,21 +135,21 @@
 }
 
 func (n *simNode) Get(ctx context.Context, table, key string) (platform.Row, error) {
-	if n.blind {
+	if n.platformUnreachable {
 		return platform.Row{}, platform.ErrDown
 	}
 	return n.sim.table.Get(ctx, table, key)
 }
 
 func (n *simNode) List(ctx context.Context, table, prefix string) ([]platform.Row, error) {
-	if n.blind {
+	if n.platformUnreachable {
 		return nil, platform.ErrDown
 	}
 	return n.sim.table.List(ctx, table, prefix)
 }
 
 func (n *simNode) Commit(ctx context.Context, txn platform.Txn) (platform.Result, error) {
-	if n.blind {
+	if n.platformUnreachable {
 		return platform.Result{}, platform.ErrDown
 	}
 	if f := n.beforeCommit; f != nil {
@@ -159,7 +160,7 @@
 }
 
 func (n *simNode) Order(ctx context.Context, addr string, o engine.Order) (engine.OrderResult, error) {
-	if n.cut {
+	if n.enginesUnreachable {
 		return engine.OrderResult{}, errNoAnswer
 	}
 	n.mu.Lock()
@@ -172,12 +173,12 @@
 	return n.sim.engines.Order(ctx, addr, o)
 }
 
-// probe asks every engine once.
+// probe sends one probe to every engine.
 func (n *simNode) probe() {
 	now := n.sim.clk.Now()
 	for _, r := range n.sim.list {
 		st, err := n.sim.engines.State(context.Background(), r.Addr)
-		if err != nil || n.cut {
+		if err != nil || n.enginesUnreachable {
 			if n.failures[r.VM] == 0 {
 				n.failing[r.VM] = now
 			}
@@ -198,11 +199,11 @@
 		return
 	}
 	n.ticks++
-	if n.every == 0 || n.ticks%n.every == 0 {
+	if n.probeEvery == 0 || n.ticks%n.probeEvery == 0 {
 		n.probe()
 	}
-	if !n.blind {
-		late := max(0, len(n.sim.lists)-1-n.listLate)
+	if !n.platformUnreachable {
+		late := max(0, len(n.sim.lists)-1-n.listLagTicks)
 		n.Put(view.List{At: n.sim.clk.Now(), Records: n.sim.lists[late]})
 	}
 	n.lease.Step(context.Background())
@@ -211,27 +212,27 @@
 	}
 }
 
-// run lets all nodes step for d.
+// run advances the clock by d and steps all nodes.
 func (s *sim) run(d time.Duration) {
 	for end := s.clk.Now().Add(d); s.clk.Now().Before(end); {
-		s.clk.Advance(s.tick)
-		if s.engines.store > 0 {
-			s.engines.serve()
+		s.clk.Advance(s.stepInterval)
+		if s.engines.storeRate > 0 {
+			s.engines.tickStore()
 		}
 		s.lists = append(s.lists, slices.Clone(s.list))
-		s.observe()
+		s.recordPlaces()
 		for _, n := range s.nodes {
 			n.step()
-			if !s.trusted {
+			if !s.unchecked {
 				s.check()
 			}
 		}
 	}
 }
 
-// observe notes where each engine truly is.
-func (s *sim) observe() {
-	if s.trusted {
+// recordPlaces records the actual place of each engine.
+func (s *sim) recordPlaces() {
+	if s.unchecked {
 		return
 	}
 	s.engines.mu.Lock()
@@ -241,23 +242,23 @@
 		if e.dead || !st.Loaded || st.Group == "" {
 			continue
 		}
-		if s.seen[st.VM] == nil {
-			s.seen[st.VM] = map[place]clock.Instant{}
+		if s.lastSeen[st.VM] == nil {
+			s.lastSeen[st.VM] = map[place]clock.Instant{}
 		}
-		s.seen[st.VM][place{st.Boot, st.Group, st.Generation, st.Rank}] = s.clk.Now()
+		s.lastSeen[st.VM][place{st.Boot, st.Group, st.Generation, st.Rank}] = s.clk.Now()
 	}
 }
 
-func (s *sim) breach(format string, args ...any) {
-	if s.fault == "" {
-		s.fault = fmt.Sprintf(format, args...)
+func (s *sim) reportViolation(format string, args ...any) {
+	if s.violation == "" {
+		s.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// check compares what the nodes would do and what the table holds with the
-// promises.
+// check verifies the invariants on the table and on the groups to which the nodes
+// would send requests.
 func (s *sim) check() {
-	s.observe()
+	s.recordPlaces()
 	s.checkTable()
 	for _, n := range s.nodes {
 		if !n.paused {
@@ -266,8 +267,8 @@
 	}
 }
 
-// checkTable: no VM is in two groups, claims agree with groups, and no fence
-// goes down.
+// checkTable verifies that no VM is in two groups, that claims match groups and
+// that no fence decreases.
 func (s *sim) checkTable() {
 	r := s.rows()
 	owner := map[fleet.VM]fleet.GroupID{}
@@ -281,48 +282,48 @@
 		}
 		for _, m := range g.Group.Members {
 			if other, ok := owner[m.VM]; ok {
-				s.breach("%s is in %s and in %s", m.VM, other, id)
+				s.reportViolation("%s is in %s and in %s", m.VM, other, id)
 			}
 			owner[m.VM] = id
-			if domains[m.VM] != g.Group.Domain { // every spec of the tests asks for one domain
-				s.breach("%s of %s is in another fabric domain", m.VM, id)
+			if domains[m.VM] != g.Group.Domain { // every spec of the tests requires one domain
+				s.reportViolation("%s of %s is in another fabric domain", m.VM, id)
 			}
 			if c := r.claims[m.VM]; c.Group != id || c.Generation != g.Group.Generation || c.Fence != m.Fence {
-				s.breach("%s is a member of %s/%d but claimed by %s/%d", m.VM, id, g.Group.Generation, c.Group, c.Generation)
+				s.reportViolation("%s is a member of %s/%d but claimed by %s/%d", m.VM, id, g.Group.Generation, c.Group, c.Generation)
 			}
 		}
 	}
 	for vm, c := range r.claims {
 		if c.Fence < s.fences[vm] {
-			s.breach("the fence of %s went from %d to %d", vm, s.fences[vm], c.Fence)
+			s.reportViolation("the fence of %s decreased from %d to %d", vm, s.fences[vm], c.Fence)
 		}
 		if old, ok := s.claims[vm]; ok && c.Fence == s.fences[vm] && (c.Group != old.Group || c.Generation != old.Generation) {
-			s.breach("the claim of %s changed without a new fence", vm)
+			s.reportViolation("the claim of %s changed without a new fence", vm)
 		}
 		s.fences[vm], s.claims[vm] = c.Fence, c
 	}
 }
 
-// checkDispatch: a group that the node would send requests to has members that
-// all truly reported this generation within the age that a probe counts.
+// checkDispatch verifies that all members of each group to which the node would
+// send requests were in their place within the validity of a probe.
 func (s *sim) checkDispatch(n *simNode) {
 	snap := n.Snapshot()
-	for _, g := range serving(snap) {
+	for _, g := range servingGroups(snap) {
 		for _, m := range g.Members {
-			at, ok := s.seen[m.VM][place{m.Boot, g.ID, g.Generation, m.Rank}]
-			if !ok || s.clk.Now().Sub(at) > simFresh {
-				s.breach("%s would send to %s/%d although %s was not there", n.self.VM, g.ID, g.Generation, m.VM)
+			at, ok := s.lastSeen[m.VM][place{m.Boot, g.ID, g.Generation, m.Rank}]
+			if !ok || s.clk.Now().Sub(at) > simProbeFresh {
+				s.reportViolation("%s would send requests to %s/%d although %s was not in its place", n.self.VM, g.ID, g.Generation, m.VM)
 			}
 		}
 	}
 }
 
-// heal ends all faults.
-func (s *sim) heal() {
+// clearFaults ends the faults of the table and the nodes.
+func (s *sim) clearFaults() {
 	s.table.down = false
-	s.table.loseNext = false
+	s.table.loseNextReply = false
 	for _, n := range s.nodes {
-		n.paused, n.cut, n.blind, n.listLate = false, false, false, 0
+		n.paused, n.enginesUnreachable, n.platformUnreachable, n.listLagTicks = false, false, false, 0
 		n.beforeCommit, n.beforeOrder = nil, nil
 	}
 }
@@ -340,8 +341,8 @@
 	})
 }
 
-// pause stops a node in the middle of what it does while the rest go on. At its
-// wake it finds the probes that it had in flight timed out.
+// pause stops a node in the middle of a step while the others run for d. When the
+// node resumes, the probes that it had in flight time out.
 func (s *sim) pause(n *simNode, d time.Duration) {
 	n.paused = true
 	before := s.clk.Now()
@@ -352,8 +353,8 @@
 	}
 }
 
-// servingCount counts the groups that a node would send requests to.
-func (s *sim) servingCount(node int) int { return len(serving(s.nodes[node].Snapshot())) }
+// servingCount returns the number of groups to which a node would send requests.
+func (s *sim) servingCount(node int) int { return len(servingGroups(s.nodes[node].Snapshot())) }
 
 func (s *sim) rows() *rows {
 	r, err := readRows(context.Background(), &fakeTable{rows: s.table.rows}, "z", 0, slog.New(slog.DiscardHandler))
--- a/internal/group/world_test.go
+++ b/internal/group/world_test.go
@@ -15,28 +15,28 @@
 	"chervilloom/internal/view"
 )
 
-// world builds inputs for the planner by hand.
+// world holds the input of the planner and applies its plans.
 type world struct {
-	now    clock.Instant
-	doc    *config.Document
-	vms    map[fleet.VM]*view.VM
-	claims map[fleet.VM]view.Claim
-	groups []view.TableGroup
-	wants  map[string]int
-	grant  lease.Grant
-	tune   Tune
-	mem    *Memory
+	now     clock.Instant
+	doc     *config.Document
+	vms     map[fleet.VM]*view.VM
+	claims  map[fleet.VM]view.Claim
+	groups  []view.TableGroup
+	targets map[string]int
+	grant   lease.Grant
+	tune    Tune
+	mem     *Memory
 }
 
 func newWorld(d *config.Document, sizes ...int) *world {
-	_, list := fleetOf("z", sizes...)
+	_, list := newFleet("z", sizes...)
 	w := &world{
 		now: clock.Instant(time.Hour), doc: d, vms: map[fleet.VM]*view.VM{}, claims: map[fleet.VM]view.Claim{},
-		wants: map[string]int{}, grant: lease.Grant{Duty: Duty("z"), Fence: 1, Version: 1},
+		targets: map[string]int{}, grant: lease.Grant{Duty: Duty("z"), Fence: 1, Version: 1},
 		tune: DefaultTune(), mem: NewMemory(),
 	}
 	for _, s := range d.Groups {
-		w.wants[s.Name] = s.Min
+		w.targets[s.Name] = s.Min
 	}
 	for _, r := range list {
 		v := &view.VM{Record: r, Listed: true}
@@ -64,11 +64,11 @@
 }
 
 // plan makes a plan and checks that each transaction is conditional on the lease
-// and on every row that it writes.
+// row and on every row that it writes.
 func (w *world) plan(t testing.TB) Plan {
 	t.Helper()
 	p := Make(&Input{
-		Now: w.now, Snap: w.snapshot(), Claims: w.claims, Groups: w.groups, Targets: w.wants, Grant: w.grant, Tune: w.tune,
+		Now: w.now, Snap: w.snapshot(), Claims: w.claims, Groups: w.groups, Targets: w.targets, Grant: w.grant, Tune: w.tune,
 	}, w.mem)
 	written := map[string]bool{}
 	for _, c := range p.Changes {
@@ -103,7 +103,8 @@
 	return 0
 }
 
-// apply carries the plan out: transactions land and engines obey at once.
+// apply carries out the plan: every transaction commits and every engine accepts
+// its orders.
 func (w *world) apply(p Plan) {
 	r := &rows{claims: w.claims, groups: map[fleet.GroupID]view.TableGroup{}}
 	for _, g := range w.groups {
@@ -126,17 +127,18 @@
 		return 1
 	})
 	for _, o := range p.Orders {
-		w.obey(o)
+		w.applyOrder(o)
 	}
 }
 
-func (w *world) obey(o VMOrder) {
-	e := fakeEngine{state: w.vms[o.VM].Probe.State, checks: true}
+func (w *world) applyOrder(o VMOrder) {
+	e := fakeEngine{state: w.vms[o.VM].Probe.State, checksFence: true}
 	e.order(o.Order, 0)
 	w.vms[o.VM].Probe.State = e.state
 }
 
-// settle plans and applies until nothing is left to do, at most n times.
+// settle plans and applies until the plan is empty, at most n times, and returns
+// the changes.
 func (w *world) settle(t testing.TB, n int) []Change {
 	t.Helper()
 	var all []Change
@@ -152,7 +154,7 @@
 	return all
 }
 
-func (w *world) kill(vms ...fleet.VM) {
+func (w *world) failProbes(vms ...fleet.VM) {
 	for _, vm := range vms {
 		p := &w.vms[vm].Probe
 		p.Failing, p.Failures = w.now.Add(-10*time.Second), 30
@@ -163,8 +165,9 @@
 	w.vms[vm].Probe.State = fleet.EngineState{VM: vm, Boot: boot}
 }
 
-// idle gives every VM a load report that was true just now.
-func (w *world) idle(running int) {
+// setLoad gives every VM a current load report with the number of running
+// requests.
+func (w *world) setLoad(running int) {
 	for vm, v := range w.vms {
 		v.Load = fleet.Load{VM: vm, Boot: v.Probe.State.Boot, Running: running}
 		v.LoadAt = w.now
@@ -189,7 +192,7 @@
 	return fmt.Sprint(n)
 }
 
-func orderCount(p Plan, v engine.Verb) int {
+func countOrders(p Plan, v engine.Verb) int {
 	n := 0
 	for _, o := range p.Orders {
 		if o.Order.Verb == v {
