--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,14 +1,15 @@
-// Package capacity decides how many replicas of each group spec the fleet should
-// hold, and in which availability zones.
+// Package capacity computes how many replicas of each group spec the fleet should
+// have, and in which availability zones.
 //
-// Decide weighs what each user pays for: downtime_weight for each second in
-// which a group that the demand needs is not up, stranding_weight for each
-// second of an accelerator in a group that the demand does not need. The need
-// is uncertain, and groups fail; the number of replicas with the least expected
-// cost is the target. It goes up at once and down one replica at a time, after
-// as long a wait as forming the replica again would cost.
+// Decide minimises the expected cost under the configured objective:
+// downtime_weight for each second in which a replica that the demand requires is
+// not serving, and stranding_weight for each second of an accelerator in a
+// replica that the demand does not require. The demand is uncertain and replicas
+// fail, so the target is the number of replicas with the least expected cost. It
+// rises immediately and falls one replica at a time, once keeping a replica has
+// cost as much as lacking it while it is formed again.
 //
-// The package is pure: time, demand and history come in as values.
+// Decide is pure: time, demand and history are inputs.
 package capacity
 
 import (
@@ -18,39 +19,39 @@
 	"chervilloom/internal/fleet"
 )
 
-// The defaults of Input.
+// Defaults of Input, and limits of the decision.
 const (
 	DefaultLead   = 4 * time.Minute
 	DefaultOutage = 0.003
 	DefaultSlots  = 8
-	// fill is the share of its slots that a replica is planned to use: a full
-	// batch has no room for the next request.
-	fill = 0.8
-	// The bounds of the wait before a replica is taken.
-	shortestHold = 10 * time.Minute
-	longestHold  = time.Hour
+	// targetUtilization is the planned fraction of a replica's slots in use: at
+	// full use the next request has to wait.
+	targetUtilization = 0.8
+	// Bounds of the time for which a replica that is not required is kept.
+	minRetention = 10 * time.Minute
+	maxRetention = time.Hour
 )
 
-// Input is what Decide looks at.
+// Input is the input of Decide.
 type Input struct {
-	Wall    time.Time // local time of the operators; selects the slot of the week
+	Wall    time.Time // wall time in the operators' time zone; selects the slot of the week
 	Config  *config.Document
 	Zones   []Zone
 	Held    []Held
 	Demand  []Demand
-	History *History      // nil: only the present demand counts
-	Lead    time.Duration // from the decision to a serving group; 0: DefaultLead
-	Outage  float64       // share of the time that a group is not whole; 0: DefaultOutage
+	History *History      // nil: only the current demand is used
+	Lead    time.Duration // time from a decision until the group serves; 0: DefaultLead
+	Outage  float64       // fraction of time for which a replica is down; 0: DefaultOutage
 }
 
-// Zone is what an availability zone can hold.
+// Zone is the capacity of an availability zone.
 type Zone struct {
 	Name         fleet.AvailabilityZone
-	Domains      []int // live engine VMs of each fabric domain, free or in groups; none: the zone is dark
-	Accelerators int   // of one VM; 0 counts as 1
+	Domains      []int // live engine VMs per fabric domain, free or in groups; empty if the zone has none
+	Accelerators int   // per VM; 0 counts as 1
 }
 
-// Held is what exists of a spec in a zone.
+// Held is the number of existing replicas of a spec in a zone.
 type Held struct {
 	Spec     string
 	Zone     fleet.AvailabilityZone
@@ -58,16 +59,16 @@
 	Draining int
 }
 
-// Demand is what callers ask of a spec in a zone now.
+// Demand is the current demand for a spec in a zone.
 type Demand struct {
 	Spec    string
 	Zone    fleet.AvailabilityZone
 	Running float64 // requests in progress
 	Waiting float64 // requests in queues
-	Slots   float64 // of one replica; 0: DefaultSlots
+	Slots   float64 // request slots per replica; 0: DefaultSlots
 }
 
-// Target is a number of replicas for a spec in a zone.
+// Target is the wanted number of replicas of a spec in a zone.
 type Target struct {
 	Spec     string
 	Zone     fleet.AvailabilityZone
@@ -76,8 +77,8 @@
 }
 
 // Decide returns one target for each spec and each zone that the spec allows, in
-// the order of the configuration and of Zones. It returns nil without a
-// configuration: what exists stays.
+// the order of the configuration and of Zones. Without a configuration it returns
+// nil: existing replicas stay.
 func Decide(in Input) []Target {
 	if in.Config == nil {
 		return nil
@@ -87,10 +88,10 @@
 	for i := range in.Config.Groups {
 		plans[i] = newPlan(&in, &in.Config.Groups[i])
 	}
-	f := newFloor(&in)
+	f := newFreeCapacity(&in)
 	f.placeMinimum(plans)
 	f.placeNeeded(plans)
-	f.placeHeld(plans)
+	f.placeExisting(plans)
 	var out []Target
 	for _, p := range plans {
 		out = append(out, p.targets(&in)...)
@@ -111,8 +112,9 @@
 	return in
 }
 
-// accelerators returns the accelerators of one VM, averaged over the zones.
-func (in *Input) accelerators() float64 {
+// meanAccelerators returns the accelerators per VM, averaged over the VMs of all
+// zones.
+func (in *Input) meanAccelerators() float64 {
 	sum, vms := 0, 0
 	for _, z := range in.Zones {
 		for _, n := range z.Domains {
@@ -126,13 +128,13 @@
 	return float64(sum) / float64(vms)
 }
 
-// hold returns how long a replica that is not needed is kept: until keeping it
-// has cost as much as being without it for as long as it takes to form it.
-func hold(o config.Objective, accelerators float64, lead time.Duration) time.Duration {
-	idle := o.StrandingWeight * accelerators
-	if idle <= 0 {
-		return longestHold
+// retention returns how long a replica that is not required is kept: until
+// keeping it has cost as much as lacking it for the lead time, within bounds.
+func retention(o config.Objective, accelerators float64, lead time.Duration) time.Duration {
+	idleCost := o.StrandingWeight * accelerators
+	if idleCost <= 0 {
+		return maxRetention
 	}
-	d := time.Duration(o.DowntimeWeight / idle * float64(lead))
-	return min(max(d, shortestHold), longestHold)
+	d := time.Duration(o.DowntimeWeight / idleCost * float64(lead))
+	return min(max(d, minRetention), maxRetention)
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -17,8 +17,9 @@
 
 var noon = time.Date(2026, 3, 3, 12, 5, 0, 0, time.UTC)
 
-// input asks demand of one spec in three zones that hold the given replicas.
-func input(o config.Objective, demand float64, held ...int) Input {
+// testInput returns an input with the given demand for one spec in three zones with
+// the given numbers of existing replicas.
+func testInput(o config.Objective, demand float64, held ...int) Input {
 	in := traceInput(o, NewHistory(), noon, demand, 0, 0)
 	for i, n := range held {
 		in.Held[i].Replicas = n
@@ -27,33 +28,33 @@
 }
 
 func TestTargets(t *testing.T) {
-	busy, dark := input(sagarmatha, 40, 2, 2, 2), input(sagarmatha, 40, 3, 3, 2)
-	dark.Zones[2].Domains = nil
-	split := input(sagarmatha, 40)
-	split.Config.Groups[0].OneDomain = true
-	for i := range split.Zones {
-		split.Zones[i].Domains = []int{7, 5, 3} // 15 VMs hold two whole replicas of four
+	busy, noVMs := testInput(sagarmatha, 40, 2, 2, 2), testInput(sagarmatha, 40, 3, 3, 2)
+	noVMs.Zones[2].Domains = nil
+	singleDomain := testInput(sagarmatha, 40)
+	singleDomain.Config.Groups[0].OneDomain = true
+	for i := range singleDomain.Zones {
+		singleDomain.Zones[i].Domains = []int{7, 5, 3} // of 15 VMs, only two replicas of four VMs fit into single domains
 	}
-	bound := input(sagarmatha, 40)
-	bound.Config.Groups[0].Zones = []string{"z2"}
-	idle := input(lapwise, 0, 1, 1, 1)
+	oneZone := testInput(sagarmatha, 40)
+	oneZone.Config.Groups[0].Zones = []string{"z2"}
+	idle := testInput(lapwise, 0, 1, 1, 1)
 	idle.Held[0].Draining = 1
-	none := input(sagarmatha, 40)
-	none.Config = nil
+	noConfig := testInput(sagarmatha, 40)
+	noConfig.Config = nil
 	cases := []struct {
 		name string
 		in   Input
 		want []int
 	}{
-		{"goes up at once and evenly", busy, []int{3, 3, 2}},
-		{"a dark zone's replicas go to the others", dark, []int{4, 4, 0}},
-		{"a replica lies in one domain", split, []int{2, 2, 2}},
-		{"a spec stays in its zones", bound, []int{6}},
-		{"goes down one at a time", input(lapwise, 0, 1, 1, 2), []int{1, 1, 1}},
-		{"does not move a replica for an even spread", input(sagarmatha, 25, 3, 1, 1), []int{3, 1, 1}},
-		{"waits for the last one to drain", idle, []int{1, 1, 1}},
-		{"keeps its least", input(lapwise, 0, 1, 0, 0), []int{1, 0, 0}},
-		{"nothing is decided without a configuration", none, nil},
+		{"scales up immediately and evenly", busy, []int{3, 3, 2}},
+		{"replicas of a zone without VMs go to the others", noVMs, []int{4, 4, 0}},
+		{"a replica uses a single domain", singleDomain, []int{2, 2, 2}},
+		{"a spec uses only its zones", oneZone, []int{6}},
+		{"scales down one at a time", testInput(lapwise, 0, 1, 1, 2), []int{1, 1, 1}},
+		{"moves no replica for an even spread", testInput(sagarmatha, 25, 3, 1, 1), []int{3, 1, 1}},
+		{"waits for the previous drain", idle, []int{1, 1, 1}},
+		{"keeps the minimum", testInput(lapwise, 0, 1, 0, 0), []int{1, 0, 0}},
+		{"no targets without a configuration", noConfig, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -68,9 +69,9 @@
 	}
 }
 
-// The demand of a counter falls for a minute and comes back. A replica that was
-// drained in between has to load its weights again while the counter waits.
-func TestShortLullKeepsReplicas(t *testing.T) {
+// Guards against draining replicas on a short drop of the demand: when the demand
+// returns a minute later, callers wait while the weights load again.
+func TestShortDemandDropKeepsReplicas(t *testing.T) {
 	is := is.New(t)
 	h := NewHistory()
 	at, held := noon, 8
@@ -79,33 +80,34 @@
 		at = at.Add(time.Minute)
 	}
 	h.Observe("s", WeekSlot(at), 10)
-	is.True(sum(Decide(traceInput(sagarmatha, h, at, 10, held, 0))) >= held)
+	is.True(sumReplicas(Decide(traceInput(sagarmatha, h, at, 10, held, 0))) >= held)
 	for range 120 {
 		at = at.Add(time.Minute)
 		h.Observe("s", WeekSlot(at), 10)
-		held = sum(Decide(traceInput(sagarmatha, h, at, 10, held, 0)))
+		held = sumReplicas(Decide(traceInput(sagarmatha, h, at, 10, held, 0)))
 	}
 	is.True(held <= 4)
 }
 
-// The history knows that the counters open at eight. Replicas that are formed
-// only when the clerks have begun to ask are four minutes late.
-func TestForecastIsAheadOfTheOpening(t *testing.T) {
+// The demand rises at the same time every morning. Replicas that are formed only
+// after the rise begins are late by the lead time of four minutes, so the forecast
+// must include the rise.
+func TestForecastIncludesMorningRise(t *testing.T) {
 	is := is.New(t)
 	tr := newTrace(1)
-	h := tr.learned()
-	at := traceStart.Add((learnWeeks*7 + 2) * 24 * time.Hour).Add(8*time.Hour + 20*time.Minute)
-	asked := shape(at)
+	h := tr.trainedHistory()
+	at := traceStart.Add((trainingWeeks*7 + 2) * 24 * time.Hour).Add(8*time.Hour + 20*time.Minute)
+	asked := baselineDemand(at)
 	for range 5 {
 		h.Observe("s", WeekSlot(at), asked)
 	}
-	f := h.series("s").soon(at, 40*time.Minute, asked)
+	f := h.seriesOf("s").forecastAfterLead(at, 40*time.Minute, asked)
 	is.True(f.mean > 1.1*asked)
 }
 
-// A holiday halves one Wednesday. The next Wednesday must not start with half
-// the replicas that it needs.
-func TestHolidayChangesTheUsualDayLittle(t *testing.T) {
+// One Wednesday has half the demand because of a holiday. The baseline must hardly
+// change, or the next Wednesday starts with too few replicas.
+func TestHolidayHardlyChangesBaseline(t *testing.T) {
 	is := is.New(t)
 	h := NewHistory()
 	for week := range 4 {
@@ -117,35 +119,35 @@
 			h.Observe("s", slot, demand)
 		}
 	}
-	usual, known := h.series("s").usual(3*SlotsPerDay + 40)
+	baseline, known := h.seriesOf("s").baseline(3*SlotsPerDay + 40)
 	is.True(known)
-	is.True(usual > 37)
+	is.True(baseline > 37)
 }
 
-func TestWeightsDecideHowMuchIsSpare(t *testing.T) {
+func TestDowntimeWeightAddsReplicas(t *testing.T) {
 	is := is.New(t)
 	before := 0
 	for _, w := range []float64{1, 10, 100, 1000, 10000} {
-		n := sum(Decide(input(config.Objective{DowntimeWeight: w, StrandingWeight: 1}, 30)))
+		n := sumReplicas(Decide(testInput(config.Objective{DowntimeWeight: w, StrandingWeight: 1}, 30)))
 		is.True(n >= before)
 		before = n
 	}
-	few := sum(Decide(input(lapwise, 30)))
-	many := sum(Decide(input(sagarmatha, 30)))
+	few := sumReplicas(Decide(testInput(lapwise, 30)))
+	many := sumReplicas(Decide(testInput(sagarmatha, 30)))
 	is.True(many > few)
 }
 
-// Whatever stranding weighs, a replica that the demand fills is not idle: it is
-// there, or callers wait for nothing saved.
+// A replica that the demand fills is not idle. It must exist under any weights:
+// without it callers wait and no idle time is saved.
 func TestFilledReplicasAreKeptUnderAnyWeights(t *testing.T) {
 	is := is.New(t)
 	o := config.Objective{DowntimeWeight: 1, StrandingWeight: 1}
-	is.True(sum(Decide(input(o, 30))) >= 4)
+	is.True(sumReplicas(Decide(testInput(o, 30))) >= 4)
 }
 
 func TestHistoryRoundTrip(t *testing.T) {
 	is := is.New(t)
-	h := newTrace(2).learned()
+	h := newTrace(2).trainedHistory()
 	data, err := h.Marshal()
 	is.NoErr(err)
 	is.True(len(data) < 8<<10)
@@ -160,7 +162,7 @@
 	}
 }
 
-func TestImpossibleMeasuresAreNotLearned(t *testing.T) {
+func TestInvalidObservationsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	h := NewHistory()
 	nan := 0.0
@@ -171,7 +173,7 @@
 	h.Observe("s", -1, 3)
 	h.Observe("s", WeekSlots, 3)
 	is.Equal(len(h.specs), 0)
-	is.Equal(sum(Decide(input(sagarmatha, nan))), 1)
+	is.Equal(sumReplicas(Decide(testInput(sagarmatha, nan))), 1)
 }
 
 func drawInput(t *rapid.T) Input {
@@ -202,10 +204,10 @@
 	return in
 }
 
-// Whatever is asked and held: no zone gets more replicas than its VMs make, no
-// spec more than its greatest number, and each spec its least number unless
-// there is no room for one more of it.
-func TestTargetsKeepTheBounds(t *testing.T) {
+// For any demand and any existing replicas: no zone gets more replicas than its VMs
+// allow, no spec more than its maximum, and each spec at least its minimum unless
+// no further replica of it fits.
+func TestTargetsAreWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		got := Decide(in)
@@ -237,7 +239,7 @@
 
 func checkTotal(t *rapid.T, in *Input, spec config.GroupSpec, n int, free map[fleet.AvailabilityZone]int) {
 	if n > spec.Max {
-		t.Fatalf("%s: %d replicas over the most of %d", spec.Name, n, spec.Max)
+		t.Fatalf("%s: %d replicas exceed the maximum of %d", spec.Name, n, spec.Max)
 	}
 	if spec.OneDomain || n >= spec.Min {
 		checkDomains(t, in, spec, n)
@@ -245,12 +247,13 @@
 	}
 	for z, left := range free {
 		if left >= spec.VMs {
-			t.Fatalf("%s: %d replicas under the least of %d, with room in %s", spec.Name, n, spec.Min, z)
+			t.Fatalf("%s: %d replicas are below the minimum of %d, but %s has free VMs", spec.Name, n, spec.Min, z)
 		}
 	}
 }
 
-// checkDomains counts the replicas that whole domains could hold at most.
+// checkDomains fails if a spec that requires a single domain has more replicas than
+// fit into the domains.
 func checkDomains(t *rapid.T, in *Input, spec config.GroupSpec, n int) {
 	room := 0
 	for _, z := range in.Zones {
@@ -259,7 +262,7 @@
 		}
 	}
 	if spec.OneDomain && n > room {
-		t.Fatalf("%s: %d replicas, %d fit into single domains", spec.Name, n, room)
+		t.Fatalf("%s: %d replicas, but only %d fit into single domains", spec.Name, n, room)
 	}
 }
 
@@ -272,9 +275,9 @@
 	return nil
 }
 
-// With room for all, a decision takes at most one replica of a spec and none
-// while one drains; more demand never gives fewer replicas.
-func TestDownSlowlyAndMoreForMore(t *testing.T) {
+// With enough free VMs, a decision removes at most one replica of a spec, and none
+// while another one drains; more demand never yields fewer replicas.
+func TestGradualScaleDownAndMonotonicDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		for i := range in.Zones {
@@ -288,16 +291,16 @@
 				held, draining = held+h.Replicas, draining+h.Draining
 			}
 		}
-		n := sum(Decide(in))
+		n := sumReplicas(Decide(in))
 		least := min(held, spec.Max)
 		if draining == 0 {
 			least = min(held-1, spec.Max)
 		}
 		if n < least {
-			t.Fatalf("%d of %d held with %d draining", n, held, draining)
+			t.Fatalf("%d replicas left of %d, with %d draining", n, held, draining)
 		}
 		in.Demand[0].Running += 10
-		if more := sum(Decide(in)); more < n {
+		if more := sumReplicas(Decide(in)); more < n {
 			t.Fatalf("%d replicas for more demand, %d before", more, n)
 		}
 	})
@@ -324,11 +327,11 @@
 		want []uint64
 		why  string
 	}{
-		{"hot ones pay, best first", base, []Heat{hot, cold, hotter}, []uint64{5, 1}, reasonExport},
-		{"not what another replica has", base, []Heat{elsewhere}, nil, reasonCold},
-		{"not what is dearer to move than to compute", base, []Heat{big}, nil, reasonCold},
-		{"only what the drain leaves time for", short, []Heat{hot, hotter}, []uint64{5}, reasonExport},
-		{"no rate is known", down, []Heat{hot}, nil, reasonNoRoute},
+		{"often used prefixes, best saving first", base, []Heat{hot, cold, hotter}, []uint64{5, 1}, reasonExport},
+		{"not a prefix that another replica has", base, []Heat{elsewhere}, nil, reasonNoSaving},
+		{"not a prefix that costs more to move than to compute", base, []Heat{big}, nil, reasonNoSaving},
+		{"only prefixes that fit into the time of the drain", short, []Heat{hot, hotter}, []uint64{5}, reasonExport},
+		{"no transfer rate", down, []Heat{hot}, nil, reasonNoTransfer},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -342,12 +345,12 @@
 	}
 }
 
-// Each user pays least with the decision made under its own weights.
-func TestOwnWeightsPayLeast(t *testing.T) {
+// For each user, the decisions under its own weights have the least cost.
+func TestOwnWeightsCostLeast(t *testing.T) {
 	is := is.New(t)
-	all := make([]result, len(contenders))
-	for i, c := range contenders {
-		all[i] = runAll(c, 1)
+	all := make([]result, len(policyCases))
+	for i, c := range policyCases {
+		all[i] = runSeeds(c, 1)
 	}
 	for u, user := range users {
 		for i := range all {
--- a/internal/capacity/cost.go
+++ b/internal/capacity/cost.go
@@ -2,75 +2,76 @@
 
 import "math"
 
-// costs holds what the expected cost of a number of replicas depends on.
-type costs struct {
-	downtime float64 // per second in which one needed replica is missing
-	idle     float64 // per second in which one replica is not needed
-	outage   float64 // share of the time that a replica is not whole
-	serves   float64 // demand that one replica serves
+// costModel holds the parameters of the expected cost of a number of replicas.
+type costModel struct {
+	missingCost        float64 // cost per second of one missing replica
+	idleCost           float64 // cost per second of one replica that is not required
+	outageFraction     float64 // fraction of time for which a replica is down
+	requestsPerReplica float64 // requests in flight that one replica serves
 }
 
 const (
-	// maxOutages bounds the replicas taken to be down at once; with the shares
-	// of outage that are met, more of them add nothing to a sum.
+	// maxOutages limits the number of replicas that are assumed down at the same
+	// time; with usual outage fractions, more have a negligible probability.
 	maxOutages = 4
-	// negligible is the probability at which the tail of the need is cut.
+	// negligible is the tail probability at which the distribution of the
+	// required replicas is truncated.
 	negligible = 1e-6
 )
 
-// curve returns the expected cost of a second with 0 to most replicas.
-func (c *costs) curve(most int, f forecast) []float64 {
-	needs := c.needs(f)
-	up := make([]float64, most+1) // cost with that many serving
-	for n := range up {
-		for need, p := range needs {
-			up[n] += p * c.gap(n, need)
+// expectedCosts returns the expected cost per second of 0 to maxReplicas replicas.
+func (c *costModel) expectedCosts(maxReplicas int, f forecast) []float64 {
+	required := c.requiredDistribution(f)
+	costByServing := make([]float64, maxReplicas+1) // cost by number of serving replicas
+	for n := range costByServing {
+		for replicas, p := range required {
+			costByServing[n] += p * c.mismatchCost(n, replicas)
 		}
 	}
-	out := make([]float64, most+1)
+	out := make([]float64, maxReplicas+1)
 	for n := range out {
-		left := 1.0
+		remaining := 1.0
 		for down := 0; down <= min(n, maxOutages); down++ {
-			p := binomial(n, down, c.outage)
-			left -= p
-			out[n] += p * up[n-down]
+			p := binomial(n, down, c.outageFraction)
+			remaining -= p
+			out[n] += p * costByServing[n-down]
 		}
-		out[n] += max(0, left) * up[max(0, n-maxOutages-1)]
+		out[n] += max(0, remaining) * costByServing[max(0, n-maxOutages-1)]
 	}
 	return out
 }
 
-func (c *costs) gap(up, need int) float64 {
-	if up < need {
-		return c.downtime * float64(need-up)
+func (c *costModel) mismatchCost(serving, required int) float64 {
+	if serving < required {
+		return c.missingCost * float64(required-serving)
 	}
-	return c.idle * float64(up-need)
+	return c.idleCost * float64(serving-required)
 }
 
-// needs returns the probability that exactly 0, 1, 2 ... replicas are needed.
-// The replicas that the expected demand fills are taken as needed for sure: an
-// objective that weighs stranding much would otherwise answer a less certain
-// demand with fewer replicas than a smaller one.
-func (c *costs) needs(f forecast) []float64 {
-	sure := int(f.mean / c.serves)
-	out := make([]float64, sure, sure+8)
-	before := 0.0
-	for k := sure; before < 1-negligible; k++ {
-		p := c.atMost(k, f)
-		out = append(out, p-before)
-		before = p
+// requiredDistribution returns the probabilities that exactly 0, 1, 2 ... replicas
+// are required. The replicas that the expected demand fills are required with
+// certainty: under a high weight of stranding, a larger but less certain demand
+// would otherwise get fewer replicas than a smaller one.
+func (c *costModel) requiredDistribution(f forecast) []float64 {
+	certain := int(f.mean / c.requestsPerReplica)
+	out := make([]float64, certain, certain+8)
+	cumulative := 0.0
+	for k := certain; cumulative < 1-negligible; k++ {
+		p := c.probabilitySufficient(k, f)
+		out = append(out, p-cumulative)
+		cumulative = p
 	}
 	return out
 }
 
-// atMost returns the probability that k replicas are enough: the demand is taken
-// to be normal about the forecast.
-func (c *costs) atMost(k int, f forecast) float64 {
-	room := float64(k) * c.serves
+// probabilitySufficient returns the probability that k replicas serve the demand,
+// which is assumed to have a normal distribution around the forecast.
+func (c *costModel) probabilitySufficient(k int, f forecast) float64 {
+	served := float64(k) * c.requestsPerReplica
 	if f.deviation > 0 {
-		return 0.5 * math.Erfc(-(room-f.mean)/(f.deviation*math.Sqrt2))
+		return 0.5 * math.Erfc(-(served-f.mean)/(f.deviation*math.Sqrt2))
 	}
-	if room >= f.mean {
+	if served >= f.mean {
 		return 1
 	}
 	return 0
--- a/internal/capacity/export.go
+++ b/internal/capacity/export.go
@@ -8,83 +8,85 @@
 	"chervilloom/internal/fleet"
 )
 
-// Heat is how much a cached prefix is used.
+// Heat is the usage and size of a cached prefix.
 type Heat struct {
 	Prefix  uint64
-	Tokens  int     // of the prompt up to here that no shorter prefix of the list holds
-	PerHour float64 // uses
-	Bytes   int64   // of its KV cache
-	Held    bool    // in the cache of a replica that stays
+	Tokens  int     // prompt tokens beyond those of shorter prefixes in the list
+	PerHour float64 // uses per hour
+	Bytes   int64   // size of its KV cache
+	Held    bool    // also cached by a replica that is kept
 }
 
-// Export is what moving KV cache costs and saves.
+// Export is the input of AdviseExport: the cached prefixes of a group and the
+// costs of computing and moving them.
 type Export struct {
 	Group          fleet.GroupID
 	Heat           []Heat
-	PrefillPerTok  time.Duration // to compute a prompt token
-	BytesPerSecond float64       // out to the object store, and as fast in again
-	PerObject      time.Duration // fixed cost of an export and an import
-	Within         time.Duration // time for the drain; exports must end in it
-	Useful         time.Duration // how long an imported prefix is likely to stay cached
+	PrefillPerTok  time.Duration // time to compute one prompt token
+	BytesPerSecond float64       // transfer rate to and from the object store
+	PerObject      time.Duration // fixed cost of each export and each import
+	Within         time.Duration // time until the drain ends; exports must complete within it
+	Useful         time.Duration // expected time for which an imported prefix stays cached
 }
 
-// Advice names the prefixes that a group should export before it goes.
+// Advice lists the prefixes that a group should export before it is dissolved.
 type Advice struct {
 	Group    fleet.GroupID
 	Prefixes []uint64
-	Saves    time.Duration // engine time, expected, costs taken off
+	Saves    time.Duration // expected net saving of engine time
 	Reason   string
 }
 
-// The reasons of an Advice.
+// Reasons of an Advice.
 const (
-	reasonExport  = "computing these prefixes again costs more than moving them"
-	reasonCold    = "no prefix is used enough to pay for moving it"
-	reasonNoRoute = "the rate or the time to export is zero"
+	reasonExport     = "computing these prefixes again costs more than moving them"
+	reasonNoSaving   = "no prefix is used enough to pay for moving it"
+	reasonNoTransfer = "the rate or the time to export is zero"
 )
 
-// AdviseExport chooses the prefixes of a group that is about to drain whose
-// export pays. A prefix saves one computation at most: the first use after the
-// move would have computed and cached it. It saves that only if it is used
-// while it would still be cached, and if no replica that stays has it.
+// AdviseExport selects the prefixes of a group about to drain whose export saves
+// more engine time than it costs. A prefix saves at most one computation, because
+// the first use after the move would have computed and cached it. It saves that
+// only if it is used while it is still cached and no kept replica has it.
 func AdviseExport(e Export) Advice {
-	a := Advice{Group: e.Group, Reason: reasonCold}
+	a := Advice{Group: e.Group, Reason: reasonNoSaving}
 	if e.BytesPerSecond <= 0 || e.Within <= 0 {
-		a.Reason = reasonNoRoute
+		a.Reason = reasonNoTransfer
 		return a
 	}
 	heat := slices.Clone(e.Heat)
-	slices.SortStableFunc(heat, func(x, y Heat) int { return cmp.Compare(e.worth(&y), e.worth(&x)) })
-	left := e.Within
+	slices.SortStableFunc(heat, func(x, y Heat) int { return cmp.Compare(e.savingRate(&y), e.savingRate(&x)) })
+	timeLeft := e.Within
 	for i := range heat {
 		h := &heat[i]
-		out := e.move(h)
-		if e.saves(h) <= 0 || out > left {
+		exportTime := e.transferTime(h)
+		if e.netSaving(h) <= 0 || exportTime > timeLeft {
 			continue
 		}
-		left -= out
+		timeLeft -= exportTime
 		a.Prefixes = append(a.Prefixes, h.Prefix)
-		a.Saves += e.saves(h)
+		a.Saves += e.netSaving(h)
 		a.Reason = reasonExport
 	}
 	return a
 }
 
-// worth is the saving for each second of the drain that the export takes.
-func (e *Export) worth(h *Heat) float64 {
-	return float64(e.saves(h)) / float64(max(e.move(h), 1))
+// savingRate returns the saving per unit of transfer time.
+func (e *Export) savingRate(h *Heat) float64 {
+	return float64(e.netSaving(h)) / float64(max(e.transferTime(h), 1))
 }
 
-// move is the time to send the prefix one way.
-func (e *Export) move(h *Heat) time.Duration {
+// transferTime returns the time to transfer the prefix in one direction.
+func (e *Export) transferTime(h *Heat) time.Duration {
 	return e.PerObject + time.Duration(float64(h.Bytes)/e.BytesPerSecond*float64(time.Second))
 }
 
-// saves is the expected engine time saved, the export and the import taken off.
-func (e *Export) saves(h *Heat) time.Duration {
+// netSaving returns the expected engine time saved, less the time of the export
+// and the import; it is negative for a prefix that a kept replica has.
+func (e *Export) netSaving(h *Heat) time.Duration {
 	if h.Held {
 		return -1
 	}
-	used := min(1, h.PerHour*e.Useful.Hours())
-	return time.Duration(used*float64(h.Tokens)*float64(e.PrefillPerTok)) - 2*e.move(h)
+	probabilityUsed := min(1, h.PerHour*e.Useful.Hours())
+	return time.Duration(probabilityUsed*float64(h.Tokens)*float64(e.PrefillPerTok)) - 2*e.transferTime(h)
 }
--- a/internal/capacity/facts.go
+++ b/internal/capacity/facts.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// loadCounts is the age up to which a load report tells the demand.
-	loadCounts = 30 * time.Second
-	// silentFor is how long a VM of the own zone may leave probes unanswered
-	// and still count as room for a replica.
-	silentFor = 30 * time.Second
+	// maxLoadAge is the age up to which a load report is used as the demand.
+	maxLoadAge = 30 * time.Second
+	// maxProbeSilence is how long a VM of the node's zone may leave probes
+	// unanswered and still count as capacity.
+	maxProbeSilence = 30 * time.Second
 )
 
-// Read takes zones, what is held and what is asked out of a snapshot. Wall,
-// History, Lead and Outage are left to the caller.
+// Read returns the input of Decide for a snapshot: zones, existing replicas and
+// demand. The caller sets Wall, History, Lead and Outage.
 func Read(snap *view.Snapshot, now clock.Instant) Input {
-	r := reader{snap: snap, now: now, in: Input{Config: snap.Config}}
-	r.zone(snap.Zone)
+	r := snapshotReader{snap: snap, now: now, in: Input{Config: snap.Config}}
+	r.addZone(snap.Zone)
 	for i := range snap.Nodes {
 		if snap.Nodes[i].State == view.NodeAlive {
-			r.zone(snap.Nodes[i].Zone)
+			r.addZone(snap.Nodes[i].Zone)
 		}
 	}
-	// Every zone's holder decides for all zones and carries out its own part:
-	// the order must be the same for all of them.
+	// The holder of each zone's duty decides for all zones and applies its own
+	// zone's targets, so all of them must use the same order.
 	slices.SortFunc(r.in.Zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
 	r.readVMs()
 	for i := range snap.Groups {
@@ -38,31 +38,31 @@
 	return r.in
 }
 
-type reader struct {
+type snapshotReader struct {
 	snap    *view.Snapshot
 	now     clock.Instant
 	in      Input
-	domains [][]fleet.FabricDomain // by zone, as in.Zones[].Domains
+	domains [][]fleet.FabricDomain // names for in.Zones[].Domains, by zone and domain
 }
 
-// zone adds a zone that can be reached. Of a zone without a node to ask nothing
-// is expected: its callers may come here, and its VMs may be dark.
-func (r *reader) zone(name fleet.AvailabilityZone) {
-	if r.zoneAt(name) < 0 {
+// addZone adds a reachable zone. A zone without a live node counts as having no
+// capacity: its VMs may be down, and its callers may send requests to other zones.
+func (r *snapshotReader) addZone(name fleet.AvailabilityZone) {
+	if r.zoneIndex(name) < 0 {
 		r.in.Zones = append(r.in.Zones, Zone{Name: name})
 		r.domains = append(r.domains, nil)
 	}
 }
 
-func (r *reader) zoneAt(name fleet.AvailabilityZone) int {
+func (r *snapshotReader) zoneIndex(name fleet.AvailabilityZone) int {
 	return slices.IndexFunc(r.in.Zones, func(z Zone) bool { return z.Name == name })
 }
 
-func (r *reader) readVMs() {
+func (r *snapshotReader) readVMs() {
 	for i := range r.snap.VMs {
 		v := &r.snap.VMs[i]
-		z := r.zoneAt(v.Record.Zone)
-		if z < 0 || !r.usable(v) {
+		z := r.zoneIndex(v.Record.Zone)
+		if z < 0 || !r.isUsable(v) {
 			continue
 		}
 		zone := &r.in.Zones[z]
@@ -77,19 +77,19 @@
 	}
 }
 
-// usable reports whether a replica could lie on the VM. Probes are made in the
-// own zone only; of other zones the platform's list has to do.
-func (r *reader) usable(v *view.VM) bool {
+// isUsable reports whether the VM can be part of a replica. Only VMs of the node's
+// zone are probed; for other zones the platform's list is used.
+func (r *snapshotReader) isUsable(v *view.VM) bool {
 	if v.Record.Kind != fleet.KindEngine || v.Leaving || v.Record.State == fleet.StateLeaving {
 		return false
 	}
 	if v.Record.Zone != r.snap.Zone {
 		return v.Listed
 	}
-	return v.Probe.Failing == 0 || r.now.Sub(v.Probe.Failing) <= silentFor
+	return v.Probe.Failing == 0 || r.now.Sub(v.Probe.Failing) <= maxProbeSilence
 }
 
-func (r *reader) readGroup(g *view.Group) {
+func (r *snapshotReader) readGroup(g *view.Group) {
 	h := Held{Spec: g.Spec, Zone: g.Zone}
 	switch g.Phase {
 	case fleet.PhaseDraining:
@@ -101,20 +101,21 @@
 	}
 	r.in.Held = append(r.in.Held, h)
 	if g.Phase != fleet.PhaseForming {
-		r.in.Demand = append(r.in.Demand, r.demand(g))
+		r.in.Demand = append(r.in.Demand, r.groupDemand(g))
 	}
 }
 
-// demand reads what is asked of a group. A group that serves and has told
-// nothing lately counts as filled: silence must not let its replica go.
-func (r *reader) demand(g *view.Group) Demand {
+// groupDemand returns the demand on a group. A serving group without a recent load
+// report counts as used to the target utilization: a missing report must not
+// remove its replica.
+func (r *snapshotReader) groupDemand(g *view.Group) Demand {
 	d := Demand{Spec: g.Spec, Zone: g.Zone, Slots: float64(g.Load.Slots)}
-	if g.LoadAt != 0 && r.now.Sub(g.LoadAt) <= loadCounts {
+	if g.LoadAt != 0 && r.now.Sub(g.LoadAt) <= maxLoadAge {
 		d.Running, d.Waiting = float64(g.Load.Running), float64(g.Load.Waiting)
 		return d
 	}
 	if g.Phase == fleet.PhaseServing {
-		d.Running = fill * max(d.Slots, DefaultSlots)
+		d.Running = targetUtilization * max(d.Slots, DefaultSlots)
 	}
 	return d
 }
--- a/internal/capacity/forecast.go
+++ b/internal/capacity/forecast.go
@@ -6,136 +6,139 @@
 )
 
 const (
-	momentFades    = 0.8  // of this moment's difference from today, left a slot later
-	dayFades       = 0.98 // of today's difference from the usual, left a slot later
-	farSlots       = 4.0  // slots ahead at which the whole deviation of a slot counts
-	meanToStandard = 1.25 // mean deviation of a normal distribution to its standard one
-	leastDeviation = 0.2  // of the square root of the demand: requests come at random
-	surge          = 0.2  // rise of the ratio within a slot that is more than noise
-	stepAhead      = 10 * time.Minute
+	currentRatioDecay        = 0.8  // factor per slot on the difference of the current ratio from the day's
+	dayRatioDecay            = 0.98 // factor per slot on the difference of the day's ratio from 1
+	fullDeviationSlots       = 4.0  // slots ahead from which a slot's full deviation applies
+	standardPerMeanDeviation = 1.25 // standard deviation of a normal distribution over its mean deviation
+	minDeviationFactor       = 0.2  // times the square root of the demand, for random arrivals
+	surgeThreshold           = 0.2  // rise of the ratio within a slot that exceeds noise
+	forecastStep             = 10 * time.Minute
 )
 
-// forecast is an expected demand with its standard deviation.
+// forecast is an expected demand and its standard deviation.
 type forecast struct{ mean, deviation float64 }
 
-// atMost bounds a forecast: over what the most replicas serve, more demand does
-// not change a decision.
-func (f forecast) atMost(demand float64) forecast {
-	return forecast{min(f.mean, demand), min(f.deviation, demand)}
+// capped returns the forecast limited to a demand. Demand beyond the capacity of
+// the maximum number of replicas does not change a decision.
+func (f forecast) capped(limit float64) forecast {
+	return forecast{min(f.mean, limit), min(f.deviation, limit)}
 }
 
-// series returns the history of a spec; an unknown spec has an empty one.
-func (h *History) series(spec string) *series {
+// seriesOf returns the series of a spec, an empty one for an unknown spec.
+func (h *History) seriesOf(spec string) *series {
 	if s, ok := h.specs[spec]; ok {
 		return s
 	}
 	return newSeries()
 }
 
-// usualAt returns the usual demand at a wall time, between the middles of slots.
-func (s *series) usualAt(t time.Time) (float64, bool) {
+// baselineAt returns the baseline demand at a wall time, interpolated between the
+// midpoints of slots, and whether a baseline is known.
+func (s *series) baselineAt(t time.Time) (float64, bool) {
 	slot := WeekSlot(t)
-	usual, known := s.usual(slot)
+	baseline, known := s.baseline(slot)
 	if !known {
 		return 0, false
 	}
-	into := float64(t.Sub(t.Truncate(SlotLength)))/float64(SlotLength) - 0.5
-	near, step := slot+1, into
-	if into < 0 {
-		near, step = slot-1, -into
+	fromMidpoint := float64(t.Sub(t.Truncate(SlotLength)))/float64(SlotLength) - 0.5
+	neighbour, weight := slot+1, fromMidpoint
+	if fromMidpoint < 0 {
+		neighbour, weight = slot-1, -fromMidpoint
 	}
-	other, known := s.usual((near + WeekSlots) % WeekSlots)
+	neighbourBaseline, known := s.baseline((neighbour + WeekSlots) % WeekSlots)
 	if !known {
-		return usual, true
+		return baseline, true
 	}
-	return usual + step*(other-usual), true
+	return baseline + weight*(neighbourBaseline-baseline), true
 }
 
-// present returns how the demand of this moment compares with the usual one.
-func (s *series) present(now time.Time) float64 {
-	usual, known := s.usualAt(now)
-	if !known || usual <= minUsual || s.level <= 0 {
-		return s.ratio
+// currentRatio returns the ratio of the current demand to the baseline, the day's
+// ratio if either is unknown.
+func (s *series) currentRatio(now time.Time) float64 {
+	baseline, known := s.baselineAt(now)
+	if !known || baseline <= minBaseline || s.level <= 0 {
+		return s.dayRatio
 	}
-	return bounded(s.level / usual)
+	return clampRatio(s.level / baseline)
 }
 
-// at forecasts the demand at a wall time: the usual demand then, times how this
-// moment compares with the usual one. The farther ahead, the more today as a
-// whole counts in place of this moment, and the usual day in place of today.
-func (s *series) at(when, now time.Time) (forecast, bool) {
-	usual, known := s.usualAt(when)
+// forecastAt forecasts the demand at a wall time: the baseline at that time
+// multiplied by a ratio. With the distance the ratio moves from the current one to
+// the day's, and from there to 1. It returns false if no baseline is known.
+func (s *series) forecastAt(when, now time.Time) (forecast, bool) {
+	baseline, known := s.baselineAt(when)
 	if !known {
 		return forecast{}, false
 	}
-	ahead := max(0, float64(when.Sub(now))/float64(SlotLength))
-	ratio := s.ratio + (s.present(now)-s.ratio)*math.Pow(momentFades, ahead)
-	ratio = 1 + (ratio-1)*math.Pow(dayFades, ahead)
+	slotsAhead := max(0, float64(when.Sub(now))/float64(SlotLength))
+	ratio := s.dayRatio + (s.currentRatio(now)-s.dayRatio)*math.Pow(currentRatioDecay, slotsAhead)
+	ratio = 1 + (ratio-1)*math.Pow(dayRatioDecay, slotsAhead)
 	slot := WeekSlot(when)
-	far := float64(s.deviation[slot]) * min(1, ahead/farSlots)
-	off := meanToStandard * math.Hypot(s.wobble, far)
-	mean := usual * ratio
-	return forecast{mean, max(off, leastDeviation*math.Sqrt(mean))}, true
+	slotDeviation := float64(s.deviation[slot]) * min(1, slotsAhead/fullDeviationSlots)
+	deviation := standardPerMeanDeviation * math.Hypot(s.levelDeviation, slotDeviation)
+	mean := baseline * ratio
+	return forecast{mean, max(deviation, minDeviationFactor*math.Sqrt(mean))}, true
 }
 
-// soon forecasts the demand at the time when a group that is formed now would
-// serve. A rise that the usual day does not know is taken to go on until then.
-func (s *series) soon(now time.Time, lead time.Duration, asked float64) forecast {
-	f, known := s.at(now.Add(lead), now)
+// forecastAfterLead forecasts the demand at the time when a group formed now would
+// serve. A rise that the baseline does not include is extrapolated to that time.
+func (s *series) forecastAfterLead(now time.Time, lead time.Duration, currentDemand float64) forecast {
+	f, known := s.forecastAt(now.Add(lead), now)
 	if !known {
-		return forecast{asked, math.Sqrt(asked)}
+		return forecast{currentDemand, math.Sqrt(currentDemand)}
 	}
-	rise := s.present(now) - s.before(now)
-	if rise > surge {
-		usual, _ := s.usualAt(now)
-		f.mean += usual * rise * float64(lead) / float64(SlotLength)
+	rise := s.currentRatio(now) - s.previousRatio(now)
+	if rise > surgeThreshold {
+		baseline, _ := s.baselineAt(now)
+		f.mean += baseline * rise * float64(lead) / float64(SlotLength)
 	}
 	return f
 }
 
-// before returns how the last slot compared with the usual one.
-func (s *series) before(now time.Time) float64 {
+// previousRatio returns the ratio of the previous slot's demand to its baseline,
+// the current ratio if either is unknown.
+func (s *series) previousRatio(now time.Time) float64 {
 	slot := WeekSlot(now.Add(-SlotLength))
-	usual, known := s.usual(slot)
-	r, ended := s.ended(slot)
-	if !known || !ended || usual <= minUsual {
-		return s.present(now)
+	baseline, known := s.baseline(slot)
+	r, found := s.endedSlot(slot)
+	if !known || !found || baseline <= minBaseline {
+		return s.currentRatio(now)
 	}
-	return bounded(r.mean / usual)
+	return clampRatio(r.mean / baseline)
 }
 
-// around returns what is expected soon and up to span after that, and what was
-// observed in the span before now. A replica goes only when each of them can do
-// without it.
-func (s *series) around(now time.Time, lead, span time.Duration, asked float64) []forecast {
-	all := []forecast{s.soon(now, lead, asked), s.observed(now, s.level)}
-	for ahead := stepAhead; ahead <= lead+span; ahead += stepAhead {
-		if f, known := s.at(now.Add(ahead), now); known {
+// retentionForecasts returns the forecasts for the lead time and up to span after
+// it, and the demand observed within span before now. A replica is removed only
+// if none of them requires it.
+func (s *series) retentionForecasts(now time.Time, lead, span time.Duration, currentDemand float64) []forecast {
+	all := []forecast{s.forecastAfterLead(now, lead, currentDemand), s.observedForecast(now, s.level)}
+	for ahead := forecastStep; ahead <= lead+span; ahead += forecastStep {
+		if f, known := s.forecastAt(now.Add(ahead), now); known {
 			all = append(all, f)
 		}
 	}
 	for back := SlotLength; back <= span; back += SlotLength {
-		if r, ok := s.ended(WeekSlot(now.Add(-back))); ok {
-			all = append(all, s.observed(now, r.mean))
+		if r, ok := s.endedSlot(WeekSlot(now.Add(-back))); ok {
+			all = append(all, s.observedForecast(now, r.mean))
 		}
 	}
 	return all
 }
 
-// observed is a demand that was there, with the deviation of the observations;
-// without a history it is as uncertain as a forecast without one.
-func (s *series) observed(now time.Time, demand float64) forecast {
-	if _, known := s.usualAt(now); !known {
+// observedForecast returns an observed demand with the deviation of the
+// observations; without a baseline, with that of a forecast without one.
+func (s *series) observedForecast(now time.Time, demand float64) forecast {
+	if _, known := s.baselineAt(now); !known {
 		return forecast{demand, math.Sqrt(demand)}
 	}
-	return forecast{demand, max(meanToStandard*s.wobble, leastDeviation*math.Sqrt(demand))}
+	return forecast{demand, max(standardPerMeanDeviation*s.levelDeviation, minDeviationFactor*math.Sqrt(demand))}
 }
 
-func (s *series) ended(slot int) (past, bool) {
+func (s *series) endedSlot(slot int) (slotMean, bool) {
 	for _, r := range s.recent {
 		if r.slot == slot {
 			return r, true
 		}
 	}
-	return past{}, false
+	return slotMean{}, false
 }
--- a/internal/capacity/metrics.go
+++ b/internal/capacity/metrics.go
@@ -2,19 +2,19 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// meter shows targets and demand by spec; the label is bounded by the
-// configuration.
-type meter struct {
+// metrics exports targets and demand by spec. The configuration bounds the number
+// of label values.
+type metrics struct {
 	targets *prometheus.GaugeVec
 	demand  *prometheus.GaugeVec
 	known   map[string]struct{}
 }
 
-func newMeter(reg prometheus.Registerer) *meter {
+func newMetrics(reg prometheus.Registerer) *metrics {
 	gauge := func(name, help string) *prometheus.GaugeVec {
 		return prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: name, Help: help}, []string{"spec"})
 	}
-	m := &meter{
+	m := &metrics{
 		targets: gauge("chervilloom_capacity_target_replicas", "Replicas that the zone should hold, at the holder of the duty."),
 		demand:  gauge("chervilloom_capacity_demand_requests", "Requests running or waiting in engines, all zones together."),
 		known:   make(map[string]struct{}),
@@ -25,14 +25,14 @@
 	return m
 }
 
-func (m *meter) set(spec string, replicas int, demand float64) {
+func (m *metrics) set(spec string, replicas int, demand float64) {
 	m.known[spec] = struct{}{}
 	m.targets.WithLabelValues(spec).Set(float64(replicas))
 	m.demand.WithLabelValues(spec).Set(demand)
 }
 
-// keep drops the specs that the configuration no longer names.
-func (m *meter) keep(specs map[string]int) {
+// deleteExcept removes the label values of specs that are not in specs.
+func (m *metrics) deleteExcept(specs map[string]int) {
 	for spec := range m.known {
 		if _, ok := specs[spec]; ok {
 			continue
--- a/internal/capacity/place.go
+++ b/internal/capacity/place.go
@@ -6,143 +6,144 @@
 	"chervilloom/internal/config"
 )
 
-// stayBonus is what a replica that exists in a zone is worth against an even
-// spread, in replicas: a move costs a drain and a load of weights.
-const stayBonus = 1.5
+// existingBonus is the advantage of a zone with an existing replica over an even
+// spread, in replicas: moving a replica costs a drain and a load of weights.
+const existingBonus = 1.5
 
-// floor is the VMs that are left in each fabric domain of each zone.
-type floor struct{ free [][]int }
+// freeCapacity counts the unassigned VMs in each fabric domain of each zone.
+type freeCapacity struct{ vms [][]int }
 
-func newFloor(in *Input) *floor {
-	f := &floor{free: make([][]int, len(in.Zones))}
+func newFreeCapacity(in *Input) *freeCapacity {
+	f := &freeCapacity{vms: make([][]int, len(in.Zones))}
 	for i, z := range in.Zones {
-		f.free[i] = slices.Clone(z.Domains)
+		f.vms[i] = slices.Clone(z.Domains)
 	}
 	return f
 }
 
-// fits reports whether one more replica of the spec has room in the zone. What
-// is left over in several domains makes no replica that must lie in one.
-func (f *floor) fits(spec *config.GroupSpec, zone int) bool {
+// fits reports whether one more replica of the spec fits into the zone. Free VMs of
+// several domains do not add up for a spec that requires a single domain.
+func (f *freeCapacity) fits(spec *config.GroupSpec, zone int) bool {
 	if spec.OneDomain {
-		return f.tightest(spec, zone) >= 0
+		return f.bestFit(spec, zone) >= 0
 	}
 	sum := 0
-	for _, n := range f.free[zone] {
+	for _, n := range f.vms[zone] {
 		sum += n
 	}
 	return sum >= spec.VMs
 }
 
-// tightest returns the domain with the least room that still holds a replica:
-// larger rooms are left for larger replicas.
-func (f *floor) tightest(spec *config.GroupSpec, zone int) int {
+// bestFit returns the domain with the fewest free VMs that are enough for a
+// replica, or -1. Domains with more free VMs are kept for larger replicas.
+func (f *freeCapacity) bestFit(spec *config.GroupSpec, zone int) int {
 	best := -1
-	for d, n := range f.free[zone] {
-		if n >= spec.VMs && (best < 0 || n < f.free[zone][best]) {
+	for d, n := range f.vms[zone] {
+		if n >= spec.VMs && (best < 0 || n < f.vms[zone][best]) {
 			best = d
 		}
 	}
 	return best
 }
 
-func (f *floor) occupy(spec *config.GroupSpec, zone int) {
+func (f *freeCapacity) occupy(spec *config.GroupSpec, zone int) {
 	if spec.OneDomain {
-		f.free[zone][f.tightest(spec, zone)] -= spec.VMs
+		f.vms[zone][f.bestFit(spec, zone)] -= spec.VMs
 		return
 	}
 	left := spec.VMs
-	for d, n := range f.free[zone] {
+	for d, n := range f.vms[zone] {
 		take := min(n, left)
-		f.free[zone][d] -= take
+		f.vms[zone][d] -= take
 		left -= take
 	}
 }
 
-// placeMinimum gives each spec its least number of replicas, in turns, so that
-// no spec takes the room of another one's first replica.
-func (f *floor) placeMinimum(plans []*plan) {
-	for more := true; more; {
-		more = false
+// placeMinimum places the minimum number of replicas of each spec in turns of one,
+// so that no spec uses the capacity for the first replica of another.
+func (f *freeCapacity) placeMinimum(plans []*plan) {
+	for placed := true; placed; {
+		placed = false
 		for _, p := range plans {
-			if p.total < min(p.spec.Min, p.spec.Max) && f.place(p) {
-				more = true
+			if p.totalPlaced < min(p.spec.Min, p.spec.Max) && f.placeReplica(p) {
+				placed = true
 			}
 		}
 	}
 }
 
-// placeNeeded gives replicas to the specs that they save most, for each VM,
-// until no replica saves anything or no room is left.
-func (f *floor) placeNeeded(plans []*plan) {
+// placeNeeded places replicas in the order of their saving per VM, until no replica
+// has a saving or fits.
+func (f *freeCapacity) placeNeeded(plans []*plan) {
 	full := make(map[*plan]bool)
 	for {
 		var best *plan
 		for _, p := range plans {
-			if !full[p] && p.gain() > 0 && (best == nil || p.gain() > best.gain()) {
+			if !full[p] && p.savingPerVM() > 0 && (best == nil || p.savingPerVM() > best.savingPerVM()) {
 				best = p
 			}
 		}
 		if best == nil {
 			return
 		}
-		if !f.place(best) {
+		if !f.placeReplica(best) {
 			full[best] = true
 		}
 	}
 }
 
-// placeHeld keeps replicas that exist and are worth the wait.
-func (f *floor) placeHeld(plans []*plan) {
+// placeExisting places the existing replicas that are kept although not required.
+func (f *freeCapacity) placeExisting(plans []*plan) {
 	for _, p := range plans {
-		for p.total < p.kept() {
-			if !f.keep(p) {
+		for p.totalPlaced < p.replicasToKeep() {
+			if !f.keepReplica(p) {
 				break
 			}
 		}
 	}
 }
 
-// place puts one more replica of the spec into the zone that has fewest for its
-// share. It reports whether a zone had room.
-func (f *floor) place(p *plan) bool {
-	best, least := -1, 0.0
-	for k, z := range p.zones {
+// placeReplica places one more replica of the spec in the zone with the fewest
+// relative to its share. It reports whether a zone had enough free VMs.
+func (f *freeCapacity) placeReplica(p *plan) bool {
+	best, lowestLevel := -1, 0.0
+	for k, z := range p.zoneIndexes {
 		if !f.fits(p.spec, z) {
 			continue
 		}
-		level := float64(p.placed[k]+1) / max(p.share[k], 0.01) / float64(len(p.zones))
-		if p.held[k] > p.placed[k] {
-			level -= stayBonus
+		level := float64(p.placed[k]+1) / max(p.zoneShares[k], 0.01) / float64(len(p.zoneIndexes))
+		if p.existing[k] > p.placed[k] {
+			level -= existingBonus
 		}
-		if best < 0 || level < least {
-			best, least = k, level
+		if best < 0 || level < lowestLevel {
+			best, lowestLevel = k, level
 		}
 	}
-	return f.take(p, best)
+	return f.assign(p, best)
 }
 
-// keep puts one more replica into a zone that holds more than were placed.
-func (f *floor) keep(p *plan) bool {
+// keepReplica places one more replica in the zone with the most existing replicas
+// that are not placed yet. It reports whether there was such a zone.
+func (f *freeCapacity) keepReplica(p *plan) bool {
 	best := -1
-	for k, z := range p.zones {
-		extra := p.held[k] - p.placed[k]
+	for k, z := range p.zoneIndexes {
+		extra := p.existing[k] - p.placed[k]
 		if extra <= 0 || !f.fits(p.spec, z) {
 			continue
 		}
-		if best < 0 || extra > p.held[best]-p.placed[best] {
+		if best < 0 || extra > p.existing[best]-p.placed[best] {
 			best = k
 		}
 	}
-	return f.take(p, best)
+	return f.assign(p, best)
 }
 
-func (f *floor) take(p *plan, k int) bool {
+func (f *freeCapacity) assign(p *plan, k int) bool {
 	if k < 0 {
 		return false
 	}
-	f.occupy(p.spec, p.zones[k])
+	f.occupy(p.spec, p.zoneIndexes[k])
 	p.placed[k]++
-	p.total++
+	p.totalPlaced++
 	return true
 }
--- a/internal/capacity/trace_bench_test.go
+++ b/internal/capacity/trace_bench_test.go
@@ -15,24 +15,24 @@
 	objective config.Objective
 }{{"sagarmatha", sagarmatha}, {"lapwise", lapwise}}
 
-type contender struct {
+type policyCase struct {
 	name string
 	make func(t *trace) policy
 }
 
-var contenders = []contender{
-	{"decide-sagarmatha", func(t *trace) policy { return t.decided(sagarmatha) }},
-	{"decide-lapwise", func(t *trace) policy { return t.decided(lapwise) }},
-	{"static-peak", func(*trace) policy { return static }},
-	{"static-peak+1", func(*trace) policy { return staticSpare }},
+var policyCases = []policyCase{
+	{"decide-sagarmatha", func(t *trace) policy { return t.decidePolicy(sagarmatha) }},
+	{"decide-lapwise", func(t *trace) policy { return t.decidePolicy(lapwise) }},
+	{"static-peak", func(*trace) policy { return staticPeak }},
+	{"static-peak+1", func(*trace) policy { return staticPeakWithSpare }},
 	{"reactive", func(*trace) policy { return reactive(0) }},
 	{"reactive+1", func(*trace) policy { return reactive(1) }},
 }
 
-// result is a contender's week over all seeds.
+// result is the outcome of a policy's week, by seed.
 type result struct{ downtime, stranded, moves []float64 }
 
-func runAll(c contender, seeds int) result {
+func runSeeds(c policyCase, seeds int) result {
 	var r result
 	for seed := range seeds {
 		t := newTrace(uint64(seed + 1))
@@ -56,13 +56,13 @@
 	return o.DowntimeWeight*mean(r.downtime) + o.StrandingWeight*mean(r.stranded)
 }
 
-// BenchmarkWeek prints a week of each contender: means over the seeds with the
-// least and the greatest, and what each user pays for them.
+// BenchmarkWeek reports one week of each policy: means, minima and maxima over the
+// seeds, and the cost under each user's objective.
 func BenchmarkWeek(b *testing.B) {
-	for _, c := range contenders {
+	for _, c := range policyCases {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				r := runAll(c, seeds)
+				r := runSeeds(c, seeds)
 				b.ReportMetric(mean(r.downtime), "down-s")
 				b.ReportMetric(slices.Min(r.downtime), "down-least-s")
 				b.ReportMetric(slices.Max(r.downtime), "down-most-s")
@@ -80,20 +80,20 @@
 }
 
 func BenchmarkDecide(b *testing.B) {
-	h := newTrace(1).learned()
+	h := newTrace(1).trainedHistory()
 	b.ReportAllocs()
 	for b.Loop() {
 		Decide(traceInput(sagarmatha, h, traceStart, 40, 8, 0))
 	}
 }
 
-// BenchmarkWeights prints how the spare grows with the weight of downtime.
+// BenchmarkWeights reports downtime and stranding for growing weights of downtime.
 func BenchmarkWeights(b *testing.B) {
 	for _, w := range []float64{1, 10, 100, 1000, 10000} {
 		o := config.Objective{DowntimeWeight: w, StrandingWeight: 1}
 		b.Run(fmt.Sprintf("downtime=%g/stranding=1", w), func(b *testing.B) {
 			for b.Loop() {
-				r := runAll(contender{make: func(t *trace) policy { return t.decided(o) }}, seeds)
+				r := runSeeds(policyCase{make: func(t *trace) policy { return t.decidePolicy(o) }}, seeds)
 				b.ReportMetric(mean(r.downtime), "down-s")
 				b.ReportMetric(mean(r.stranded)/3600, "strand-acc-h")
 				b.ReportMetric(mean(r.moves), "moves")
--- a/internal/capacity/trace_test.go
+++ b/internal/capacity/trace_test.go
@@ -9,21 +9,21 @@
 	"chervilloom/internal/fleet"
 )
 
-// The traced fleet: three zones with room for six replicas each, replicas of
-// four VMs with two accelerators a VM.
+// The simulated fleet: three zones with VMs for six replicas each; a replica has
+// four VMs with two accelerators per VM.
 const (
-	traceVMs     = 4
-	traceAcc     = 2
-	traceMax     = 16
-	zoneVMs      = 24
-	formMinutes  = 4
-	drainMinutes = 2
-	mendMinutes  = 5
-	failHours    = 36 // mean time between failures of a replica
-	learnWeeks   = 3
-	busyDemand   = 48.0
-	holidayDay   = 3 // Wednesday
-	raceDay      = 4 // Thursday
+	traceVMs          = 4
+	traceAccelerators = 2
+	traceMax          = 16
+	traceZoneVMs      = 24
+	formMinutes       = 4
+	drainMinutes      = 2
+	repairMinutes     = 5
+	failureHours      = 36 // mean time between failures of a replica
+	trainingWeeks     = 3
+	busyDemand        = 48.0
+	holidayDay        = 3 // Wednesday
+	raceDay           = 4 // Thursday
 )
 
 var (
@@ -32,8 +32,9 @@
 	traceStart = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC) // a Sunday
 )
 
-// shape is the demand of a usual week: half at night, less on Saturdays.
-func shape(at time.Time) float64 {
+// baselineDemand returns the demand of a normal week: half at night, less on
+// Saturdays.
+func baselineDemand(at time.Time) float64 {
 	h := float64(at.Hour()) + float64(at.Minute())/60
 	day := ramp(h, 7.5, 9.5) * (1 - ramp(h, 17.5, 20))
 	if at.Weekday() == time.Saturday {
@@ -44,9 +45,9 @@
 
 func ramp(h, from, to float64) float64 { return min(max((h-from)/(to-from), 0), 1) }
 
-// special changes the measured week: a holiday at half the demand and a race day
-// whose evening asks for much more than usual.
-func special(at time.Time) float64 {
+// specialDayFactor returns the factor on the demand of the simulated week: a
+// holiday with half the demand, and a race day with a peak in the evening.
+func specialDayFactor(at time.Time) float64 {
 	h := float64(at.Hour()) + float64(at.Minute())/60
 	switch int(at.Weekday()) {
 	case holidayDay:
@@ -57,103 +58,106 @@
 	return 1
 }
 
-// trace is one week of demand, minute by minute, with weeks before it.
+// trace is the demand by minute of one week and of the weeks before it, and the
+// failures of that week.
 type trace struct {
-	before []float64
-	week   []float64
-	fails  []failure
+	training []float64
+	week     []float64
+	failures []failure
 }
 
-// failure takes a number of serving replicas down at a minute.
+// failure is the failure of a number of serving replicas at a minute.
 type failure struct{ minute, replicas int }
 
 func newTrace(seed uint64) *trace {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	t := &trace{}
 	noise, level := 0.0, 1.0
-	for m := range (learnWeeks + 1) * 7 * 24 * 60 {
+	for m := range (trainingWeeks + 1) * 7 * 24 * 60 {
 		at := traceStart.Add(time.Duration(m) * time.Minute)
 		if m%(24*60) == 0 {
 			level = math.Exp(0.07 * rng.NormFloat64())
 		}
 		noise = 0.9*noise + 0.03*rng.NormFloat64()
-		d := shape(at) * level * (1 + noise)
-		if m < learnWeeks*7*24*60 {
-			t.before = append(t.before, d)
+		d := baselineDemand(at) * level * (1 + noise)
+		if m < trainingWeeks*7*24*60 {
+			t.training = append(t.training, d)
 			continue
 		}
-		t.week = append(t.week, d*special(at))
+		t.week = append(t.week, d*specialDayFactor(at))
 	}
 	t.addFailures(rng)
 	return t
 }
 
-// addFailures draws single failures for 18 places of replicas and one dark
-// fabric domain that takes three at once.
+// addFailures draws failures of single replicas, for 18 replicas, and one outage of
+// a fabric domain that stops three at once.
 func (t *trace) addFailures(rng *rand.Rand) {
-	dark := (24 + rng.IntN(5*24)) * 60
+	outage := (24 + rng.IntN(5*24)) * 60
 	for m := range t.week {
 		n := 0
 		for range 18 {
-			if rng.Float64() < 1.0/(failHours*60) {
+			if rng.Float64() < 1.0/(failureHours*60) {
 				n++
 			}
 		}
-		if m == dark {
+		if m == outage {
 			n += 3
 		}
 		if n > 0 {
-			t.fails = append(t.fails, failure{m, n})
+			t.failures = append(t.failures, failure{m, n})
 		}
 	}
 }
 
-// site is the fleet as it follows the targets.
-type site struct {
-	up       int
-	forming  []int // minutes left
-	mending  []int
-	draining []int
-	downtime float64 // seconds
-	stranded float64 // accelerator-seconds
-	moves    int
+// simulatedFleet counts the replicas of the fleet by state as it follows the
+// targets.
+type simulatedFleet struct {
+	serving   int
+	forming   []int // minutes left of each replica
+	repairing []int
+	draining  []int
+	downtime  float64 // seconds
+	stranded  float64 // accelerator-seconds
+	moves     int
 }
 
-func (s *site) held() int { return s.up + len(s.forming) + len(s.mending) }
+func (s *simulatedFleet) existing() int { return s.serving + len(s.forming) + len(s.repairing) }
 
-func (s *site) follow(want int) {
-	for s.held() < want {
+func (s *simulatedFleet) applyTarget(want int) {
+	for s.existing() < want {
 		s.forming = append(s.forming, formMinutes)
 		s.moves++
 	}
-	for s.held() > want && s.up > 0 {
-		s.up--
+	for s.existing() > want && s.serving > 0 {
+		s.serving--
 		s.draining = append(s.draining, drainMinutes)
 		s.moves++
 	}
 }
 
-func (s *site) fail(n int) {
-	// Of 18 places only those that are taken can fail.
+func (s *simulatedFleet) fail(n int) {
+	// Failures are drawn for 18 replicas; only those that exist can fail.
 	for range n {
-		if s.up > 0 {
-			s.up--
-			s.mending = append(s.mending, mendMinutes)
+		if s.serving > 0 {
+			s.serving--
+			s.repairing = append(s.repairing, repairMinutes)
 		}
 	}
 }
 
-func (s *site) minute(demand float64) {
-	need := min(int(math.Ceil(demand/(DefaultSlots*fill))), traceMax)
-	held := s.held() + len(s.draining)
-	s.downtime += 60 * float64(max(0, need-s.up))
-	s.stranded += 60 * traceVMs * traceAcc * float64(max(0, held-need))
-	s.up += pass(&s.forming) + pass(&s.mending)
-	pass(&s.draining)
+func (s *simulatedFleet) stepMinute(demand float64) {
+	need := min(int(math.Ceil(demand/(DefaultSlots*targetUtilization))), traceMax)
+	held := s.existing() + len(s.draining)
+	s.downtime += 60 * float64(max(0, need-s.serving))
+	s.stranded += 60 * traceVMs * traceAccelerators * float64(max(0, held-need))
+	s.serving += advanceMinute(&s.forming) + advanceMinute(&s.repairing)
+	advanceMinute(&s.draining)
 }
 
-// pass lets a minute go by and returns how many are done.
-func pass(left *[]int) int {
+// advanceMinute reduces the minutes left by one, removes the completed entries and
+// returns their number.
+func advanceMinute(left *[]int) int {
 	done, rest := 0, (*left)[:0]
 	for _, m := range *left {
 		if m > 1 {
@@ -166,38 +170,38 @@
 	return done
 }
 
-// policy returns the number of replicas wanted at a minute.
-type policy func(m int, at time.Time, demand float64, s *site) int
+// policy returns the wanted number of replicas at a minute.
+type policy func(m int, at time.Time, demand float64, s *simulatedFleet) int
 
-func (t *trace) run(p policy) *site {
-	s := &site{up: 8}
-	base := traceStart.Add(learnWeeks * 7 * 24 * time.Hour)
-	fails := t.fails
+func (t *trace) run(p policy) *simulatedFleet {
+	s := &simulatedFleet{serving: 8}
+	base := traceStart.Add(trainingWeeks * 7 * 24 * time.Hour)
+	failures := t.failures
 	for m, d := range t.week {
-		for len(fails) > 0 && fails[0].minute == m {
-			s.fail(fails[0].replicas)
-			fails = fails[1:]
+		for len(failures) > 0 && failures[0].minute == m {
+			s.fail(failures[0].replicas)
+			failures = failures[1:]
 		}
-		s.follow(p(m, base.Add(time.Duration(m)*time.Minute), d, s))
-		s.minute(d)
+		s.applyTarget(p(m, base.Add(time.Duration(m)*time.Minute), d, s))
+		s.stepMinute(d)
 	}
 	return s
 }
 
-func (t *trace) learned() *History {
+func (t *trace) trainedHistory() *History {
 	h := NewHistory()
-	for m, d := range t.before {
+	for m, d := range t.training {
 		h.Observe("s", WeekSlot(traceStart.Add(time.Duration(m)*time.Minute)), d)
 	}
 	return h
 }
 
-// decided follows Decide under an objective.
-func (t *trace) decided(o config.Objective) policy {
-	h := t.learned()
-	return func(_ int, at time.Time, demand float64, s *site) int {
+// decidePolicy returns the policy that applies Decide under an objective.
+func (t *trace) decidePolicy(o config.Objective) policy {
+	h := t.trainedHistory()
+	return func(_ int, at time.Time, demand float64, s *simulatedFleet) int {
 		h.Observe("s", WeekSlot(at), demand)
-		return sum(Decide(traceInput(o, h, at, demand, s.held(), len(s.draining))))
+		return sumReplicas(Decide(traceInput(o, h, at, demand, s.existing(), len(s.draining))))
 	}
 }
 
@@ -207,7 +211,7 @@
 		Config: &config.Document{Objective: o, Groups: []config.GroupSpec{{Name: "s", VMs: traceVMs, Min: 1, Max: traceMax}}},
 	}
 	for i, z := range []fleet.AvailabilityZone{"z1", "z2", "z3"} {
-		in.Zones = append(in.Zones, Zone{Name: z, Domains: []int{zoneVMs / 2, zoneVMs / 2}, Accelerators: traceAcc})
+		in.Zones = append(in.Zones, Zone{Name: z, Domains: []int{traceZoneVMs / 2, traceZoneVMs / 2}, Accelerators: traceAccelerators})
 		in.Held = append(in.Held, Held{Spec: "s", Zone: z, Replicas: (held + i) / 3})
 		in.Demand = append(in.Demand, Demand{Spec: "s", Zone: z, Running: demand / 3})
 	}
@@ -215,7 +219,7 @@
 	return in
 }
 
-func sum(targets []Target) int {
+func sumReplicas(targets []Target) int {
 	n := 0
 	for _, t := range targets {
 		n += t.Replicas
@@ -223,20 +227,22 @@
 	return n
 }
 
-// static holds what the busiest usual hour needs.
-func static(int, time.Time, float64, *site) int {
-	return int(math.Ceil(busyDemand / (DefaultSlots * fill)))
+// staticPeak returns the replicas for the highest demand of a normal week.
+func staticPeak(int, time.Time, float64, *simulatedFleet) int {
+	return int(math.Ceil(busyDemand / (DefaultSlots * targetUtilization)))
 }
 
-// staticSpare holds one replica more.
-func staticSpare(m int, at time.Time, d float64, s *site) int { return static(m, at, d, s) + 1 }
+// staticPeakWithSpare returns one replica more than staticPeak.
+func staticPeakWithSpare(m int, at time.Time, d float64, s *simulatedFleet) int {
+	return staticPeak(m, at, d, s) + 1
+}
 
-// reactive holds what is asked now, and goes down to the most that was asked in
-// the last five minutes, with a number of spares.
+// reactive returns the policy that provides for the highest demand of the last five
+// minutes plus a number of spares.
 func reactive(spares int) policy {
 	var last [5]int
-	return func(m int, _ time.Time, demand float64, _ *site) int {
-		last[m%len(last)] = min(int(math.Ceil(demand/(DefaultSlots*fill))), traceMax)
+	return func(m int, _ time.Time, demand float64, _ *simulatedFleet) int {
+		last[m%len(last)] = min(int(math.Ceil(demand/(DefaultSlots*targetUtilization))), traceMax)
 		most := 0
 		for _, n := range last {
 			most = max(most, n)
--- a/internal/capacity/tracker.go
+++ b/internal/capacity/tracker.go
@@ -18,90 +18,91 @@
 )
 
 const (
-	decideEvery  = 5 * time.Second
-	observeEvery = time.Minute
-	saveEvery    = 15 * time.Minute
-	loadRetry    = 5 * time.Second
-	ioTimeout    = 5 * time.Second
-	// takenUp is the pause after which a tracker that is asked again may have
-	// missed what another node has learned and saved meanwhile.
-	takenUp = 2 * time.Minute
+	decideInterval    = 5 * time.Second
+	observeInterval   = time.Minute
+	saveInterval      = 15 * time.Minute
+	loadRetryInterval = 5 * time.Second
+	ioTimeout         = 5 * time.Second
+	// maxCallGap is the time between two calls of Targets after which another
+	// node may have held the duty and saved a newer history.
+	maxCallGap = 2 * time.Minute
 )
 
-// Options sets up a Tracker.
+// Options holds the dependencies and settings of a Tracker.
 type Options struct {
 	Zone       fleet.AvailabilityZone
 	Clock      clock.Clock
 	Wall       func() time.Time // nil: time.Now in UTC
-	Objects    platform.Objects // nil: the history lives as long as the process
-	Lead       time.Duration    // from a decision to a serving group; 0: DefaultLead
+	Objects    platform.Objects // nil: the history is lost with the process
+	Lead       time.Duration    // time from a decision until the group serves; 0: DefaultLead
 	Log        *slog.Logger
 	Explain    explain.Recorder
 	Registerer prometheus.Registerer
 }
 
-// Tracker follows the demand of the fleet and gives the targets of one zone. It
-// belongs to the node that holds the zone's duty: only that one asks it, and
-// only that one's history is saved. Targets may be called from one goroutine,
-// while Run loads and saves in another.
+// Tracker records the demand of the fleet and computes the targets of one zone.
+// Only the node that holds the zone's duty calls Targets, and only its history is
+// saved. Targets may be called from one goroutine while Run loads and saves the
+// history in another.
 type Tracker struct {
-	opt   Options
-	meter *meter
-	wake  chan struct{} // holds one request to load
+	opt          Options
+	metrics      *metrics
+	loadRequests chan struct{} // a pending request to load the history; capacity 1
 
-	mu       sync.Mutex
-	history  *History
-	loaded   bool
-	asked    clock.Instant // last call of Targets; 0: never
-	decided  clock.Instant
-	observed clock.Instant
-	sums     map[string]*sample // since observed
-	targets  map[string]int
-	unsaved  bool
+	mu         sync.Mutex
+	history    *History
+	loaded     bool
+	calledAt   clock.Instant // time of the last call of Targets; 0: none
+	decidedAt  clock.Instant
+	observedAt clock.Instant
+	samples    map[string]*sample // since observedAt, by spec
+	targets    map[string]int
+	unsaved    bool
 }
 
-// sample averages the demand between two observations.
+// sample sums the demand between two observations.
 type sample struct {
 	sum float64
 	n   int
 }
 
-// NewTracker returns a tracker that has learned nothing; Run loads what was
-// saved.
+// NewTracker returns a tracker with an empty history; Run loads the saved one.
 func NewTracker(o Options) *Tracker {
 	if o.Wall == nil {
 		o.Wall = func() time.Time { return time.Now().UTC() }
 	}
 	return &Tracker{
-		opt: o, meter: newMeter(o.Registerer), wake: make(chan struct{}, 1),
-		history: NewHistory(), loaded: o.Objects == nil, sums: make(map[string]*sample),
+		opt: o, metrics: newMetrics(o.Registerer), loadRequests: make(chan struct{}, 1),
+		history: NewHistory(), loaded: o.Objects == nil, samples: make(map[string]*sample),
 	}
 }
 
-// Targets returns how many replicas of each spec the tracker's zone should hold,
-// by spec name. Without a configuration it names none, which lets all stay.
+// Targets returns the wanted number of replicas of each spec in the tracker's zone,
+// by spec name. Without a configuration the map is empty and existing replicas
+// stay.
 func (t *Tracker) Targets(snap *view.Snapshot) map[string]int {
 	now := t.opt.Clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.takeUp(now)
+	t.requestLoad(now)
 	if snap.Config == nil {
 		return map[string]int{}
 	}
-	if t.targets != nil && now.Sub(t.decided) < decideEvery && t.names(snap) {
+	if t.targets != nil && now.Sub(t.decidedAt) < decideInterval && t.coversConfig(snap) {
 		return t.targets
 	}
 	in := Read(snap, now)
 	in.Wall, in.Lead = t.opt.Wall(), t.opt.Lead
 	t.observe(&in, now)
 	in.History = t.history
-	t.decided = now
-	t.adopt(&in, Decide(in))
+	t.decidedAt = now
+	t.setTargets(&in, Decide(in))
 	return t.targets
 }
 
-// names reports whether the targets are those of the configured specs.
-func (t *Tracker) names(snap *view.Snapshot) bool {
+// coversConfig reports whether the last targets are for exactly the configured
+// specs.
+func (t *Tracker) coversConfig(snap *view.Snapshot) bool {
 	if len(t.targets) != len(snap.Config.Groups) {
 		return false
 	}
@@ -113,54 +114,55 @@
 	return true
 }
 
-// takeUp asks for the saved history when the duty is new to this node.
-func (t *Tracker) takeUp(now clock.Instant) {
-	if t.opt.Objects != nil && (t.asked == 0 || now.Sub(t.asked) > takenUp) {
+// requestLoad requests a load of the saved history if this node may have acquired
+// the duty since the last call.
+func (t *Tracker) requestLoad(now clock.Instant) {
+	if t.opt.Objects != nil && (t.calledAt == 0 || now.Sub(t.calledAt) > maxCallGap) {
 		t.loaded = false
 		select {
-		case t.wake <- struct{}{}:
-		default: // a request waits already
+		case t.loadRequests <- struct{}{}:
+		default: // a request is already pending
 		}
 	}
-	t.asked = now
+	t.calledAt = now
 }
 
-// observe averages the demand over a minute and hands it to the history.
+// observe records the demand, averaged over a minute, in the history.
 func (t *Tracker) observe(in *Input, now clock.Instant) {
 	for i := range in.Config.Groups {
 		name := in.Config.Groups[i].Name
-		s, ok := t.sums[name]
+		s, ok := t.samples[name]
 		if !ok {
 			s = &sample{}
-			t.sums[name] = s
+			t.samples[name] = s
 		}
-		s.sum += total(in.Demand, name)
+		s.sum += totalDemand(in.Demand, name)
 		s.n++
 	}
-	if t.observed != 0 && now.Sub(t.observed) < observeEvery {
+	if t.observedAt != 0 && now.Sub(t.observedAt) < observeInterval {
 		return
 	}
-	t.observed = now
+	t.observedAt = now
 	slot := WeekSlot(in.Wall)
-	for name, s := range t.sums {
+	for name, s := range t.samples {
 		t.history.Observe(name, slot, s.sum/float64(s.n))
 	}
-	clear(t.sums)
+	clear(t.samples)
 	t.unsaved = true
 }
 
-func total(demand []Demand, spec string) float64 {
+func totalDemand(demand []Demand, spec string) float64 {
 	sum := 0.0
 	for i := range demand {
 		if demand[i].Spec == spec {
-			sum += demand[i].asks()
+			sum += demand[i].requests()
 		}
 	}
 	return sum
 }
 
-// adopt keeps the targets of the own zone and tells what changed.
-func (t *Tracker) adopt(in *Input, all []Target) {
+// setTargets stores the targets of the tracker's zone and reports changes.
+func (t *Tracker) setTargets(in *Input, all []Target) {
 	next := make(map[string]int, len(in.Config.Groups))
 	for i := range in.Config.Groups {
 		next[in.Config.Groups[i].Name] = 0
@@ -170,20 +172,21 @@
 			continue
 		}
 		if !t.loaded {
-			// Without the history a quiet hour looks like the end of demand.
-			tg.Replicas = max(tg.Replicas, heldHere(in, &tg))
+			// Without the history, low demand at this hour is not evidence
+			// that existing replicas are not required.
+			tg.Replicas = max(tg.Replicas, existingInZone(in, &tg))
 		}
 		next[tg.Spec] = tg.Replicas
-		t.meter.set(tg.Spec, tg.Replicas, total(in.Demand, tg.Spec))
+		t.metrics.set(tg.Spec, tg.Replicas, totalDemand(in.Demand, tg.Spec))
 		if before, ok := t.targets[tg.Spec]; !ok || before != tg.Replicas {
-			t.tell(&tg, before)
+			t.reportChange(&tg, before)
 		}
 	}
-	t.meter.keep(next)
+	t.metrics.deleteExcept(next)
 	t.targets = next
 }
 
-func heldHere(in *Input, tg *Target) int {
+func existingInZone(in *Input, tg *Target) int {
 	n := 0
 	for _, h := range in.Held {
 		if h.Spec == tg.Spec && h.Zone == tg.Zone {
@@ -193,7 +196,7 @@
 	return n
 }
 
-func (t *Tracker) tell(tg *Target, before int) {
+func (t *Tracker) reportChange(tg *Target, before int) {
 	t.opt.Explain.Note(explain.Step{
 		Subject: tg.Spec, Stage: "capacity",
 		Decision: fmt.Sprintf("%d replicas in %s", tg.Replicas, tg.Zone), Reason: tg.Reason,
@@ -202,20 +205,20 @@
 		"replicas", tg.Replicas, "before", before, "reason", tg.Reason)
 }
 
-// Run loads the history when the duty comes to this node and saves it while the
-// duty is here, until ctx ends.
+// Run loads the history when this node acquires the duty and saves it while the
+// node holds the duty, until ctx is done.
 func (t *Tracker) Run(ctx context.Context) error {
 	if t.opt.Objects == nil {
 		<-ctx.Done()
 		return nil
 	}
-	save := time.NewTicker(saveEvery)
+	save := time.NewTicker(saveInterval)
 	defer save.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-t.wake:
+		case <-t.loadRequests:
 			t.load(ctx)
 		case <-save.C:
 			t.save(ctx)
@@ -223,34 +226,35 @@
 	}
 }
 
-// object is the name under which the zone's history is kept.
-func (t *Tracker) object() string { return "capacity/" + string(t.opt.Zone) }
+// objectName returns the name of the object with the zone's history.
+func (t *Tracker) objectName() string { return "capacity/" + string(t.opt.Zone) }
 
-// load tries until the history is read or known not to exist. Nothing is saved
-// before that: an empty history must not take the place of weeks of learning.
+// load retries until the history is read or known not to exist. Nothing is saved
+// before that, so that an empty history does not overwrite weeks of observations.
 func (t *Tracker) load(ctx context.Context) {
 	for {
-		h, err := t.read(ctx)
+		h, err := t.readHistory(ctx)
 		if err == nil {
 			t.mu.Lock()
 			t.history, t.loaded = h, true
 			t.mu.Unlock()
 			return
 		}
-		t.opt.Log.Warn("the capacity history cannot be read; replicas only go up until it is", "err", err)
+		t.opt.Log.Warn("cannot read the capacity history; no replicas are removed until it is read", "err", err)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(loadRetry):
+		case <-time.After(loadRetryInterval):
 		}
 	}
 }
 
-// read returns an empty history when there is none or it cannot be understood.
-func (t *Tracker) read(ctx context.Context) (*History, error) {
+// readHistory reads the saved history; it returns an empty one if there is none or
+// it cannot be decoded.
+func (t *Tracker) readHistory(ctx context.Context) (*History, error) {
 	ctx, cancel := context.WithTimeout(ctx, ioTimeout)
 	defer cancel()
-	data, err := t.opt.Objects.GetObject(ctx, t.object())
+	data, err := t.opt.Objects.GetObject(ctx, t.objectName())
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
 		return NewHistory(), nil
@@ -259,32 +263,33 @@
 	}
 	h, err := Unmarshal(data)
 	if err != nil {
-		t.opt.Log.Warn("the capacity history starts anew", "object", t.object(), "err", err)
+		t.opt.Log.Warn("starting with an empty capacity history", "object", t.objectName(), "err", err)
 		return NewHistory(), nil
 	}
 	return h, nil
 }
 
-// save writes the history if this node has the duty. A node that lost the duty
-// while its write was under way may put back an older history: what the next
-// one learned in a quarter of an hour is lost, and it saves again.
+// save writes the history if this node holds the duty. If the node loses the duty
+// while the write is in flight, it may overwrite a newer history: up to one save
+// interval (15 minutes) of the next holder's observations is lost until that holder
+// saves again.
 func (t *Tracker) save(ctx context.Context) {
 	t.mu.Lock()
-	mine := t.loaded && t.unsaved && t.opt.Clock.Now().Sub(t.asked) <= takenUp
+	shouldSave := t.loaded && t.unsaved && t.opt.Clock.Now().Sub(t.calledAt) <= maxCallGap
 	var data []byte
 	var err error
-	if mine {
+	if shouldSave {
 		data, err = t.history.Marshal()
 		t.unsaved = false
 	}
 	t.mu.Unlock()
-	if !mine || err != nil {
+	if !shouldSave || err != nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, ioTimeout)
 	defer cancel()
-	if err := t.opt.Objects.PutObject(ctx, t.object(), data); err != nil {
-		t.opt.Log.Warn("the capacity history is not saved; the next try is in a quarter of an hour", "err", err)
+	if err := t.opt.Objects.PutObject(ctx, t.objectName(), data); err != nil {
+		t.opt.Log.Warn("cannot save the capacity history; retrying at the next save interval", "err", err)
 		t.mu.Lock()
 		t.unsaved = true
 		t.mu.Unlock()
--- a/internal/capacity/tracker_test.go
+++ b/internal/capacity/tracker_test.go
@@ -21,18 +21,18 @@
 	"chervilloom/internal/view"
 )
 
-// objects is an object store that can be down.
-type objects struct {
-	mu   sync.Mutex
-	down bool
-	data map[string][]byte
-	puts int
+// fakeObjects is an in-memory object store that can be unavailable.
+type fakeObjects struct {
+	mu          sync.Mutex
+	unavailable bool
+	data        map[string][]byte
+	puts        int
 }
 
-func (o *objects) PutObject(_ context.Context, name string, data []byte) error {
+func (o *fakeObjects) PutObject(_ context.Context, name string, data []byte) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.down {
+	if o.unavailable {
 		return platform.ErrDown
 	}
 	o.data[name] = data
@@ -40,10 +40,10 @@
 	return nil
 }
 
-func (o *objects) GetObject(_ context.Context, name string) ([]byte, error) {
+func (o *fakeObjects) GetObject(_ context.Context, name string) ([]byte, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.down {
+	if o.unavailable {
 		return nil, platform.ErrDown
 	}
 	data, ok := o.data[name]
@@ -55,9 +55,9 @@
 
 const trackStart = clock.Instant(time.Hour)
 
-// watched is a snapshot of two zones with eight VMs each and the given loads of
-// groups of two VMs in the first.
-func watched(at clock.Instant, loads ...int) *view.Snapshot {
+// testSnapshot returns a snapshot of two zones with eight VMs each, and one group
+// in the first zone for each of the given loads.
+func testSnapshot(at clock.Instant, loads ...int) *view.Snapshot {
 	s := &view.Snapshot{
 		At: at, Zone: "z1", Revision: 1,
 		Config: &config.Document{
@@ -81,7 +81,7 @@
 	return s
 }
 
-func tracker(now clock.Clock, o platform.Objects) *Tracker {
+func newTestTracker(now clock.Clock, o platform.Objects) *Tracker {
 	return NewTracker(Options{
 		Zone: "z1", Clock: now, Wall: func() time.Time { return noon }, Objects: o,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Explain: explain.NewStore("n1", 8, 8),
@@ -90,52 +90,53 @@
 }
 
 func TestTrackerTargets(t *testing.T) {
-	cut := watched(trackStart, 8, 8)
-	cut.Nodes[0].State = view.NodeDead
-	silent := watched(trackStart, 0, 0)
-	silent.Groups[0].LoadAt, silent.Groups[1].LoadAt = 0, trackStart.Add(-time.Hour)
-	none := watched(trackStart)
-	none.Config = nil
-	idle := watched(trackStart, 0, 0, 0)
+	partitioned := testSnapshot(trackStart, 8, 8)
+	partitioned.Nodes[0].State = view.NodeDead
+	noReports := testSnapshot(trackStart, 0, 0)
+	noReports.Groups[0].LoadAt, noReports.Groups[1].LoadAt = 0, trackStart.Add(-time.Hour)
+	noConfig := testSnapshot(trackStart)
+	noConfig.Config = nil
+	idle := testSnapshot(trackStart, 0, 0, 0)
 	cases := []struct {
 		name     string
 		snap     *view.Snapshot
 		low, top int
 	}{
-		{"full groups ask for more in all", watched(trackStart, 8, 8), 2, 3},
-		{"a zone that is cut off holds it all", cut, 4, 4},
-		{"silence is not idleness", silent, 2, 3},
-		{"idle groups go one at a time", idle, 2, 2},
+		{"full groups raise the total", testSnapshot(trackStart, 8, 8), 2, 3},
+		{"a partitioned zone covers the whole demand", partitioned, 4, 4},
+		{"a missing load report does not mean idle", noReports, 2, 3},
+		{"idle groups are removed one at a time", idle, 2, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := tracker(clock.NewManual(trackStart), nil).Targets(c.snap)
+			got := newTestTracker(clock.NewManual(trackStart), nil).Targets(c.snap)
 			is := is.New(t)
 			is.Equal(len(got), 1)
 			is.True(got["s"] >= c.low && got["s"] <= c.top)
 		})
 	}
-	t.Run("no configuration names nothing", func(t *testing.T) {
-		is.New(t).Equal(len(tracker(clock.NewManual(trackStart), nil).Targets(none)), 0)
+	t.Run("no targets without a configuration", func(t *testing.T) {
+		is.New(t).Equal(len(newTestTracker(clock.NewManual(trackStart), nil).Targets(noConfig)), 0)
 	})
 }
 
-// The holders of two zones decide each for itself from the same facts. A replica
-// that each of them leaves to the other is missing; one that both form is idle.
-func TestZonesShareOutTheSameReplicas(t *testing.T) {
+// The holders of two zones decide independently on the same facts, so their targets
+// must add up: a replica that each leaves to the other is missing, and one that
+// both form is idle.
+func TestTargetsOfZonesAddUp(t *testing.T) {
 	is := is.New(t)
 	for _, loads := range [][]int{{}, {3}, {8, 8}, {8, 8, 8, 8}} {
 		sum := 0
 		for _, zone := range []fleet.AvailabilityZone{"z1", "z2"} {
-			s := watched(trackStart, loads...)
+			s := testSnapshot(trackStart, loads...)
 			if s.Zone = zone; zone == "z2" {
 				s.Nodes[0].Zone = "z1"
 			}
-			tr := tracker(clock.NewManual(trackStart), nil)
+			tr := newTestTracker(clock.NewManual(trackStart), nil)
 			tr.opt.Zone = zone
 			sum += tr.Targets(s)["s"]
 		}
-		in := Read(watched(trackStart, loads...), trackStart)
+		in := Read(testSnapshot(trackStart, loads...), trackStart)
 		in.Wall = noon
 		want := 0
 		for _, tg := range Decide(in) {
@@ -147,7 +148,7 @@
 
 func TestReadCountsUsableVMs(t *testing.T) {
 	is := is.New(t)
-	s := watched(trackStart)
+	s := testSnapshot(trackStart)
 	s.VMs[0].Leaving = true
 	s.VMs[1].Probe.Failing = trackStart.Add(-time.Minute)
 	s.VMs[2].Probe.Failing = trackStart.Add(-time.Second)
@@ -160,58 +161,58 @@
 	is.Equal(in.Zones[0].Accelerators, 2)
 }
 
-// The duty comes to a node while the object store is down. The node knows no
-// history, and an idle hour looks like the end of demand: it would drain
-// replicas that the morning needs. It keeps what is held until the history is
-// read, and does not write an empty one over it.
-func TestNothingGoesBeforeTheHistoryIsRead(t *testing.T) {
+// A node acquires the duty while the object store is unavailable. Without the
+// history, an idle hour would make it drain replicas that are required later. It
+// must keep the existing replicas until the history is read, and must not overwrite
+// the history with an empty one.
+func TestNoScaleDownBeforeHistoryIsRead(t *testing.T) {
 	is := is.New(t)
 	now := clock.NewManual(trackStart)
-	store := &objects{down: true, data: map[string][]byte{}}
-	learned, err := newTrace(1).learned().Marshal()
+	store := &fakeObjects{unavailable: true, data: map[string][]byte{}}
+	learned, err := newTrace(1).trainedHistory().Marshal()
 	is.NoErr(err)
 	store.data["capacity/z1"] = learned
-	tr := tracker(now, store)
-	is.Equal(tr.Targets(watched(now.Now(), 0, 0, 0))["s"], 3)
-	store.down = false
+	tr := newTestTracker(now, store)
+	is.Equal(tr.Targets(testSnapshot(now.Now(), 0, 0, 0))["s"], 3)
+	store.unavailable = false
 	tr.save(t.Context())
 	is.Equal(store.puts, 0)
 	tr.load(t.Context())
-	now.Advance(decideEvery)
+	now.Advance(decideInterval)
 	is.True(tr.loaded)
-	is.True(tr.Targets(watched(now.Now(), 0, 0, 0))["s"] >= 2)
-	now.Advance(observeEvery)
-	tr.Targets(watched(now.Now(), 1, 1, 1))
+	is.True(tr.Targets(testSnapshot(now.Now(), 0, 0, 0))["s"] >= 2)
+	now.Advance(observeInterval)
+	tr.Targets(testSnapshot(now.Now(), 1, 1, 1))
 	tr.save(t.Context())
 	is.Equal(store.puts, 1)
 }
 
-// Another node had the duty for an hour and saved what it learned. The node that
-// gets it back must take that up, and must not save its own old history.
-func TestDutyThatComesBackReadsAgain(t *testing.T) {
+// Another node held the duty for an hour and saved its history. The node that
+// reacquires the duty must load that history and must not save its own older one.
+func TestReacquiredDutyReloadsHistory(t *testing.T) {
 	is := is.New(t)
 	now := clock.NewManual(trackStart)
-	store := &objects{data: map[string][]byte{}}
-	tr := tracker(now, store)
-	tr.Targets(watched(now.Now(), 1))
+	store := &fakeObjects{data: map[string][]byte{}}
+	tr := newTestTracker(now, store)
+	tr.Targets(testSnapshot(now.Now(), 1))
 	tr.load(t.Context())
 	now.Advance(time.Hour)
 	tr.save(t.Context())
 	is.Equal(len(store.data), 0)
-	<-tr.wake
-	tr.Targets(watched(now.Now(), 1))
-	is.Equal(len(tr.wake), 1)
+	<-tr.loadRequests
+	tr.Targets(testSnapshot(now.Now(), 1))
+	is.Equal(len(tr.loadRequests), 1)
 	is.True(!tr.loaded)
 }
 
-func TestRunLoadsAndEnds(t *testing.T) {
+func TestRunLoadsHistoryAndStops(t *testing.T) {
 	is := is.New(t)
-	store := &objects{data: map[string][]byte{"capacity/z1": []byte("not a history")}}
-	tr := tracker(clock.NewManual(trackStart), store)
+	store := &fakeObjects{data: map[string][]byte{"capacity/z1": []byte("not a history")}}
+	tr := newTestTracker(clock.NewManual(trackStart), store)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- tr.Run(ctx) }()
-	tr.Targets(watched(trackStart, 1))
+	tr.Targets(testSnapshot(trackStart, 1))
 	waitFor(t, func() bool {
 		tr.mu.Lock()
 		defer tr.mu.Unlock()
@@ -228,7 +229,7 @@
 	for !done() {
 		select {
 		case <-ctx.Done():
-			t.Fatal(errors.New("the condition did not come true"))
+			t.Fatal(errors.New("timeout waiting for the condition"))
 		case <-time.After(time.Millisecond):
 		}
 	}
