--- a/internal/capacity/export.go
+++ b/internal/capacity/export.go
@@ -12,7 +12,7 @@
 type Heat struct {
 	Prefix  uint64
 	Tokens  int     // prompt tokens beyond those of shorter prefixes in the list
-	PerHour float64 // uses per hour
+	PerHour float64 // number of uses
 	Bytes   int64   // size of its KV cache
 	Held    bool    // also cached by a replica that is kept
 }
--- a/internal/capacity/facts.go
+++ b/internal/capacity/facts.go
@@ -18,8 +18,9 @@
 	maxProbeSilence = 30 * time.Second
 )
 
-// Read returns the input of Decide for a snapshot: zones, existing replicas and
-// demand. The caller sets Wall, History, Lead and Outage.
+// Read returns the zones, existing replicas and demand of a snapshot as input of
+// Decide. The caller sets the time, the history, the lead time and the outage
+// fraction.
 func Read(snap *view.Snapshot, now clock.Instant) Input {
 	r := snapshotReader{snap: snap, now: now, in: Input{Config: snap.Config}}
 	r.addZone(snap.Zone)
--- a/internal/group/account.go
+++ b/internal/group/account.go
@@ -10,10 +10,10 @@
 	serving := map[string]int{}
 	notServing := map[string]int{}
 	inService := map[fleet.VM]bool{}
-	for _, it := range p.groups {
-		g := &it.row.Group
+	for _, ag := range p.groups {
+		g := &ag.row.Group
 		switch {
-		case g.Phase == fleet.PhaseServing && it.assess.state == ready:
+		case g.Phase == fleet.PhaseServing && ag.assess.state == ready:
 			serving[g.Spec]++
 			for i := range g.Members {
 				inService[g.Members[i].VM] = true
--- a/internal/group/change.go
+++ b/internal/group/change.go
@@ -102,38 +102,38 @@
 }
 
 // markChanged records that this plan writes the group's row.
-func (p *planner) markChanged(it *assessedGroup) {
-	it.changed = true
-	delete(p.mem.brokenSince, it.row.Group.ID)
+func (p *planner) markChanged(ag *assessedGroup) {
+	ag.changed = true
+	delete(p.mem.brokenSince, ag.row.Group.ID)
 }
 
 // markServing moves the group to the serving phase: every member reports its
 // generation.
-func (p *planner) markServing(it *assessedGroup) {
-	g := it.row.Group
+func (p *planner) markServing(ag *assessedGroup) {
+	g := ag.row.Group
 	g.Phase = fleet.PhaseServing
 	b := p.newTxn()
-	b.addGroup(&g, it.row.Version)
+	b.addGroup(&g, ag.row.Version)
 	b.addChange(Serve, &g, p.memberFacts(&g)...)
-	p.markChanged(it)
+	p.markChanged(ag)
 }
 
 // drainGroup moves the group to the draining phase, in which it gets no new
 // requests.
-func (p *planner) drainGroup(it *assessedGroup, reason string) {
-	g := it.row.Group
+func (p *planner) drainGroup(ag *assessedGroup, reason string) {
+	g := ag.row.Group
 	g.Phase, g.Reason = fleet.PhaseDraining, reason
 	sinceFirst(p.mem.drainingSince, g.ID, p.in.Now)
 	b := p.newTxn()
-	b.addGroup(&g, it.row.Version)
+	b.addGroup(&g, ag.row.Version)
 	b.addChange(Drain, &g, p.memberFacts(&g)...)
-	p.markChanged(it)
+	p.markChanged(ag)
 }
 
 // dissolveGroup releases the group's VMs. A VM that another group has claimed is
 // left unchanged.
-func (p *planner) dissolveGroup(it *assessedGroup, reason string) {
-	g := it.row.Group
+func (p *planner) dissolveGroup(ag *assessedGroup, reason string) {
+	g := ag.row.Group
 	g.Phase, g.Reason = fleet.PhaseDissolved, reason
 	b := p.newTxn()
 	for i := range g.Members {
@@ -141,20 +141,20 @@
 			b.addClaim(g.Members[i].VM, "", 0)
 		}
 	}
-	b.addGroup(&g, it.row.Version)
+	b.addGroup(&g, ag.row.Version)
 	b.addChange(Dissolve, &g, p.memberFacts(&g)...)
-	p.markChanged(it)
+	p.markChanged(ag)
 }
 
 // deleteGroup deletes the row of a dissolved group.
-func (p *planner) deleteGroup(it *assessedGroup) {
-	g := it.row.Group
+func (p *planner) deleteGroup(ag *assessedGroup) {
+	g := ag.row.Group
 	g.Reason = "dissolved long ago"
 	b := p.newTxn()
-	b.addCheck(platform.TableGroups, string(g.ID), it.row.Version)
+	b.addCheck(platform.TableGroups, string(g.ID), ag.row.Version)
 	b.txn.Writes = append(b.txn.Writes, platform.Write{Table: platform.TableGroups, Key: string(g.ID), Delete: true})
 	b.addChange(Forget, &g)
-	p.markChanged(it)
+	p.markChanged(ag)
 }
 
 // releaseOrphans releases VMs whose claim names a group that does not exist. It
@@ -163,8 +163,8 @@
 // order to leave.
 func (p *planner) releaseOrphans() {
 	known := make(map[fleet.GroupID]bool, len(p.groups))
-	for _, it := range p.groups {
-		known[it.row.Group.ID] = it.row.Group.Phase != fleet.PhaseDissolved
+	for _, ag := range p.groups {
+		known[ag.row.Group.ID] = ag.row.Group.Phase != fleet.PhaseDissolved
 	}
 	for i := range p.in.Snap.VMs {
 		v := &p.in.Snap.VMs[i]
--- a/internal/group/health.go
+++ b/internal/group/health.go
@@ -74,7 +74,7 @@
 const maxUnlistedVMs = 2
 
 // isUnlisted reports whether the VM has been missing from the platform's list for
-// longer than Tune.MissingAfter.
+// longer than MissingAfter.
 func isUnlisted(v *view.VM, now clock.Instant, t *Tune) bool {
 	return !v.Listed && v.Unlisted != 0 && now.Sub(v.Unlisted) > t.MissingAfter
 }
--- a/internal/group/memory.go
+++ b/internal/group/memory.go
@@ -122,8 +122,8 @@
 // evict removes groups and VMs that no longer exist.
 func (m *Memory) evict(p *planner) {
 	known := make(map[fleet.GroupID]bool, len(p.groups))
-	for _, it := range p.groups {
-		known[it.row.Group.ID] = true
+	for _, ag := range p.groups {
+		known[ag.row.Group.ID] = true
 	}
 	for _, times := range []map[fleet.GroupID]clock.Instant{m.drainingSince, m.brokenSince, m.dissolvedSince} {
 		maps.DeleteFunc(times, func(id fleet.GroupID, _ clock.Instant) bool { return !known[id] })
--- a/internal/group/metrics.go
+++ b/internal/group/metrics.go
@@ -13,7 +13,7 @@
 	orders          *prometheus.CounterVec
 	readFailed      prometheus.Counter
 	planTime        prometheus.Histogram
-	postponed       prometheus.Gauge
+	deferrals       prometheus.Gauge
 	replicas        *prometheus.GaugeVec
 	downtime        *prometheus.CounterVec
 	stranded        prometheus.Gauge
@@ -39,13 +39,13 @@
 			Help:    "Time to make one plan.",
 			Buckets: prometheus.ExponentialBuckets(0.0001, 2, 12),
 		}),
-		postponed: prometheus.NewGauge(prometheus.GaugeOpts{
+		deferrals: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "chervilloom_group_waiting_decisions",
 			Help: "Things that the newest plan could not do yet.",
 		}),
 	}
 	m.initObjective()
-	reg.MustRegister(m.changes, m.orders, m.readFailed, m.planTime, m.postponed)
+	reg.MustRegister(m.changes, m.orders, m.readFailed, m.planTime, m.deferrals)
 	reg.MustRegister(m.replicas, m.downtime, m.stranded, m.strandedSeconds)
 	return m
 }
@@ -76,7 +76,7 @@
 // first one of a tenure.
 func (m *metrics) observePlan(took, since time.Duration, p *Plan) {
 	m.planTime.Observe(took.Seconds())
-	m.postponed.Set(float64(len(p.Notes)))
+	m.deferrals.Set(float64(len(p.Notes)))
 	for i := range p.Specs {
 		s := &p.Specs[i]
 		m.replicas.WithLabelValues(s.Name, "wanted").Set(float64(s.Wanted))
@@ -93,7 +93,7 @@
 func (m *metrics) resetGauges() {
 	m.replicas.Reset()
 	m.stranded.Set(0)
-	m.postponed.Set(0)
+	m.deferrals.Set(0)
 }
 
 func (m *metrics) countChange(k Kind, result string) {
--- a/internal/group/orders.go
+++ b/internal/group/orders.go
@@ -52,12 +52,12 @@
 	queue := p.joinQueue()
 	for _, j := range queue {
 		if j.loads > 0 && j.loads > budget && budget < p.in.Tune.LoadsAtOnce {
-			p.postpone(string(j.it.row.Group.ID), "wait", "the weight store is busy with other groups")
+			p.deferAction(string(j.ag.row.Group.ID), "wait", "the weight store is busy with other groups")
 			continue
 		}
 		budget -= j.loads
 		for _, i := range j.members {
-			g := &j.it.row.Group
+			g := &j.ag.row.Group
 			p.addOrder(p.vms[g.Members[i].VM], joinOrder(g, i))
 		}
 	}
@@ -65,7 +65,7 @@
 
 // pendingJoin lists the members of one group that need an order to join.
 type pendingJoin struct {
-	it      *assessedGroup
+	ag      *assessedGroup
 	members []int
 	loads   int // members that must load weights
 	serving int // serving groups of the same spec
@@ -76,12 +76,12 @@
 // members to load.
 func (p *planner) joinQueue() []pendingJoin {
 	var queue []pendingJoin
-	for _, it := range p.groups {
-		g := &it.row.Group
-		if it.changed || g.Phase == fleet.PhaseDissolved {
+	for _, ag := range p.groups {
+		g := &ag.row.Group
+		if ag.changed || g.Phase == fleet.PhaseDissolved {
 			continue
 		}
-		j := pendingJoin{it: it, serving: p.bySpec[g.Spec].serving}
+		j := pendingJoin{ag: ag, serving: p.bySpec[g.Spec].serving}
 		for i := range g.Members {
 			p.addJoin(&j, i)
 		}
@@ -99,7 +99,7 @@
 }
 
 func (p *planner) addJoin(j *pendingJoin, i int) {
-	g := &j.it.row.Group
+	g := &j.ag.row.Group
 	m := &g.Members[i]
 	v := p.vms[m.VM]
 	c := p.in.Claims[m.VM]
@@ -131,8 +131,8 @@
 // countLoading returns the number of VMs of the zone that are loading weights.
 func (p *planner) countLoading() int {
 	n := 0
-	for _, it := range p.groups {
-		g := &it.row.Group
+	for _, ag := range p.groups {
+		g := &ag.row.Group
 		for i := range g.Members {
 			v := p.vms[g.Members[i].VM]
 			if v != nil && !v.Probe.State.Loaded && hasJoined(g, &g.Members[i], &v.Probe.State) &&
--- a/internal/group/place.go
+++ b/internal/group/place.go
@@ -23,7 +23,7 @@
 func (p *planner) formGroup(s *config.GroupSpec) bool {
 	vms := p.chooseVMs(s)
 	if vms == nil {
-		p.postpone(s.Name, "wait", fmt.Sprintf("no room for a replica of %d VMs", s.VMs))
+		p.deferAction(s.Name, "wait", fmt.Sprintf("no room for a replica of %d VMs", s.VMs))
 		return false
 	}
 	p.mem.groupsFormed++
@@ -123,8 +123,8 @@
 // that this plan forms.
 func (p *planner) replicasPerDomain(spec string) map[fleet.FabricDomain]int {
 	n := map[fleet.FabricDomain]int{}
-	for _, it := range p.bySpec[spec].current {
-		n[it.row.Group.Domain]++
+	for _, ag := range p.bySpec[spec].current {
+		n[ag.row.Group.Domain]++
 	}
 	for i := range p.out.Changes {
 		if c := &p.out.Changes[i]; c.Kind == Form && c.Group.Spec == spec {
--- a/internal/group/plan.go
+++ b/internal/group/plan.go
@@ -1,7 +1,7 @@
 // Package group forms serving groups out of VMs, repairs, drains and dissolves
 // them.
 //
-// Make is a pure function from the view, the table rows and the time to
+// Planning is a pure function from the view, the table rows and the time to
 // transactions and orders. The Reconciler reads the table, plans, commits and
 // sends orders while it holds the lease of its availability zone. Each
 // transaction checks the versions of the lease row, of the group row and of every
@@ -57,7 +57,7 @@
 	}
 }
 
-// Input is the input of Make.
+// Input is the input of the planner.
 type Input struct {
 	Now     clock.Instant
 	Snap    *view.Snapshot
@@ -91,7 +91,7 @@
 	Facts  []explain.Fact
 }
 
-// Plan is the output of Make: the transactions and orders to carry out now.
+// Plan is the result of planning: the transactions and orders to carry out now.
 type Plan struct {
 	Changes []Change
 	Orders  []VMOrder
@@ -113,7 +113,7 @@
 	Subject, Decision, Reason string
 }
 
-// planner is the state of one call of Make.
+// planner is the state of one planning run.
 type planner struct {
 	in           *Input
 	mem          *Memory
@@ -149,8 +149,8 @@
 	p.mem.observe(p)
 	p.collectFreeVMs()
 	p.assessGroups()
-	for _, it := range p.groups {
-		p.stepGroup(it)
+	for _, ag := range p.groups {
+		p.stepGroup(ag)
 	}
 	p.repairAll()
 	p.scaleSpecs()
@@ -219,29 +219,29 @@
 }
 
 // stepGroup plans the phase changes of a group that depend only on its own state.
-func (p *planner) stepGroup(it *assessedGroup) {
-	g := &it.row.Group
+func (p *planner) stepGroup(ag *assessedGroup) {
+	g := &ag.row.Group
 	switch g.Phase {
 	case fleet.PhaseDissolved:
 		if p.in.Now.Sub(sinceFirst(p.mem.dissolvedSince, g.ID, p.in.Now)) > dissolvedRetention {
-			p.deleteGroup(it)
+			p.deleteGroup(ag)
 		}
 		return
 	case fleet.PhaseDraining:
-		p.stepDraining(it)
+		p.stepDraining(ag)
 		return
 	case fleet.PhaseForming:
-		if it.assess.state == ready && p.isSettled(g) {
-			p.markServing(it)
+		if ag.assess.state == ready && p.isSettled(g) {
+			p.markServing(ag)
 		}
 	}
-	if it.assess.state == allDead && p.allUnlisted(g) {
-		p.dissolveGroup(it, "its VMs are dead and gone from the platform's list")
+	if ag.assess.state == allDead && p.allUnlisted(g) {
+		p.dissolveGroup(ag, "its VMs are dead and gone from the platform's list")
 	}
 }
 
 // allUnlisted reports whether every member is missing from the platform's list
-// for longer than Tune.MissingAfter. A group whose members are all dead is kept
+// for longer than MissingAfter. A group whose members are all dead is kept
 // until then: after a mere network partition it is complete again.
 func (p *planner) allUnlisted(g *fleet.Group) bool {
 	return !slices.ContainsFunc(g.Members, func(m fleet.Member) bool {
@@ -278,6 +278,6 @@
 	return p.doc.ChecksFence(string(vm))
 }
 
-func (p *planner) postpone(subject, decision, reason string) {
+func (p *planner) deferAction(subject, decision, reason string) {
 	p.out.Notes = append(p.out.Notes, Note{subject, decision, reason})
 }
--- a/internal/group/reconciler.go
+++ b/internal/group/reconciler.go
@@ -109,9 +109,9 @@
 	tenureFence uint64
 	// nextRead is the earliest time of the next read after a failed one; it limits
 	// reads while the platform is down.
-	nextRead      clock.Instant
-	lastPlan      clock.Instant // in this tenure; 0: none
-	previousNotes map[Note]bool // notes of the previous plan
+	nextRead          clock.Instant
+	lastPlan          clock.Instant // in this tenure; 0: none
+	previousDeferrals map[Note]bool // from the previous plan
 }
 
 // New returns a reconciler; Run starts it.
@@ -210,7 +210,7 @@
 	}
 	r.lastPlan = now
 	r.metrics.observePlan(r.Clock.Now().Sub(now), since, &plan)
-	r.explainNotes(plan.Notes)
+	r.explainDeferrals(plan.Notes)
 	if !r.commitAll(ctx, grant, plan.Changes) {
 		return // the orders were planned for rows that may have changed
 	}
@@ -295,16 +295,16 @@
 
 const resultCommitted = "committed"
 
-// explainNotes records the notes that the previous plan did not have.
-func (r *Reconciler) explainNotes(notes []Note) {
-	current := make(map[Note]bool, len(notes))
-	for _, n := range notes {
+// explainDeferrals records the postponed actions that the previous plan did not have.
+func (r *Reconciler) explainDeferrals(deferrals []Note) {
+	current := make(map[Note]bool, len(deferrals))
+	for _, n := range deferrals {
 		current[n] = true
-		if !r.previousNotes[n] {
+		if !r.previousDeferrals[n] {
 			r.Explain.Note(explain.Step{Subject: n.Subject, Stage: "group", Decision: n.Decision, Reason: n.Reason})
 		}
 	}
-	r.previousNotes = current
+	r.previousDeferrals = current
 }
 
 func (r *Reconciler) explainChange(c *Change, result string) {
--- a/internal/group/repair.go
+++ b/internal/group/repair.go
@@ -11,27 +11,27 @@
 
 // stepDraining ends the drain of a group when its leader has no requests left or
 // the drain can no longer succeed.
-func (p *planner) stepDraining(it *assessedGroup) {
-	reason, done := p.drainResult(it)
+func (p *planner) stepDraining(ag *assessedGroup) {
+	reason, done := p.drainResult(ag)
 	if !done {
 		return
 	}
 	// A group that was drained because a member is leaving is repaired if no
 	// other group has replaced it.
-	if it.assess.state == membersLeaving && p.isWanted(it) && p.repairGroup(it) {
+	if ag.assess.state == membersLeaving && p.isWanted(ag) && p.repairGroup(ag) {
 		return
 	}
-	p.dissolveGroup(it, reason)
+	p.dissolveGroup(ag, reason)
 }
 
-func (p *planner) drainResult(it *assessedGroup) (string, bool) {
-	g := &it.row.Group
+func (p *planner) drainResult(ag *assessedGroup) (string, bool) {
+	g := &ag.row.Group
 	began := sinceFirst(p.mem.drainingSince, g.ID, p.in.Now)
 	elapsed := p.in.Now.Sub(began)
 	leader := p.vms[g.Members[0].VM]
 	switch {
-	case it.assess.state == broken || it.assess.state == allDead:
-		return "draining, and " + it.assess.reason, true
+	case ag.assess.state == broken || ag.assess.state == allDead:
+		return "draining, and " + ag.assess.reason, true
 	case elapsed > p.in.Tune.DrainLimit:
 		return "the drain took too long", true
 	case leader == nil || leader.Load.Boot != g.Members[0].Boot || leader.Load.Running+leader.Load.Waiting > 0:
@@ -47,15 +47,15 @@
 func (p *planner) repairAll() {
 	perDomain := map[fleet.FabricDomain][]*assessedGroup{}
 	var domains []fleet.FabricDomain
-	for _, it := range p.groups {
-		if !p.needsRepair(it) {
+	for _, ag := range p.groups {
+		if !p.needsRepair(ag) {
 			continue
 		}
-		d := it.row.Group.Domain
+		d := ag.row.Group.Domain
 		if perDomain[d] == nil {
 			domains = append(domains, d)
 		}
-		perDomain[d] = append(perDomain[d], it)
+		perDomain[d] = append(perDomain[d], ag)
 	}
 	for _, d := range domains {
 		p.repairDomain(perDomain[d])
@@ -64,17 +64,17 @@
 
 // needsRepair reports whether the group must get a new generation. A serving group
 // whose members are only leaving is drained first, so that its requests complete.
-func (p *planner) needsRepair(it *assessedGroup) bool {
-	g := &it.row.Group
-	if it.changed || g.Phase == fleet.PhaseDissolved || g.Phase == fleet.PhaseDraining {
+func (p *planner) needsRepair(ag *assessedGroup) bool {
+	g := &ag.row.Group
+	if ag.changed || g.Phase == fleet.PhaseDissolved || g.Phase == fleet.PhaseDraining {
 		return false
 	}
-	if it.assess.state != broken && it.assess.state != membersLeaving {
+	if ag.assess.state != broken && ag.assess.state != membersLeaving {
 		delete(p.mem.brokenSince, g.ID)
 		return false
 	}
-	if it.assess.state == membersLeaving && g.Phase == fleet.PhaseServing {
-		p.drainGroup(it, it.assess.reason)
+	if ag.assess.state == membersLeaving && g.Phase == fleet.PhaseServing {
+		p.drainGroup(ag, ag.assess.reason)
 		return false
 	}
 	return true
@@ -83,15 +83,15 @@
 func (p *planner) repairDomain(items []*assessedGroup) {
 	slices.SortStableFunc(items, func(a, b *assessedGroup) int { return cmp.Compare(len(a.assess.toReplace), len(b.assess.toReplace)) })
 	var left []*assessedGroup
-	for _, it := range items {
-		if !p.repairGroup(it) {
-			left = append(left, it)
+	for _, ag := range items {
+		if !p.repairGroup(ag) {
+			left = append(left, ag)
 		}
 	}
 	p.dissolveForSpares(left)
-	for _, it := range left {
-		if !it.changed {
-			p.dissolveOrWait(it)
+	for _, ag := range left {
+		if !ag.changed {
+			p.dissolveOrWait(ag)
 		}
 	}
 }
@@ -111,10 +111,10 @@
 }
 
 // countAlive returns the number of members that another group could use.
-func (p *planner) countAlive(it *assessedGroup) int {
+func (p *planner) countAlive(ag *assessedGroup) int {
 	n := 0
-	for i := range it.row.Group.Members {
-		v := p.vms[it.row.Group.Members[i].VM]
+	for i := range ag.row.Group.Members {
+		v := p.vms[ag.row.Group.Members[i].VM]
 		if p.health(v) == alive {
 			n++
 		}
@@ -125,31 +125,31 @@
 // repairGroup plans a new generation of the group and reports whether that was
 // possible. A member that restarted stays with its new boot id; a member to be
 // replaced gets a free VM, of the same fabric domain if the spec requires one.
-func (p *planner) repairGroup(it *assessedGroup) bool {
-	old := &it.row.Group
-	if !p.areMembersKnown(it) {
+func (p *planner) repairGroup(ag *assessedGroup) bool {
+	old := &ag.row.Group
+	if !p.areMembersKnown(ag) {
 		return false
 	}
-	spares := p.spareVMs(old, len(it.assess.toReplace))
-	if len(spares) < len(it.assess.toReplace) {
+	spares := p.spareVMs(old, len(ag.assess.toReplace))
+	if len(spares) < len(ag.assess.toReplace) {
 		return false
 	}
 	g := *old
 	g.Generation = p.nextGeneration(old)
 	g.Phase = fleet.PhaseForming
-	g.Reason = "repair: " + it.assess.reason
+	g.Reason = "repair: " + ag.assess.reason
 	g.Members = slices.Clone(old.Members)
 	b := p.newTxn()
-	for n, i := range it.assess.toReplace {
+	for n, i := range ag.assess.toReplace {
 		if vm := old.Members[i].VM; p.in.Claims[vm].Group == old.ID {
 			b.addClaim(vm, "", 0)
 		}
 		g.Members[i].VM = spares[n].Record.VM
 	}
 	p.claimMembers(b, &g)
-	b.addGroup(&g, it.row.Version)
+	b.addGroup(&g, ag.row.Version)
 	b.addChange(Repair, &g, p.memberFacts(old)...)
-	p.markChanged(it)
+	p.markChanged(ag)
 	p.removeFree(spares)
 	return true
 }
@@ -170,10 +170,10 @@
 // areMembersKnown reports whether every member that stays is alive, so that its
 // boot id is known. A member whose probes have just begun to fail may be dead: a
 // new generation must not include it.
-func (p *planner) areMembersKnown(it *assessedGroup) bool {
-	g := &it.row.Group
+func (p *planner) areMembersKnown(ag *assessedGroup) bool {
+	g := &ag.row.Group
 	for i := range g.Members {
-		if slices.Contains(it.assess.toReplace, i) {
+		if slices.Contains(ag.assess.toReplace, i) {
 			continue
 		}
 		if p.health(p.vms[g.Members[i].VM]) != alive {
@@ -207,16 +207,16 @@
 }
 
 // dissolveOrWait dissolves a group that cannot be repaired: immediately if other
-// groups meet the target without it, else after Tune.DissolveAfter.
-func (p *planner) dissolveOrWait(it *assessedGroup) {
-	g := &it.row.Group
+// groups meet the target without it, else after DissolveAfter.
+func (p *planner) dissolveOrWait(ag *assessedGroup) {
+	g := &ag.row.Group
 	waited := p.in.Now.Sub(sinceFirst(p.mem.brokenSince, g.ID, p.in.Now))
 	switch {
-	case !p.isWanted(it):
-		p.dissolveGroup(it, it.assess.reason+"; other groups have taken its place")
+	case !p.isWanted(ag):
+		p.dissolveGroup(ag, ag.assess.reason+"; other groups have taken its place")
 	case waited >= p.in.Tune.DissolveAfter:
-		p.dissolveGroup(it, fmt.Sprintf("%s and its fabric domain had no spare VM for %v", it.assess.reason, waited))
+		p.dissolveGroup(ag, fmt.Sprintf("%s and its fabric domain had no spare VM for %v", ag.assess.reason, waited))
 	default:
-		p.postpone(string(g.ID), "wait", it.assess.reason+" and its fabric domain has no spare VM")
+		p.deferAction(string(g.ID), "wait", ag.assess.reason+" and its fabric domain has no spare VM")
 	}
 }
--- a/internal/group/scale.go
+++ b/internal/group/scale.go
@@ -47,8 +47,8 @@
 		want, hasTarget := p.in.Targets[s.Name]
 		p.bySpec[s.Name] = &specGroups{spec: s, wanted: want, noTarget: !hasTarget}
 	}
-	for _, it := range p.groups {
-		p.classify(it)
+	for _, ag := range p.groups {
+		p.classify(ag)
 	}
 	for _, c := range p.bySpec {
 		// A missing target is not a target of zero: existing groups stay.
@@ -58,8 +58,8 @@
 	}
 }
 
-func (p *planner) classify(it *assessedGroup) {
-	g := &it.row.Group
+func (p *planner) classify(ag *assessedGroup) {
+	g := &ag.row.Group
 	if g.Phase == fleet.PhaseDissolved {
 		return
 	}
@@ -71,16 +71,16 @@
 	switch {
 	case g.Phase == fleet.PhaseDraining:
 		c.draining++
-	case it.assess.state == allDead:
+	case ag.assess.state == allDead:
 		// Not counted until its members answer again; a replacement is formed
 		// meanwhile.
 	case !matchesSpec(g, c.spec):
-		c.outdated = append(c.outdated, it)
-	case it.assess.state == broken && !p.isRepairable(it):
+		c.outdated = append(c.outdated, ag)
+	case ag.assess.state == broken && !p.isRepairable(ag):
 	default:
-		c.current = append(c.current, it)
-		it.counted = true
-		if it.assess.state == ready {
+		c.current = append(c.current, ag)
+		ag.counted = true
+		if ag.assess.state == ready {
 			c.serving++
 		} else {
 			c.forming++
@@ -90,17 +90,17 @@
 
 // isRepairable reports whether enough spare VMs are free for the group. Two groups
 // may rely on the same spare; the next plan finds the one that did not get it.
-func (p *planner) isRepairable(it *assessedGroup) bool {
-	return len(p.spareVMs(&it.row.Group, len(it.assess.toReplace))) >= len(it.assess.toReplace)
+func (p *planner) isRepairable(ag *assessedGroup) bool {
+	return len(p.spareVMs(&ag.row.Group, len(ag.assess.toReplace))) >= len(ag.assess.toReplace)
 }
 
 // isWanted reports whether the group matches its spec and the spec lacks replicas
 // without it.
-func (p *planner) isWanted(it *assessedGroup) bool {
-	g := &it.row.Group
+func (p *planner) isWanted(ag *assessedGroup) bool {
+	g := &ag.row.Group
 	c := p.bySpec[g.Spec]
 	others := c.total()
-	if it.counted {
+	if ag.counted {
 		others--
 	}
 	return matchesSpec(g, c.spec) && others < c.wanted
@@ -116,8 +116,8 @@
 	for _, name := range slices.Sorted(maps.Keys(p.bySpec)) {
 		c := p.bySpec[name]
 		if c.spec == nil {
-			for _, it := range c.outdated {
-				p.drainGroup(it, "the configuration no longer names "+name)
+			for _, ag := range c.outdated {
+				p.drainGroup(ag, "the configuration no longer names "+name)
 			}
 			continue
 		}
@@ -157,20 +157,20 @@
 // drainSurplus drains the groups in excess of the target: those not serving first,
 // then those with the fewest requests.
 func (p *planner) drainSurplus(c *specGroups) {
-	candidates := slices.DeleteFunc(slices.Clone(c.current), func(it *assessedGroup) bool { return it.changed })
+	candidates := slices.DeleteFunc(slices.Clone(c.current), func(ag *assessedGroup) bool { return ag.changed })
 	surplus := len(c.current) - c.wanted
 	if surplus <= 0 {
 		return
 	}
 	slices.SortStableFunc(candidates, func(a, b *assessedGroup) int { return cmp.Compare(p.drainCost(a), p.drainCost(b)) })
-	for _, it := range candidates[:min(surplus, len(candidates))] {
-		p.drainGroup(it, fmt.Sprintf("%d groups, %d wanted", len(c.current), c.wanted))
+	for _, ag := range candidates[:min(surplus, len(candidates))] {
+		p.drainGroup(ag, fmt.Sprintf("%d groups, %d wanted", len(c.current), c.wanted))
 	}
 }
 
-func (p *planner) drainCost(it *assessedGroup) int {
-	leader := p.vms[it.row.Group.Members[0].VM]
-	if it.assess.state != ready || leader == nil {
+func (p *planner) drainCost(ag *assessedGroup) int {
+	leader := p.vms[ag.row.Group.Members[0].VM]
+	if ag.assess.state != ready || leader == nil {
 		return -1
 	}
 	return leader.Load.Running + leader.Load.Waiting
@@ -189,9 +189,9 @@
 	}
 	old := slices.Clone(c.outdated)
 	slices.SortStableFunc(old, func(a, b *assessedGroup) int { return cmp.Compare(p.drainCost(a), p.drainCost(b)) })
-	for _, it := range old[:len(old)-max(keep, 0)] {
-		if !it.changed {
-			p.drainGroup(it, "replaced by version "+c.spec.ModelVer)
+	for _, ag := range old[:len(old)-max(keep, 0)] {
+		if !ag.changed {
+			p.drainGroup(ag, "replaced by version "+c.spec.ModelVer)
 		}
 	}
 }
