--- a/internal/view/assignment.go
+++ b/internal/view/assignment.go
@@ -6,32 +6,31 @@
 	"chervilloom/internal/fleet"
 )
 
-// Assignment says which subjects of its zone a node watches: those for which it
-// is among the first nodes in rendezvous order. It remembers the answers as long
-// as the nodes are the same. It is not safe for concurrent use.
+// Assignment determines which subjects of its zone a node watches: those for
+// which it is among the first nodes in rendezvous order. Results are cached
+// until the set of nodes changes. It is not safe for concurrent use.
 type Assignment struct {
-	// First returns the k nodes that come first for a subject in rendezvous
-	// order.
+	// First returns the first k nodes for a subject in rendezvous order.
 	First    func(subject string, nodes []fleet.VM, k int) []fleet.VM
-	Watchers int // nodes that watch a subject
+	Watchers int // number of nodes that watch each subject
 
-	nodes  []fleet.VM
-	places map[string]int
+	nodes     []fleet.VM
+	positions map[string]int
 }
 
-// Update sets the nodes, self included.
+// Update sets the nodes of the zone, including this node.
 func (a *Assignment) Update(nodes []fleet.VM) {
-	if a.places != nil && slices.Equal(a.nodes, nodes) {
+	if a.positions != nil && slices.Equal(a.nodes, nodes) {
 		return
 	}
 	a.nodes = slices.Clone(nodes)
-	a.places = map[string]int{}
+	a.positions = map[string]int{}
 }
 
-// place returns the position of self for the subject, Watchers when it is none
-// of the first.
-func (a *Assignment) place(self fleet.VM, subject string) int {
-	n, ok := a.places[subject]
+// position returns the index of self among the subject's watchers, or Watchers
+// if self is not one of them.
+func (a *Assignment) position(self fleet.VM, subject string) int {
+	n, ok := a.positions[subject]
 	if ok {
 		return n
 	}
@@ -39,27 +38,27 @@
 	if n < 0 {
 		n = a.Watchers
 	}
-	if len(a.places) >= maxPlaces {
-		clear(a.places) // groups come and go; their ids are never used again
+	if len(a.positions) >= maxCachedPositions {
+		clear(a.positions) // dissolved groups leave entries behind; their IDs are never reused
 	}
-	a.places[subject] = n
+	a.positions[subject] = n
 	return n
 }
 
-// maxPlaces bounds the answers that are remembered.
-const maxPlaces = 16384
+// maxCachedPositions bounds the cache of positions.
+const maxCachedPositions = 16384
 
 // Watches reports whether self watches the subject.
 func (a *Assignment) Watches(self fleet.VM, subject string) bool {
-	return a.place(self, subject) < a.Watchers
+	return a.position(self, subject) < a.Watchers
 }
 
-// Leads reports whether self comes first of those that watch the subject.
-func (a *Assignment) Leads(self fleet.VM, subject string) bool { return a.place(self, subject) == 0 }
+// Leads reports whether self is the first of the nodes that watch the subject.
+func (a *Assignment) Leads(self fleet.VM, subject string) bool { return a.position(self, subject) == 0 }
 
 // ZoneNodes returns the other entry nodes of the snapshot's zone that share its
-// duties: those that are alive and not draining. A suspected node is left out:
-// an endpoint watched by one node too many does no harm, by one too few may.
+// watching: those that are alive and not draining. Suspect nodes are left out:
+// one watcher too many for an endpoint does no harm, one too few may.
 func (s *Snapshot) ZoneNodes() []fleet.VM {
 	var out []fleet.VM
 	for i := range s.Nodes {
--- a/internal/view/bench_test.go
+++ b/internal/view/bench_test.go
@@ -14,7 +14,7 @@
 	"chervilloom/internal/view"
 )
 
-// size is a fleet with three availability zones.
+// size describes a fleet in three availability zones.
 type size struct {
 	name                      string
 	nodes, vms, groups, perGr int
@@ -30,7 +30,7 @@
 
 func zoneOf(i int) fleet.AvailabilityZone { return fleet.AvailabilityZone(fmt.Sprint("z", i%3)) }
 
-// fleetState is the belief of a node of zone z0 about the whole fleet.
+// fleetState returns the state of a node of zone z0 that knows the whole fleet.
 func fleetState(s size) *view.State {
 	st := view.NewState(fleet.Node{VM: "node-000", Incarnation: 1}, "z0")
 	var list []fleet.Record
@@ -72,7 +72,8 @@
 
 func boot(i int) fleet.BootID { return fleet.BootID(fmt.Sprintf("0b0074d1-0000-4000-8000-%012d", i)) }
 
-// probeAll has every VM of z0 answer at now with its place.
+// probeAll applies an answered probe at now for every VM of z0, with its group
+// membership.
 func probeAll(st *view.State, snap *view.Snapshot, now clock.Instant, rng *rand.Rand, seq uint64) {
 	places := map[fleet.VM]fleet.EngineState{}
 	for i := range snap.Groups {
@@ -99,7 +100,7 @@
 	}
 }
 
-// seenBy answers which subjects one node of the zone watches.
+// seenBy implements view.Duties for one node of the zone.
 type seenBy struct {
 	self  fleet.VM
 	nodes []fleet.VM
@@ -127,10 +128,10 @@
 
 func (d *seenBy) Holds() bool { return d.self == d.nodes[0] }
 
-// BenchmarkGossipBytes lets every node of one zone tell for a simulated minute
-// with probes and loads that change all the time, and reports what one node
-// sends: the mean and the busiest, payload alone and with 70 bytes a message
-// for QUIC, UDP and IP.
+// BenchmarkGossipBytes runs the digests of every node of one zone for a
+// simulated minute of constantly changing probes and loads. It reports the
+// bytes sent by a node, mean and maximum: the payload alone, and with 70 bytes
+// a message for QUIC, UDP and IP.
 func BenchmarkGossipBytes(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.name, func(b *testing.B) {
@@ -150,14 +151,14 @@
 		near = append(near, fleet.VM(fmt.Sprintf("node-%03d", i)))
 	}
 	far := s.nodes - len(near)
-	type teller struct {
+	type zoneNode struct {
 		zone, remote *view.Teller
 		duties       *seenBy
 		bytes, wire  int
 	}
-	var all []*teller
+	var all []*zoneNode
 	for _, vm := range near {
-		all = append(all, &teller{zone: view.NewTeller(false, begin), remote: view.NewTeller(true, begin), duties: &seenBy{vm, near, map[string]bool{}, map[string]bool{}}})
+		all = append(all, &zoneNode{zone: view.NewTeller(false, begin), remote: view.NewTeller(true, begin), duties: &seenBy{vm, near, map[string]bool{}, map[string]bool{}}})
 	}
 	var seq uint64
 	for ms := 0; ms < span*1000; ms += 100 {
@@ -189,7 +190,7 @@
 	b.ReportMetric(float64(most)/span, "busiestB/s")
 }
 
-// BenchmarkSnapshot builds one snapshot of the whole fleet.
+// BenchmarkSnapshot measures a snapshot of the whole fleet.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.name, func(b *testing.B) {
@@ -203,7 +204,7 @@
 	}
 }
 
-// BenchmarkApplyProbe merges one probe's answer.
+// BenchmarkApplyProbe measures merging one answered probe.
 func BenchmarkApplyProbe(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.name, func(b *testing.B) {
--- a/internal/view/digest_test.go
+++ b/internal/view/digest_test.go
@@ -13,17 +13,17 @@
 	"chervilloom/internal/fleet"
 )
 
-// all is a node that watches everything.
-type all struct{ holds bool }
+// watchAll implements Duties for a node that watches every subject.
+type watchAll struct{ holdsLease bool }
 
-func (all) Watches(string) bool { return true }
-func (all) Leads(string) bool   { return true }
-func (a all) Holds() bool       { return a.holds }
+func (watchAll) Watches(string) bool { return true }
+func (watchAll) Leads(string) bool   { return true }
+func (a watchAll) Holds() bool       { return a.holdsLease }
 
 var peer = fleet.Node{VM: "n2", Incarnation: 1}
 
-// pass hands messages over, sent and received at instants of two clocks.
-func pass(t testing.TB, h *Hearer, to *State, messages [][]byte, now clock.Instant) {
+// deliver decodes the messages at now and applies their events to a state.
+func deliver(t testing.TB, h *Hearer, to *State, messages [][]byte, now clock.Instant) {
 	t.Helper()
 	for _, m := range messages {
 		heard, err := h.Hear(peer, m, now)
@@ -36,130 +36,130 @@
 	}
 }
 
-func TestTellingWhatChanged(t *testing.T) {
+func TestDigestSendsChanges(t *testing.T) {
 	is := is.New(t)
 	from, to := newState(), newState()
-	g := group2(from)
+	g := applyGroupOfTwo(from)
 	records := []fleet.Record{record("a", fleet.StateLive), record("b", fleet.StateLive)}
 	from.Apply(List{At: at(0), Records: records})
 	to.Apply(List{At: at(0), Records: records})
-	teller, hearer := NewTeller(false, at(0)), NewHearer()
-	tell := func(ms int) {
-		pass(t, hearer, to, teller.Next(from.Snapshot(at(ms)), all{true}, at(ms), 300*time.Millisecond), at(ms))
+	producer, reader := NewTeller(false, at(0)), NewHearer()
+	send := func(ms int) {
+		deliver(t, reader, to, producer.Next(from.Snapshot(at(ms)), watchAll{true}, at(ms), 300*time.Millisecond), at(ms))
 	}
-	tell(100)
+	send(100)
 	got := to.Snapshot(at(100)).Groups
 	is.Equal(len(got), 1)
 	is.True(got[0].Whole)
 	is.Equal(got[0].FreshUntil, at(10+1500))
-	is.Equal(len(teller.Next(from.Snapshot(at(200)), all{true}, at(200), time.Second)), 0) // nothing new, not due
+	is.Equal(len(producer.Next(from.Snapshot(at(200)), watchAll{true}, at(200), time.Second)), 0) // no change, and no regular digest due
 
-	for i, m := range g.Members { // the same state found again
+	for i, m := range g.Members { // an unchanged state, probed again
 		from.Apply(Probed{VM: m.VM, Sent: at(350 + i), Answered: true, State: inGroup(&g, &m)})
 	}
-	tell(400)
+	send(400)
 	is.Equal(to.Snapshot(at(400)).Groups[0].FreshUntil, at(350+1500))
 
 	from.Apply(Probed{VM: "b", Sent: at(450), Failing: at(450), Failures: 1})
-	tell(460) // told at once, not only when due
+	send(460) // sent at once, before the next regular digest
 	is.Equal(to.Snapshot(at(460)).Groups[0].FreshUntil, clock.Instant(0))
 	from.Apply(Probed{VM: "b", Sent: at(750), Failing: at(450), Failures: 2})
-	tell(800)
+	send(800)
 	b := to.Snapshot(at(800)).VMs[1].Probe
 	is.Equal(b.Failing, at(450))
 	is.Equal(b.Failures, 2)
 
-	from.Apply(answer("b", "b2", 900)) // a new life
-	tell(910)
+	from.Apply(probeAnswer("b", "b2", 900)) // restarted
+	send(910)
 	is.True(!to.Snapshot(at(910)).Groups[0].Whole)
 
 	next := g
 	next.Generation = 5
 	from.Apply(Table{At: at(950), Groups: []TableGroup{{Group: next, Version: 3}}})
-	tell(960)
+	send(960)
 	is.Equal(to.Snapshot(at(960)).Groups[0].Generation, fleet.Generation(5))
 }
 
-// An endpoint that an operator drained at one node still gets work from others.
-// The mark must reach the other nodes, also when the first message is lost, and
-// must not be passed on from there for ever.
-func TestLeavingIsTold(t *testing.T) {
+// Guards against endpoints that an operator drains at one node and that still
+// get requests from others. The mark must reach the other nodes even if the
+// first message is lost, and they must not forward it endlessly.
+func TestLeavingMarkReachesPeers(t *testing.T) {
 	is := is.New(t)
 	from, to := newState(), newState()
 	for _, s := range []*State{from, to} {
 		s.Apply(List{At: at(0), Records: []fleet.Record{record("a", fleet.StateLive)}})
-		s.Apply(answer("a", "b1", 10))
+		s.Apply(probeAnswer("a", "b1", 10))
 	}
-	none := all{}
-	teller, hearer := NewTeller(true, at(0)), NewHearer()
+	none := watchAll{}
+	producer, reader := NewTeller(true, at(0)), NewHearer()
 	from.Apply(MarkLeaving{VM: "a", Boot: "b1", Reason: "operator"})
-	told := 0
+	round := 0
 	for ms := 100; ms < 3000; ms += 100 {
-		messages := teller.Next(from.Snapshot(at(ms)), none, at(ms), 300*time.Millisecond)
-		if told++; told > 1 { // the first is lost
-			pass(t, hearer, to, messages, at(ms))
+		messages := producer.Next(from.Snapshot(at(ms)), none, at(ms), 300*time.Millisecond)
+		if round++; round > 1 { // the first message is lost
+			deliver(t, reader, to, messages, at(ms))
 		}
 	}
-	is.True(only(to, 3000).Leaving)
-	onward := NewTeller(true, at(0))
-	is.Equal(len(onward.Next(to.Snapshot(at(3000)), none, at(3000), time.Second)), 0)
+	is.True(firstVM(to, 3000).Leaving)
+	forwarding := NewTeller(true, at(0))
+	is.Equal(len(forwarding.Next(to.Snapshot(at(3000)), none, at(3000), time.Second)), 0)
 }
 
 func TestSummariesOfOtherZones(t *testing.T) {
 	is := is.New(t)
 	from, to := newState(), NewState(fleet.Node{VM: "far"}, "y")
-	g := group2(from)
-	teller, hearer := NewTeller(true, at(0)), NewHearer()
-	tell := func(ms int) {
-		pass(t, hearer, to, teller.Next(from.Snapshot(at(ms)), all{}, at(ms), 500*time.Millisecond), at(ms))
+	g := applyGroupOfTwo(from)
+	producer, reader := NewTeller(true, at(0)), NewHearer()
+	send := func(ms int) {
+		deliver(t, reader, to, producer.Next(from.Snapshot(at(ms)), watchAll{}, at(ms), 500*time.Millisecond), at(ms))
 	}
-	tell(100)
+	send(100)
 	got := to.Snapshot(at(100)).Groups[0]
 	is.True(got.Whole)
 	is.Equal(got.FreshUntil, at(10+1500))
-	is.Equal(len(got.Members), 1) // the leader stands for all
+	is.Equal(len(got.Members), 1) // only the leader is sent
 	from.Apply(Loaded{At: at(550), Load: fleet.Load{VM: "a", Boot: "b1", Sequence: 1, Running: 4, Waiting: 2, Slots: 8}})
-	tell(600)
+	send(600)
 	got = to.Snapshot(at(600)).Groups[0]
 	is.Equal(got.Load.Running, 4)
 	is.Equal(got.LoadAt, at(550))
 	from.Apply(MarkLeaving{VM: "b", Boot: "b1"})
-	tell(650)
+	send(650)
 	got = to.Snapshot(at(650)).Groups[0]
 	is.True(!got.Whole)
 	is.Equal(got.Reason, "b is leaving")
 	is.Equal(g.Zone, fleet.AvailabilityZone("z"))
-	is.Equal(len(to.Snapshot(at(650).Add(2*remoteForget)).Groups), 0)
+	is.Equal(len(to.Snapshot(at(650).Add(2*remoteGroupTTL)).Groups), 0)
 }
 
-// A group seems fresh although its members were probed long ago. A digest was
-// held up on its way; its ages were true when it was sent. The sender's uptime
-// shows the delay, and it is added to the ages.
-func TestHeldUpDigestIsOld(t *testing.T) {
+// Guards against groups that look fresh although their members were probed long
+// ago, because a digest was delayed: its ages were true when it was sent. The
+// sender's uptime shows the delay, which is added to the ages.
+func TestDelayedDigestAgesItsContents(t *testing.T) {
 	is := is.New(t)
 	from, to := newState(), newState()
-	group2(from)
+	applyGroupOfTwo(from)
 	for _, s := range []*State{from, to} {
 		s.Apply(List{At: at(0), Records: []fleet.Record{record("a", fleet.StateLive), record("b", fleet.StateLive)}})
 	}
-	teller, hearer := NewTeller(false, at(0)), NewHearer()
-	pass(t, hearer, to, teller.Next(from.Snapshot(at(100)), all{true}, at(100), time.Second), at(100))
+	producer, reader := NewTeller(false, at(0)), NewHearer()
+	deliver(t, reader, to, producer.Next(from.Snapshot(at(100)), watchAll{true}, at(100), time.Second), at(100))
 	g := from.groups["z.g"].group
 	for i, m := range g.Members {
 		from.Apply(Probed{VM: m.VM, Sent: at(1000 + i), Answered: true, State: inGroup(&g, &m)})
 	}
-	late := teller.Next(from.Snapshot(at(1100)), all{true}, at(1100), time.Second)
-	pass(t, hearer, to, late, at(6100))
+	late := producer.Next(from.Snapshot(at(1100)), watchAll{true}, at(1100), time.Second)
+	deliver(t, reader, to, late, at(6100))
 	const drift = 5 * time.Millisecond
 	is.True(!to.Snapshot(at(6100)).Groups[0].FreshUntil.After(at(1000 + 1500).Add(drift)))
 	is.True(to.Snapshot(at(6100)).Groups[0].Whole)
 }
 
-// Two nodes with clocks that differ in start and rate and messages that are
-// delayed, reordered or lost: the hearer never believes an endpoint to be seen
-// later than the teller truly saw it, but for the shortest delay of a message so
-// far, which cannot be known, and the drift that is allowed for.
-func TestToldFactsAreNeverYoungerThanTheTruth(t *testing.T) {
+// Two nodes have clocks that differ in start and rate, and messages are
+// delayed, reordered or lost. The receiver must never record a probe time later
+// than the sender's, except by the shortest message delay so far, which cannot
+// be known, and the drift allowance.
+func TestReceivedProbesAreNeverNewerThanSent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := newState(), newState()
 		records := []fleet.Record{record("a", fleet.StateLive)}
@@ -167,45 +167,45 @@
 		to.Apply(List{At: at(0), Records: records})
 		offset := clock.Instant(rapid.Int64Range(0, int64(1000*time.Hour)).Draw(t, "offset"))
 		rate := rapid.Float64Range(0.9999, 1.0001).Draw(t, "rate")
-		theirs := func(real clock.Instant) clock.Instant { return offset + clock.Instant(float64(real-t0)*rate) }
+		senderTime := func(real clock.Instant) clock.Instant { return offset + clock.Instant(float64(real-t0)*rate) }
 		base := time.Duration(rapid.Int64Range(0, 5).Draw(t, "shortest delay")) * time.Millisecond
-		teller, hearer := NewTeller(false, theirs(t0)), NewHearer()
-		type letter struct {
+		producer, reader := NewTeller(false, senderTime(t0)), NewHearer()
+		type delivery struct {
 			arrives clock.Instant
 			delay   time.Duration
 			body    []byte
 		}
-		var post []letter
-		truth := clock.Instant(0)
+		var inFlight []delivery
+		newestProbe := clock.Instant(0)
 		shortest := time.Hour
 		for ms := 0; ms < 20000; ms += 100 {
 			now := at(ms)
 			if rapid.IntRange(0, 2).Draw(t, "probe") == 0 {
-				truth = now
+				newestProbe = now
 				boot := fleet.BootID(fmt.Sprint("b", rapid.IntRange(1, 2).Draw(t, "boot")))
-				from.Apply(Probed{VM: "a", Sent: theirs(now), Answered: true, State: fleet.EngineState{VM: "a", Boot: boot}})
+				from.Apply(Probed{VM: "a", Sent: senderTime(now), Answered: true, State: fleet.EngineState{VM: "a", Boot: boot}})
 			}
-			for _, m := range teller.Next(from.Snapshot(theirs(now)), all{}, theirs(now), 300*time.Millisecond) {
+			for _, m := range producer.Next(from.Snapshot(senderTime(now)), watchAll{}, senderTime(now), 300*time.Millisecond) {
 				delay := base + time.Duration(rapid.SampledFrom([]int64{0, 0, 0, 50, 4000}).Draw(t, "delay"))*time.Millisecond
 				if rapid.IntRange(0, 9).Draw(t, "lost") != 0 {
-					post = append(post, letter{now.Add(delay), delay, m})
+					inFlight = append(inFlight, delivery{now.Add(delay), delay, m})
 				}
 			}
-			slices.SortStableFunc(post, func(a, b letter) int { return int(a.arrives - b.arrives) })
-			for len(post) > 0 && !post[0].arrives.After(now) {
-				shortest = min(shortest, post[0].delay)
-				heard, err := hearer.Hear(peer, post[0].body, post[0].arrives)
+			slices.SortStableFunc(inFlight, func(a, b delivery) int { return int(a.arrives - b.arrives) })
+			for len(inFlight) > 0 && !inFlight[0].arrives.After(now) {
+				shortest = min(shortest, inFlight[0].delay)
+				heard, err := reader.Hear(peer, inFlight[0].body, inFlight[0].arrives)
 				if err != nil {
 					t.Fatal(err)
 				}
-				before := only(to, ms).Probe.Answered
+				before := firstVM(to, ms).Probe.Answered
 				for _, e := range heard.Events {
 					to.Apply(e)
 				}
-				post = post[1:]
+				inFlight = inFlight[1:]
 				const drift = 10 * time.Millisecond
-				if got := only(to, ms).Probe.Answered; got != before && got.After(truth.Add(shortest+drift)) {
-					t.Fatalf("believed seen at %v, truly at %v", got.Sub(t0), truth.Sub(t0))
+				if got := firstVM(to, ms).Probe.Answered; got != before && got.After(newestProbe.Add(shortest+drift)) {
+					t.Fatalf("recorded probe time %v, newest probe sent at %v", got.Sub(t0), newestProbe.Sub(t0))
 				}
 			}
 		}
@@ -221,47 +221,48 @@
 	})
 }
 
-// A node that missed a change takes a group for whole. The message that told of
-// a member's restart was lost; the next says only "still the same". The hash
-// names another state than this node knows, so nothing is refreshed by it.
-func TestSameIsBelievedOnlyOfTheKnownState(t *testing.T) {
+// Guards against a node that missed a change and still considers the group
+// whole. The message that reported a member's restart was lost, and the next
+// one only says that the state is unchanged. Its hash refers to a state that
+// this node does not know, so it must refresh nothing.
+func TestUnchangedProbeRequiresKnownState(t *testing.T) {
 	is := is.New(t)
 	from, to := newState(), newState()
 	for _, s := range []*State{from, to} {
 		s.Apply(List{At: at(0), Records: []fleet.Record{record("a", fleet.StateLive)}})
 	}
-	teller, hearer := NewTeller(false, at(0)), NewHearer()
+	producer, reader := NewTeller(false, at(0)), NewHearer()
 	next := func(ms int) [][]byte {
-		return teller.Next(from.Snapshot(at(ms)), all{}, at(ms), 300*time.Millisecond)
+		return producer.Next(from.Snapshot(at(ms)), watchAll{}, at(ms), 300*time.Millisecond)
 	}
-	from.Apply(answer("a", "b1", 10))
-	pass(t, hearer, to, next(100), at(100))
-	from.Apply(answer("a", "b1", 400))
-	pass(t, hearer, to, next(400), at(400))
-	is.Equal(only(to, 400).Probe.Answered, at(400))
-	from.Apply(answer("a", "b2", 800))
+	from.Apply(probeAnswer("a", "b1", 10))
+	deliver(t, reader, to, next(100), at(100))
+	from.Apply(probeAnswer("a", "b1", 400))
+	deliver(t, reader, to, next(400), at(400))
+	is.Equal(firstVM(to, 400).Probe.Answered, at(400))
+	from.Apply(probeAnswer("a", "b2", 800))
 	next(800) // lost
-	from.Apply(answer("a", "b2", 1200))
-	pass(t, hearer, to, next(1200), at(1200))
-	is.Equal(only(to, 1200).Probe.Answered, at(400))
-	is.Equal(to.missed[peer.VM], at(1200)) // and the teller is asked for all
-	from.Apply(answer("a", "b2", 32000))
-	pass(t, hearer, to, next(32000), at(32000)) // told whole again after a while
-	is.Equal(only(to, 32000).Probe.State.Boot, fleet.BootID("b2"))
-	from.Apply(answer("a", "b2", 32400))
-	pass(t, hearer, to, next(32400), at(32400))
-	to.Apply(answer("a", "b3", 32500)) // seen by this node itself
-	from.Apply(answer("a", "b2", 32800))
-	pass(t, hearer, to, next(32800), at(32800))
-	is.Equal(only(to, 32800).Probe.Answered, at(32500))
+	from.Apply(probeAnswer("a", "b2", 1200))
+	deliver(t, reader, to, next(1200), at(1200))
+	is.Equal(firstVM(to, 1200).Probe.Answered, at(400))
+	is.Equal(to.resyncPeers[peer.VM], at(1200)) // the sender's full state is requested
+	from.Apply(probeAnswer("a", "b2", 32000))
+	deliver(t, reader, to, next(32000), at(32000)) // sent in full after refreshInterval
+	is.Equal(firstVM(to, 32000).Probe.State.Boot, fleet.BootID("b2"))
+	from.Apply(probeAnswer("a", "b2", 32400))
+	deliver(t, reader, to, next(32400), at(32400))
+	to.Apply(probeAnswer("a", "b3", 32500)) // probed by this node itself
+	from.Apply(probeAnswer("a", "b2", 32800))
+	deliver(t, reader, to, next(32800), at(32800))
+	is.Equal(firstVM(to, 32800).Probe.Answered, at(32500))
 }
 
-func TestMessageOfAnEarlierLifeIsNotFresh(t *testing.T) {
+func TestDigestOfEarlierIncarnationIsStale(t *testing.T) {
 	is := is.New(t)
 	from, to := newState(), newState()
 	from.Apply(List{At: at(0), Records: []fleet.Record{record("a", fleet.StateLive)}})
-	from.Apply(answer("a", "b1", 10))
-	message := NewTeller(false, at(0)).Next(from.Snapshot(at(100)), all{}, at(100), time.Second)[0]
+	from.Apply(probeAnswer("a", "b1", 10))
+	message := NewTeller(false, at(0)).Next(from.Snapshot(at(100)), watchAll{}, at(100), time.Second)[0]
 	h := NewHearer()
 	hear := func(life fleet.Incarnation) {
 		heard, err := h.Hear(fleet.Node{VM: "n2", Incarnation: life}, message, at(100))
@@ -271,12 +272,12 @@
 		}
 	}
 	hear(2)
-	first := only(to, 100).Probe.Answered
+	first := firstVM(to, 100).Probe.Answered
 	is.Equal(first, at(10))
 	h = NewHearer()
 	to = newState()
 	_, err := h.Hear(fleet.Node{VM: "n2", Incarnation: 2}, encode(&digest{}), at(50))
 	is.NoErr(err)
 	hear(1)
-	is.True(only(to, 100).Probe.Answered.Before(at(0)))
+	is.True(firstVM(to, 100).Probe.Answered.Before(at(0)))
 }
--- a/internal/view/event.go
+++ b/internal/view/event.go
@@ -8,23 +8,23 @@
 	"chervilloom/internal/fleet"
 )
 
-// Event is one report that changes the belief. The newest event of a subject
-// replaces an older one that still waits, so every event must stand alone: it
-// carries the subject's state, never a difference.
+// Event is a report that changes the state. In the mailbox the newest event of
+// a subject replaces a waiting older one, so an event always carries the
+// subject's full state, never a difference.
 type Event interface {
-	// subject names what the event is about, for the mailbox.
+	// subject identifies what the event is about, as its key in the mailbox.
 	subject() subject
 }
 
 type subject struct {
 	kind string
 	id   string
-	from fleet.VM // the peer that told it; empty: seen by this node itself
+	from fleet.VM // peer that reported it; empty: observed by this node itself
 }
 
-// List is the platform's newest list of VMs.
+// List is a list of VMs read from the platform.
 type List struct {
-	At      clock.Instant // when the request was sent
+	At      clock.Instant // send time of the request
 	Records []fleet.Record
 }
 
@@ -40,60 +40,60 @@
 	Version uint64
 }
 
-// Table is what one read of the claims and groups tables returned.
+// Table is the result of one read of the claims and groups tables.
 type Table struct {
-	At     clock.Instant // when the first request was sent
+	At     clock.Instant // send time of the first request
 	VMs    []TableVM
 	Groups []TableGroup
-	// Complete is set when Groups holds every group of Zone: a group of the
-	// zone that is missing was deleted.
+	// Complete is set when Groups holds every group of Zone: any other group of
+	// the zone has been deleted.
 	Complete bool
 	Zone     fleet.AvailabilityZone
 }
 
-// PlatformAnswered tells that the platform answered any request.
+// PlatformAnswered reports that the platform answered a request.
 type PlatformAnswered struct{ At clock.Instant }
 
 // Probed is the result of one probe.
 type Probed struct {
 	VM       fleet.VM
-	From     fleet.VM      // the watching node; empty: this one
-	Sent     clock.Instant // when the probe was sent
+	From     fleet.VM      // node that sent the probe; empty: this one
+	Sent     clock.Instant // send time of the probe
 	RTT      time.Duration
 	Answered bool
-	State    fleet.EngineState // when answered; for a service only VM and Boot
-	Failing  clock.Instant     // when not answered: since when probes have failed
-	Failures int               // when not answered: failed probes in a row
+	State    fleet.EngineState // if answered; for a service only VM and Boot
+	Failing  clock.Instant     // if not answered: start of the current run of failed probes
+	Failures int               // if not answered: consecutive failed probes
 }
 
 // Loaded is a load report.
 type Loaded struct {
-	From fleet.VM // the watching node; empty: this one
+	From fleet.VM // node that received the report; empty: this one
 	At   clock.Instant
 	Load fleet.Load
 }
 
-// Cached is the set of prefixes believed to be in an engine's cache. The map
-// must not change after it was handed over.
+// Cached is the approximate set of prefixes in an engine's cache. The map must
+// not change after the event has been put.
 type Cached struct {
 	VM       fleet.VM
 	Boot     fleet.BootID
 	Prefixes map[uint64]struct{}
 }
 
-// MarkLeaving says that a life of an endpoint is leaving. An empty Boot stands
-// for the life that is known now.
+// MarkLeaving marks a boot of an endpoint as leaving. An empty Boot stands for
+// the newest boot known.
 type MarkLeaving struct {
 	VM     fleet.VM
 	Boot   fleet.BootID
-	From   fleet.VM // the peer that told it; empty: learned by this node itself
-	Reason string   // who said it: platform list, endpoint, operator, refusal
+	From   fleet.VM // peer that reported it; empty: detected by this node itself
+	Reason string   // origin of the mark: platform list, endpoint, operator, refusal
 }
 
-// Members is the newest membership of the entry nodes, this one left out.
+// Members is the newest list of the other entry nodes.
 type Members struct{ Nodes []Node }
 
-// Configured is the revision in force.
+// Configured is the configuration revision in force.
 type Configured struct {
 	Revision uint64
 	Document *config.Document
--- a/internal/view/gossip_test.go
+++ b/internal/view/gossip_test.go
@@ -15,61 +15,63 @@
 	"chervilloom/internal/fleet"
 )
 
-// A node that starts while the platform is down refuses every request: it knows
-// no endpoint. It asks its peers for the list of VMs, one after the other, until
-// one answers; what they tell of the endpoints then has a place.
-func TestListIsLearnedFromPeers(t *testing.T) {
+// Guards against a node that starts while the platform is down and refuses
+// every request, because it knows no endpoint. It requests the VM list from its
+// peers, one after the other, until one answers; their endpoint states can then
+// be applied.
+func TestListIsReceivedFromPeers(t *testing.T) {
 	is := is.New(t)
 	clk := clock.NewManual(t0)
-	links, mergers := pair(clk)
+	links, mergers := newNodePair(clk)
 	counter := fleet.Record{VM: "s", Kind: fleet.KindService, Addr: "s:1", Service: "counter", Zone: "z", State: fleet.StateLive}
 	mergers[1].state.Apply(List{At: at(0), Records: []fleet.Record{counter}})
-	mergers[1].state.Apply(answer("s", "b1", 10))
-	stepPair(clk, links, mergers, 10)
+	mergers[1].state.Apply(probeAnswer("s", "b1", 10))
+	stepNodes(clk, links, mergers, 10)
 	got := mergers[0].Snapshot()
 	is.Equal(len(got.VMs), 1)
 	is.Equal(got.VMs[0].Record, counter)
 	is.True(got.VMs[0].Listed)
 	is.Equal(got.VMs[0].Probe.Answered, at(10))
-	is.Equal(got.PlatformSeen, clock.Instant(0)) // not by this node
-	mergers[0].state.Apply(List{At: clk.Now()})  // its own read counts from then on
-	is.True(!mergers[0].state.Apply(toldList{list: List{At: clk.Now().Add(1), Records: []fleet.Record{counter}}}))
+	is.Equal(got.PlatformSeen, clock.Instant(0)) // the platform answered the peer, not this node
+	mergers[0].state.Apply(List{At: clk.Now()})  // from now on only its own reads count
+	is.True(!mergers[0].state.Apply(peerList{list: List{At: clk.Now().Add(1), Records: []fleet.Record{counter}}}))
 }
 
-// A group stays unused for half a minute. The message that told of it was lost;
-// the peer goes on saying that it is unchanged. The hearer asks for everything.
-func TestLostTellingIsAskedFor(t *testing.T) {
+// Guards against a group that stays unused for half a minute: the message that
+// reported it was lost, and the peer only repeats that it is unchanged. The
+// receiver must request the full state.
+func TestLostDigestTriggersResync(t *testing.T) {
 	is := is.New(t)
 	clk := clock.NewManual(t0)
-	links, mergers := pair(clk)
+	links, mergers := newNodePair(clk)
 	mergers[1].state.Apply(List{At: at(0), Records: []fleet.Record{record("a", fleet.StateLive), record("b", fleet.StateLive)}})
 	mergers[0].state.Apply(List{At: at(0), Records: nil})
-	group2(mergers[1].state)
-	links[1].lose = 2 // the greeting and the first regular digest
-	stepPair(clk, links, mergers, 15)
+	applyGroupOfTwo(mergers[1].state)
+	links[1].dropCount = 2 // the initial full state and the first regular digest
+	stepNodes(clk, links, mergers, 15)
 	got := mergers[0].Snapshot().Groups
 	is.Equal(len(got), 1)
 	is.True(got[0].Whole)
 }
 
-// outbox keeps what was sent.
-type outbox struct{ sent []string }
+// recordingSender records the recipient and topic of each message.
+type recordingSender struct{ sent []string }
 
-func (o *outbox) Send(to fleet.VM, topic string, payload []byte) error {
+func (o *recordingSender) Send(to fleet.VM, topic string, payload []byte) error {
 	o.sent = append(o.sent, fmt.Sprintf("%s %s", to, topic))
 	return nil
 }
 
-func TestGossipGreetsNewPeersAndKeepsToTheTopics(t *testing.T) {
+func TestGossipSendsFullStateToNewPeersByTopic(t *testing.T) {
 	is := is.New(t)
 	clk := clock.NewManual(t0)
 	m := NewMerger(fleet.Node{VM: "n1", Incarnation: 1}, "z", clk)
-	out := &outbox{}
+	out := &recordingSender{}
 	g := NewGossip(GossipOptions{
 		View: m, Clock: clk, Send: out, Log: slog.New(slog.DiscardHandler), Registry: prometheus.NewRegistry(),
 		First: func(_ string, nodes []fleet.VM, k int) []fleet.VM { return slices.Sorted(slices.Values(nodes))[:k] },
 	})
-	group2(m.state)
+	applyGroupOfTwo(m.state)
 	m.state.Apply(List{At: at(0), Records: []fleet.Record{record("a", fleet.StateLive), record("b", fleet.StateLive)}})
 	nodes := []Node{
 		{Node: fleet.Node{VM: "n2", Incarnation: 1}, Zone: "z", State: NodeAlive},
@@ -77,45 +79,47 @@
 		{Node: fleet.Node{VM: "y2", Incarnation: 1}, Zone: "y", State: NodeDead},
 	}
 	m.state.Apply(Members{Nodes: nodes})
-	g.tell(m.state.Snapshot(at(100)), at(100))
+	g.sendDigests(m.state.Snapshot(at(100)), at(100))
 	is.Equal(out.sent, []string{"n2 view.zone", "y1 view.remote", "n2 view.zone", "y1 view.remote"})
 	out.sent = nil
-	g.tell(m.state.Snapshot(at(200)), at(200))
+	g.sendDigests(m.state.Snapshot(at(200)), at(200))
 	is.Equal(len(out.sent), 0)
-	nodes[0].Incarnation = 2 // restarted: it knows nothing
+	nodes[0].Incarnation = 2 // restarted with empty state
 	m.state.Apply(Members{Nodes: nodes})
-	g.tell(m.state.Snapshot(at(300)), at(300))
+	g.sendDigests(m.state.Snapshot(at(300)), at(300))
 	is.Equal(out.sent, []string{"n2 view.zone"})
 }
 
-// An endpoint is probed by a node that tells nobody, and the others find its
-// group stale. Who watches must be the same question for probing and telling: a
-// suspected or draining node is told like the others but watches nothing.
-func TestTellingFollowsWatching(t *testing.T) {
+// Guards against an endpoint that is probed by a node that does not report it,
+// so that other nodes find its group stale. Probing and reporting must use the
+// same assignment: suspect and draining nodes receive digests but watch
+// nothing.
+func TestDigestsCoverWatchedEndpoints(t *testing.T) {
 	is := is.New(t)
 	clk := clock.NewManual(t0)
 	m := NewMerger(fleet.Node{VM: "n9", Incarnation: 1}, "z", clk)
-	out := &outbox{}
+	out := &recordingSender{}
 	g := NewGossip(GossipOptions{
 		View: m, Clock: clk, Send: out, Log: slog.New(slog.DiscardHandler), Registry: prometheus.NewRegistry(), Watchers: 1,
 		First: func(_ string, nodes []fleet.VM, k int) []fleet.VM { return slices.Sorted(slices.Values(nodes))[:k] },
 	})
 	m.state.Apply(List{At: at(0), Records: []fleet.Record{record("a", fleet.StateLive)}})
-	m.state.Apply(answer("a", "b1", 10))
+	m.state.Apply(probeAnswer("a", "b1", 10))
 	m.state.Apply(Members{Nodes: []Node{
 		{Node: fleet.Node{VM: "n1"}, Zone: "z", State: NodeSuspect},
 		{Node: fleet.Node{VM: "n2"}, Zone: "z", State: NodeAlive, Draining: true},
 	}})
-	g.tell(m.state.Snapshot(at(100)), at(100))
+	g.sendDigests(m.state.Snapshot(at(100)), at(100))
 	is.True(slices.Contains(out.sent, "n1 view.zone"))
 	is.True(slices.Contains(out.sent, "n2 view.zone"))
 }
 
-// pair is two nodes in zones y and z that are stepped by hand.
-func pair(clk *clock.Manual) ([]*mesh, []*Merger) {
+// newNodePair returns two nodes, in zones y and z, that are driven by
+// stepNodes.
+func newNodePair(clk *clock.Manual) ([]*link, []*Merger) {
 	nodes := []fleet.Node{{VM: "n1", Incarnation: 1}, {VM: "n2", Incarnation: 1}}
 	zones := []fleet.AvailabilityZone{"y", "z"}
-	links := []*mesh{{from: nodes[0]}, {from: nodes[1]}}
+	links := []*link{{from: nodes[0]}, {from: nodes[1]}}
 	var mergers []*Merger
 	for i, self := range nodes {
 		m := NewMerger(self, zones[i], clk)
@@ -129,28 +133,28 @@
 	return links, mergers
 }
 
-// stepPair lets both nodes merge and tell, n times, 100 ms apart.
-func stepPair(clk *clock.Manual, links []*mesh, mergers []*Merger, n int) {
+// stepNodes merges and sends digests on both nodes, n times, 100 ms apart.
+func stepNodes(clk *clock.Manual, links []*link, mergers []*Merger, n int) {
 	for range n {
 		clk.Advance(100 * time.Millisecond)
 		for i, m := range mergers {
 			m.merge()
 			m.publish()
-			links[1-i].to.tell(m.Snapshot(), clk.Now())
+			links[1-i].to.sendDigests(m.Snapshot(), clk.Now())
 		}
 	}
 }
 
-// mesh hands what is sent to the gossip of the addressee.
-type mesh struct {
-	from fleet.Node
-	to   *Gossip
-	lose int // that many messages are lost
+// link delivers messages to the recipient's Gossip.
+type link struct {
+	from      fleet.Node
+	to        *Gossip
+	dropCount int // number of messages to drop
 }
 
-func (m *mesh) Send(_ fleet.VM, topic string, payload []byte) error {
-	if m.lose > 0 {
-		m.lose--
+func (m *link) Send(_ fleet.VM, topic string, payload []byte) error {
+	if m.dropCount > 0 {
+		m.dropCount--
 		return nil
 	}
 	if topic == TopicZone {
@@ -161,13 +165,14 @@
 	return nil
 }
 
-// One node probes; the other, which probes nothing, sees the group whole.
+// One node probes; the other, which probes nothing, must see the group as
+// whole.
 func TestGossipBetweenTwoNodes(t *testing.T) {
 	is := is.New(t)
 	nodes := []fleet.Node{{VM: "n1", Incarnation: 1}, {VM: "n2", Incarnation: 1}}
 	var mergers []*Merger
 	var gossips []*Gossip
-	links := []*mesh{{from: nodes[0]}, {from: nodes[1]}}
+	links := []*link{{from: nodes[0]}, {from: nodes[1]}}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 4)
 	clk := clock.Boot{}
@@ -199,7 +204,7 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the other node never saw the group: %+v", s.Groups)
+			t.Fatalf("the other node did not see the group as whole within 30 s: %+v", s.Groups)
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/view/poll.go
+++ b/internal/view/poll.go
@@ -14,28 +14,27 @@
 	VMs(ctx context.Context) ([]fleet.Record, error)
 }
 
-// ListPoller reads the platform's list of VMs into the view.
+// ListPoller reads the platform's list of VMs into the view at an interval.
 type ListPoller struct {
 	List  Lister
 	Clock clock.Clock
 	View  *Merger
 	Log   *slog.Logger
-	// Every is the interval between reads when there are few nodes; default
-	// 1 s. With many nodes it grows, so that all nodes together read at most
-	// listReads times a second.
+	// Every is the interval between reads in a small fleet; default 1 s. It
+	// grows with the number of nodes, so that all nodes together read at most
+	// maxListReadsPerSecond times a second.
 	Every time.Duration
 }
 
-// listReads is the share of the platform's two thousand reads a second that
-// reading the list may use.
-const listReads = 40
+// maxListReadsPerSecond is the fleet's budget for reading the list, out of the
+// platform's 2000 reads a second.
+const maxListReadsPerSecond = 40
 
-// Run polls until ctx ends. A read that fails changes nothing: what was known
-// stays known.
+// Run polls until ctx ends. A failed read leaves the state as it is.
 func (p *ListPoller) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		p.once(ctx)
-		pause(ctx, p.interval())
+		p.pollOnce(ctx)
+		sleep(ctx, p.interval())
 	}
 	return nil
 }
@@ -46,10 +45,10 @@
 		every = time.Second
 	}
 	nodes := len(p.View.Snapshot().Nodes) + 1
-	return max(every, time.Duration(nodes)*time.Second/listReads)
+	return max(every, time.Duration(nodes)*time.Second/maxListReadsPerSecond)
 }
 
-func (p *ListPoller) once(ctx context.Context) {
+func (p *ListPoller) pollOnce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	sent := p.Clock.Now()
--- a/internal/view/snapshot.go
+++ b/internal/view/snapshot.go
@@ -10,17 +10,17 @@
 	"chervilloom/internal/fleet"
 )
 
-// Snapshot builds the belief at now. The result shares nothing that Apply
+// Snapshot returns the state as of now. The result shares nothing that Apply
 // changes.
 func (s *State) Snapshot(now clock.Instant) *Snapshot {
 	snap := &Snapshot{
 		At: now, Self: s.self, Zone: s.zone, Revision: s.revision, Config: s.doc,
-		PlatformSeen: s.platform, ListSeen: s.listAt, Nodes: s.nodes, leavings: s.leavings, missed: s.missed,
+		PlatformSeen: s.platformAnsweredAt, ListSeen: s.listAt, Nodes: s.nodes, leavingMarks: s.leavingMarks, resyncPeers: s.resyncPeers,
 	}
 	snap.VMs = make([]VM, 0, len(s.vms))
 	for _, v := range s.sorted() {
 		snap.VMs = append(snap.VMs, VM{
-			Record: v.record, Listed: v.listed, Unlisted: v.unlisted, Leaving: v.isLeaving(now),
+			Record: v.record, Listed: v.listed, Unlisted: v.unlistedSince, Leaving: v.isLeaving(now),
 			Probe: v.probe, Load: v.load, LoadAt: v.loadAt, Claim: v.claim,
 		})
 	}
@@ -29,15 +29,15 @@
 }
 
 func (s *State) sorted() []*vmState {
-	if s.order != nil {
-		return s.order
+	if s.vmOrder != nil {
+		return s.vmOrder
 	}
-	s.order = make([]*vmState, 0, len(s.vms))
+	s.vmOrder = make([]*vmState, 0, len(s.vms))
 	for _, v := range s.vms {
-		s.order = append(s.order, v)
+		s.vmOrder = append(s.vmOrder, v)
 	}
-	slices.SortFunc(s.order, func(a, b *vmState) int { return cmp.Compare(a.record.VM, b.record.VM) })
-	return s.order
+	slices.SortFunc(s.vmOrder, func(a, b *vmState) int { return cmp.Compare(a.record.VM, b.record.VM) })
+	return s.vmOrder
 }
 
 func (s *State) probeFresh() time.Duration {
@@ -55,7 +55,7 @@
 		}
 	}
 	for _, r := range s.remote {
-		if r.group.Phase != fleet.PhaseDissolved && now.Sub(r.heard) <= remoteForget {
+		if r.group.Phase != fleet.PhaseDissolved && now.Sub(r.heardAt) <= remoteGroupTTL {
 			out = append(out, r.group)
 		}
 	}
@@ -70,13 +70,13 @@
 	for i := range g.group.Members {
 		m := &g.group.Members[i]
 		v := s.vms[m.VM]
-		if why := v.memberFault(&g.group, m, now); why != "" {
-			out.Whole, out.Reason, out.FreshUntil = false, fmt.Sprintf("%s %s", m.VM, why), 0
+		if reason := v.memberFault(&g.group, m, now); reason != "" {
+			out.Whole, out.Reason, out.FreshUntil = false, fmt.Sprintf("%s %s", m.VM, reason), 0
 			break
 		}
 		until := v.probe.Answered.Add(limit)
 		if v.probe.Failing != 0 {
-			until = 0 // unanswered: a dispatch must ask again first
+			until = 0 // the newest probe failed: a dispatch must probe again first
 		}
 		if i == 0 || until < out.FreshUntil {
 			out.FreshUntil = until
@@ -88,16 +88,16 @@
 	}
 	if v := s.vms[g.group.Members[0].VM]; v != nil && v.load.Boot == g.group.Members[0].Boot {
 		out.Load, out.LoadAt = v.load, v.loadAt
-		if v.cached == v.load.Boot {
+		if v.prefixesBoot == v.load.Boot {
 			out.Prefixes = v.prefixes
 		}
 	}
 	return out
 }
 
-// memberFault says why the member keeps its group from being whole; empty when
-// it does not. Boot ids are compared, not addresses: a VM that restarted under
-// its old address answers probes but has lost what it held.
+// memberFault returns why the member prevents its group from being whole, or ""
+// if it does not. It compares boot IDs, not addresses: a VM that restarted
+// under its old address answers probes but has lost its state.
 func (v *vmState) memberFault(g *fleet.Group, m *fleet.Member, now clock.Instant) string {
 	if v == nil || v.probe.Answered == 0 {
 		return "has not answered a probe yet"
@@ -108,7 +108,8 @@
 	return StateFault(g, m, &v.probe.State)
 }
 
-// StateFault compares a member's own report with the generation.
+// StateFault compares a member's own report with its place in the group's
+// generation. It returns the first mismatch, or "" if there is none.
 func StateFault(g *fleet.Group, m *fleet.Member, st *fleet.EngineState) string {
 	switch {
 	case st.Boot != m.Boot:
@@ -117,7 +118,7 @@
 		return "is leaving"
 	case st.Fence > m.Fence:
 		return "follows an order with a newer fence"
-	case st.Fence != 0 && st.Fence < m.Fence: // 0: an engine that keeps no fence
+	case st.Fence != 0 && st.Fence < m.Fence: // 0: the engine does not support fences
 		return "has not got this generation's order"
 	case st.Group != g.ID:
 		return "is not in the group"
--- a/internal/view/state.go
+++ b/internal/view/state.go
@@ -11,77 +11,83 @@
 	"chervilloom/internal/fleet"
 )
 
-// Times of the merged belief.
+// Retention times and limits of the merged state.
 const (
-	// DefaultProbeFresh is the age up to which a probe lets a group serve.
+	// DefaultProbeFresh is the maximum age of the probes of a group that serves
+	// requests.
 	DefaultProbeFresh = 1500 * time.Millisecond
-	// forgetAfter is how long a VM that left the list and answers no probe is
-	// still remembered: longer than the list lags.
+	// forgetAfter is how long a VM is kept after it has left the list and
+	// stopped answering probes. It exceeds the lag of the list.
 	forgetAfter = 10 * time.Minute
-	// listSettle is how long a doubted life counts as leaving after the list has
-	// called it live: longer than the list is behind itself.
-	listSettle = 30 * time.Second
-	// keptBoots is how many leaving lives are remembered for each VM.
-	keptBoots = 4
-	// maxLeavings bounds the leaving lives that are still to be told to peers.
-	maxLeavings = 64
+	// listSettleTime is how long an uncertain boot still counts as leaving
+	// after the list has returned to live. It exceeds the time by which
+	// successive lists can differ in age.
+	listSettleTime = 30 * time.Second
+	// maxLeavingBoots is the number of leaving boots kept for each VM.
+	maxLeavingBoots = 4
+	// maxLeavingMarks bounds the leaving marks that wait to be sent to peers.
+	maxLeavingMarks = 64
 )
 
-// State is the merged belief. It is a pure state machine: Apply changes it,
-// Snapshot reads it. It is not safe for concurrent use.
+// State merges events into the node's knowledge of the fleet. It is a pure
+// state machine: Apply changes it, Snapshot reads it. It is not safe for
+// concurrent use.
 type State struct {
-	self     fleet.Node
-	zone     fleet.AvailabilityZone
-	revision uint64
-	doc      *config.Document
-	listAt   clock.Instant
-	platform clock.Instant
-	vms      map[fleet.VM]*vmState
-	groups   map[fleet.GroupID]*groupState
-	remote   map[fleet.GroupID]*remoteGroup
-	hashes   map[uint32]*vmState // by short hash; nil: to be made again
-	// leavings are the newest lives that this node itself learned to be leaving.
-	leavings []leavingKey
-	// missed holds the peers that spoke of what this node does not know, and when.
-	missed map[fleet.VM]clock.Instant
-	nodes  []Node
-	order  []*vmState // by VM; nil: to be sorted again
+	self               fleet.Node
+	zone               fleet.AvailabilityZone
+	revision           uint64
+	doc                *config.Document
+	listAt             clock.Instant
+	platformAnsweredAt clock.Instant
+	vms                map[fleet.VM]*vmState
+	groups             map[fleet.GroupID]*groupState
+	remote             map[fleet.GroupID]*remoteGroup
+	vmsByHash          map[uint32]*vmState // by short hash; nil: to be rebuilt
+	// leavingMarks are the newest leaving boots that this node detected itself.
+	leavingMarks []leavingKey
+	// resyncPeers holds the peers that referred to state this node lacks, and
+	// when.
+	resyncPeers map[fleet.VM]clock.Instant
+	nodes       []Node
+	vmOrder     []*vmState // by VM; nil: to be sorted again
 }
 
 type vmState struct {
-	record      fleet.Record
-	listed      bool
-	listLeaving bool
-	unlisted    clock.Instant
-	probe       Probe
-	load        fleet.Load
-	loadAt      clock.Instant
-	claim       *Claim
-	// leaving holds the lives that were said to be leaving, oldest first. A
-	// lagging list that calls the VM live again must not bring them back.
-	leaving []fleet.BootID
-	// pending: said to be leaving before any life was known.
-	pending bool
-	// doubted is a life that was first heard of when the list already called the
-	// VM leaving: the list may mean it, or lag and mean the one before. It counts
-	// as leaving while the list says so and until doubtUntil. Marked for good, a
-	// VM that has restarted would never be used again; not doubted at all, a list
-	// that flips back would bring a leaving endpoint back.
-	doubted    fleet.BootID
-	doubtUntil clock.Instant
-	stateHash  uint64 // of probe.State, when hashed
-	hashed     bool
-	cached     fleet.BootID
-	prefixes   map[uint64]struct{}
+	record        fleet.Record
+	listed        bool
+	listLeaving   bool
+	unlistedSince clock.Instant
+	probe         Probe
+	load          fleet.Load
+	loadAt        clock.Instant
+	claim         *Claim
+	// leavingBoots holds the boots marked as leaving, oldest first. A lagging
+	// list that reports the VM as live again must not clear them.
+	leavingBoots []fleet.BootID
+	// pendingLeaving is set when the VM was marked as leaving before any boot
+	// was known.
+	pendingLeaving bool
+	// uncertainBoot is a boot that was first seen while the list already
+	// reported the VM as leaving: the list may refer to it, or lag and refer to
+	// the previous one. It counts as leaving while the list says so and until
+	// uncertainUntil. If it were marked for good, a restarted VM would never be
+	// used again; if it were not marked at all, a list that returns to live
+	// would bring a leaving endpoint back.
+	uncertainBoot  fleet.BootID
+	uncertainUntil clock.Instant
+	stateHash      uint64 // hash of probe.State, valid if hashed
+	hashed         bool
+	prefixesBoot   fleet.BootID
+	prefixes       map[uint64]struct{}
 }
 
 type groupState struct {
-	group   fleet.Group
-	version uint64
-	first   clock.Instant // when the group was first heard of
+	group     fleet.Group
+	version   uint64
+	firstSeen clock.Instant // time of the first event about the group
 }
 
-// NewState returns the belief of a node that knows nothing yet.
+// NewState returns the empty state of a node that has received no events.
 func NewState(self fleet.Node, zone fleet.AvailabilityZone) *State {
 	return &State{
 		self: self, zone: zone,
@@ -91,7 +97,7 @@
 	}
 }
 
-// Apply merges one event and reports whether the belief may have changed.
+// Apply merges an event and reports whether the state may have changed.
 func (s *State) Apply(e Event) bool {
 	switch e := e.(type) {
 	case List:
@@ -99,7 +105,7 @@
 	case Table:
 		return s.applyTable(e)
 	case PlatformAnswered:
-		return s.platformSeen(e.At)
+		return s.recordPlatformAnswer(e.At)
 	case Probed:
 		return s.applyProbed(e)
 	case Loaded:
@@ -114,26 +120,26 @@
 	case Configured:
 		return s.applyConfigured(e)
 	case remoteSummary:
-		return s.applyRemote(e)
-	case unmoved:
-		return s.applyUnmoved(e)
-	case toldProbe:
-		return s.applyTold(e)
-	case toldList:
-		return s.applyToldList(e)
-	case toldOfLoad:
-		return s.applyToldLoad(e)
-	case toldRow:
-		return s.tableGroup(&e.row, e.at)
+		return s.applyRemoteSummary(e)
+	case summaryUpdate:
+		return s.applySummaryUpdate(e)
+	case peerProbe:
+		return s.applyPeerProbe(e)
+	case peerList:
+		return s.applyPeerList(e)
+	case peerLoad:
+		return s.applyPeerLoad(e)
+	case peerGroupRow:
+		return s.mergeGroupRow(&e.row, e.at)
 	}
 	return false
 }
 
-func (s *State) platformSeen(at clock.Instant) bool {
-	if !at.After(s.platform) {
+func (s *State) recordPlatformAnswer(at clock.Instant) bool {
+	if !at.After(s.platformAnsweredAt) {
 		return false
 	}
-	s.platform = at
+	s.platformAnsweredAt = at
 	return true
 }
 
@@ -142,7 +148,7 @@
 	if v == nil {
 		v = &vmState{record: fleet.Record{VM: id}}
 		s.vms[id] = v
-		s.order, s.hashes = nil, nil
+		s.vmOrder, s.vmsByHash = nil, nil
 	}
 	return v
 }
@@ -160,70 +166,70 @@
 		return false
 	}
 	s.listAt = e.At
-	s.platformSeen(e.At)
+	s.recordPlatformAnswer(e.At)
 	present := make(map[fleet.VM]bool, len(e.Records))
 	for _, r := range e.Records {
 		present[r.VM] = true
-		s.listRow(r)
+		s.mergeRecord(r)
 	}
 	for id, v := range s.vms {
 		if present[id] {
 			continue
 		}
-		if v.listed || v.unlisted == 0 {
-			v.listed, v.unlisted = false, e.At
+		if v.listed || v.unlistedSince == 0 {
+			v.listed, v.unlistedSince = false, e.At
 		}
-		if e.At.Sub(max(v.unlisted, v.probe.Answered)) > forgetAfter {
+		if e.At.Sub(max(v.unlistedSince, v.probe.Answered)) > forgetAfter {
 			delete(s.vms, id)
-			s.order, s.hashes = nil, nil
+			s.vmOrder, s.vmsByHash = nil, nil
 		}
 	}
 	return true
 }
 
-func (s *State) listRow(r fleet.Record) {
+func (s *State) mergeRecord(r fleet.Record) {
 	v := s.vm(r.VM)
 	v.record = r
-	v.listed, v.unlisted = true, 0
+	v.listed, v.unlistedSince = true, 0
 	leaving := r.State == fleet.StateLeaving
-	// Only the change from live to leaving marks a life for good: while the
-	// list lags, a VM that has already restarted is still called leaving, and
-	// its new life must be usable once the list has caught up.
+	// Only the transition from live to leaving marks a boot for good: while the
+	// list lags, it still reports a restarted VM as leaving, and the new boot
+	// must be usable once the list has caught up.
 	boot := v.probe.State.Boot
 	switch {
 	case leaving && !v.listLeaving && boot != "":
-		s.mark(v, boot, "")
-	case !leaving && v.listLeaving && v.doubted == boot:
-		v.doubtUntil = s.listAt.Add(listSettle)
+		s.markLeaving(v, boot, "")
+	case !leaving && v.listLeaving && v.uncertainBoot == boot:
+		v.uncertainUntil = s.listAt.Add(listSettleTime)
 	}
 	v.listLeaving = leaving
 }
 
 func (v *vmState) markLeaving(boot fleet.BootID) bool {
 	if boot == "" {
-		changed := !v.pending
-		v.pending = true
+		changed := !v.pendingLeaving
+		v.pendingLeaving = true
 		return changed
 	}
-	if slices.Contains(v.leaving, boot) {
+	if slices.Contains(v.leavingBoots, boot) {
 		return false
 	}
-	if len(v.leaving) == keptBoots {
-		v.leaving = slices.Delete(v.leaving, 0, 1)
+	if len(v.leavingBoots) == maxLeavingBoots {
+		v.leavingBoots = slices.Delete(v.leavingBoots, 0, 1)
 	}
-	v.leaving = append(v.leaving, boot)
+	v.leavingBoots = append(v.leavingBoots, boot)
 	return true
 }
 
 func (v *vmState) isLeaving(now clock.Instant) bool {
-	if v.listLeaving || v.pending {
+	if v.listLeaving || v.pendingLeaving {
 		return true
 	}
 	boot := v.probe.State.Boot
-	if boot == v.doubted && now.Before(v.doubtUntil) {
+	if boot == v.uncertainBoot && now.Before(v.uncertainUntil) {
 		return true
 	}
-	return boot != "" && slices.Contains(v.leaving, boot)
+	return boot != "" && slices.Contains(v.leavingBoots, boot)
 }
 
 func (s *State) applyLeaving(e MarkLeaving) bool {
@@ -232,40 +238,41 @@
 	if boot == "" {
 		boot = v.probe.State.Boot
 	}
-	return s.mark(v, boot, e.From)
+	return s.markLeaving(v, boot, e.From)
 }
 
-// mark notes a leaving life. What this node learned itself is told to the peers;
-// what a peer told is not told again, or each mark would go round all nodes.
-func (s *State) mark(v *vmState, boot fleet.BootID, from fleet.VM) bool {
+// markLeaving marks a boot as leaving. Marks that this node detected itself are
+// queued for its peers; marks received from a peer are not forwarded, or each
+// would circulate among all nodes.
+func (s *State) markLeaving(v *vmState, boot fleet.BootID, from fleet.VM) bool {
 	changed := v.markLeaving(boot)
 	if changed && from == "" && boot != "" {
-		s.leavings = append(slices.Clone(s.leavings), leavingKey{v.record.VM, boot})
-		s.leavings = s.leavings[max(0, len(s.leavings)-maxLeavings):]
+		s.leavingMarks = append(slices.Clone(s.leavingMarks), leavingKey{v.record.VM, boot})
+		s.leavingMarks = s.leavingMarks[max(0, len(s.leavingMarks)-maxLeavingMarks):]
 	}
 	return changed
 }
 
 func (s *State) applyTable(e Table) bool {
-	s.platformSeen(e.At)
+	s.recordPlatformAnswer(e.At)
 	for i := range e.VMs {
-		s.tableVM(&e.VMs[i])
+		s.mergeClaim(&e.VMs[i])
 	}
 	listed := make(map[fleet.GroupID]bool, len(e.Groups))
 	for i := range e.Groups {
 		listed[e.Groups[i].Group.ID] = true
-		s.tableGroup(&e.Groups[i], e.At)
+		s.mergeGroupRow(&e.Groups[i], e.At)
 	}
 	if e.Complete {
-		// A group that was heard of after the read began may be newer than it.
+		// A group first seen after the read began may be newer than the read.
 		maps.DeleteFunc(s.groups, func(id fleet.GroupID, g *groupState) bool {
-			return g.group.Zone == e.Zone && !listed[id] && g.first.Before(e.At)
+			return g.group.Zone == e.Zone && !listed[id] && g.firstSeen.Before(e.At)
 		})
 	}
 	return true
 }
 
-func (s *State) tableVM(r *TableVM) {
+func (s *State) mergeClaim(r *TableVM) {
 	v := s.vm(r.VM)
 	if v.claim == nil || r.Claim.Version >= v.claim.Version {
 		c := r.Claim
@@ -273,14 +280,14 @@
 	}
 }
 
-func (s *State) tableGroup(r *TableGroup, at clock.Instant) bool {
+func (s *State) mergeGroupRow(r *TableGroup, at clock.Instant) bool {
 	g := s.groups[r.Group.ID]
 	if g != nil && g.version >= r.Version {
 		return false
 	}
 	first := at
 	if g != nil {
-		first = g.first
+		first = g.firstSeen
 	}
 	s.groups[r.Group.ID] = &groupState{r.Group, r.Version, first}
 	return true
@@ -290,34 +297,35 @@
 	v := s.vm(e.VM)
 	p := &v.probe
 	if !e.Answered {
-		// Another watcher's newer answer outweighs this node's failure.
+		// A newer answer to another watcher overrides this node's failed probe.
 		if !e.Sent.After(p.Answered) {
 			return false
 		}
-		p.fail(e.Failing, e.Failures)
+		p.recordFailure(e.Failing, e.Failures)
 		return true
 	}
 	if !e.Sent.After(p.Answered) {
 		return false
 	}
 	if p.State.Boot == "" && v.listLeaving {
-		v.doubted = e.State.Boot
+		v.uncertainBoot = e.State.Boot
 	}
 	v.hashed = false
 	*p = Probe{State: e.State, Answered: e.Sent, RTT: e.RTT}
-	if v.pending && e.State.Boot != "" {
-		v.pending = false
-		s.mark(v, e.State.Boot, e.From)
+	if v.pendingLeaving && e.State.Boot != "" {
+		v.pendingLeaving = false
+		s.markLeaving(v, e.State.Boot, e.From)
 	}
 	if e.State.Leaving {
-		s.mark(v, e.State.Boot, e.From)
+		s.markLeaving(v, e.State.Boot, e.From)
 	}
 	return true
 }
 
-// fail notes that probes have failed since an instant, failures in a row as the
-// watcher counts them. Two watchers' failures are not added up.
-func (p *Probe) fail(since clock.Instant, failures int) {
+// recordFailure records that probes have failed since the given time, with one
+// watcher's count of consecutive failures. The counts of several watchers are
+// not added up.
+func (p *Probe) recordFailure(since clock.Instant, failures int) {
 	since = max(since, p.Answered)
 	if p.Failing == 0 || since < p.Failing {
 		p.Failing = since
@@ -333,7 +341,7 @@
 	}
 	at := e.At.Add(-time.Duration(e.Load.AgeMillis) * time.Millisecond)
 	if same && e.Load.Sequence == v.load.Sequence {
-		return v.sameLoad(at)
+		return v.refreshLoad(at)
 	}
 	if !same && at.Before(v.loadAt) {
 		return false
@@ -342,10 +350,10 @@
 	return true
 }
 
-// sameLoad notes that the load was still the same at an instant. Without it the
-// load of an endpoint that nobody asks anything would look ever older, and a
-// drain that waits for word from after its beginning would never end.
-func (v *vmState) sameLoad(at clock.Instant) bool {
+// refreshLoad records that the load was unchanged at the given time. Otherwise
+// the load of an idle endpoint would appear to age, and a drain that waits for
+// a report newer than its start would never end.
+func (v *vmState) refreshLoad(at clock.Instant) bool {
 	if !at.After(v.loadAt) {
 		return false
 	}
@@ -355,6 +363,6 @@
 
 func (s *State) applyCached(e Cached) bool {
 	v := s.vm(e.VM)
-	v.cached, v.prefixes = e.Boot, e.Prefixes
+	v.prefixesBoot, v.prefixes = e.Boot, e.Prefixes
 	return true
 }
--- a/internal/view/state_test.go
+++ b/internal/view/state_test.go
@@ -15,8 +15,8 @@
 	"chervilloom/internal/fleet"
 )
 
-// TestMain gives the properties a fixed seed, so that a run has the same verdict
-// each time; -rapid.seed=N explores others.
+// TestMain fixes the seed of the property tests, so that runs are reproducible;
+// -rapid.seed=N selects another.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
@@ -37,17 +37,17 @@
 	return fleet.Record{VM: vm, Kind: fleet.KindEngine, Addr: string(vm) + ":1", Zone: "z", Domain: "d", State: state}
 }
 
-func answer(vm fleet.VM, boot fleet.BootID, ms int) Probed {
+func probeAnswer(vm fleet.VM, boot fleet.BootID, ms int) Probed {
 	return Probed{VM: vm, Sent: at(ms), RTT: time.Millisecond, Answered: true, State: fleet.EngineState{VM: vm, Boot: boot}}
 }
 
-func only(s *State, ms int) VM { return s.Snapshot(at(ms)).VMs[0] }
+func firstVM(s *State, ms int) VM { return s.Snapshot(at(ms)).VMs[0] }
 
-// An endpoint that is leaving gets work again. The platform's list lags: after
-// the endpoint itself said that it leaves, an older list calls it live. Leaving
-// stays for that life, whoever says what, until a new life answers.
-func TestLeavingIsStickyForALife(t *testing.T) {
-	for name, say := range map[string]Event{
+// Guards against a leaving endpoint that gets requests again: after it has
+// reported that it is leaving, a lagging platform list still says live. The
+// mark must stay for that boot, whatever its source, until a new boot answers.
+func TestLeavingIsStickyForABoot(t *testing.T) {
+	for name, mark := range map[string]Event{
 		"the endpoint":              Probed{VM: "a", Sent: at(20), Answered: true, State: fleet.EngineState{VM: "a", Boot: "b1", Leaving: true}},
 		"the list":                  List{At: at(20), Records: []fleet.Record{record("a", fleet.StateLeaving)}},
 		"an operator":               MarkLeaving{VM: "a", Boot: "b1"},
@@ -58,70 +58,71 @@
 			is := is.New(t)
 			s := newState()
 			s.Apply(List{At: at(0), Records: []fleet.Record{record("a", fleet.StateLive)}})
-			s.Apply(answer("a", "b1", 10))
-			is.True(!only(s, 10).Leaving)
-			s.Apply(say)
-			is.True(only(s, 20).Leaving)
+			s.Apply(probeAnswer("a", "b1", 10))
+			is.True(!firstVM(s, 10).Leaving)
+			s.Apply(mark)
+			is.True(firstVM(s, 20).Leaving)
 			s.Apply(List{At: at(30), Records: []fleet.Record{record("a", fleet.StateLive)}})
-			s.Apply(answer("a", "b1", 40))
-			is.True(only(s, 40).Leaving)
-			s.Apply(answer("a", "b2", 50))
-			is.True(!only(s, 50).Leaving)
-			s.Apply(answer("a", "b1", 45)) // came late
-			is.True(!only(s, 50).Leaving)
+			s.Apply(probeAnswer("a", "b1", 40))
+			is.True(firstVM(s, 40).Leaving)
+			s.Apply(probeAnswer("a", "b2", 50))
+			is.True(!firstVM(s, 50).Leaving)
+			s.Apply(probeAnswer("a", "b1", 45)) // delivered late
+			is.True(!firstVM(s, 50).Leaving)
 		})
 	}
 }
 
-// A VM that has restarted is never used again. The list still calls it leaving
-// when its new life answers; once the list has caught up, the new life must be
-// free of the mark.
-func TestALaggingListDoesNotMarkTheNewLife(t *testing.T) {
+// Guards against a restarted VM that is never used again: the list still says
+// leaving when the new boot answers. Once the list has caught up, the new boot
+// must not be marked.
+func TestLaggingListDoesNotMarkNewBoot(t *testing.T) {
 	is := is.New(t)
 	s := newState()
-	s.Apply(answer("a", "b1", 0))
+	s.Apply(probeAnswer("a", "b1", 0))
 	s.Apply(List{At: at(10), Records: []fleet.Record{record("a", fleet.StateLeaving)}})
-	s.Apply(answer("a", "b2", 20))
-	is.True(only(s, 20).Leaving) // the list takes away as long as it says so
+	s.Apply(probeAnswer("a", "b2", 20))
+	is.True(firstVM(s, 20).Leaving) // leaving for as long as the list says so
 	s.Apply(List{At: at(30), Records: []fleet.Record{record("a", fleet.StateLeaving)}})
 	s.Apply(List{At: at(40), Records: []fleet.Record{record("a", fleet.StateLive)}})
-	is.True(!only(s, 40).Leaving)
+	is.True(!firstVM(s, 40).Leaving)
 }
 
-// A VM that has restarted is never used again by a node that has just started.
-// The list called the VM leaving before the node had heard of any life of it.
-// When the first life answers, the list may mean it, or lag and mean the one
-// before: the life is not used until the list has called it live for a while.
-func TestListedLeavingBeforeAnyLifeIsKnown(t *testing.T) {
+// Guards against a restarted VM that is never used by a node that has just
+// started. The list said leaving before the node knew any boot of the VM. When
+// the first boot answers, the list may refer to it, or lag and refer to the
+// previous one: the boot must not be used until the list has said live for
+// listSettleTime.
+func TestListedLeavingBeforeAnyBootIsKnown(t *testing.T) {
 	is := is.New(t)
 	s := newState()
 	s.Apply(List{At: at(0), Records: []fleet.Record{record("a", fleet.StateLeaving)}})
-	is.True(only(s, 0).Leaving)
-	s.Apply(answer("a", "b1", 10))
-	is.True(only(s, 10).Leaving)
+	is.True(firstVM(s, 0).Leaving)
+	s.Apply(probeAnswer("a", "b1", 10))
+	is.True(firstVM(s, 10).Leaving)
 	s.Apply(List{At: at(20), Records: []fleet.Record{record("a", fleet.StateLive)}})
-	is.True(only(s, 30).Leaving)
-	is.True(s.Snapshot(at(19).Add(listSettle)).VMs[0].Leaving)
-	is.True(!s.Snapshot(at(20).Add(listSettle)).VMs[0].Leaving)
+	is.True(firstVM(s, 30).Leaving)
+	is.True(s.Snapshot(at(19).Add(listSettleTime)).VMs[0].Leaving)
+	is.True(!s.Snapshot(at(20).Add(listSettleTime)).VMs[0].Leaving)
 
 	s = newState() // the list has caught up before the first answer
 	s.Apply(List{At: at(0), Records: []fleet.Record{record("a", fleet.StateLeaving)}})
 	s.Apply(List{At: at(10), Records: []fleet.Record{record("a", fleet.StateLive)}})
-	s.Apply(answer("a", "b1", 20))
-	is.True(!only(s, 20).Leaving)
+	s.Apply(probeAnswer("a", "b1", 20))
+	is.True(!firstVM(s, 20).Leaving)
 }
 
-func TestLeavingBeforeAnyLifeIsKnown(t *testing.T) {
+func TestMarkedLeavingBeforeAnyBootIsKnown(t *testing.T) {
 	is := is.New(t)
 	s := newState()
 	s.Apply(MarkLeaving{VM: "a"})
-	s.Apply(answer("a", "b1", 10))
-	is.True(only(s, 10).Leaving)
-	s.Apply(answer("a", "b2", 20))
-	is.True(!only(s, 20).Leaving)
+	s.Apply(probeAnswer("a", "b1", 10))
+	is.True(firstVM(s, 10).Leaving)
+	s.Apply(probeAnswer("a", "b2", 20))
+	is.True(!firstVM(s, 20).Leaving)
 }
 
-func TestProbesMerge(t *testing.T) {
+func TestMergeProbes(t *testing.T) {
 	fail := func(from fleet.VM, since, sent, n int) Probed {
 		return Probed{VM: "a", From: from, Sent: at(sent), Failing: at(since), Failures: n}
 	}
@@ -131,12 +132,12 @@
 		failing  int // 0: not failing
 		failures int
 	}{
-		"newest answer":                          {[]Event{answer("a", "b", 10), answer("a", "b", 30), answer("a", "b", 20)}, 30, 0, 0},
-		"failure after an answer":                {[]Event{answer("a", "b", 10), fail("", 20, 20, 1)}, 10, 20, 1},
-		"failure before the newest answer":       {[]Event{answer("a", "b", 30), fail("", 20, 20, 1)}, 30, 0, 0},
-		"answer after failures":                  {[]Event{fail("", 10, 20, 5), answer("a", "b", 30)}, 30, 0, 0},
-		"one watcher fails, the other's answers": {[]Event{fail("", 10, 10, 1), answer("a", "b", 15), fail("", 10, 20, 2)}, 15, 15, 2},
-		"two watchers' failures are not summed":  {[]Event{answer("a", "b", 5), fail("", 10, 10, 1), fail("n2", 12, 12, 1)}, 5, 10, 1},
+		"newest answer":                          {[]Event{probeAnswer("a", "b", 10), probeAnswer("a", "b", 30), probeAnswer("a", "b", 20)}, 30, 0, 0},
+		"failure after an answer":                {[]Event{probeAnswer("a", "b", 10), fail("", 20, 20, 1)}, 10, 20, 1},
+		"failure before the newest answer":       {[]Event{probeAnswer("a", "b", 30), fail("", 20, 20, 1)}, 30, 0, 0},
+		"answer after failures":                  {[]Event{fail("", 10, 20, 5), probeAnswer("a", "b", 30)}, 30, 0, 0},
+		"one watcher fails, the other's answers": {[]Event{fail("", 10, 10, 1), probeAnswer("a", "b", 15), fail("", 10, 20, 2)}, 15, 15, 2},
+		"two watchers' failures are not summed":  {[]Event{probeAnswer("a", "b", 5), fail("", 10, 10, 1), fail("n2", 12, 12, 1)}, 5, 10, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -144,7 +145,7 @@
 			for _, e := range c.events {
 				s.Apply(e)
 			}
-			p := only(s, 100).Probe
+			p := firstVM(s, 100).Probe
 			is.Equal(p.Answered, at(c.answered))
 			is.Equal(p.Failures, c.failures)
 			if c.failing == 0 {
@@ -156,24 +157,25 @@
 	}
 }
 
-func TestLoadsMerge(t *testing.T) {
+func TestMergeLoads(t *testing.T) {
 	is := is.New(t)
 	s := newState()
 	load := func(boot fleet.BootID, seq uint64, running int, ms int) Loaded {
 		return Loaded{At: at(ms), Load: fleet.Load{VM: "a", Boot: boot, Sequence: seq, Running: running, AgeMillis: 5}}
 	}
 	s.Apply(load("b1", 7, 3, 10))
-	s.Apply(load("b1", 6, 9, 20)) // overtaken on its way
-	is.Equal(only(s, 20).Load.Running, 3)
-	is.Equal(only(s, 20).LoadAt, at(5))
-	s.Apply(load("b2", 1, 1, 30)) // a new life counts from the start
-	is.Equal(only(s, 30).Load.Running, 1)
-	s.Apply(load("b1", 8, 9, 25)) // the old life's last words come late
-	is.Equal(only(s, 30).Load.Running, 1)
+	s.Apply(load("b1", 6, 9, 20)) // delivered out of order
+	is.Equal(firstVM(s, 20).Load.Running, 3)
+	is.Equal(firstVM(s, 20).LoadAt, at(5))
+	s.Apply(load("b2", 1, 1, 30)) // the sequence restarts with the boot
+	is.Equal(firstVM(s, 30).Load.Running, 1)
+	s.Apply(load("b1", 8, 9, 25)) // a late report of the earlier boot
+	is.Equal(firstVM(s, 30).Load.Running, 1)
 }
 
-// group2 is a group of two with members that report it.
-func group2(s *State) fleet.Group {
+// applyGroupOfTwo applies a group of two members, with a matching probe for
+// each.
+func applyGroupOfTwo(s *State) fleet.Group {
 	g := fleet.Group{ID: "z.g", Generation: 4, Phase: fleet.PhaseServing, Zone: "z", Members: []fleet.Member{
 		{VM: "a", Boot: "b1", Rank: 0, Fence: 3}, {VM: "b", Boot: "b1", Rank: 1, Fence: 5},
 	}}
@@ -188,10 +190,10 @@
 	return fleet.EngineState{VM: m.VM, Boot: m.Boot, Fence: m.Fence, Group: g.ID, Generation: g.Generation, Rank: m.Rank, Loaded: true}
 }
 
-// A request reaches a group of which a member is missing. Whatever differs in
-// the newest word of one member (its life, place, fence, weights, or that it is
-// leaving) takes the group out of service.
-func TestWholeNeedsEveryMember(t *testing.T) {
+// Guards against requests to a group with a missing member. Any mismatch in the
+// newest probe of one member (boot, group, rank, fence, loaded model, leaving)
+// must take the group out of service.
+func TestWholeRequiresEveryMember(t *testing.T) {
 	change := func(f func(*fleet.EngineState)) func(*State, fleet.Group) {
 		return func(s *State, g fleet.Group) {
 			st := inGroup(&g, &g.Members[1])
@@ -213,7 +215,7 @@
 		"newer fence":      {change(func(st *fleet.EngineState) { st.Fence = 6 }), false, 0},
 		"older fence":      {change(func(st *fleet.EngineState) { st.Fence = 4 }), false, 0},
 		"keeps no fence":   {change(func(st *fleet.EngineState) { st.Fence = 0 }), true, 10 + 1500},
-		"says it leaves":   {change(func(st *fleet.EngineState) { st.Leaving = true }), false, 0},
+		"reports leaving":  {change(func(st *fleet.EngineState) { st.Leaving = true }), false, 0},
 		"marked":           {func(s *State, _ fleet.Group) { s.Apply(MarkLeaving{VM: "b", Boot: "b1"}) }, false, 0},
 		"unanswered": {func(s *State, _ fleet.Group) {
 			s.Apply(Probed{VM: "b", Sent: at(50), Failing: at(50), Failures: 1})
@@ -228,7 +230,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := newState()
-			g := group2(s)
+			g := applyGroupOfTwo(s)
 			c.event(s, g)
 			got := s.Snapshot(at(100)).Groups[0]
 			is.Equal(got.Whole, c.whole)
@@ -242,18 +244,18 @@
 	}
 }
 
-func TestGroupRows(t *testing.T) {
+func TestMergeGroupRows(t *testing.T) {
 	is := is.New(t)
 	s := newState()
-	g := group2(s)
+	g := applyGroupOfTwo(s)
 	older := g
 	older.Generation = 3
 	s.Apply(Table{At: at(60), Groups: []TableGroup{{Group: older, Version: 1}}})
-	is.Equal(s.Snapshot(at(60)).Groups[0].Generation, fleet.Generation(4)) // the newest version stays
+	is.Equal(s.Snapshot(at(60)).Groups[0].Generation, fleet.Generation(4)) // the newest version is kept
 	fresh := fleet.Group{ID: "z.new", Generation: 1, Phase: fleet.PhaseForming, Zone: "z"}
-	s.Apply(toldRow{from: "n2", at: at(70), row: TableGroup{Group: fresh, Version: 1}})
+	s.Apply(peerGroupRow{from: "n2", at: at(70), row: TableGroup{Group: fresh, Version: 1}})
 	s.Apply(Table{At: at(65), Groups: []TableGroup{{Group: g, Version: 2}}, Complete: true, Zone: "z"})
-	is.Equal(len(s.Snapshot(at(80)).Groups), 2) // the read began before the group was told of
+	is.Equal(len(s.Snapshot(at(80)).Groups), 2) // the read began before the group was first seen
 	s.Apply(Table{At: at(90), Complete: true, Zone: "z"})
 	is.Equal(len(s.Snapshot(at(90)).Groups), 0) // deleted
 }
@@ -272,7 +274,7 @@
 	is.Equal(vms[0].Unlisted, at(10))
 }
 
-func TestRevisionNeverGoesBack(t *testing.T) {
+func TestRevisionNeverDecreases(t *testing.T) {
 	is := is.New(t)
 	s := newState()
 	s.Apply(Configured{Revision: 5, Document: &config.Document{Version: 1}})
@@ -280,18 +282,18 @@
 	is.Equal(s.Snapshot(t0).Revision, uint64(5))
 }
 
-// A snapshot that a request holds must not change under it.
-func TestSnapshotsAreNotChangedByLaterEvents(t *testing.T) {
+// A snapshot in use by a request must not change.
+func TestSnapshotsAreImmutable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newState()
-		group2(s)
+		applyGroupOfTwo(s)
 		before := s.Snapshot(at(100))
 		kept := s.Snapshot(at(100))
 		for i := range rapid.IntRange(1, 20).Draw(t, "events") {
 			vm := rapid.SampledFrom([]fleet.VM{"a", "b", "c"}).Draw(t, "vm")
 			switch rapid.IntRange(0, 4).Draw(t, "kind") {
 			case 0:
-				s.Apply(answer(vm, "b9", 200+i))
+				s.Apply(probeAnswer(vm, "b9", 200+i))
 			case 1:
 				s.Apply(MarkLeaving{VM: vm, Boot: "b1"})
 			case 2:
@@ -303,13 +305,13 @@
 			}
 			s.Snapshot(at(300 + i))
 		}
-		if !sameSnapshot(before, kept) {
-			t.Fatal("an older snapshot has changed")
+		if !snapshotsEqual(before, kept) {
+			t.Fatal("an earlier snapshot has changed")
 		}
 	})
 }
 
-func sameSnapshot(a, b *Snapshot) bool {
+func snapshotsEqual(a, b *Snapshot) bool {
 	if len(a.VMs) != len(b.VMs) || len(a.Groups) != len(b.Groups) {
 		return false
 	}
@@ -322,14 +324,15 @@
 	return a.Groups[0].Whole == b.Groups[0].Whole
 }
 
-// The goroutine merges what was put, keeps the newest of a subject and publishes.
+// The merger keeps the newest event of a subject, merges it and publishes a
+// snapshot.
 func TestMergerPublishes(t *testing.T) {
 	is := is.New(t)
 	m := NewMerger(fleet.Node{VM: "n1"}, "z", clock.NewManual(t0))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
-	m.Put(answer("a", "b1", 10))
-	m.Put(answer("a", "b2", 20))
+	m.Put(probeAnswer("a", "b1", 10))
+	m.Put(probeAnswer("a", "b2", 20))
 	go func() { done <- m.Run(ctx) }()
 	<-m.Changed()
 	is.Equal(m.Snapshot().VMs[0].Probe.State.Boot, fleet.BootID("b2"))
@@ -337,16 +340,16 @@
 	is.NoErr(<-done)
 }
 
-// A member is drained while nobody asks its group anything: the load stays the
-// same, report after report. The drain waits for word from after its beginning,
-// so each report that says the same again has to count as newer word.
-func TestUnchangedLoadIsNotOld(t *testing.T) {
+// Guards against a drain that never ends. The load of an idle member stays the
+// same in report after report, and the drain waits for a report newer than its
+// start, so each unchanged report must refresh the load's time.
+func TestUnchangedLoadReportRefreshesLoadTime(t *testing.T) {
 	is := is.New(t)
 	s := newState()
 	report := fleet.Load{VM: "a", Boot: "b1", Sequence: 7}
 	s.Apply(Loaded{At: at(10), Load: report})
 	s.Apply(Loaded{At: at(900), Load: report})
-	is.Equal(only(s, 900).LoadAt, at(900))
-	s.Apply(Loaded{At: at(500), Load: report}) // overtaken on its way
-	is.Equal(only(s, 900).LoadAt, at(900))
+	is.Equal(firstVM(s, 900).LoadAt, at(900))
+	s.Apply(Loaded{At: at(500), Load: report}) // delivered out of order
+	is.Equal(firstVM(s, 900).LoadAt, at(900))
 }
--- a/internal/view/teller.go
+++ b/internal/view/teller.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// refreshEvery is how often a fact that did not change is told whole, for
-	// nodes that missed it.
-	refreshEvery = 30 * time.Second
-	// loadRefresh is the same for a load.
-	loadRefresh = 2 * time.Second
-	// leavingTellings is how often a leaving endpoint is told by the node that
-	// learned of it: messages may be lost.
-	leavingTellings = 3
-	// maxFacts bounds what goes into one message.
-	maxFacts = 256
+	// refreshInterval is the interval at which an unchanged item is sent in
+	// full, for nodes that missed it.
+	refreshInterval = 30 * time.Second
+	// loadRefreshInterval is the same for an unchanged load.
+	loadRefreshInterval = 2 * time.Second
+	// maxLeavingSends is how often the node that detected a leaving endpoint
+	// sends the mark: messages may be lost.
+	maxLeavingSends = 3
+	// maxItemsPerDigest bounds each list in a digest.
+	maxItemsPerDigest = 256
 )
 
-// Teller decides what a node tells its peers. It is a pure state machine, not
-// safe for concurrent use; one tells the nodes of the own zone, another those
-// of other zones.
+// Teller decides what a node sends to its peers. It is a pure state machine,
+// not safe for concurrent use. A node uses one for the peers of its own zone
+// and another for those of other zones.
 type Teller struct {
-	born   clock.Instant
-	due    clock.Instant // of the next regular digest
-	facts  map[fleet.VM]told
-	loads  map[fleet.VM]toldLoad
-	rows   map[fleet.GroupID]told
-	marks  map[leavingKey]int
-	remote bool
+	startedAt    clock.Instant
+	nextRegular  clock.Instant // of the next regular digest
+	endpoints    map[fleet.VM]sentItem
+	loads        map[fleet.VM]sentLoad
+	rows         map[fleet.GroupID]sentItem
+	leavingSends map[leavingKey]int
+	remote       bool
 }
 
-// told is what was last told whole of a subject.
-type told struct {
+// sentItem is the hash and time of the last full send of a subject.
+type sentItem struct {
 	hash uint64
 	at   clock.Instant
 }
 
-type toldLoad struct {
+type sentLoad struct {
 	load fleet.Load
 	at   clock.Instant
 }
@@ -49,52 +49,54 @@
 	boot fleet.BootID
 }
 
-// Duties says which subjects a node tells of.
+// Duties determines which subjects a node reports on.
 type Duties interface {
-	// Watches reports whether this node is one of those that watch the subject,
+	// Watches reports whether this node is one of the watchers of the subject,
 	// a VM or a group of its zone.
 	Watches(subject string) bool
-	// Leads reports whether this node comes first among them. It alone tells
-	// other zones, which decide nothing on their own freshness.
+	// Leads reports whether this node is the first of the subject's watchers.
+	// Only the first reports to other zones: they decide nothing on the
+	// freshness of its reports alone.
 	Leads(subject string) bool
 	// Holds reports whether this node holds the lease of its zone's groups.
 	Holds() bool
 }
 
-// NewTeller returns a teller for the own zone's nodes or for those of others.
+// NewTeller returns a Teller for the peers of other zones if remote is set,
+// else for those of the own zone.
 func NewTeller(remote bool, now clock.Instant) *Teller {
 	return &Teller{
-		born: now, remote: remote,
-		facts: map[fleet.VM]told{}, loads: map[fleet.VM]toldLoad{},
-		rows: map[fleet.GroupID]told{}, marks: map[leavingKey]int{},
+		startedAt: now, remote: remote,
+		endpoints: map[fleet.VM]sentItem{}, loads: map[fleet.VM]sentLoad{},
+		rows: map[fleet.GroupID]sentItem{}, leavingSends: map[leavingKey]int{},
 	}
 }
 
-// Next returns the messages to send now: what changed, and once every interval
-// the ages of what did not. Most calls return nothing.
+// Next returns the messages to send now: changes at once, and once per interval
+// the ages of what is unchanged. Most calls return nothing.
 func (t *Teller) Next(s *Snapshot, d Duties, now clock.Instant, every time.Duration) [][]byte {
-	regular := !now.Before(t.due)
+	regular := !now.Before(t.nextRegular)
 	b := &digestBuilder{t: t, now: now, regular: regular}
 	if regular {
-		t.due = now.Add(every)
+		t.nextRegular = now.Add(every)
 	}
 	if t.remote {
-		b.summaries(s, d)
+		b.addSummaries(s, d)
 	} else {
-		b.groupRows(s, d)
+		b.addGroupRows(s, d)
 	}
-	b.endpoints(s, d)
-	b.leavings(s)
+	b.addEndpoints(s, d)
+	b.addLeavingMarks(s)
 	return b.messages()
 }
 
-// All returns everything that this node watches, for a peer that is new.
+// All returns the full state of what this node watches, for a new peer.
 func (t *Teller) All(s *Snapshot, d Duties, now clock.Instant) [][]byte {
-	fresh := NewTeller(t.remote, t.born)
+	fresh := NewTeller(t.remote, t.startedAt)
 	return fresh.Next(s, d, now, time.Second)
 }
 
-// digestBuilder collects one round.
+// digestBuilder collects the contents of one round of digests.
 type digestBuilder struct {
 	t       *Teller
 	now     clock.Instant
@@ -102,9 +104,9 @@
 	out     digest
 }
 
-// endpoints tells of watched VMs: engines and services to the own zone, services
-// alone to others, which reach engines through their groups.
-func (b *digestBuilder) endpoints(s *Snapshot, d Duties) {
+// addEndpoints adds the watched VMs: engines and services for the own zone, but
+// only services for other zones, which reach engines through their groups.
+func (b *digestBuilder) addEndpoints(s *Snapshot, d Duties) {
 	for i := range s.VMs {
 		v := &s.VMs[i]
 		r := &v.Record
@@ -114,59 +116,60 @@
 		if !d.Watches(string(r.VM)) || b.t.remote && !d.Leads(string(r.VM)) {
 			continue
 		}
-		b.endpoint(v)
+		b.addEndpointOrUpdate(v)
 		if b.regular {
-			b.load(v)
+			b.addLoad(v)
 		}
 	}
 }
 
-func (b *digestBuilder) endpoint(v *VM) {
+func (b *digestBuilder) addEndpointOrUpdate(v *VM) {
 	vm := v.Record.VM
 	p := &v.Probe
-	hash := stateHash(&p.State) ^ uint64(bit(v.Leaving)) ^ uint64(bit(p.Failing != 0))<<1
-	last, known := b.t.facts[vm]
-	if !known || last.hash != hash || b.regular && b.now.Sub(last.at) >= refreshEvery {
-		b.t.facts[vm] = told{hash, b.now}
-		b.fact(v)
+	hash := stateHash(&p.State) ^ uint64(boolBit(v.Leaving)) ^ uint64(boolBit(p.Failing != 0))<<1
+	last, known := b.t.endpoints[vm]
+	if !known || last.hash != hash || b.regular && b.now.Sub(last.at) >= refreshInterval {
+		b.t.endpoints[vm] = sentItem{hash, b.now}
+		b.addEndpoint(v)
 	} else if b.regular && p.Failing == 0 && p.Answered != 0 {
-		b.out.Same = append(b.out.Same, wireSame{VM: shortHash(string(vm)), Hash: stateHash(&p.State), Age: millis(b.now, p.Answered)})
+		b.out.Unchanged = append(b.out.Unchanged, wireUnchanged{VM: shortHash(string(vm)), Hash: stateHash(&p.State), Age: ageMillis(b.now, p.Answered)})
 	}
 	if p.Failing != 0 && (b.regular || !known || last.hash != hash) {
-		b.out.Failing = append(b.out.Failing, wireFailing{VM: shortHash(string(vm)), Age: millis(b.now, p.Failing), Failures: p.Failures})
+		b.out.Failing = append(b.out.Failing, wireFailing{VM: shortHash(string(vm)), Age: ageMillis(b.now, p.Failing), Failures: p.Failures})
 	}
 }
 
-func (b *digestBuilder) fact(v *VM) {
+func (b *digestBuilder) addEndpoint(v *VM) {
 	p := &v.Probe
-	f := wireFact{State: toWireState(&p.State), Leaving: v.Leaving && p.State.Boot != "", Answered: p.Answered != 0}
+	f := wireEndpoint{State: toWireState(&p.State), Leaving: v.Leaving && p.State.Boot != "", Answered: p.Answered != 0}
 	f.State.VM = v.Record.VM
 	if f.Answered {
-		f.Age = millis(b.now, p.Answered)
+		f.Age = ageMillis(b.now, p.Answered)
 		f.RTT = uint32(p.RTT / time.Microsecond)
 	}
-	b.out.Facts = append(b.out.Facts, f)
+	b.out.Endpoints = append(b.out.Endpoints, f)
 }
 
-// load tells a load that differs from the one told last, of the endpoints that
-// take requests.
-func (b *digestBuilder) load(v *VM) {
+// addLoad adds the load of an endpoint that receives requests if it differs
+// from the one last sent.
+func (b *digestBuilder) addLoad(v *VM) {
 	st := &v.Probe.State
 	if v.Load.Sequence == 0 || v.Record.Kind == fleet.KindEngine && (st.Group == "" || st.Rank != 0) {
 		return
 	}
 	last, known := b.t.loads[v.Record.VM]
 	same := known && last.load.Boot == v.Load.Boot && last.load.Running == v.Load.Running && last.load.Waiting == v.Load.Waiting
-	if same && b.now.Sub(last.at) < loadRefresh {
+	if same && b.now.Sub(last.at) < loadRefreshInterval {
 		return
 	}
-	b.t.loads[v.Record.VM] = toldLoad{v.Load, b.now}
+	b.t.loads[v.Record.VM] = sentLoad{v.Load, b.now}
 	b.out.Loads = append(b.out.Loads, toWireLoad(&v.Load, v.LoadAt, b.now))
 }
 
-// groupRows tells the rows of the zone's groups: the holder of the lease as soon
-// as it has written them, the watchers of a group what they learned.
-func (b *digestBuilder) groupRows(s *Snapshot, d Duties) {
+// addGroupRows adds the rows of the zone's groups. The lease holder sends rows
+// as soon as it has written them, a group's watchers send the rows that they
+// have read or received.
+func (b *digestBuilder) addGroupRows(s *Snapshot, d Duties) {
 	holds := d.Holds()
 	for i := range s.Groups {
 		g := &s.Groups[i]
@@ -179,74 +182,73 @@
 		}
 		last, known := b.t.rows[g.ID]
 		changed := !known || last.hash != g.RowVersion
-		if !changed && !(watches && b.regular && b.now.Sub(last.at) >= refreshEvery) {
+		if !changed && !(watches && b.regular && b.now.Sub(last.at) >= refreshInterval) {
 			continue
 		}
-		b.t.rows[g.ID] = told{g.RowVersion, b.now}
+		b.t.rows[g.ID] = sentItem{g.RowVersion, b.now}
 		b.out.Rows = append(b.out.Rows, wireRow{Version: g.RowVersion, Group: toWireGroup(&g.Group, len(g.Members))})
 	}
 }
 
-// summaries tells of the zone's groups what other zones need.
-func (b *digestBuilder) summaries(s *Snapshot, d Duties) {
+// addSummaries adds summaries of the zone's groups for other zones.
+func (b *digestBuilder) addSummaries(s *Snapshot, d Duties) {
 	for i := range s.Groups {
 		g := &s.Groups[i]
 		if g.Zone != s.Zone || !d.Leads(string(g.ID)) {
 			continue
 		}
-		w := b.summary(g)
-		hash := uint64(w.State.Hash)<<1 | uint64(bit(g.Whole))
+		w := b.buildSummary(g)
+		hash := uint64(w.State.Hash)<<1 | uint64(boolBit(g.Whole))
 		last, known := b.t.rows[g.ID]
 		switch {
-		case !known || last.hash != hash || b.regular && b.now.Sub(last.at) >= refreshEvery:
-			b.t.rows[g.ID] = told{hash, b.now}
+		case !known || last.hash != hash || b.regular && b.now.Sub(last.at) >= refreshInterval:
+			b.t.rows[g.ID] = sentItem{hash, b.now}
 			b.out.Groups = append(b.out.Groups, w)
 		case b.regular:
-			b.out.Unmoved = append(b.out.Unmoved, w.State)
+			b.out.SummaryUpdates = append(b.out.SummaryUpdates, w.State)
 		}
 	}
 }
 
-func (b *digestBuilder) summary(g *Group) wireSummary {
+func (b *digestBuilder) buildSummary(g *Group) wireSummary {
 	w := wireSummary{Version: g.RowVersion, Group: toWireGroup(&g.Group, 1), Fault: g.Reason}
 	w.Group.Reason = ""
-	w.State = wireUnmoved{
+	w.State = wireSummaryState{
 		ID: shortHash(string(g.ID)), Hash: summaryHash(&w), Whole: g.Whole,
 		Running: g.Load.Running, Waiting: g.Load.Waiting, Slots: g.Load.Slots,
 	}
 	if g.FreshUntil.After(b.now) {
-		w.State.Fresh = uint32(g.FreshUntil.Sub(b.now) / time.Millisecond)
+		w.State.FreshFor = uint32(g.FreshUntil.Sub(b.now) / time.Millisecond)
 	}
 	if g.LoadAt != 0 {
-		w.State.LoadAge = millis(b.now, g.LoadAt)
+		w.State.LoadAge = ageMillis(b.now, g.LoadAt)
 	}
 	return w
 }
 
-// leavings tells of endpoints that this node itself learned to be leaving: from
-// an operator, the platform's list or a refusal.
-func (b *digestBuilder) leavings(s *Snapshot) {
-	for _, k := range s.leavings {
-		n := b.t.marks[k]
-		if n >= leavingTellings || n > 0 && !b.regular {
+// addLeavingMarks adds the endpoints that this node itself found to be leaving,
+// from an operator, the platform's list or a refusal.
+func (b *digestBuilder) addLeavingMarks(s *Snapshot) {
+	for _, k := range s.leavingMarks {
+		n := b.t.leavingSends[k]
+		if n >= maxLeavingSends || n > 0 && !b.regular {
 			continue
 		}
-		b.t.marks[k] = n + 1
-		b.out.Leavings = append(b.out.Leavings, wireLeaving{VM: k.vm, Boot: k.boot})
+		b.t.leavingSends[k] = n + 1
+		b.out.LeavingMarks = append(b.out.LeavingMarks, wireLeavingMark{VM: k.vm, Boot: k.boot})
 	}
 }
 
-// messages encodes what was collected, split so that no message grows without
-// bound.
+// messages encodes the collected items, split into messages of bounded size.
 func (b *digestBuilder) messages() [][]byte {
 	d := &b.out
-	uptime := uint64(b.now.Sub(b.t.born) / time.Millisecond)
+	uptime := uint64(b.now.Sub(b.t.startedAt) / time.Millisecond)
 	var out [][]byte
 	for {
 		part := digest{
-			Uptime: uptime,
-			Facts:  cut(&d.Facts), Same: cut(&d.Same), Failing: cut(&d.Failing), Loads: cut(&d.Loads),
-			Rows: cut(&d.Rows), Groups: cut(&d.Groups), Unmoved: cut(&d.Unmoved), Leavings: cut(&d.Leavings),
+			Uptime:    uptime,
+			Endpoints: takeFront(&d.Endpoints), Unchanged: takeFront(&d.Unchanged), Failing: takeFront(&d.Failing), Loads: takeFront(&d.Loads),
+			Rows: takeFront(&d.Rows), Groups: takeFront(&d.Groups), SummaryUpdates: takeFront(&d.SummaryUpdates), LeavingMarks: takeFront(&d.LeavingMarks),
 		}
 		if part.empty() {
 			return out
@@ -256,12 +258,13 @@
 }
 
 func (d *digest) empty() bool {
-	return len(d.Facts)+len(d.Same)+len(d.Failing)+len(d.Loads)+len(d.Rows)+len(d.Groups)+len(d.Unmoved)+len(d.Leavings) == 0
+	return len(d.Endpoints)+len(d.Unchanged)+len(d.Failing)+len(d.Loads)+len(d.Rows)+len(d.Groups)+len(d.SummaryUpdates)+len(d.LeavingMarks) == 0
 }
 
-// cut takes up to maxFacts from the front.
-func cut[T any](list *[]T) []T {
-	n := min(len(*list), maxFacts)
+// takeFront removes up to maxItemsPerDigest items from the front of list and
+// returns them.
+func takeFront[T any](list *[]T) []T {
+	n := min(len(*list), maxItemsPerDigest)
 	head := (*list)[:n]
 	*list = (*list)[n:]
 	return head
--- a/internal/view/wire.go
+++ b/internal/view/wire.go
@@ -12,29 +12,29 @@
 	"chervilloom/internal/fleet"
 )
 
-// The topics of the messages between nodes.
+// Topics of the messages between nodes.
 const (
-	TopicZone   = "view.zone"   // facts of endpoints and group rows, to the nodes of the own zone
+	TopicZone   = "view.zone"   // endpoint states and group rows, to the nodes of the own zone
 	TopicRemote = "view.remote" // summaries of groups and services, to the nodes of other zones
 )
 
-// digest is one message. Times are ages in milliseconds at the time of sending:
-// instants mean nothing on another VM.
+// digest is one message. Times are sent as ages in milliseconds at the time of
+// sending, because clock readings are not comparable between VMs.
 type digest struct {
-	_        struct{} `cbor:",toarray"`
-	Uptime   uint64   // of the sender's teller, to notice messages that were held up
-	Facts    []wireFact
-	Same     []wireSame
-	Failing  []wireFailing
-	Loads    []wireLoad
-	Rows     []wireRow
-	Groups   []wireSummary
-	Unmoved  []wireUnmoved
-	Leavings []wireLeaving
-	// WantList asks for the list of VMs; ListAge and Records are the answer.
-	// WantAll asks for everything that the addressee tells.
+	_              struct{} `cbor:",toarray"`
+	Uptime         uint64   // milliseconds since the sender started, to detect delayed messages
+	Endpoints      []wireEndpoint
+	Unchanged      []wireUnchanged
+	Failing        []wireFailing
+	Loads          []wireLoad
+	Rows           []wireRow
+	Groups         []wireSummary
+	SummaryUpdates []wireSummaryState
+	LeavingMarks   []wireLeavingMark
+	// WantList requests the VM list; ListAge and Records carry the answer.
+	// WantFull requests everything that the recipient reports on.
 	WantList bool
-	WantAll  bool
+	WantFull bool
 	ListAge  uint32
 	Records  []wireRecord
 }
@@ -53,13 +53,13 @@
 	State        fleet.State
 }
 
-// wireFact is the whole state of an endpoint as last probed.
-type wireFact struct {
+// wireEndpoint is the full state of an endpoint from its newest probe.
+type wireEndpoint struct {
 	_        struct{} `cbor:",toarray"`
 	State    wireState
 	Age      uint32
 	RTT      uint32 // microseconds
-	Leaving  bool   // this life is leaving
+	Leaving  bool   // this boot is leaving
 	Answered bool   // false: the endpoint has never answered
 }
 
@@ -78,26 +78,27 @@
 	Leaving    bool
 }
 
-// wireSame says that an endpoint's newest probe found the state with the hash.
-type wireSame struct {
+// wireUnchanged confirms that an endpoint's newest probe found the state with
+// the hash.
+type wireUnchanged struct {
 	_    struct{} `cbor:",toarray"`
-	VM   uint32   // hash
+	VM   uint32   // short hash
 	Hash uint64   // of the state
 	Age  uint32
 }
 
-// wireFailing says that an endpoint answers no probes.
+// wireFailing reports an endpoint that does not answer probes.
 type wireFailing struct {
 	_        struct{} `cbor:",toarray"`
-	VM       uint32   // hash
-	Age      uint32   // since when
+	VM       uint32   // short hash
+	Age      uint32   // time since the first failure
 	Failures int
 }
 
 type wireLoad struct {
 	_         struct{} `cbor:",toarray"`
-	VM        uint32   // hash
-	Boot      uint32   // hash
+	VM        uint32   // short hash
+	Boot      uint32   // short hash
 	Sequence  uint64
 	Age       uint32
 	Running   int
@@ -138,30 +139,30 @@
 	Fence fleet.Fence
 }
 
-// wireSummary is what another zone needs to know of a group: its first member
-// stands for all.
+// wireSummary is the summary of a group for other zones; it lists only the
+// first member.
 type wireSummary struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
 	Group   wireGroup
-	State   wireUnmoved
+	State   wireSummaryState
 	Fault   string
 }
 
-// wireUnmoved is the part of a summary that changes all the time.
-type wireUnmoved struct {
-	_       struct{} `cbor:",toarray"`
-	ID      uint32   // hash
-	Hash    uint32   // of the rest of the summary
-	Whole   bool
-	Fresh   uint32 // for how long the members' probes are fresh yet
-	Running int
-	Waiting int
-	Slots   int
-	LoadAge uint32
+// wireSummaryState is the frequently changing part of a summary.
+type wireSummaryState struct {
+	_        struct{} `cbor:",toarray"`
+	ID       uint32   // short hash
+	Hash     uint32   // of the rest of the summary
+	Whole    bool
+	FreshFor uint32 // time until the members' probes expire
+	Running  int
+	Waiting  int
+	Slots    int
+	LoadAge  uint32
 }
 
-type wireLeaving struct {
+type wireLeavingMark struct {
 	_    struct{} `cbor:",toarray"`
 	VM   fleet.VM
 	Boot fleet.BootID
@@ -186,14 +187,14 @@
 func decode(b []byte) (*digest, error) {
 	var d digest
 	if err := decoder.Unmarshal(b, &d); err != nil {
-		return nil, fmt.Errorf("view: digest of a peer is not readable: %w", err)
+		return nil, fmt.Errorf("view: cannot decode peer digest: %w", err)
 	}
 	return &d, nil
 }
 
-// millis is the age of at in whole milliseconds, rounded up: a fact may look
+// ageMillis returns the age of at in milliseconds, rounded up: a fact may look
 // older than it is, never younger.
-func millis(now, at clock.Instant) uint32 {
+func ageMillis(now, at clock.Instant) uint32 {
 	return uint32(max(0, (now.Sub(at)+time.Millisecond-1)/time.Millisecond))
 }
 
@@ -251,7 +252,7 @@
 
 func toWireLoad(l *fleet.Load, at, now clock.Instant) wireLoad {
 	return wireLoad{
-		VM: shortHash(string(l.VM)), Boot: shortHash(string(l.Boot)), Sequence: l.Sequence, Age: millis(now, at), Running: l.Running, Waiting: l.Waiting,
+		VM: shortHash(string(l.VM)), Boot: shortHash(string(l.Boot)), Sequence: l.Sequence, Age: ageMillis(now, at), Running: l.Running, Waiting: l.Waiting,
 		CacheUsed: float32(l.CacheUsed), Tokens: float32(l.TokensPerSecond), Slots: l.Slots,
 	}
 }
@@ -263,18 +264,18 @@
 	}
 }
 
-// shortHash names a VM or group in digests. Two with the same hash are not told
-// apart and are believed only when told whole.
+// shortHash identifies a VM or group in digests. VMs whose hashes collide are
+// updated only by messages that carry the full name.
 func shortHash(s string) uint32 { return uint32(xxhash.Sum64String(s)) }
 
-// stateHash is the same on all nodes for equal states.
+// stateHash returns a hash that is equal on all nodes for equal states.
 func stateHash(s *fleet.EngineState) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	str := func(s string) {
 		var n [4]byte
 		binary.LittleEndian.PutUint32(n[:], uint32(len(s)))
-		_, _ = d.Write(n[:]) // a hash never fails to write
+		_, _ = d.Write(n[:]) // hash.Hash.Write never returns an error
 		_, _ = d.WriteString(s)
 	}
 	str(string(s.VM))
@@ -289,24 +290,24 @@
 	binary.LittleEndian.PutUint64(n[0:], uint64(s.Fence))
 	binary.LittleEndian.PutUint64(n[8:], uint64(s.Generation))
 	binary.LittleEndian.PutUint64(n[16:], uint64(s.Rank))
-	n[24], n[25] = bit(s.Loaded), bit(s.Leaving)
+	n[24], n[25] = boolBit(s.Loaded), boolBit(s.Leaving)
 	_, _ = d.Write(n[:])
 	return d.Sum64()
 }
 
-func bit(b bool) byte {
+func boolBit(b bool) byte {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// summaryHash covers what wireUnmoved does not.
+// summaryHash covers the fields of a summary outside wireSummaryState.
 func summaryHash(w *wireSummary) uint32 {
 	c := *w
-	c.State = wireUnmoved{}
+	c.State = wireSummaryState{}
 	b, err := cbor.Marshal(&c)
-	if err != nil { // as in encode
+	if err != nil { // see encode
 		panic(err)
 	}
 	return uint32(xxhash.Sum64(b))
