--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Config holds the periods and bounds of the failure detector.
+// Config holds the timings and limits of the failure detector.
 type Config struct {
-	Period       time.Duration // between two pings of one node
-	AckTimeout   time.Duration // until an unanswered ping is repeated through others
-	ProbeTimeout time.Duration // until a member that answers nobody is suspected
-	Indirect     int           // members asked to repeat a ping
-	Suspicion    time.Duration // a suspect's time to refute, for up to ten members; grows with their logarithm
+	Period       time.Duration // interval between pings
+	AckTimeout   time.Duration // after which an unanswered ping is repeated through other members
+	ProbeTimeout time.Duration // after which an unresponsive member is suspected
+	Indirect     int           // number of members asked to repeat a ping
+	Suspicion    time.Duration // time for a suspect to refute among up to ten members; grows with the logarithm of their number
 
-	GossipPeriod  time.Duration // between two rounds of news
-	GossipFanout  int           // members that a round goes to
-	NewsPerPacket int           // entries on one message
-	Retransmit    float64       // a node tells each piece of news Retransmit*log2(members+1) times
+	GossipPeriod  time.Duration // interval between gossip rounds
+	GossipFanout  int           // members per gossip round
+	NewsPerPacket int           // maximum entries per message
+	Retransmit    float64       // each update is sent Retransmit*log2(members+1) times by a node
 
-	SyncPeriod time.Duration // between two comparisons of whole states
-	DeadPeriod time.Duration // between two attempts at a dead member or an unknown seed
-	JoinPeriod time.Duration // between two attempts while no other member is known
+	SyncPeriod time.Duration // interval between full state comparisons
+	DeadPeriod time.Duration // interval between attempts to reach a dead member or an unknown seed
+	JoinPeriod time.Duration // the same while no other member is known
 
 	ForgetDead time.Duration
 	ForgetLeft time.Duration
-	PauseLimit time.Duration // a gap between ticks over this means that the process was paused
-	TickPeriod time.Duration // of the adapter's ticks
+	PauseLimit time.Duration // longest gap between ticks that is not reported as a pause
+	TickPeriod time.Duration // interval between the adapter's ticks
 }
 
-// Defaults returns the configuration that docs/measurements/membership.md
-// measures.
+// Defaults returns the configuration measured in
+// docs/measurements/membership.md.
 func Defaults() Config {
 	return Config{
 		Period:        500 * time.Millisecond,
@@ -51,14 +51,15 @@
 	}
 }
 
-// suspicion returns how long a suspect has to refute among n members: news of
-// the suspicion and of its refutation take a number of rounds that grows with
-// the logarithm of n.
-func (c *Config) suspicion(n int) time.Duration {
+// suspicionTimeout returns how long a suspect has to refute among n members. It
+// grows with the logarithm of n, like the number of gossip rounds that the
+// suspicion and its refutation need to spread.
+func (c *Config) suspicionTimeout(n int) time.Duration {
 	return time.Duration(float64(c.Suspicion) * max(1, (1+math.Log10(float64(n)))/2))
 }
 
-// tellings returns how many times a node tells one piece of news to n members.
-func (c *Config) tellings(n int) int {
+// maxSends returns how many times a node sends one update in a fleet of n
+// members.
+func (c *Config) maxSends(n int) int {
 	return int(math.Ceil(c.Retransmit * math.Log2(float64(n)+1)))
 }
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -7,10 +7,10 @@
 	"chervilloom/internal/view"
 )
 
-// Status is what an entry says of its member. Greater ones win at one version.
+// Status is the status of a member. At equal versions the greater status wins.
 type Status uint8
 
-// The states of a member.
+// The values of Status.
 const (
 	Alive Status = iota
 	Suspect
@@ -18,12 +18,12 @@
 	Left
 )
 
-// View returns the status as the view names it.
+// View returns the status as a view.NodeState.
 func (s Status) View() view.NodeState {
 	return [...]view.NodeState{view.NodeAlive, view.NodeSuspect, view.NodeDead, view.NodeLeft}[s]
 }
 
-// Entry is what one node tells another of a member.
+// Entry is the state of a member as exchanged between nodes.
 type Entry struct {
 	_           struct{} `cbor:",toarray"`
 	VM          fleet.VM
@@ -31,22 +31,22 @@
 	Version     uint64 // raised by the member itself with every change and refutation
 	Status      Status
 	Zone        fleet.AvailabilityZone
-	Addr        string // ip:port of its peer port
-	Revision    uint64 // configuration revision in force there
+	Addr        string // ip:port of its peer listener
+	Revision    uint64 // configuration revision in force on the member
 	Draining    bool
-	Payload     []byte // small; the membership doesn't read it
+	Payload     []byte // small; not interpreted by this package
 }
 
-// Node returns the member's life.
+// Node returns the member's VM and incarnation.
 func (e *Entry) Node() fleet.Node { return fleet.Node{VM: e.VM, Incarnation: e.Incarnation} }
 
-// live reports whether the member is to be counted on or at least waited for.
-func (e *Entry) live() bool { return e.Status == Alive || e.Status == Suspect }
+// isLive reports whether the member is alive or suspect.
+func (e *Entry) isLive() bool { return e.Status == Alive || e.Status == Suspect }
 
 // supersedes reports whether a is newer than b, an entry of the same VM. It is
-// a total order: a later life wins; within a life Left is final, because only
-// the member itself says it; then the member's own version decides, and at one
-// version the worse status.
+// a total order: a later incarnation wins; within an incarnation Left is final,
+// because only the member itself sets it; then the member's own version
+// decides, and at equal versions the worse status.
 func supersedes(a, b *Entry) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -60,11 +60,11 @@
 	return a.Status > b.Status
 }
 
-// digest is the entry's part in the hash that two nodes compare in place of
-// their states. Members that are dead or have left count nothing: nodes forget
-// them at different times.
-func (e *Entry) digest() uint64 {
-	if !e.live() {
+// hash returns the entry's contribution to the state digest that two nodes
+// compare. Dead and left members contribute 0, because nodes forget them at
+// different times.
+func (e *Entry) hash() uint64 {
+	if !e.isLive() {
 		return 0
 	}
 	var b [17]byte
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -12,32 +12,32 @@
 	"chervilloom/internal/view"
 )
 
-// testFleet steps many States in one goroutine, by a seeded queue of ticks and
-// messages. It drives the state machine; it models no process or link beyond
-// delay, loss, cuts and pauses.
+// testFleet drives many States in one goroutine from a seeded queue of ticks
+// and messages. It models no process or link beyond delay, loss, partitions and
+// pauses.
 type testFleet struct {
-	rng     *rand.Rand
-	cfg     Config
-	now     clock.Instant
-	queue   eventQueue
-	order   uint64
-	nodes   []*testNode
-	byVM    map[fleet.VM]*testNode
-	loss    float64
-	cut     func(from, to *testNode) bool
-	packets int
-	bytes   int
-	onState func(n *testNode)
-	// plain, when set, stands in for State.Step in every node.
-	plain func(n *testNode, now clock.Instant, ev Event) []Action
+	rng      *rand.Rand
+	cfg      Config
+	now      clock.Instant
+	queue    eventQueue
+	order    uint64
+	nodes    []*testNode
+	byVM     map[fleet.VM]*testNode
+	lossRate float64
+	isCut    func(from, to *testNode) bool
+	packets  int
+	bytes    int
+	onState  func(n *testNode)
+	// step, if set, replaces State.Step on every node.
+	step func(n *testNode, now clock.Instant, ev Event) []Action
 }
 
 type testNode struct {
 	*State
-	index  int
-	up     bool
-	paused clock.Instant // until then nothing is handled
-	pauses int
+	index       int
+	isRunning   bool
+	pausedUntil clock.Instant // events are deferred until then
+	pauses      int
 }
 
 type scheduled struct {
@@ -62,8 +62,9 @@
 	return x
 }
 
-// wireOverhead is what IP, UDP and QUIC add to a lone message and the packet that
-// acknowledges it, in bytes (BenchmarkMessages/lone of package peer).
+// wireOverhead is the number of bytes that IP, UDP and QUIC add to a single
+// message and to the packet that acknowledges it (BenchmarkMessages/lone of
+// package peer).
 const wireOverhead = 192
 
 func vmName(i int) fleet.VM { return fleet.VM(fmt.Sprintf("entry-%03d", i)) }
@@ -79,12 +80,13 @@
 	return f
 }
 
-// start runs a new life of node i, with the first three nodes as seeds.
-func (f *testFleet) start(i int, life fleet.Incarnation) *testNode {
+// start starts a new incarnation of node i, with the first three nodes as
+// seeds.
+func (f *testFleet) start(i int, incarnation fleet.Incarnation) *testNode {
 	vm := vmName(i)
 	zone := fleet.AvailabilityZone(fmt.Sprint("z", i%3))
-	state := New(fleet.Node{VM: vm, Incarnation: life}, zone, addrOf(i), f.cfg, rand.New(rand.NewPCG(f.rng.Uint64(), 2)))
-	n := &testNode{State: state, index: i, up: true}
+	state := New(fleet.Node{VM: vm, Incarnation: incarnation}, zone, nodeAddr(i), f.cfg, rand.New(rand.NewPCG(f.rng.Uint64(), 2)))
+	n := &testNode{State: state, index: i, isRunning: true}
 	if i < len(f.nodes) {
 		f.nodes[i] = n
 	} else {
@@ -93,22 +95,22 @@
 	f.byVM[vm] = n
 	var seeds []Seed
 	for _, j := range []int{0, 1, 2} {
-		seeds = append(seeds, Seed{VM: vmName(j), Addr: addrOf(j)})
+		seeds = append(seeds, Seed{VM: vmName(j), Addr: nodeAddr(j)})
 	}
-	seeds[2].VM = "" // as the settings list it
-	f.at(f.now, n, Seeds{Nodes: seeds})
-	f.at(f.now.Add(time.Duration(f.rng.Int64N(int64(f.cfg.TickPeriod)))), n, Tick{})
+	seeds[2].VM = "" // a seed from the settings has only an address
+	f.schedule(f.now, n, Seeds{Nodes: seeds})
+	f.schedule(f.now.Add(time.Duration(f.rng.Int64N(int64(f.cfg.TickPeriod)))), n, Tick{})
 	return n
 }
 
-func addrOf(i int) string { return fmt.Sprintf("10.0.%d.%d:7946", i/250, i%250) }
+func nodeAddr(i int) string { return fmt.Sprintf("10.0.%d.%d:7946", i/250, i%250) }
 
-func (f *testFleet) at(t clock.Instant, to *testNode, ev Event) {
+func (f *testFleet) schedule(t clock.Instant, to *testNode, ev Event) {
 	f.order++
 	heap.Push(&f.queue, scheduled{at: t, order: f.order, to: to, ev: ev})
 }
 
-// run handles everything that is due within d.
+// run handles all events that are due within d.
 func (f *testFleet) run(d time.Duration) {
 	end := f.now.Add(d)
 	for len(f.queue) > 0 && !f.queue[0].at.After(end) {
@@ -121,29 +123,30 @@
 
 func (f *testFleet) handle(e scheduled) {
 	n := e.to
-	if !n.up || f.byVM[n.self.VM] != n {
+	if !n.isRunning || f.byVM[n.self.VM] != n {
 		return
 	}
-	if f.now.Before(n.paused) {
-		// What came during the pause waits, a tick behind what came before it.
-		e.at = n.paused
+	if f.now.Before(n.pausedUntil) {
+		// Events of the pause are deferred in order of arrival, but a tick
+		// comes after the messages that arrived before it.
+		e.at = n.pausedUntil
 		if _, ok := e.ev.(Tick); ok {
 			e.at = e.at.Add(time.Millisecond)
 		}
-		f.at(e.at, n, e.ev)
+		f.schedule(e.at, n, e.ev)
 		return
 	}
-	if f.plain != nil {
-		f.act(n, f.plain(n, f.now, e.ev))
+	if f.step != nil {
+		f.execute(n, f.step(n, f.now, e.ev))
 	} else {
-		f.act(n, n.Step(f.now, e.ev))
+		f.execute(n, n.Step(f.now, e.ev))
 	}
 	if _, ok := e.ev.(Tick); ok {
-		f.at(f.now.Add(f.cfg.TickPeriod), n, Tick{})
+		f.schedule(f.now.Add(f.cfg.TickPeriod), n, Tick{})
 	}
 }
 
-func (f *testFleet) act(n *testNode, actions []Action) {
+func (f *testFleet) execute(n *testNode, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
@@ -167,9 +170,9 @@
 	f.bytes += len(b) + wireOverhead
 	to := f.byVM[a.To]
 	if a.To == "" {
-		to = f.atAddr(a.Addr)
+		to = f.nodeAtAddr(a.Addr)
 	}
-	if to == nil || !to.up || (f.cut != nil && f.cut(from, to)) || f.rng.Float64() < f.loss {
+	if to == nil || !to.isRunning || (f.isCut != nil && f.isCut(from, to)) || f.rng.Float64() < f.lossRate {
 		return
 	}
 	m, err := Decode(b)
@@ -177,10 +180,10 @@
 		panic(err)
 	}
 	delay := 1500*time.Microsecond + time.Duration(f.rng.Int64N(int64(time.Millisecond)))
-	f.at(f.now.Add(delay), to, Received{From: from.self.Node(), Message: m})
+	f.schedule(f.now.Add(delay), to, Received{From: from.self.Node(), Message: m})
 }
 
-func (f *testFleet) atAddr(addr string) *testNode {
+func (f *testFleet) nodeAtAddr(addr string) *testNode {
 	for _, n := range f.nodes {
 		if n.self.Addr == addr {
 			return n
@@ -189,11 +192,11 @@
 	return nil
 }
 
-func (f *testFleet) kill(i int) { f.nodes[i].up = false }
+func (f *testFleet) kill(i int) { f.nodes[i].isRunning = false }
 
-func (f *testFleet) pause(i int, d time.Duration) { f.nodes[i].paused = f.now.Add(d) }
+func (f *testFleet) pause(i int, d time.Duration) { f.nodes[i].pausedUntil = f.now.Add(d) }
 
-// stateOf returns what n believes of node i.
+// stateOf returns node i's state as known to n, "" if n does not know it.
 func (n *testNode) stateOf(i int) view.NodeState {
 	m := n.members[vmName(i)]
 	if m == nil {
@@ -202,14 +205,15 @@
 	return m.Status.View()
 }
 
-// agreed reports whether every running node sees every other one alive.
-func (f *testFleet) agreed() bool {
+// hasConverged reports whether every running node sees every other running node
+// alive, in its current incarnation.
+func (f *testFleet) hasConverged() bool {
 	for _, n := range f.nodes {
-		if !n.up {
+		if !n.isRunning {
 			continue
 		}
 		for _, o := range f.nodes {
-			if o != n && o.up && (n.stateOf(o.index) != view.NodeAlive || n.members[o.self.VM].Incarnation != o.self.Incarnation) {
+			if o != n && o.isRunning && (n.stateOf(o.index) != view.NodeAlive || n.members[o.self.VM].Incarnation != o.self.Incarnation) {
 				return false
 			}
 		}
@@ -217,13 +221,14 @@
 	return true
 }
 
-// settle runs until all agree and reports whether they did within limit.
-func (f *testFleet) settle(limit time.Duration) bool {
+// converge runs until the fleet has converged and reports whether it did within
+// limit.
+func (f *testFleet) converge(limit time.Duration) bool {
 	for end := f.now.Add(limit); f.now.Before(end); {
-		if f.agreed() {
+		if f.hasConverged() {
 			return true
 		}
 		f.run(100 * time.Millisecond)
 	}
-	return f.agreed()
+	return f.hasConverged()
 }
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -8,21 +8,21 @@
 	"chervilloom/internal/fleet"
 )
 
-// Kind is what a message asks for.
+// Kind is the type of a message.
 type Kind uint8
 
-// The kinds of message.
+// The message types.
 const (
-	KindPing    Kind = iota + 1 // answer with KindAck and the same Seq
-	KindAck                     // answers a ping
-	KindPingReq                 // ping Target at Addr and pass its ack on to me
-	KindGossip                  // no answer
-	KindSync                    // compare Digest with yours; send KindState when they differ
-	KindState                   // Entries is the sender's whole state; answer with KindRepair
-	KindRepair                  // Entries is what the state of the receiver lacked
+	KindPing    Kind = iota + 1 // reply with KindAck and the same Seq
+	KindAck                     // reply to a ping
+	KindPingReq                 // ping Target at Addr and relay its ack to the sender
+	KindGossip                  // no reply
+	KindSync                    // if Digest differs from the receiver's, reply with KindState
+	KindState                   // Entries is the sender's full state; reply with KindRepair
+	KindRepair                  // Entries holds what the receiver's state lacked
 )
 
-// Message is what nodes send each other on the topic of this package.
+// Message is a message between nodes on Topic.
 type Message struct {
 	_       struct{} `cbor:",toarray"`
 	Kind    Kind
@@ -31,7 +31,7 @@
 	Addr    string   // KindPingReq
 	Digest  uint64   // KindSync
 	Self    Entry    // the sender
-	Entries []Entry  // news, or the state
+	Entries []Entry  // updates, or the full state
 }
 
 var (
@@ -39,7 +39,7 @@
 	decMode cbor.DecMode
 )
 
-// maxEntries bounds a state; one VM is one entry.
+// maxEntries bounds a full state; each VM has one entry.
 const maxEntries = 1 << 15
 
 func init() {
@@ -52,14 +52,14 @@
 	}
 }
 
-// Encode returns the message's wire form.
+// Encode returns the wire encoding of the message.
 func (m *Message) Encode() ([]byte, error) { return encMode.Marshal(m) }
 
-// Decode reads a message's wire form.
+// Decode decodes a message from its wire encoding.
 func Decode(b []byte) (*Message, error) {
 	m := &Message{}
 	if err := decMode.Unmarshal(b, m); err != nil {
-		return nil, fmt.Errorf("membership: unreadable message; run the same version on all nodes: %w", err)
+		return nil, fmt.Errorf("membership: cannot decode message; run the same version on all nodes: %w", err)
 	}
 	return m, nil
 }
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -7,7 +7,7 @@
 )
 
 type metrics struct {
-	nodes    *prometheus.GaugeVec // state
+	nodes    *prometheus.GaugeVec // by state
 	dropped  *prometheus.CounterVec
 	bytes    prometheus.Counter
 	pauses   prometheus.Counter
@@ -39,7 +39,7 @@
 	return m, nil
 }
 
-func (m *metrics) count(nodes []view.Node) {
+func (m *metrics) setNodeCounts(nodes []view.Node) {
 	counts := map[view.NodeState]int{view.NodeAlive: 0, view.NodeSuspect: 0, view.NodeDead: 0, view.NodeLeft: 0}
 	for i := range nodes {
 		counts[nodes[i].State]++
--- a/internal/membership/owner.go
+++ b/internal/membership/owner.go
@@ -9,9 +9,9 @@
 	"chervilloom/internal/fleet"
 )
 
-// Owner returns the node that the subject belongs to by rendezvous hashing, or
-// "" without nodes. All callers with the same nodes get the same owner, in any
-// order of nodes; a node that goes away moves only the subjects that it owned.
+// Owner returns the subject's owner by rendezvous hashing, or "" if there are
+// no nodes. The result does not depend on the order of nodes; removing a node
+// moves only the subjects that it owned.
 func Owner(subject string, nodes []fleet.VM) fleet.VM {
 	var owner fleet.VM
 	var best uint64
@@ -23,7 +23,8 @@
 	return owner
 }
 
-// TopK returns the k nodes that come first for the subject, the owner first.
+// TopK returns the first k nodes for the subject in rendezvous order, the owner
+// first.
 func TopK(subject string, nodes []fleet.VM, k int) []fleet.VM {
 	type scored struct {
 		vm    fleet.VM
@@ -43,8 +44,8 @@
 	return out
 }
 
-// score hashes node and subject with a separator, so that no two pairs run
-// together into one string.
+// score hashes node and subject with a separator, so that different pairs never
+// concatenate to the same string.
 func score(subject string, vm fleet.VM) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -7,36 +7,38 @@
 	"chervilloom/internal/fleet"
 )
 
-// probe is a ping that waits for its ack, from the member or through others.
+// probe is a ping that awaits its ack, directly or through other members.
 type probe struct {
 	seq     uint64
 	node    fleet.Node
 	version uint64
-	sent    clock.Instant
-	repeats int // rounds in which it was sent again
+	sentAt  clock.Instant
+	repeats int // number of times it was sent again
 }
 
-// relayed is a ping sent for another member, to which the ack is passed on.
-type relayed struct {
+// relayedPing is a ping sent on behalf of another member, to which the ack is
+// relayed.
+type relayedPing struct {
 	seq       uint64
 	origin    fleet.VM
 	originSeq uint64
-	expires   clock.Instant
+	expiresAt clock.Instant
 }
 
-// probeNext pings the next member of the round. Going round a shuffled list
-// rather than drawing each time bounds how long a dead member can go unpinged.
-func (s *State) probeNext(now clock.Instant) {
-	for tried := len(s.round); tried >= 0; tried-- {
-		if s.next >= len(s.round) {
+// pingNext pings the next member in the ping order. Iterating over a shuffled
+// list instead of drawing at random bounds the time in which a dead member is
+// not pinged.
+func (s *State) pingNext(now clock.Instant) {
+	for tried := len(s.pingOrder); tried >= 0; tried-- {
+		if s.nextPing >= len(s.pingOrder) {
 			s.shuffle()
 		}
-		if len(s.round) == 0 {
+		if len(s.pingOrder) == 0 {
 			return
 		}
-		m := s.members[s.round[s.next]]
-		s.next++
-		if m != nil && m.live() {
+		m := s.members[s.pingOrder[s.nextPing]]
+		s.nextPing++
+		if m != nil && m.isLive() {
 			s.ping(now, m)
 			return
 		}
@@ -44,42 +46,42 @@
 }
 
 func (s *State) shuffle() {
-	s.round = s.round[:0]
-	for _, vm := range s.names {
-		if s.members[vm].live() {
-			s.round = append(s.round, vm)
+	s.pingOrder = s.pingOrder[:0]
+	for _, vm := range s.sortedVMs {
+		if s.members[vm].isLive() {
+			s.pingOrder = append(s.pingOrder, vm)
 		}
 	}
-	s.rng.Shuffle(len(s.round), func(i, j int) { s.round[i], s.round[j] = s.round[j], s.round[i] })
-	s.next = 0
+	s.rng.Shuffle(len(s.pingOrder), func(i, j int) { s.pingOrder[i], s.pingOrder[j] = s.pingOrder[j], s.pingOrder[i] })
+	s.nextPing = 0
 }
 
 func (s *State) ping(now clock.Instant, m *member) {
 	s.seq++
-	s.probes = append(s.probes, &probe{seq: s.seq, node: m.Node(), version: m.Version, sent: now})
+	s.probes = append(s.probes, &probe{seq: s.seq, node: m.Node(), version: m.Version, sentAt: now})
 	s.send(m, &Message{Kind: KindPing, Seq: s.seq})
 }
 
-// checkProbes repeats late probes, directly and through others, and suspects
-// those who answer nobody.
+// checkProbes repeats late pings, directly and through other members, and
+// suspects the members that did not answer in time.
 func (s *State) checkProbes(now clock.Instant) {
 	kept := s.probes[:0]
 	for _, p := range s.probes {
-		age := now.Sub(p.sent)
+		age := now.Sub(p.sentAt)
 		if age >= s.cfg.ProbeTimeout {
 			s.suspect(now, p)
 			continue
 		}
 		if age >= time.Duration(p.repeats+1)*s.cfg.AckTimeout {
 			p.repeats++
-			s.repeat(p)
+			s.repeatPing(p)
 		}
 		kept = append(kept, p)
 	}
 	s.probes = kept
 }
 
-func (s *State) repeat(p *probe) {
+func (s *State) repeatPing(p *probe) {
 	m := s.members[p.node.VM]
 	if m == nil {
 		return
@@ -88,12 +90,12 @@
 		return
 	}
 	s.send(m, &Message{Kind: KindPing, Seq: p.seq})
-	for _, via := range s.pick(s.cfg.Indirect, p.node.VM) {
+	for _, via := range s.randomAlive(s.cfg.Indirect, p.node.VM) {
 		s.send(via, &Message{Kind: KindPingReq, Seq: p.seq, Target: m.VM, Addr: m.Addr})
 	}
 }
 
-func (s *State) acked(now clock.Instant, seq uint64) {
+func (s *State) handleAck(now clock.Instant, seq uint64) {
 	for i, p := range s.probes {
 		if p.seq == seq {
 			s.probes = append(s.probes[:i], s.probes[i+1:]...)
@@ -107,29 +109,30 @@
 			if origin := s.members[r.origin]; origin != nil {
 				s.send(origin, &Message{Kind: KindAck, Seq: r.originSeq})
 			}
-		case now.Before(r.expires):
+		case now.Before(r.expiresAt):
 			kept = append(kept, r)
 		}
 	}
 	s.relays = kept
 }
 
-// maxRelayed bounds the pings that are out for others.
-const maxRelayed = 256
+// maxRelayedPings bounds the relayed pings in flight.
+const maxRelayedPings = 256
 
-func (s *State) pingFor(now clock.Instant, m *Message) {
+func (s *State) relayPing(now clock.Instant, m *Message) {
 	target := s.members[m.Target]
-	if target == nil || len(s.relays) >= maxRelayed {
+	if target == nil || len(s.relays) >= maxRelayedPings {
 		return
 	}
 	s.seq++
-	s.relays = append(s.relays, relayed{
-		seq: s.seq, origin: m.Self.VM, originSeq: m.Seq, expires: now.Add(s.cfg.ProbeTimeout),
+	s.relays = append(s.relays, relayedPing{
+		seq: s.seq, origin: m.Self.VM, originSeq: m.Seq, expiresAt: now.Add(s.cfg.ProbeTimeout),
 	})
 	s.send(target, &Message{Kind: KindPing, Seq: s.seq})
 }
 
-// suspect marks a member that answered nobody, unless newer news of it came.
+// suspect marks an unresponsive member as suspect, unless its entry has changed
+// since the ping.
 func (s *State) suspect(now clock.Instant, p *probe) {
 	m := s.members[p.node.VM]
 	if m == nil || m.Node() != p.node || m.Version != p.version || m.Status != Alive {
@@ -137,12 +140,12 @@
 	}
 	e := m.Entry
 	e.Status = Suspect
-	s.apply(now, m, &e)
-	// The suspect hears of it at once, in case the pings were lost.
+	s.updateMember(now, m, &e)
+	// Notify the suspect at once, in case only the pings were lost.
 	s.send(m, &Message{Kind: KindGossip})
 }
 
-// expireSuspects declares those dead who did not refute in time.
+// expireSuspects declares the suspects dead that did not refute in time.
 func (s *State) expireSuspects(now clock.Instant) {
 	waiting := s.suspects
 	s.suspects = s.suspects[:0]
@@ -151,25 +154,25 @@
 		switch {
 		case m == nil || m.Status != Suspect:
 			continue
-		case now.Before(m.refute):
+		case now.Before(m.refuteDeadline):
 			s.suspects = append(s.suspects, vm)
-			s.askAgain(now, m)
+			s.pingSuspect(now, m)
 			continue
 		}
 		e := m.Entry
 		e.Status = Dead
-		s.apply(now, m, &e)
+		s.updateMember(now, m, &e)
 	}
 }
 
-// askAgain pings a suspect when half of its time is gone and again at three
-// quarters. Gossip misses a node now and then: without this a member whose
-// refutation reached all others would be dead to that one.
-func (s *State) askAgain(now clock.Instant, m *member) {
-	left := m.refute.Sub(now)
-	total := s.cfg.suspicion(s.live + 1)
-	if m.asked < 2 && left <= total>>(m.asked+1) {
-		m.asked++
+// pingSuspect pings a suspect at half and at three quarters of its time. Gossip
+// occasionally misses a node: that node would otherwise declare a member dead
+// whose refutation reached all others.
+func (s *State) pingSuspect(now clock.Instant, m *member) {
+	left := m.refuteDeadline.Sub(now)
+	total := s.cfg.suspicionTimeout(s.liveCount + 1)
+	if m.suspectPings < 2 && left <= total>>(m.suspectPings+1) {
+		m.suspectPings++
 		s.ping(now, m)
 	}
 }
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -14,35 +14,35 @@
 	"chervilloom/internal/view"
 )
 
-// watchLives fails when an observer's belief of a VM goes back: to an earlier
-// life, or from left to anything else within one life.
-func watchLives(t *rapid.T, f *testFleet) {
+// checkNoRegression fails the test when a node's entry of a VM regresses: to an
+// earlier incarnation, or from left to another status within one incarnation.
+func checkNoRegression(t *rapid.T, f *testFleet) {
 	type key struct{ observer, subject fleet.VM }
-	type belief struct {
-		observer fleet.Incarnation
-		life     fleet.Incarnation
-		left     bool
+	type lastEntry struct {
+		observer    fleet.Incarnation
+		incarnation fleet.Incarnation
+		left        bool
 	}
-	last := map[key]belief{}
+	last := map[key]lastEntry{}
 	f.onState = func(n *testNode) {
 		for vm, m := range n.members {
 			k := key{observer: n.self.VM, subject: vm}
 			b := last[k]
 			if b.observer == n.self.Incarnation {
-				if m.Incarnation < b.life {
-					t.Fatalf("%s went back from life %d to %d of %s", n.self.VM, b.life, m.Incarnation, vm)
+				if m.Incarnation < b.incarnation {
+					t.Fatalf("%s regressed from incarnation %d to %d of %s", n.self.VM, b.incarnation, m.Incarnation, vm)
 				}
-				if m.Incarnation == b.life && b.left && m.Status != Left {
-					t.Fatalf("%s took %s back after it had left", n.self.VM, vm)
+				if m.Incarnation == b.incarnation && b.left && m.Status != Left {
+					t.Fatalf("%s changed the status of %s after it had left", n.self.VM, vm)
 				}
 			}
-			last[k] = belief{observer: n.self.Incarnation, life: m.Incarnation, left: m.Status == Left}
+			last[k] = lastEntry{observer: n.self.Incarnation, incarnation: m.Incarnation, left: m.Status == Left}
 		}
 	}
 }
 
-// fault draws one fault and applies it.
-func fault(t *rapid.T, f *testFleet) {
+// applyRandomFault draws a fault and applies it.
+func applyRandomFault(t *rapid.T, f *testFleet) {
 	i := rapid.IntRange(0, len(f.nodes)-1).Draw(t, "node")
 	n := f.nodes[i]
 	switch rapid.IntRange(0, 6).Draw(t, "fault") {
@@ -53,51 +53,51 @@
 	case 2:
 		f.pause(i, time.Duration(rapid.IntRange(100, 60_000).Draw(t, "pause"))*time.Millisecond)
 	case 3:
-		f.loss = float64(rapid.IntRange(0, 40).Draw(t, "loss")) / 100
+		f.lossRate = float64(rapid.IntRange(0, 40).Draw(t, "loss")) / 100
 	case 4:
 		side, oneWay := rapid.IntRange(1, 3).Draw(t, "side"), rapid.Bool().Draw(t, "one way")
-		f.cut = func(a, b *testNode) bool {
+		f.isCut = func(a, b *testNode) bool {
 			from, to := a.index%4 < side, b.index%4 < side
 			return from != to && (!oneWay || from)
 		}
 	case 5:
-		f.cut = nil
+		f.isCut = nil
 	case 6:
-		if n.up && f.now.After(n.paused) {
-			f.act(n, n.Step(f.now, Leave{}))
+		if n.isRunning && f.now.After(n.pausedUntil) {
+			f.execute(n, n.Step(f.now, Leave{}))
 			f.kill(i)
 		}
 	}
 }
 
-// Nodes die, restart, pause, leave, are cut off and lose messages in any order.
-// When the faults end, every running node must see every other running node
-// alive and no stopped one; throughout, no belief may go back to an earlier life
-// or from left to alive.
-func TestFaultsThatEnd(t *testing.T) {
+// Nodes die, restart, pause, leave, are partitioned and lose messages in any
+// order. When the faults end, every running node must see every other running
+// node alive and no stopped one; at no time may an entry regress to an earlier
+// incarnation or from left to alive.
+func TestConvergesAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "nodes")
 		f := newTestFleet(n, rapid.Uint64().Draw(t, "seed"), Defaults())
-		watchLives(t, f)
+		checkNoRegression(t, f)
 		f.run(5 * time.Second)
 		for range rapid.IntRange(1, 8).Draw(t, "faults") {
-			fault(t, f)
+			applyRandomFault(t, f)
 			f.run(time.Duration(rapid.IntRange(0, 30_000).Draw(t, "wait")) * time.Millisecond)
 		}
-		f.cut, f.loss = nil, 0
+		f.isCut, f.lossRate = nil, 0
 		f.run(60 * time.Second) // the longest pause
-		if !f.settle(3*time.Minute) || !f.stoppedAreGone(time.Minute) {
-			t.Fatalf("no agreement: %s", f.beliefs())
+		if !f.converge(3*time.Minute) || !f.detectsStoppedNodes(time.Minute) {
+			t.Fatalf("fleet did not converge: %s", f.describeMembers())
 		}
 	})
 }
 
-func (f *testFleet) stoppedAreGone(limit time.Duration) bool {
+func (f *testFleet) detectsStoppedNodes(limit time.Duration) bool {
 	gone := func() bool {
 		for _, n := range f.nodes {
 			for _, o := range f.nodes {
 				s := n.stateOf(o.index)
-				if n.up && !o.up && (s == view.NodeAlive || s == view.NodeSuspect) {
+				if n.isRunning && !o.isRunning && (s == view.NodeAlive || s == view.NodeSuspect) {
 					return false
 				}
 			}
@@ -110,10 +110,10 @@
 	return gone()
 }
 
-func (f *testFleet) beliefs() string {
+func (f *testFleet) describeMembers() string {
 	var out []string
 	for _, n := range f.nodes {
-		if !n.up {
+		if !n.isRunning {
 			continue
 		}
 		for vm, m := range n.members {
@@ -124,8 +124,8 @@
 	return fmt.Sprint(out)
 }
 
-// Merging takes the greater entry of a total order: in any order of arrival the
-// same entry stands at the end.
+// Merging keeps the greater entry, so it must be a total order for the result
+// not to depend on the order of arrival.
 func TestSupersedesIsATotalOrder(t *testing.T) {
 	entry := rapid.Custom(func(t *rapid.T) Entry {
 		return Entry{
@@ -145,12 +145,13 @@
 	})
 }
 
-// The same seed gives the same run, or a failing one could not be looked into.
-func TestSameSeedSameRun(t *testing.T) {
+// The same seed must give the same run, or failing runs could not be
+// reproduced.
+func TestSimulationIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	run := func() (int, int, clock.Instant) {
 		f := newTestFleet(20, 7, Defaults())
-		f.loss = 0.1
+		f.lossRate = 0.1
 		f.run(20 * time.Second)
 		f.kill(3)
 		f.run(20 * time.Second)
@@ -163,8 +164,8 @@
 	is.Equal(n1, n2)
 }
 
-// A node that goes away moves only its own subjects, and the order in which the
-// nodes are listed does not matter.
+// Removing a node must move only its own subjects, and the order in which nodes
+// are listed must not matter.
 func TestOwnerIsStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 20).Draw(t, "nodes")
@@ -174,18 +175,18 @@
 		}
 		subject := rapid.String().Draw(t, "subject")
 		owner := Owner(subject, nodes)
-		gone := nodes[rapid.IntRange(0, n-1).Draw(t, "gone")]
-		rest := slices.DeleteFunc(slices.Clone(nodes), func(vm fleet.VM) bool { return vm == gone })
+		removed := nodes[rapid.IntRange(0, n-1).Draw(t, "gone")]
+		rest := slices.DeleteFunc(slices.Clone(nodes), func(vm fleet.VM) bool { return vm == removed })
 		slices.Reverse(rest)
-		if gone != owner && Owner(subject, rest) != owner {
-			t.Fatal("the owner moved with another node")
+		if removed != owner && Owner(subject, rest) != owner {
+			t.Fatal("removing another node changed the owner")
 		}
 		top := TopK(subject, nodes, 3)
 		if top[0] != owner || len(top) != min(3, n) {
-			t.Fatal("the owner is not first")
+			t.Fatal("the owner is not the first of TopK")
 		}
-		if gone == owner && Owner(subject, rest) != top[1] {
-			t.Fatal("the second did not follow the first")
+		if removed == owner && Owner(subject, rest) != top[1] {
+			t.Fatal("the second node did not succeed the removed owner")
 		}
 	})
 	is.New(t).Equal(Owner("s", nil), fleet.VM(""))
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -15,55 +15,58 @@
 	"chervilloom/internal/view"
 )
 
-// Topic is the topic of the membership's messages.
+// Topic is the topic of this package's messages.
 const Topic = "membership"
 
-// Mesh is what Service needs of the links between nodes.
+// Mesh is the part of the links between nodes that Service uses.
 type Mesh interface {
 	Send(to fleet.VM, topic string, payload []byte) error
-	// SendAddr sends to whoever of the deployment answers at the address.
+	// SendAddr sends to the node of the deployment that listens at the address.
 	SendAddr(addr, topic string, payload []byte) error
 	Subscribe(topic string, f func(from fleet.Node, payload []byte))
 	Learn(vm fleet.VM, addr string)
 }
 
 const (
-	// inboxSize bounds the messages that wait for the state machine. A full
-	// inbox drops the new one; pings and news are sent again.
+	// inboxSize bounds the received messages that wait for the state machine. A
+	// full inbox drops new messages; pings and updates are sent again.
 	inboxSize = 1024
-	// commandSize bounds seeds, announcements and the leave.
+	// commandSize bounds the queued seeds, announcements and leave commands.
 	commandSize = 64
 )
 
-// Options make a Service. State, Mesh and Log are needed.
+// Options configures a Service. State, Mesh and Log are required.
 type Options struct {
 	State      *State
 	Mesh       Mesh
 	Clock      clock.Clock // default clock.Boot
 	Log        *slog.Logger
-	Registerer prometheus.Registerer // nil: metrics are kept but not exposed
-	// OnPause is called, before anything else is decided, when this process
-	// finds that it did not run for a while. It must not block.
+	Registerer prometheus.Registerer // nil: metrics are not registered
+	// OnPause is called when this process detects that it was paused, before
+	// any other decision is made. It must not block.
 	OnPause func(gap time.Duration)
-	// OnReplaced is called when a later process with this VM's name is a member.
-	// This process has to stop: the others send it no work. It must not block.
+	// OnReplaced is called when a later incarnation of this VM has joined. This
+	// process has to stop, since other nodes no longer send it requests. It
+	// must not block.
 	OnReplaced func(by fleet.Node)
 }
 
-// Service runs a State over the links. Its methods are safe for concurrent use.
+// Service runs a State over the links between nodes. Its methods are safe for
+// concurrent use.
 type Service struct {
-	opts     Options
-	inbox    *ring.Queue[Received]
-	commands *ring.Queue[Event]
-	nodes    atomic.Pointer[[]view.Node]
-	metrics  *metrics
-	left     chan struct{}
+	opts      Options
+	inbox     *ring.Queue[Received]
+	commands  *ring.Queue[Event]
+	nodes     atomic.Pointer[[]view.Node]
+	metrics   *metrics
+	leaveDone chan struct{}
 
-	mu       sync.Mutex
-	watchers []func([]view.Node)
+	mu          sync.Mutex
+	subscribers []func([]view.Node)
 }
 
-// NewService subscribes to the topic. Run has to be running for the rest.
+// NewService returns a Service subscribed to Topic. Its other methods require
+// Run.
 func NewService(o Options) (*Service, error) {
 	if o.Clock == nil {
 		o.Clock = clock.Boot{}
@@ -73,23 +76,23 @@
 	}
 	s := &Service{
 		opts: o, inbox: ring.NewQueue[Received](inboxSize),
-		commands: ring.NewQueue[Event](commandSize), left: make(chan struct{}),
+		commands: ring.NewQueue[Event](commandSize), leaveDone: make(chan struct{}),
 	}
 	s.nodes.Store(&[]view.Node{})
 	var err error
 	if s.metrics, err = newMetrics(o.Registerer); err != nil {
 		return nil, err
 	}
-	o.Mesh.Subscribe(Topic, s.take)
+	o.Mesh.Subscribe(Topic, s.enqueue)
 	return s, nil
 }
 
-// take decodes a message in the mesh's goroutine and queues it.
-func (s *Service) take(from fleet.Node, payload []byte) {
+// enqueue decodes a message in the mesh's goroutine and queues it.
+func (s *Service) enqueue(from fleet.Node, payload []byte) {
 	m, err := Decode(payload)
 	if err != nil {
 		s.metrics.dropped.WithLabelValues("unreadable").Inc()
-		s.opts.Log.Warn("membership message unreadable", "from", from.String(), "error", err)
+		s.opts.Log.Warn("cannot decode membership message", "from", from.String(), "error", err)
 		return
 	}
 	if !s.inbox.Offer(Received{From: from, Message: m}) {
@@ -97,41 +100,42 @@
 	}
 }
 
-// Nodes returns what is believed of the other nodes, by VM. The slice is shared
+// Nodes returns the known state of the other nodes, by VM. The slice is shared
 // and must not be changed.
 func (s *Service) Nodes() []view.Node { return *s.nodes.Load() }
 
-// OnChange adds f, which is called with every new list, from one goroutine. It
-// must not block.
+// OnChange registers f, which is called with every new list, from one
+// goroutine. It must not block.
 func (s *Service) OnChange(f func([]view.Node)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watchers = append(s.watchers, f)
+	s.subscribers = append(s.subscribers, f)
 }
 
-// SetSeeds names nodes that may be members. It reports false when too many
-// commands wait; the caller repeats it with its next list.
+// SetSeeds sets the nodes that may be members. It returns false if the command
+// queue is full; the caller then retries with its next list.
 func (s *Service) SetSeeds(seeds []Seed) bool { return s.commands.Offer(Seeds{Nodes: seeds}) }
 
-// Announce tells the members this node's revision, whether it is draining and a
-// small payload. It reports false when too many commands wait.
+// Announce publishes this node's revision, its draining state and a small
+// payload to the members. It returns false if the command queue is full.
 func (s *Service) Announce(revision uint64, draining bool, payload []byte) bool {
 	return s.commands.Offer(Announce{Revision: revision, Draining: draining, Payload: payload})
 }
 
-// Leave tells the members that this process ends and waits until that is handed
-// to the links. The links need a moment afterwards before they are closed.
+// Leave announces that this process stops and waits until the messages have
+// been handed to the links. The links must stay open a moment longer to deliver
+// them.
 func (s *Service) Leave(ctx context.Context) error {
 	s.commands.Offer(Leave{})
 	select {
-	case <-s.left:
+	case <-s.leaveDone:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Run drives the state until ctx ends.
+// Run drives the state machine until ctx ends.
 func (s *Service) Run(ctx context.Context) error {
 	t := time.NewTicker(s.opts.State.cfg.TickPeriod)
 	defer t.Stop()
@@ -144,8 +148,8 @@
 		case c := <-s.commands.C():
 			s.step(c)
 		case <-t.C:
-			// Acks that are here already must count before the tick that would
-			// find them missing.
+			// Process received acks before a tick that would time out their
+			// pings.
 			s.drainInbox()
 			s.step(Tick{})
 		}
@@ -165,22 +169,22 @@
 
 func (s *Service) step(ev Event) {
 	for _, a := range s.opts.State.Step(s.opts.Clock.Now(), ev) {
-		s.act(a)
+		s.execute(a)
 	}
 	if _, ok := ev.(Leave); ok {
-		s.closeLeft()
+		s.closeLeaveDone()
 	}
 }
 
-func (s *Service) closeLeft() {
+func (s *Service) closeLeaveDone() {
 	select {
-	case <-s.left:
+	case <-s.leaveDone:
 	default:
-		close(s.left)
+		close(s.leaveDone)
 	}
 }
 
-func (s *Service) act(a Action) {
+func (s *Service) execute(a Action) {
 	switch a := a.(type) {
 	case Send:
 		s.send(a)
@@ -188,7 +192,7 @@
 		s.publish()
 	case Paused:
 		s.metrics.pauses.Inc()
-		s.opts.Log.Warn("this process did not run", "gap", a.Gap)
+		s.opts.Log.Warn("process was paused", "gap", a.Gap)
 		if s.opts.OnPause != nil {
 			s.opts.OnPause(a.Gap)
 		}
@@ -203,17 +207,17 @@
 func (s *Service) send(a Send) {
 	payload, err := a.Message.Encode()
 	if err != nil {
-		s.opts.Log.Error("membership message not encoded", "error", err)
+		s.opts.Log.Error("cannot encode membership message", "error", err)
 		return
 	}
-	if err := s.hand(a, payload); err != nil {
-		s.opts.Log.Error("membership message not sent", "to", a.To, "addr", a.Addr, "error", err)
+	if err := s.sendPayload(a, payload); err != nil {
+		s.opts.Log.Error("cannot send membership message", "to", a.To, "addr", a.Addr, "error", err)
 		return
 	}
 	s.metrics.bytes.Add(float64(len(payload)))
 }
 
-func (s *Service) hand(a Send, payload []byte) error {
+func (s *Service) sendPayload(a Send, payload []byte) error {
 	if a.To == "" {
 		return s.opts.Mesh.SendAddr(a.Addr, Topic, payload)
 	}
@@ -226,11 +230,11 @@
 func (s *Service) publish() {
 	nodes := s.opts.State.Nodes()
 	s.nodes.Store(&nodes)
-	s.metrics.count(nodes)
+	s.metrics.setNodeCounts(nodes)
 	s.mu.Lock()
-	watchers := s.watchers
+	subscribers := s.subscribers
 	s.mu.Unlock()
-	for _, f := range watchers {
+	for _, f := range subscribers {
 		f(nodes)
 	}
 }
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -16,17 +16,18 @@
 	"chervilloom/internal/view"
 )
 
-// patience bounds the wait for what must come; it is no measure of speed.
-const patience = 60 * time.Second
+// awaitTimeout bounds the wait for an expected state; it is not a performance
+// target.
+const awaitTimeout = 60 * time.Second
 
-// liveNode is a membership over real links.
-type liveNode struct {
+// linkedNode is a Service over real links.
+type linkedNode struct {
 	mesh    *peer.Mesh
 	service *membership.Service
 	stop    func()
 }
 
-func startNode(t *testing.T, node fleet.Node, listen string, seeds ...membership.Seed) *liveNode {
+func startNode(t *testing.T, node fleet.Node, listen string, seeds ...membership.Seed) *linkedNode {
 	t.Helper()
 	id, err := peer.IdentityFromSecret(node.VM, []byte("a secret of the tests, long enough"))
 	if err != nil {
@@ -57,20 +58,20 @@
 	}
 	t.Cleanup(stop)
 	service.SetSeeds(seeds)
-	return &liveNode{mesh: mesh, service: service, stop: stop}
+	return &linkedNode{mesh: mesh, service: service, stop: stop}
 }
 
-// await polls until ok or patience is over.
+// await polls until ok returns true and fails the test after awaitTimeout.
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(awaitTimeout); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not seen: " + what)
+			t.Fatal("timed out waiting for: " + what)
 		}
 	}
 }
 
-func (n *liveNode) sees(want fleet.Node, state view.NodeState) bool {
+func (n *linkedNode) seesState(want fleet.Node, state view.NodeState) bool {
 	for _, o := range n.service.Nodes() {
 		if o.Node == want {
 			return o.State == state
@@ -79,18 +80,19 @@
 	return false
 }
 
-// Three nodes meet over QUIC by one seed. One announces a revision, one leaves in
-// good order and comes back as a new process on another port, one stops dead.
+// Three nodes join over QUIC through one seed. One announces a revision, one
+// leaves gracefully and returns as a new process on another port, one stops
+// without leaving.
 func TestServiceOverLinks(t *testing.T) {
 	is := is.New(t)
 	a1, b1, c1 := fleet.Node{VM: "a", Incarnation: 1}, fleet.Node{VM: "b", Incarnation: 1}, fleet.Node{VM: "c", Incarnation: 1}
 	a := startNode(t, a1, "127.0.0.1:0")
 	seed := membership.Seed{VM: "a", Addr: a.mesh.Addr()}
-	nameless := membership.Seed{Addr: a.mesh.Addr()} // as the settings list it
+	addrOnly := membership.Seed{Addr: a.mesh.Addr()} // a seed from the settings has only an address
 	b := startNode(t, b1, "127.0.0.1:0", seed)
-	c := startNode(t, c1, "127.0.0.1:0", nameless)
+	c := startNode(t, c1, "127.0.0.1:0", addrOnly)
 	await(t, "all alive", func() bool {
-		return a.sees(b1, view.NodeAlive) && a.sees(c1, view.NodeAlive) && b.sees(c1, view.NodeAlive) && c.sees(b1, view.NodeAlive)
+		return a.seesState(b1, view.NodeAlive) && a.seesState(c1, view.NodeAlive) && b.seesState(c1, view.NodeAlive) && c.seesState(b1, view.NodeAlive)
 	})
 
 	is.True(b.service.Announce(7, true, []byte("p")))
@@ -103,15 +105,15 @@
 		return false
 	})
 
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), awaitTimeout)
 	defer cancel()
 	is.NoErr(b.service.Leave(ctx))
-	await(t, "b left", func() bool { return a.sees(b1, view.NodeLeft) && c.sees(b1, view.NodeLeft) })
+	await(t, "b left", func() bool { return a.seesState(b1, view.NodeLeft) && c.seesState(b1, view.NodeLeft) })
 	b.stop()
 	b2 := fleet.Node{VM: "b", Incarnation: 2}
-	again := startNode(t, b2, "127.0.0.1:0", seed)
-	await(t, "b's second life", func() bool { return a.sees(b2, view.NodeAlive) && c.sees(b2, view.NodeAlive) })
+	restarted := startNode(t, b2, "127.0.0.1:0", seed)
+	await(t, "b alive in its second incarnation", func() bool { return a.seesState(b2, view.NodeAlive) && c.seesState(b2, view.NodeAlive) })
 
 	c.stop()
-	await(t, "c dead", func() bool { return a.sees(c1, view.NodeDead) && again.sees(c1, view.NodeDead) })
+	await(t, "c dead", func() bool { return a.seesState(c1, view.NodeDead) && restarted.seesState(c1, view.NodeDead) })
 }
--- a/internal/membership/state_test.go
+++ b/internal/membership/state_test.go
@@ -17,20 +17,21 @@
 func TestJoin(t *testing.T) {
 	for _, n := range []int{2, 6, 50} {
 		f := newTestFleet(n, 1, Defaults())
-		is.New(t).True(f.settle(time.Minute))
+		is.New(t).True(f.converge(time.Minute))
 	}
 }
 
-// A node dies without a word. All others must come to count it dead, and only it.
-func TestDeadNodeIsFound(t *testing.T) {
+// A node that dies must be declared dead by all others, and no other node may
+// be.
+func TestDeadNodeIsDetected(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(6, 1, Defaults())
-	is.True(f.settle(time.Minute))
+	is.True(f.converge(time.Minute))
 	f.kill(3)
 	f.run(30 * time.Second)
 	for _, n := range f.nodes {
 		for i := range f.nodes {
-			if !n.up || i == n.index {
+			if !n.isRunning || i == n.index {
 				continue
 			}
 			want := view.NodeAlive
@@ -42,13 +43,13 @@
 	}
 }
 
-// A process is stopped for longer than it takes to be declared dead, then goes
-// on as if nothing had happened. It must notice that it was stopped, must not
-// declare the others dead, and must be taken back.
-func TestPausedNodeComesBack(t *testing.T) {
+// A process is paused for longer than it takes to be declared dead, then
+// resumes. It must detect the pause, must not declare other nodes dead, and
+// must be accepted again.
+func TestPausedNodeRejoins(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(6, 1, Defaults())
-	is.True(f.settle(time.Minute))
+	is.True(f.converge(time.Minute))
 	f.pause(2, 40*time.Second)
 	f.run(39 * time.Second)
 	is.Equal(f.nodes[0].stateOf(2), view.NodeDead)
@@ -61,19 +62,19 @@
 	}
 	f.run(5 * time.Second)
 	is.Equal(f.nodes[2].pauses, 1)
-	is.True(f.agreed())
+	is.True(f.hasConverged())
 }
 
-// A new process on the VM of a dead one replaces it, and what is still told of
-// the old life changes nothing.
-func TestRestartReplacesOldLife(t *testing.T) {
+// A new process on a dead node's VM replaces it, and late updates about the
+// earlier incarnation must change nothing.
+func TestRestartReplacesEarlierIncarnation(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(6, 1, Defaults())
-	is.True(f.settle(time.Minute))
+	is.True(f.converge(time.Minute))
 	f.kill(1)
 	f.run(2 * time.Second)
 	f.start(1, 2)
-	is.True(f.settle(time.Minute))
+	is.True(f.converge(time.Minute))
 	old := f.nodes[0].members[vmName(1)].Entry
 	old.Incarnation, old.Version, old.Status = 1, 1000, Alive
 	before := f.nodes[0].members[vmName(1)].Entry
@@ -81,30 +82,30 @@
 	is.Equal(f.nodes[0].members[vmName(1)].Entry, before)
 }
 
-// A node leaves in good order: the others must say left, not dead, and must not
-// raise an alarm.
+// A node that leaves gracefully must be seen as left, not as dead, by the
+// others.
 func TestLeftIsNotDead(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(6, 1, Defaults())
-	is.True(f.settle(time.Minute))
-	f.act(f.nodes[4], f.nodes[4].Step(f.now, Leave{}))
+	is.True(f.converge(time.Minute))
+	f.execute(f.nodes[4], f.nodes[4].Step(f.now, Leave{}))
 	f.run(time.Second)
 	f.kill(4)
 	f.run(30 * time.Second)
 	for _, n := range f.nodes {
-		if n.up {
+		if n.isRunning {
 			is.Equal(n.stateOf(4), view.NodeLeft)
 		}
 	}
 }
 
-// A zone is cut off for so long that each side counts the other dead. When the
-// cut heals both must find each other without any list from outside.
-func TestCutHeals(t *testing.T) {
+// A zone is partitioned for so long that each side considers the other dead.
+// When the partition heals, both must find each other without seeds.
+func TestPartitionHeals(t *testing.T) {
 	is := is.New(t)
 	f := newTestFleet(9, 1, Defaults())
-	is.True(f.settle(time.Minute))
-	f.cut = func(a, b *testNode) bool { return (a.index%3 == 0) != (b.index%3 == 0) }
+	is.True(f.converge(time.Minute))
+	f.isCut = func(a, b *testNode) bool { return (a.index%3 == 0) != (b.index%3 == 0) }
 	f.run(3 * time.Minute)
 	is.Equal(f.nodes[0].stateOf(1), view.NodeDead)
 	is.Equal(f.nodes[1].stateOf(0), view.NodeDead)
@@ -112,21 +113,21 @@
 	for _, n := range f.nodes {
 		n.Step(f.now, Seeds{})
 	}
-	f.cut = nil
-	is.True(f.settle(time.Minute))
+	f.isCut = nil
+	is.True(f.converge(time.Minute))
 }
 
 func TestSupersedes(t *testing.T) {
-	entry := func(life fleet.Incarnation, version uint64, s Status) Entry {
-		return Entry{VM: "a", Incarnation: life, Version: version, Status: s}
+	entry := func(incarnation fleet.Incarnation, version uint64, s Status) Entry {
+		return Entry{VM: "a", Incarnation: incarnation, Version: version, Status: s}
 	}
 	for name, c := range map[string]struct{ newer, older Entry }{
-		"a later life wins over anything":       {entry(2, 1, Alive), entry(1, 9, Left)},
-		"dead in a later life wins":             {entry(2, 1, Dead), entry(1, 9, Alive)},
-		"left is final in its life":             {entry(1, 1, Left), entry(1, 9, Alive)},
-		"the member's own later word refutes":   {entry(1, 2, Alive), entry(1, 1, Dead)},
-		"suspicion wins over the word it is of": {entry(1, 1, Suspect), entry(1, 1, Alive)},
-		"dead wins over suspect":                {entry(1, 1, Dead), entry(1, 1, Suspect)},
+		"a later incarnation always wins":  {entry(2, 1, Alive), entry(1, 9, Left)},
+		"dead in a later incarnation wins": {entry(2, 1, Dead), entry(1, 9, Alive)},
+		"left is final in its incarnation": {entry(1, 1, Left), entry(1, 9, Alive)},
+		"a higher version refutes":         {entry(1, 2, Alive), entry(1, 1, Dead)},
+		"suspect wins at the same version": {entry(1, 1, Suspect), entry(1, 1, Alive)},
+		"dead wins over suspect":           {entry(1, 1, Dead), entry(1, 1, Suspect)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -137,13 +138,14 @@
 }
 
 // Nodes forget a dead member at different times. One that has forgotten it must
-// not take it back from one that hasn't: the entry would go round for ever.
-func TestForgottenStaysForgotten(t *testing.T) {
+// not adopt its entry again from one that has not: the entry would circulate
+// for ever.
+func TestForgottenMemberIsNotReadded(t *testing.T) {
 	is := is.New(t)
 	cfg := Defaults()
 	cfg.ForgetDead = 2 * time.Minute
 	f := newTestFleet(6, 1, cfg)
-	is.True(f.settle(time.Minute))
+	is.True(f.converge(time.Minute))
 	f.kill(5)
 	f.run(time.Minute)
 	dead := f.nodes[0].members[vmName(5)].Entry
@@ -155,9 +157,10 @@
 	is.Equal(n.stateOf(5), view.NodeState(""))
 }
 
-// A process was started with an incarnation below the one its VM had before (its
-// wall clock went back). The others go on taking it for dead, so it must be told.
-func TestLowerIncarnationIsToldThatItIsReplaced(t *testing.T) {
+// A process started with a lower incarnation than its VM had before, because
+// its wall clock went back. The others keep considering it dead, so it must
+// detect that it is replaced.
+func TestLowerIncarnationIsReplaced(t *testing.T) {
 	is := is.New(t)
 	s := New(fleet.Node{VM: "a", Incarnation: 1}, "z", "10.0.0.1:1", Defaults(), rand.New(rand.NewPCG(1, 1)))
 	old := Entry{VM: "a", Incarnation: 5, Status: Dead}
@@ -166,8 +169,9 @@
 	is.Equal(actions[0], Action(Replaced{By: old.Node()}))
 }
 
-// The link vouches for the sender; what it says of itself must be of itself.
-func TestSenderMustBeItself(t *testing.T) {
+// The link authenticates the sender; a message whose entry names another node
+// is rejected.
+func TestMismatchedSenderIsRejected(t *testing.T) {
 	is := is.New(t)
 	s := New(fleet.Node{VM: "a", Incarnation: 1}, "z", "10.0.0.1:1", Defaults(), rand.New(rand.NewPCG(1, 1)))
 	s.Step(1, Received{From: fleet.Node{VM: "c", Incarnation: 1}, Message: &Message{Kind: KindGossip, Self: Entry{VM: "b", Incarnation: 1}}})
