--- a/internal/usage/bench_test.go
+++ b/internal/usage/bench_test.go
@@ -11,7 +11,7 @@
 	"chervilloom/internal/fleet"
 )
 
-// poisson draws the number of events of a Poisson process of the given mean.
+// poisson draws a Poisson-distributed number with the given mean.
 func poisson(r *rand.Rand, mean float64) int {
 	if mean > 50 {
 		return max(0, int(math.Round(mean+math.Sqrt(mean)*r.NormFloat64())))
@@ -24,18 +24,18 @@
 	return n
 }
 
-// gossipCase is how the callers of every organisation spread over the nodes.
+// gossipCase is a distribution of every organisation's requests over the nodes.
 type gossipCase struct {
 	name string
-	// rate returns an organisation's demand at a node in caps; hot is drawn for
-	// each organisation.
+	// rate returns an organisation's demand at a node as a multiple of its cap;
+	// hot is a node drawn for each organisation.
 	rate func(node, nodes, hot int) float64
 }
 
 var gossipCases = []gossipCase{
 	{"even80", func(_, n, _ int) float64 { return 0.8 / float64(n) }},
 	{"even300", func(_, n, _ int) float64 { return 3 / float64(n) }},
-	{"hot", func(i, n, hot int) float64 { // half of the callers come to one node
+	{"hot", func(i, n, hot int) float64 { // half of the requests arrive at one node
 		if i == hot {
 			return 0.4
 		}
@@ -43,13 +43,13 @@
 	}},
 }
 
-// gossipSeed is another one in each run, also with -count.
+// gossipSeed differs in each run, also with -count.
 var gossipSeed uint64
 
-// BenchmarkGossip reports the bytes a second of usage messages, 80 for headers
-// of each counted in, after a minute, with caps of 100 a second and Poisson arrivals: sent by a node to
-// each other one, received by a node, by a zone of a third of the nodes, and by
-// all nodes together.
+// BenchmarkGossip reports the bytes per second of usage messages, including 80
+// bytes of headers each, after a minute with caps of 100 requests/s and Poisson
+// arrivals: sent by a node to each other node, received by a node, received by
+// a zone of a third of the nodes, and received by all nodes together.
 func BenchmarkGossip(b *testing.B) {
 	for _, nodes := range []int{6, 370} {
 		for _, orgs := range []int{10, 200} {
@@ -57,12 +57,12 @@
 				b.Run(fmt.Sprintf("nodes=%d/organisations=%d/%s", nodes, orgs, c.name), func(b *testing.B) {
 					for b.Loop() {
 						gossipSeed++
-						sent, most := gossip(gossipSeed, nodes, orgs, c)
+						sent, largest := simulateGossip(gossipSeed, nodes, orgs, c)
 						b.ReportMetric(sent, "B/s-sent")
 						b.ReportMetric(sent*float64(nodes-1), "B/s-received")
 						b.ReportMetric(sent*float64(nodes-1)*float64(nodes)/3, "B/s-zone")
 						b.ReportMetric(sent*float64(nodes-1)*float64(nodes), "B/s-all")
-						b.ReportMetric(float64(most), "B-largest")
+						b.ReportMetric(float64(largest), "B-largest")
 					}
 				})
 			}
@@ -70,9 +70,9 @@
 	}
 }
 
-// gossip returns the mean bytes a second that a node sends to each other one,
-// and the payload of the largest message.
-func gossip(seed uint64, nodes, orgs int, c gossipCase) (perSecond float64, largest int) {
+// simulateGossip returns the mean bytes per second that a node sends to each
+// other node, and the payload size of the largest message.
+func simulateGossip(seed uint64, nodes, orgs int, c gossipCase) (perSecond float64, largest int) {
 	const warm, length = 60 * time.Second, 20 * time.Second
 	r := rand.New(rand.NewPCG(seed, 11))
 	var caps []Organisation
@@ -89,7 +89,7 @@
 		var peers []Peer
 		for j := range nodes {
 			if j != i {
-				peers = append(peers, Peer{Node: netNode(j)})
+				peers = append(peers, Peer{Node: testNode(j)})
 			}
 		}
 		states[i].SetPeers(peers)
@@ -108,11 +108,11 @@
 			p, _ := m.encode()
 			largest = max(largest, len(p))
 			if at >= warm {
-				bytes += len(p) + packetBytes
+				bytes += len(p) + packetOverheadBytes
 			}
 			for j, to := range states {
 				if j != i {
-					to.Receive(now, netNode(i), m)
+					to.Receive(now, testNode(i), m)
 				}
 			}
 		}
@@ -120,8 +120,8 @@
 	return float64(bytes) / length.Seconds() / float64(nodes), largest
 }
 
-// BenchmarkTick is one tick of a node among the given number, when every node's
-// claim on every cap differs from an even one.
+// BenchmarkTick measures one tick of a node in a fleet of the given size, when
+// every node's claim on every cap differs from an even one.
 func BenchmarkTick(b *testing.B) {
 	for _, nodes := range []int{6, 60, 370} {
 		for _, orgs := range []int{10, 200} {
@@ -132,16 +132,16 @@
 				for i := range orgs {
 					o := fleet.Organisation(fmt.Sprint("organisation-", i))
 					caps = append(caps, Organisation{Name: o, Rate: 100, Lookups: 100})
-					m.Claims = append(m.Claims, Claim{Organisation: hashOf(o), Model: evenLevel + 4, Lookups: evenLevel - 4})
+					m.Claims = append(m.Claims, Claim{Organisation: organisationHash(o), Model: evenLevel + 4, Lookups: evenLevel - 4})
 				}
 				s.Configure(caps)
 				var peers []Peer
 				for j := range nodes - 1 {
-					peers = append(peers, Peer{Node: netNode(j)})
+					peers = append(peers, Peer{Node: testNode(j)})
 				}
 				s.SetPeers(peers)
 				for j := range nodes - 1 {
-					s.Receive(1, netNode(j), m)
+					s.Receive(1, testNode(j), m)
 				}
 				b.ReportAllocs()
 				for b.Loop() {
--- a/internal/usage/claim.go
+++ b/internal/usage/claim.go
@@ -7,91 +7,93 @@
 	"chervilloom/internal/clock"
 )
 
-// level is a claim in quarter octaves: 0 stands for the least claim.
+// level encodes a claim in quarter octaves (steps of 2^(1/4)) above minClaim.
 type level uint8
 
 const (
-	// leastClaim is what a node without callers keeps, in even parts: the first
-	// callers that come get through while the claim is raised.
-	leastClaim = 1.0 / 8
-	// evenLevel is the level of a claim of one even part.
+	// minClaim is the claim of a node without requests, in even shares. It
+	// admits the first requests that arrive until the claim has been raised.
+	minClaim = 1.0 / 8
+	// evenLevel is the level of a claim of one even share.
 	evenLevel level = 12
-	// topLevel bounds claims at about 4,000 even parts.
-	topLevel level = 60
-	// tolerance is by how many levels demand and claim may differ before the
-	// claim is changed: about 40 per cent, well over the noise of the demand.
-	tolerance = 2
+	// maxLevel limits claims to about 4,000 even shares.
+	maxLevel level = 60
+	// levelTolerance is the difference in levels between demand and claim at
+	// which the claim changes: about 40 per cent, well above the noise of the
+	// demand.
+	levelTolerance = 2
 )
 
-// evenClaim is the claim of one even part. Claims are whole numbers, so that
-// sums of them that are kept up to date carry no rounding errors.
+// evenClaim is the claim of one even share. Claims are integers, so that
+// running sums have no rounding errors.
 const evenClaim = 1 << 20
 
-// claimOf is the claim of each level.
-var claimOf = func() (c [topLevel + 1]int64) {
+// claimOfLevel is the claim at each level.
+var claimOfLevel = func() (c [maxLevel + 1]int64) {
 	for l := range c {
-		c[l] = int64(math.Round(evenClaim * leastClaim * math.Exp2(float64(l)/4)))
+		c[l] = int64(math.Round(evenClaim * minClaim * math.Exp2(float64(l)/4)))
 	}
 	return c
 }()
 
-// levelOf returns the level nearest to a claim.
+// levelOf returns the level nearest to a claim in even shares.
 func levelOf(claim float64) level {
-	if claim <= leastClaim {
+	if claim <= minClaim {
 		return 0
 	}
-	l := math.Round(4 * math.Log2(claim/leastClaim))
-	return level(min(l, float64(topLevel)))
+	l := math.Round(4 * math.Log2(claim/minClaim))
+	return level(min(l, float64(maxLevel)))
 }
 
-func apart(a, b level) bool {
+func differsBeyondTolerance(a, b level) bool {
 	d := int(a) - int(b)
-	return d >= tolerance || -d >= tolerance
+	return d >= levelTolerance || -d >= levelTolerance
 }
 
 const (
-	// Holdoff is how long after it was told a raised claim is used. It covers
-	// the way of the message and the quarter of a second in which admission
-	// takes up a new share.
+	// Holdoff is the delay between announcing a raised claim and using it. It
+	// covers message delivery and the quarter of a second in which admission
+	// adopts a new share.
 	Holdoff = time.Second
-	// TickEvery is how often demand is measured and claims are told.
+	// TickEvery is the interval at which demand is measured and claims are
+	// announced.
 	TickEvery = 500 * time.Millisecond
-	// leastMemory and mostMemory bound the time constant of the measured
-	// demand; in between it is long enough to see memorySamples requests of an
-	// even part.
-	leastMemory   = 3.0 // seconds
-	mostMemory    = 60.0
-	memorySamples = 16.0
+	// minTimeConstant and maxTimeConstant bound the time constant of the
+	// measured demand, in seconds. Between them it covers timeConstantRequests
+	// requests of an even share.
+	minTimeConstant      = 3.0
+	maxTimeConstant      = 60.0
+	timeConstantRequests = 16.0
 )
 
-// meter measures the demand of one organisation in one lane at this node, and
-// holds this node's claim on its cap.
+// meter measures an organisation's demand on one cap at this node and keeps
+// this node's claim on that cap.
 type meter struct {
-	cap     float64       // requests a second over all nodes; 0: none
-	demand  float64       // requests a second at this node, decayed
-	used    level         // claim that this node's share is worked out from
-	told    level         // newest claim that the others were told
-	toldAt  clock.Instant // of the message that told it
-	pending bool          // told has changed and is not sent yet
-	share   float64       // of the cap
+	cap            float64       // requests per second over all nodes; 0: no cap
+	demand         float64       // requests per second at this node, exponentially averaged
+	activeLevel    level         // claim from which this node's share is computed
+	announcedLevel level         // newest claim announced or to be announced to the peers
+	announcedAt    clock.Instant // send time of the message that announced it
+	isUnsent       bool          // announcedLevel has changed and was not sent yet
+	share          float64       // part of the cap, 0 to 1
 }
 
-// measure takes the requests of the last dt seconds.
-func (m *meter) measure(count, dt float64, nodes int) {
-	memory := mostMemory
+// updateDemand adds the requests of the last dt seconds to the average.
+func (m *meter) updateDemand(count, dt float64, nodes int) {
+	timeConstant := maxTimeConstant
 	if m.cap > 0 {
-		memory = min(mostMemory, max(leastMemory, memorySamples*float64(nodes)/m.cap))
+		timeConstant = min(maxTimeConstant, max(minTimeConstant, timeConstantRequests*float64(nodes)/m.cap))
 	}
-	m.demand += (count/dt - m.demand) * (1 - math.Exp(-dt/memory))
+	m.demand += (count/dt - m.demand) * (1 - math.Exp(-dt/timeConstant))
 }
 
-// wanted returns the claim that fits the demand. Nobody is asked to give way
-// (contended) as long as nobody wants more than an even part: claims then stay
-// even, and no message is needed.
-func (m *meter) wanted(nodes int, contended bool) level {
-	want := levelOf(m.demand * float64(nodes) / m.cap)
-	if want < evenLevel && !contended {
+// targetLevel returns the claim that fits the demand. While no node claims more
+// than an even share (contended is false), low claims stay even and need no
+// message.
+func (m *meter) targetLevel(nodes int, contended bool) level {
+	target := levelOf(m.demand * float64(nodes) / m.cap)
+	if target < evenLevel && !contended {
 		return evenLevel
 	}
-	return want
+	return target
 }
--- a/internal/usage/doc.go
+++ b/internal/usage/doc.go
@@ -1,34 +1,33 @@
-// Package usage shares the organisations' rate caps between the nodes without a
+// Package usage divides the organisations' rate caps among the nodes without a
 // coordinator.
 //
-// A cap holds over all nodes together. Each node has a claim on each cap, 1 for
-// an even part; its share is its claim over the sum of its own claim and what
-// it believes of the others'. A node whose callers ask for more than an even
-// part raises its claim; when somebody claims more than an even part, nodes
-// whose callers ask for less lower theirs. Claims travel in messages of the
-// topic "usage" that hold only what changed, and now and then what is not an
-// even part.
+// A cap applies to all nodes together. Each node has a claim on each cap, 1 for
+// an even share; its share is its claim divided by the sum of its own claim and
+// the known claims of its peers. A node with more demand than an even share
+// raises its claim; when some node claims more than an even share, nodes with
+// less demand lower theirs. Claims are sent in messages on the topic "usage",
+// which carry changed claims and periodically repeat those that are not even.
 //
 // # Bound
 //
-// A node lowers its claim for itself at once and tells the others, who act on
-// it when they hear. It raises its claim for itself only Holdoff after it told
-// the others. So, as long as messages arrive within Holdoff, no node uses a
-// claim higher than what any other believes of it, and therefore
+// A node applies a lowered claim at once and announces it; the peers apply it
+// on receipt. It applies a raised claim only Holdoff after it has announced it.
+// So, as long as messages arrive within Holdoff, no node uses a claim higher
+// than the one that any peer knows of it, and therefore
 //
-//	sum of claim(i) / (claim(i) + sum of beliefs of i) <= sum of claim(i) / sum of claims = 1
+//	sum of claim(i) / (claim(i) + sum of claims known to i) <= sum of claim(i) / sum of claims = 1
 //
-// at every moment: the nodes together admit no more than the cap.
+// at any time: the nodes together admit no more than the cap.
 //
-// Cut off from a node that membership has declared dead, a node leaves an even
-// part of the cap to it, 1/N of the N nodes that it knows, whether it died or
-// lives on the other side. The parts of a clean split then sum to 1 again. In
-// between, from the cut until membership has declared the other side dead, each
-// part of the split may use up to the whole cap: at most k times the cap for a
-// split into k parts, so twice for two. A node that nobody hears, because its
-// messages are lost in one direction, counts as a part of its own. A node that
-// joins adds at most an even part until it has heard the others.
+// A node reserves an even share of the cap, 1/N of the N nodes that it knows,
+// for each peer that membership has declared dead, since the peer may be alive
+// on the other side of a partition. The shares of a clean partition then sum to
+// 1 again. Between the start of a partition and the declaration, each side may
+// use up to the whole cap: at most k times the cap for a partition into k
+// sides, so twice for two. A node whose messages are lost in one direction
+// counts as a side of its own. A node that joins adds at most an even share
+// until it has received the others' claims.
 //
-// A node is forgotten, and its part given to the others, when it leaves or the
-// platform no longer lists it; time alone does not forget it.
+// A node is removed, and its share given to the others, when it leaves or the
+// platform no longer lists it; it never expires by time alone.
 package usage
--- a/internal/usage/message.go
+++ b/internal/usage/message.go
@@ -9,58 +9,59 @@
 	"chervilloom/internal/fleet"
 )
 
-// Topic names the messages of this package between nodes.
+// Topic is the topic of this package's messages between nodes.
 const Topic = "usage"
 
-// Message tells claims that changed or are due to be told again.
+// Message announces claims that have changed or are due to be repeated.
 type Message struct {
-	Sequence uint64  `cbor:"1,keyasint"` // grows with each message of one life of a node
+	Sequence uint64  `cbor:"1,keyasint"` // increases with each message of one incarnation of a node
 	Claims   []Claim `cbor:"2,keyasint"`
 }
 
-// Claim is a node's claims on the caps of one organisation.
+// Claim holds a node's claims on the caps of one organisation.
 type Claim struct {
 	_            struct{} `cbor:",toarray"`
-	Organisation uint32   // hash of the name; two with the same hash share beliefs, which does no harm
+	Organisation uint32   // hash of the name; organisations with equal hashes share claims, which is harmless
 	Model        level
 	Lookups      level
 }
 
 const (
-	// messageClaims bounds the claims of one message: it then fits a datagram.
-	messageClaims = 100
-	// headBytes and claimBytes are the encoded sizes: map, keys, sequence and
-	// array head; array head, hash and two levels.
-	headBytes  = 16
-	claimBytes = 10
-	// packetBytes is about what a message costs besides: headers of IP, UDP and
-	// QUIC, stream frame and topic.
-	packetBytes = 80
-	// worthClaims is with how many claims a message is sent when not all that
-	// are due can be paid for: in a large fleet messages of one claim each
-	// would be mostly headers.
-	worthClaims = 20
+	// maxClaimsPerMessage keeps a message within one datagram.
+	maxClaimsPerMessage = 100
+	// headerBytes is the encoded size of map, keys, sequence and array head,
+	// claimBytes that of a claim: array head, hash and two levels.
+	headerBytes = 16
+	claimBytes  = 10
+	// packetOverheadBytes is the approximate overhead of a message: headers of
+	// IP, UDP and QUIC, stream frame and topic.
+	packetOverheadBytes = 80
+	// minClaimsPerMessage is the number of claims to wait for when the send
+	// credit does not cover all that are due: in a large fleet messages of one
+	// claim each would consist mostly of headers.
+	minClaimsPerMessage = 20
 )
 
-// cost is what a message of n claims costs of the bytes that may be sent.
-func cost(n int) float64 { return float64(packetBytes + headBytes + n*claimBytes) }
+// messageCost returns the send credit, in bytes, that a message of n claims
+// uses.
+func messageCost(n int) float64 { return float64(packetOverheadBytes + headerBytes + n*claimBytes) }
 
 func (m *Message) encode() ([]byte, error) { return cbor.Marshal(m) }
 
 func decode(payload []byte) (*Message, error) {
-	if len(payload) > headBytes+messageClaims*claimBytes {
-		return nil, fmt.Errorf("usage: a message of %d bytes is over the limit; the sender runs another version", len(payload))
+	if len(payload) > headerBytes+maxClaimsPerMessage*claimBytes {
+		return nil, fmt.Errorf("usage: message of %d bytes exceeds the limit; the sender runs another version", len(payload))
 	}
 	m := &Message{}
 	if err := cbor.Unmarshal(payload, m); err != nil {
-		return nil, fmt.Errorf("usage: message cannot be read; the sender runs another version: %w", err)
+		return nil, fmt.Errorf("usage: cannot decode message; the sender runs another version: %w", err)
 	}
 	for i := range m.Claims {
 		c := &m.Claims[i]
-		c.Model, c.Lookups = min(c.Model, topLevel), min(c.Lookups, topLevel)
+		c.Model, c.Lookups = min(c.Model, maxLevel), min(c.Lookups, maxLevel)
 	}
 	return m, nil
 }
 
-// hashOf is the form in which messages name an organisation.
-func hashOf(o fleet.Organisation) uint32 { return uint32(xxhash.Sum64String(string(o))) }
+// organisationHash returns the identifier of an organisation in messages.
+func organisationHash(o fleet.Organisation) uint32 { return uint32(xxhash.Sum64String(string(o))) }
--- a/internal/usage/state.go
+++ b/internal/usage/state.go
@@ -10,8 +10,8 @@
 	"chervilloom/internal/fleet"
 )
 
-// Organisation is a customer's caps over all nodes, in requests a second; 0
-// means that there is none.
+// Organisation holds an organisation's caps over all nodes, in requests per
+// second; 0: no cap.
 type Organisation struct {
 	Name    fleet.Organisation
 	Rate    float64
@@ -21,124 +21,129 @@
 // Peer is another node.
 type Peer struct {
 	Node fleet.Node
-	Dead bool // membership holds it for dead; it may live on beyond a cut
+	Dead bool // declared dead by membership, but possibly alive beyond a partition
 }
 
-// Count is what an organisation asked of this node since the last tick.
+// Count is the number of an organisation's requests at this node since the last
+// tick.
 type Count struct {
 	Model, Lookups int
 }
 
 const (
-	// bytesIn bounds what a node receives, in bytes a second with headers: each
-	// of the N nodes sends at most bytesIn/N to each other.
-	bytesIn = 8000.0
-	// refreshEvery and refreshPerNode give the time between two tellings of a
-	// claim that is not even: claims are told again so that lost messages do
-	// no lasting harm.
-	refreshEvery   = 10 * time.Second
-	refreshPerNode = 500 * time.Millisecond
-	// forgetAfter is after how many times that a claim that was not told again
-	// is taken to be even.
-	forgetAfter = 3
-	// expireTurns is in how many ticks all beliefs are looked at for age.
-	expireTurns = 16
+	// maxReceiveBytesPerSecond bounds the traffic that a node receives, headers
+	// included: each of the N nodes sends at most maxReceiveBytesPerSecond/N to
+	// each other node.
+	maxReceiveBytesPerSecond = 8000.0
+	// A claim that is not even is repeated every minRefreshInterval, or every
+	// refreshIntervalPerNode times the number of nodes if that is longer, so
+	// that lost messages have no lasting effect.
+	minRefreshInterval     = 10 * time.Second
+	refreshIntervalPerNode = 500 * time.Millisecond
+	// expireAfterRefreshes is the number of refresh intervals without a message
+	// after which a peer's claim is taken to be even.
+	expireAfterRefreshes = 3
+	// expireTicks is the number of ticks in which all peer claims are checked
+	// for expiry once.
+	expireTicks = 16
 )
 
-// State is the pure part: claims, beliefs and shares of one node. It holds no
-// clock, lock or goroutine.
+// State is the decision logic of one node: its claims, the known claims of its
+// peers and its shares. It holds no clock, lock or goroutine.
 type State struct {
-	orgs     map[fleet.Organisation]*org
-	byHash   map[uint32]*org
-	inOrder  []*org
-	peers    map[fleet.VM]Peer
-	alive    int // peers that are not dead
-	sequence uint64
-	ticked   clock.Instant
-	turn     int     // of ticks
-	credit   float64 // bytes that may be sent
+	orgs       map[fleet.Organisation]*org
+	byHash     map[uint32]*org
+	ordered    []*org
+	peers      map[fleet.VM]Peer
+	alive      int // peers not declared dead
+	sequence   uint64
+	lastTick   clock.Instant
+	tickCount  int     // number of ticks
+	sendCredit float64 // bytes that may be sent
 }
 
 type org struct {
-	name    fleet.Organisation
-	hash    uint32
-	model   meter
-	lookups meter
-	beliefs map[fleet.VM]belief // what was told; a node that told nothing claims an even part
-	others  sums                // over the beliefs that count
-	queued  bool                // in the order of things to tell
-	told    clock.Instant
+	name        fleet.Organisation
+	hash        uint32
+	model       meter
+	lookups     meter
+	peerClaims  map[fleet.VM]peerClaim // received claims; a peer without an entry claims an even share
+	peerSums    claimSums              // sums over the active peer claims
+	isQueued    bool                   // waits to be announced
+	announcedAt clock.Instant
 }
 
-// belief is what a peer said last.
-type belief struct {
+// peerClaim is the newest claim received from a peer.
+type peerClaim struct {
 	incarnation fleet.Incarnation
 	sequence    uint64
-	heard       clock.Instant
+	receivedAt  clock.Instant
 	model       level
 	lookups     level
 }
 
-// newer reports whether a message of the given life and sequence is newer than
-// what is believed.
-func (b *belief) newer(i fleet.Incarnation, sequence uint64) bool {
+// isOlderThan reports whether a message of the given incarnation and sequence
+// is newer than the claim.
+func (b *peerClaim) isOlderThan(i fleet.Incarnation, sequence uint64) bool {
 	return i > b.incarnation || i == b.incarnation && sequence > b.sequence
 }
 
-// sums are what beliefs add up to. Each message changes a few of them; adding
-// all up anew for each would cost a large fleet a per cent of a processor.
-type sums struct {
-	model, lookups       int64 // claims above one even part for each node
-	overModel, overLooks int   // nodes that claim more than an even part
+// claimSums are the sums of the active peer claims. They are updated
+// incrementally, because recomputing them for each message would use about one
+// per cent of a processor in a large fleet.
+type claimSums struct {
+	model, lookups                   int64 // claims in excess of one even share for each node
+	modelAboveEven, lookupsAboveEven int   // number of nodes that claim more than an even share
 }
 
-func (a *sums) add(b *belief, sign int64) {
-	a.model += sign * (claimOf[b.model] - evenClaim)
-	a.lookups += sign * (claimOf[b.lookups] - evenClaim)
+func (a *claimSums) add(b *peerClaim, sign int64) {
+	a.model += sign * (claimOfLevel[b.model] - evenClaim)
+	a.lookups += sign * (claimOfLevel[b.lookups] - evenClaim)
 	if b.model > evenLevel {
-		a.overModel += int(sign)
+		a.modelAboveEven += int(sign)
 	}
 	if b.lookups > evenLevel {
-		a.overLooks += int(sign)
+		a.lookupsAboveEven += int(sign)
 	}
 }
 
-// counts reports whether a belief counts: its node is not dead and lives the
-// life that told it. Another life began with even claims.
-func (s *State) counts(vm fleet.VM, b *belief) bool {
+// isActive reports whether a claim is included in the sums: its node is not
+// dead and still has the incarnation that sent it. A new incarnation starts
+// with even claims.
+func (s *State) isActive(vm fleet.VM, b *peerClaim) bool {
 	p, ok := s.peers[vm]
 	return ok && !p.Dead && p.Node.Incarnation == b.incarnation
 }
 
-// believe replaces what is believed of a node.
-func (s *State) believe(o *org, vm fleet.VM, b belief) {
-	s.disbelieve(o, vm)
-	o.beliefs[vm] = b
-	if s.counts(vm, &b) {
-		o.others.add(&b, 1)
+// setPeerClaim replaces the claim of a peer.
+func (s *State) setPeerClaim(o *org, vm fleet.VM, b peerClaim) {
+	s.removePeerClaim(o, vm)
+	o.peerClaims[vm] = b
+	if s.isActive(vm, &b) {
+		o.peerSums.add(&b, 1)
 	}
 }
 
-// disbelieve takes a node's claims to be even again.
-func (s *State) disbelieve(o *org, vm fleet.VM) {
-	old, known := o.beliefs[vm]
-	if known && s.counts(vm, &old) {
-		o.others.add(&old, -1)
+// removePeerClaim resets a peer's claim to even.
+func (s *State) removePeerClaim(o *org, vm fleet.VM) {
+	old, known := o.peerClaims[vm]
+	if known && s.isActive(vm, &old) {
+		o.peerSums.add(&old, -1)
 	}
-	delete(o.beliefs, vm)
+	delete(o.peerClaims, vm)
 }
 
-// recount adds all beliefs up after the nodes have changed.
-func (s *State) recount(o *org) {
-	o.others = sums{}
-	for vm, b := range o.beliefs {
-		if s.counts(vm, &b) {
-			o.others.add(&b, 1)
+// recomputeSums rebuilds the sums after the set of peers has changed.
+func (s *State) recomputeSums(o *org) {
+	o.peerSums = claimSums{}
+	for vm, b := range o.peerClaims {
+		if s.isActive(vm, &b) {
+			o.peerSums.add(&b, 1)
 		}
 	}
 }
 
-// NewState returns the state of a node that knows no other.
+// NewState returns the state of a node without peers or organisations.
 func NewState() *State {
 	return &State{
 		orgs:   make(map[fleet.Organisation]*org),
@@ -147,61 +152,64 @@
 	}
 }
 
-// Configure takes the organisations of a new configuration.
+// Configure sets the organisations of a new configuration. Organisations that
+// were known keep their claims.
 func (s *State) Configure(orgs []Organisation) {
 	known := s.orgs
 	s.orgs = make(map[fleet.Organisation]*org, len(orgs))
 	s.byHash = make(map[uint32]*org, len(orgs))
-	s.inOrder = s.inOrder[:0]
+	s.ordered = s.ordered[:0]
 	for _, c := range orgs {
 		o := known[c.Name]
 		if o == nil {
-			o = &org{name: c.Name, hash: hashOf(c.Name), beliefs: make(map[fleet.VM]belief)}
-			o.model.used, o.model.told = evenLevel, evenLevel
-			o.lookups.used, o.lookups.told = evenLevel, evenLevel
+			o = &org{name: c.Name, hash: organisationHash(c.Name), peerClaims: make(map[fleet.VM]peerClaim)}
+			o.model.activeLevel, o.model.announcedLevel = evenLevel, evenLevel
+			o.lookups.activeLevel, o.lookups.announcedLevel = evenLevel, evenLevel
 		}
 		o.model.cap, o.lookups.cap = c.Rate, c.Lookups
 		s.orgs[c.Name], s.byHash[o.hash] = o, o
-		s.inOrder = append(s.inOrder, o)
-		s.reckon(o)
+		s.ordered = append(s.ordered, o)
+		s.updateShares(o)
 	}
 }
 
-// SetPeers takes the other nodes. When a node is new or back from the dead, all
-// claims that were ever told are told again, even ones too: a node that comes
-// back from beyond a cut may believe in a lower claim of before.
+// SetPeers sets the other nodes. When a peer is new or alive again, all claims
+// that were ever announced are announced again, even ones included: a peer that
+// returns from a partition may still hold an earlier, lower claim.
 func (s *State) SetPeers(peers []Peer) {
 	old := s.peers
 	s.peers = make(map[fleet.VM]Peer, len(peers))
 	s.alive = 0
-	fresh := false
+	resend := false
 	for _, p := range peers {
 		s.peers[p.Node.VM] = p
 		if !p.Dead {
 			s.alive++
-			fresh = fresh || old[p.Node.VM] != p
+			resend = resend || old[p.Node.VM] != p
 		}
 	}
 	if maps.Equal(old, s.peers) {
 		return
 	}
-	for _, o := range s.inOrder {
-		o.queued = o.queued || fresh && o.told != 0
-		maps.DeleteFunc(o.beliefs, func(vm fleet.VM, _ belief) bool {
+	for _, o := range s.ordered {
+		o.isQueued = o.isQueued || resend && o.announcedAt != 0
+		maps.DeleteFunc(o.peerClaims, func(vm fleet.VM, _ peerClaim) bool {
 			_, was := old[vm]
 			_, is := s.peers[vm]
 			return was && !is
 		})
-		s.recount(o)
-		s.reckon(o)
+		s.recomputeSums(o)
+		s.updateShares(o)
 	}
 }
 
-func (o *org) even() bool { return o.model.told == evenLevel && o.lookups.told == evenLevel }
+func (o *org) isEven() bool {
+	return o.model.announcedLevel == evenLevel && o.lookups.announcedLevel == evenLevel
+}
 
-// Receive takes a peer's message. Messages overtake each other: each claim
-// counts only when it is newer than the one believed. A peer that membership
-// has not told of yet counts as soon as it does.
+// Receive processes a peer's message. Messages may arrive out of order: each
+// claim is adopted only if it is newer than the known one. The claims of a node
+// that is not a peer yet become active once membership reports it.
 func (s *State) Receive(now clock.Instant, from fleet.Node, m *Message) {
 	for i := range m.Claims {
 		c := &m.Claims[i]
@@ -209,127 +217,129 @@
 		if o == nil {
 			continue
 		}
-		b := o.beliefs[from.VM]
-		if !b.newer(from.Incarnation, m.Sequence) {
+		b := o.peerClaims[from.VM]
+		if !b.isOlderThan(from.Incarnation, m.Sequence) {
 			continue
 		}
-		s.believe(o, from.VM, belief{from.Incarnation, m.Sequence, now, c.Model, c.Lookups})
-		s.reckon(o)
+		s.setPeerClaim(o, from.VM, peerClaim{from.Incarnation, m.Sequence, now, c.Model, c.Lookups})
+		s.updateShares(o)
 	}
 }
 
-// Tick measures the demand, changes claims and returns the message to tell; nil
-// when there is nothing to tell. count gives what was asked since the last
-// tick.
+// Tick measures the demand, adjusts the claims and returns the message to
+// broadcast, or nil if there is nothing to announce. count returns the requests
+// since the last tick.
 func (s *State) Tick(now clock.Instant, count func(fleet.Organisation) Count) *Message {
 	dt := TickEvery.Seconds()
-	if s.ticked != 0 && now.After(s.ticked) {
-		dt = now.Sub(s.ticked).Seconds()
+	if s.lastTick != 0 && now.After(s.lastTick) {
+		dt = now.Sub(s.lastTick).Seconds()
 	}
-	s.ticked = now
-	s.turn++
-	for i, o := range s.inOrder {
-		if i%expireTurns == s.turn%expireTurns {
-			s.expire(now, o)
+	s.lastTick = now
+	s.tickCount++
+	for i, o := range s.ordered {
+		if i%expireTicks == s.tickCount%expireTicks {
+			s.expirePeerClaims(now, o)
 		}
-		s.tick(now, o, count(o.name), dt)
+		s.tickOrg(now, o, count(o.name), dt)
 	}
-	return s.message(now, dt)
+	return s.buildMessage(now, dt)
 }
 
-func (s *State) tick(now clock.Instant, o *org, c Count, dt float64) {
+func (s *State) tickOrg(now clock.Instant, o *org, c Count, dt float64) {
 	nodes := len(s.peers) + 1
-	model := o.model.tick(now, float64(c.Model), dt, nodes, o.others.overModel > 0)
-	lookups := o.lookups.tick(now, float64(c.Lookups), dt, nodes, o.others.overLooks > 0)
+	model := o.model.tick(now, float64(c.Model), dt, nodes, o.peerSums.modelAboveEven > 0)
+	lookups := o.lookups.tick(now, float64(c.Lookups), dt, nodes, o.peerSums.lookupsAboveEven > 0)
 	if model || lookups {
-		o.queued = true
+		o.isQueued = true
 	}
-	if !o.even() && now.Sub(o.told) >= s.refresh() {
-		o.queued = true
+	if !o.isEven() && now.Sub(o.announcedAt) >= s.refreshInterval() {
+		o.isQueued = true
 	}
-	s.reckon(o)
+	s.updateShares(o)
 }
 
-func (s *State) refresh() time.Duration {
-	return max(refreshEvery, time.Duration(len(s.peers)+1)*refreshPerNode)
+func (s *State) refreshInterval() time.Duration {
+	return max(minRefreshInterval, time.Duration(len(s.peers)+1)*refreshIntervalPerNode)
 }
 
-// tick reports whether the claim has to be told.
+// tick updates the claim and reports whether it has to be announced.
 func (m *meter) tick(now clock.Instant, count, dt float64, nodes int, contended bool) bool {
 	if m.cap <= 0 {
-		m.used, m.told = evenLevel, evenLevel
+		m.activeLevel, m.announcedLevel = evenLevel, evenLevel
 		return false
 	}
-	m.measure(count, dt, nodes)
-	if m.used < m.told && !m.pending && now.Sub(m.toldAt) >= Holdoff {
-		m.used = m.told
+	m.updateDemand(count, dt, nodes)
+	if m.activeLevel < m.announcedLevel && !m.isUnsent && now.Sub(m.announcedAt) >= Holdoff {
+		m.activeLevel = m.announcedLevel
 	}
-	want := m.wanted(nodes, contended)
-	if !apart(want, m.told) && !(want == evenLevel && m.told != evenLevel) {
+	target := m.targetLevel(nodes, contended)
+	if !differsBeyondTolerance(target, m.announcedLevel) && !(target == evenLevel && m.announcedLevel != evenLevel) {
 		return false
 	}
-	m.told, m.pending = want, true
-	m.used = min(m.used, want)
+	m.announcedLevel, m.isUnsent = target, true
+	m.activeLevel = min(m.activeLevel, target)
 	return true
 }
 
-// expire takes claims that were not told again for long to be even.
-func (s *State) expire(now clock.Instant, o *org) {
-	for vm, b := range o.beliefs {
-		if now.Sub(b.heard) >= forgetAfter*s.refresh() {
-			s.disbelieve(o, vm)
+// expirePeerClaims resets the claims to even that have not been repeated in
+// time.
+func (s *State) expirePeerClaims(now clock.Instant, o *org) {
+	for vm, b := range o.peerClaims {
+		if now.Sub(b.receivedAt) >= expireAfterRefreshes*s.refreshInterval() {
+			s.removePeerClaim(o, vm)
 		}
 	}
 }
 
-// message picks what to tell, longest untold first, within the bytes that may
-// be sent.
-func (s *State) message(now clock.Instant, dt float64) *Message {
-	pace := bytesIn / float64(len(s.peers)+1)
-	s.credit = min(s.credit+pace*dt, max(cost(worthClaims), min(cost(messageClaims), pace)))
+// buildMessage collects the claims to announce, least recently announced first,
+// within the send credit.
+func (s *State) buildMessage(now clock.Instant, dt float64) *Message {
+	bytesPerSecond := maxReceiveBytesPerSecond / float64(len(s.peers)+1)
+	s.sendCredit = min(s.sendCredit+bytesPerSecond*dt, max(messageCost(minClaimsPerMessage), min(messageCost(maxClaimsPerMessage), bytesPerSecond)))
 	var due []*org
-	for _, o := range s.inOrder {
-		if o.queued {
+	for _, o := range s.ordered {
+		if o.isQueued {
 			due = append(due, o)
 		}
 	}
-	n := min(messageClaims, len(due))
-	if n == 0 || s.alive == 0 || s.credit < cost(min(n, worthClaims)) {
+	n := min(maxClaimsPerMessage, len(due))
+	if n == 0 || s.alive == 0 || s.sendCredit < messageCost(min(n, minClaimsPerMessage)) {
 		return nil
 	}
-	n = min(n, int((s.credit-cost(0))/claimBytes))
-	slices.SortStableFunc(due, func(a, b *org) int { return cmp.Compare(a.told, b.told) })
+	n = min(n, int((s.sendCredit-messageCost(0))/claimBytes))
+	slices.SortStableFunc(due, func(a, b *org) int { return cmp.Compare(a.announcedAt, b.announcedAt) })
 	due = due[:n]
 	s.sequence++
 	m := &Message{Sequence: s.sequence, Claims: make([]Claim, len(due))}
 	for i, o := range due {
-		m.Claims[i] = Claim{Organisation: o.hash, Model: o.model.told, Lookups: o.lookups.told}
-		o.queued, o.told = false, now
-		o.model.sent(now)
-		o.lookups.sent(now)
+		m.Claims[i] = Claim{Organisation: o.hash, Model: o.model.announcedLevel, Lookups: o.lookups.announcedLevel}
+		o.isQueued, o.announcedAt = false, now
+		o.model.markSent(now)
+		o.lookups.markSent(now)
 	}
-	s.credit -= cost(n)
+	s.sendCredit -= messageCost(n)
 	return m
 }
 
-// sent notes that the others are told. A raised claim counts from then.
-func (m *meter) sent(now clock.Instant) {
-	if m.pending {
-		m.pending, m.toldAt = false, now
+// markSent records that the claim was sent; Holdoff for a raised claim starts
+// now.
+func (m *meter) markSent(now clock.Instant) {
+	if m.isUnsent {
+		m.isUnsent, m.announcedAt = false, now
 	}
 }
 
-// reckon works out this node's shares of the organisation's caps.
-func (s *State) reckon(o *org) {
-	model, lookups := claimOf[o.model.used], claimOf[o.lookups.used]
+// updateShares computes this node's shares of the organisation's caps.
+func (s *State) updateShares(o *org) {
+	model, lookups := claimOfLevel[o.model.activeLevel], claimOfLevel[o.lookups.activeLevel]
 	even := int64(s.alive) * evenClaim
-	part := float64(s.alive+1) / float64(len(s.peers)+1) // what dead nodes may use beyond a cut is left to them
-	o.model.share = part * float64(model) / float64(model+even+o.others.model)
-	o.lookups.share = part * float64(lookups) / float64(lookups+even+o.others.lookups)
+	part := float64(s.alive+1) / float64(len(s.peers)+1) // reserves an even share for each dead peer, which may be alive beyond a partition
+	o.model.share = part * float64(model) / float64(model+even+o.peerSums.model)
+	o.lookups.share = part * float64(lookups) / float64(lookups+even+o.peerSums.lookups)
 }
 
 // Shares returns the parts, 0 to 1, of the organisation's caps that this node
-// may use. Of an organisation that is not configured it has an even part.
+// may use. For an organisation that is not configured they are even shares.
 func (s *State) Shares(name fleet.Organisation) (model, lookups float64) {
 	o := s.orgs[name]
 	if o == nil {
--- a/internal/usage/tracker.go
+++ b/internal/usage/tracker.go
@@ -17,17 +17,16 @@
 	"chervilloom/internal/view"
 )
 
-// inboxSize is how many messages may wait for the tracker's goroutine. A full
-// ring drops the newest: claims that are not even are told again by their
-// senders.
+// inboxSize bounds the messages that wait for the tracker's goroutine. A full
+// queue drops the newest message; senders repeat claims that are not even.
 const inboxSize = 1024
 
-// Peers carries messages to the other nodes.
+// Peers sends messages to the other nodes.
 type Peers interface {
 	Broadcast(topic string, payload []byte)
 }
 
-// Options is what a Tracker needs.
+// Options configures a Tracker.
 type Options struct {
 	Peers      Peers
 	View       view.Source
@@ -36,49 +35,49 @@
 	Registerer prometheus.Registerer // nil: no metrics
 }
 
-// Tracker keeps this node's shares of the organisations' rate caps.
+// Tracker maintains this node's shares of the organisations' rate caps.
 type Tracker struct {
 	opts     Options
-	state    *State // touched by Run only
+	state    *State // used by Run only
 	revision uint64
-	inbox    *ring.Queue[letter]
-	orgs     atomic.Pointer[map[fleet.Organisation]*share]
+	inbox    *ring.Queue[receivedMessage]
+	orgs     atomic.Pointer[map[fleet.Organisation]*orgShare]
 	metrics  *metrics
 }
 
-type letter struct {
+type receivedMessage struct {
 	from    fleet.Node
 	payload []byte
 }
 
-// share is what the request path reads and counts.
-type share struct {
+// orgShare holds the counters and shares that the request path accesses.
+type orgShare struct {
 	model, lookups           atomic.Int64 // requests since the last tick
 	modelShare, lookupsShare atomic.Uint64
 }
 
-// New returns a Tracker that gives even parts until Run runs.
+// New returns a Tracker. Shares are even until Run is running.
 func New(o Options) *Tracker {
 	t := &Tracker{
 		opts:    o,
 		state:   NewState(),
-		inbox:   ring.NewQueue[letter](inboxSize),
+		inbox:   ring.NewQueue[receivedMessage](inboxSize),
 		metrics: newMetrics(o.Registerer),
 	}
-	t.orgs.Store(&map[fleet.Organisation]*share{})
-	t.follow()
+	t.orgs.Store(&map[fleet.Organisation]*orgShare{})
+	t.updateFromSnapshot()
 	t.publish()
 	return t
 }
 
-// Handle takes a message of another node. It returns at once.
+// Handle queues a message of another node; it never blocks.
 func (t *Tracker) Handle(from fleet.Node, payload []byte) {
-	if !t.inbox.Offer(letter{from, payload}) {
+	if !t.inbox.Offer(receivedMessage{from, payload}) {
 		t.metrics.dropped.Inc()
 	}
 }
 
-// Run measures, tells and listens until ctx ends.
+// Run measures demand and exchanges claims until ctx ends.
 func (t *Tracker) Run(ctx context.Context) {
 	tick := time.NewTicker(TickEvery)
 	defer tick.Stop()
@@ -94,11 +93,11 @@
 	}
 }
 
-func (t *Tracker) receive(l letter) {
+func (t *Tracker) receive(l receivedMessage) {
 	m, err := decode(l.payload)
 	if err != nil {
 		t.metrics.unreadable.Inc()
-		t.opts.Log.Warn("usage message not read", "from", l.from.String(), "error", err)
+		t.opts.Log.Warn("cannot decode usage message", "from", l.from.String(), "error", err)
 		return
 	}
 	t.state.Receive(t.opts.Clock.Now(), l.from, m)
@@ -106,15 +105,15 @@
 }
 
 func (t *Tracker) tick() {
-	t.follow()
-	m := t.state.Tick(t.opts.Clock.Now(), t.counted)
+	t.updateFromSnapshot()
+	m := t.state.Tick(t.opts.Clock.Now(), t.takeCounts)
 	t.publish()
 	if m == nil {
 		return
 	}
 	payload, err := m.encode()
 	if err != nil {
-		t.opts.Log.Error("usage message not written", "error", err)
+		t.opts.Log.Error("cannot encode usage message", "error", err)
 		return
 	}
 	t.metrics.sent.Inc()
@@ -122,8 +121,8 @@
 	t.opts.Peers.Broadcast(Topic, payload)
 }
 
-// counted returns and resets what the organisation asked of this node.
-func (t *Tracker) counted(name fleet.Organisation) Count {
+// takeCounts returns and resets the organisation's request counts at this node.
+func (t *Tracker) takeCounts(name fleet.Organisation) Count {
 	s := (*t.orgs.Load())[name]
 	if s == nil {
 		return Count{}
@@ -131,8 +130,9 @@
 	return Count{Model: int(s.model.Swap(0)), Lookups: int(s.lookups.Swap(0))}
 }
 
-// follow takes nodes and organisations from the newest snapshot.
-func (t *Tracker) follow() {
+// updateFromSnapshot applies the nodes and organisations of the newest
+// snapshot.
+func (t *Tracker) updateFromSnapshot() {
 	s := t.opts.View.Snapshot()
 	var peers []Peer
 	for i := range s.Nodes {
@@ -152,18 +152,18 @@
 		orgs = append(orgs, Organisation{Name: fleet.Organisation(c.Name), Rate: c.Rate, Lookups: c.Lookups})
 	}
 	t.state.Configure(orgs)
-	t.renew(orgs)
+	t.replaceShares(orgs)
 }
 
-// renew makes the map that the request path reads, with the counters that live
-// on.
-func (t *Tracker) renew(orgs []Organisation) {
+// replaceShares builds the map for the request path, keeping the counters of
+// organisations that remain.
+func (t *Tracker) replaceShares(orgs []Organisation) {
 	old := *t.orgs.Load()
-	shares := make(map[fleet.Organisation]*share, len(orgs))
+	shares := make(map[fleet.Organisation]*orgShare, len(orgs))
 	for _, o := range orgs {
 		s := old[o.Name]
 		if s == nil {
-			s = &share{}
+			s = &orgShare{}
 		}
 		shares[o.Name] = s
 	}
@@ -183,12 +183,12 @@
 func (t *Tracker) Shares(name fleet.Organisation) (model, lookups float64) {
 	s := (*t.orgs.Load())[name]
 	if s == nil {
-		return 1, 1 // not configured: it has no cap
+		return 1, 1 // not configured: no cap
 	}
 	return math.Float64frombits(s.modelShare.Load()), math.Float64frombits(s.lookupsShare.Load())
 }
 
-// Count adds one request that the organisation made at this node.
+// Count records one request of the organisation at this node.
 func (t *Tracker) Count(name fleet.Organisation, class request.Class) {
 	s := (*t.orgs.Load())[name]
 	switch {
--- a/internal/usage/tracker_test.go
+++ b/internal/usage/tracker_test.go
@@ -21,13 +21,13 @@
 
 func (v fixedView) Snapshot() *view.Snapshot { return v.s }
 
-// wire hands a tracker's messages to another.
-type wire struct {
+// link delivers a tracker's messages to another.
+type link struct {
 	from fleet.Node
 	to   *Tracker
 }
 
-func (w *wire) Broadcast(topic string, payload []byte) {
+func (w *link) Broadcast(topic string, payload []byte) {
 	if topic == Topic {
 		w.to.Handle(w.from, payload)
 	}
@@ -35,14 +35,14 @@
 
 func startPair(t *testing.T) (busy, idle *Tracker) {
 	t.Helper()
-	var wires [2]*wire
+	var wires [2]*link
 	var trackers [2]*Tracker
 	for i := range trackers {
-		wires[i] = &wire{from: netNode(i)}
+		wires[i] = &link{from: testNode(i)}
 		s := &view.Snapshot{
-			Self: netNode(i), Revision: 1,
-			Config: &config.Document{Organisations: []config.Organisation{{Name: string(netOrg), Rate: 100, Lookups: 100}}},
-			Nodes:  []view.Node{{Node: netNode(1 - i), State: view.NodeAlive}},
+			Self: testNode(i), Revision: 1,
+			Config: &config.Document{Organisations: []config.Organisation{{Name: string(testOrg), Rate: 100, Lookups: 100}}},
+			Nodes:  []view.Node{{Node: testNode(1 - i), State: view.NodeAlive}},
 		}
 		trackers[i] = New(Options{
 			Peers: wires[i], View: fixedView{s}, Clock: clock.Boot{},
@@ -59,41 +59,42 @@
 	return trackers[0], trackers[1]
 }
 
-// All callers of an organisation come to one of two nodes. The nodes tell each
-// other, and the busy one gets most of the cap on lookups; model calls, of
-// which there are none, stay as they were.
+// All lookups of an organisation arrive at one of two nodes. The nodes exchange
+// claims, and the busy one gets most of the cap on lookups; the cap on model
+// requests, of which there are none, stays evenly shared.
 func TestTrackersShiftShares(t *testing.T) {
 	is := is.New(t)
 	busy, idle := startPair(t)
-	model, lookups := busy.Shares(netOrg)
+	model, lookups := busy.Shares(testOrg)
 	is.Equal(model, 0.5)
 	is.Equal(lookups, 0.5)
 
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	for ctx.Err() == nil {
-		busy.Count(netOrg, request.ClassLookup)
-		_, mine := busy.Shares(netOrg)
-		_, its := idle.Shares(netOrg)
-		if mine > 0.7 && its < 0.3 {
+		busy.Count(testOrg, request.ClassLookup)
+		_, busyShare := busy.Shares(testOrg)
+		_, idleShare := idle.Shares(testOrg)
+		if busyShare > 0.7 && idleShare < 0.3 {
 			break
 		}
 		time.Sleep(time.Millisecond)
 	}
 	is.NoErr(ctx.Err())
-	model, _ = busy.Shares(netOrg)
+	model, _ = busy.Shares(testOrg)
 	is.Equal(model, 0.5)
 }
 
-// A message that cannot be read and one that finds the ring full do no harm.
-func TestTrackerTakesNoHarm(t *testing.T) {
+// Messages that cannot be decoded and messages that exceed the queue must not
+// change the shares.
+func TestTrackerIgnoresInvalidAndExcessMessages(t *testing.T) {
 	is := is.New(t)
 	busy, _ := startPair(t)
-	busy.Handle(netNode(1), []byte("no message"))
+	busy.Handle(testNode(1), []byte("no message"))
 	for range 2 * inboxSize {
-		busy.Handle(netNode(1), []byte{0xa0})
+		busy.Handle(testNode(1), []byte{0xa0})
 	}
-	model, _ := busy.Shares(netOrg)
+	model, _ := busy.Shares(testOrg)
 	is.Equal(model, 0.5)
 	model, _ = busy.Shares("unknown")
 	is.Equal(model, 1.0) // an organisation that is not configured has no cap
