--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -16,7 +16,7 @@
 	GossipPeriod  time.Duration // interval between gossip rounds
 	GossipFanout  int           // members per gossip round
 	NewsPerPacket int           // maximum entries per message
-	Retransmit    float64       // each update is sent Retransmit*log2(members+1) times by a node
+	Retransmit    float64       // a node sends each update this many times log2(members+1)
 
 	SyncPeriod time.Duration // interval between full state comparisons
 	DeadPeriod time.Duration // interval between attempts to reach a dead member or an unknown seed
--- a/internal/usage/tracker_test.go
+++ b/internal/usage/tracker_test.go
@@ -35,21 +35,21 @@
 
 func startPair(t *testing.T) (busy, idle *Tracker) {
 	t.Helper()
-	var wires [2]*link
+	var links [2]*link
 	var trackers [2]*Tracker
 	for i := range trackers {
-		wires[i] = &link{from: testNode(i)}
+		links[i] = &link{from: testNode(i)}
 		s := &view.Snapshot{
 			Self: testNode(i), Revision: 1,
 			Config: &config.Document{Organisations: []config.Organisation{{Name: string(testOrg), Rate: 100, Lookups: 100}}},
 			Nodes:  []view.Node{{Node: testNode(1 - i), State: view.NodeAlive}},
 		}
 		trackers[i] = New(Options{
-			Peers: wires[i], View: fixedView{s}, Clock: clock.Boot{},
+			Peers: links[i], View: fixedView{s}, Clock: clock.Boot{},
 			Log: slog.New(slog.DiscardHandler), Registerer: prometheus.NewRegistry(),
 		})
 	}
-	wires[0].to, wires[1].to = trackers[1], trackers[0]
+	links[0].to, links[1].to = trackers[1], trackers[0]
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for _, tr := range trackers {
--- a/internal/view/digest_test.go
+++ b/internal/view/digest_test.go
@@ -26,11 +26,11 @@
 func deliver(t testing.TB, h *Hearer, to *State, messages [][]byte, now clock.Instant) {
 	t.Helper()
 	for _, m := range messages {
-		heard, err := h.Hear(peer, m, now)
+		received, err := h.Hear(peer, m, now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, e := range heard.Events {
+		for _, e := range received.Events {
 			to.Apply(e)
 		}
 	}
@@ -194,12 +194,12 @@
 			slices.SortStableFunc(inFlight, func(a, b delivery) int { return int(a.arrives - b.arrives) })
 			for len(inFlight) > 0 && !inFlight[0].arrives.After(now) {
 				shortest = min(shortest, inFlight[0].delay)
-				heard, err := reader.Hear(peer, inFlight[0].body, inFlight[0].arrives)
+				received, err := reader.Hear(peer, inFlight[0].body, inFlight[0].arrives)
 				if err != nil {
 					t.Fatal(err)
 				}
 				before := firstVM(to, ms).Probe.Answered
-				for _, e := range heard.Events {
+				for _, e := range received.Events {
 					to.Apply(e)
 				}
 				inFlight = inFlight[1:]
@@ -216,7 +216,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		h := NewHearer()
 		if _, err := h.Hear(peer, rapid.SliceOf(rapid.Byte()).Draw(t, "bytes"), t0); err == nil {
-			t.Skip("readable by chance")
+			t.Skip("random bytes that decode as a digest")
 		}
 	})
 }
@@ -264,20 +264,20 @@
 	from.Apply(probeAnswer("a", "b1", 10))
 	message := NewTeller(false, at(0)).Next(from.Snapshot(at(100)), watchAll{}, at(100), time.Second)[0]
 	h := NewHearer()
-	hear := func(life fleet.Incarnation) {
-		heard, err := h.Hear(fleet.Node{VM: "n2", Incarnation: life}, message, at(100))
+	read := func(incarnation fleet.Incarnation) {
+		received, err := h.Hear(fleet.Node{VM: "n2", Incarnation: incarnation}, message, at(100))
 		is.NoErr(err)
-		for _, e := range heard.Events {
+		for _, e := range received.Events {
 			to.Apply(e)
 		}
 	}
-	hear(2)
+	read(2)
 	first := firstVM(to, 100).Probe.Answered
 	is.Equal(first, at(10))
 	h = NewHearer()
 	to = newState()
 	_, err := h.Hear(fleet.Node{VM: "n2", Incarnation: 2}, encode(&digest{}), at(50))
 	is.NoErr(err)
-	hear(1)
+	read(1)
 	is.True(firstVM(to, 100).Probe.Answered.Before(at(0)))
 }
--- a/internal/view/event.go
+++ b/internal/view/event.go
@@ -66,7 +66,7 @@
 	Failures int               // if not answered: consecutive failed probes
 }
 
-// Loaded is a load report.
+// Loaded is a load report received from an endpoint.
 type Loaded struct {
 	From fleet.VM // node that received the report; empty: this one
 	At   clock.Instant
--- a/internal/view/gossip.go
+++ b/internal/view/gossip.go
@@ -98,20 +98,20 @@
 func (g *Gossip) handle(topic string, from fleet.Node, payload []byte) {
 	g.bytes.WithLabelValues("received", topic).Add(float64(len(payload)))
 	g.mu.Lock()
-	heard, err := g.reader.Hear(from, payload, g.opt.Clock.Now())
+	received, err := g.reader.Hear(from, payload, g.opt.Clock.Now())
 	g.mu.Unlock()
 	if err != nil {
 		g.unreadable.Inc()
 		g.opt.Log.Warn("digest dropped; do all nodes run the same release?", "from", from, "err", err)
 		return
 	}
-	for _, e := range heard.Events {
+	for _, e := range received.Events {
 		g.opt.View.Put(e)
 	}
-	if heard.WantList {
+	if received.WantList {
 		g.sendList(from.VM)
 	}
-	if heard.WantAll {
+	if received.WantAll {
 		g.mu.Lock()
 		g.fullRequests[from.VM] = true
 		g.mu.Unlock()
--- a/internal/view/hearer.go
+++ b/internal/view/hearer.go
@@ -24,7 +24,7 @@
 	updatedAt   clock.Instant
 }
 
-// NewHearer returns a Hearer without known senders.
+// NewHearer returns a digest reader without known senders.
 func NewHearer() *Hearer { return &Hearer{senders: map[fleet.VM]*senderOffset{}} }
 
 // Heard is the decoded content of a digest.
--- a/internal/view/teller.go
+++ b/internal/view/teller.go
@@ -62,8 +62,8 @@
 	Holds() bool
 }
 
-// NewTeller returns a Teller for the peers of other zones if remote is set,
-// else for those of the own zone.
+// NewTeller returns a digest producer for the peers of other zones if remote is
+// set, else for those of the own zone.
 func NewTeller(remote bool, now clock.Instant) *Teller {
 	return &Teller{
 		startedAt: now, remote: remote,
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -26,7 +26,7 @@
 	PlatformSeen clock.Instant
 	// ListSeen is when the newest VM list was requested; 0: none read yet.
 	ListSeen     clock.Instant
-	leavingMarks []leavingKey               // sent by the Teller
+	leavingMarks []leavingKey               // sent in digests
 	resyncPeers  map[fleet.VM]clock.Instant // asked for their full state by Gossip
 }
 
