--- a/internal/platform/bench_test.go
+++ b/internal/platform/bench_test.go
@@ -9,8 +9,8 @@
 	standin "chervilloom/internal/standin/platform"
 )
 
-// BenchmarkCommit measures one conditional write over loopback: with its answer,
-// and with the answer lost after the write took effect.
+// BenchmarkCommit measures one conditional write over loopback: with a response, with
+// the response lost after the write took effect, and with the request lost before.
 func BenchmarkCommit(b *testing.B) {
 	for name, faults := range map[string]standin.Faults{
 		"answered":                    {NoLimits: true},
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -24,69 +24,69 @@
 	"chervilloom/internal/fleet"
 )
 
-// HeaderAttempts is "kept" on answers of a platform that remembers the results
-// of transactions by attempt id: sending a transaction again with the same
-// attempt id returns the first result and changes nothing.
+// HeaderAttempts is set to AttemptsKept in responses of a platform that stores the
+// results of transactions by attempt ID: resending a transaction with the same
+// attempt ID returns the first result and changes nothing.
 const HeaderAttempts = "Platform-Attempts"
 
 // AttemptsKept is the value of HeaderAttempts.
 const AttemptsKept = "kept"
 
-// Defaults of the client.
+// Defaults and limits of the client.
 const (
-	defaultTryTimeout    = 2 * time.Second
-	defaultSettleTimeout = 5 * time.Second
-	dialTimeout          = time.Second
-	idleConnTimeout      = 30 * time.Second
-	idleConns            = 32
-	maxAnswerBytes       = 64 << 20
+	defaultRequestTimeout = 2 * time.Second
+	defaultResolveTimeout = 5 * time.Second
+	dialTimeout           = time.Second
+	idleConnTimeout       = 30 * time.Second
+	maxIdleConns          = 32
+	maxResponseBytes      = 64 << 20
 )
 
-// ErrLimited means that the platform refused the request because its rate is
-// used up. An error that wraps it wraps ErrDown as well: nothing was changed.
+// ErrLimited means that the platform rejected the request because the rate limit is
+// exceeded. Errors that wrap it also wrap ErrDown: nothing was changed.
 var ErrLimited = errors.New("platform: over its rate limit; send fewer requests")
 
-// ErrRefused means that the platform does not take the request as it is: trying
-// again does not help. Nothing was changed.
+// ErrRefused means that the platform rejected the request as invalid. Nothing was
+// changed, and a retry fails again.
 var ErrRefused = errors.New("platform: refused the request; it does not fit the platform's protocol")
 
-var errTooLong = errors.New("an answer of more than 64 MiB; keep objects and tables smaller")
+var errResponseTooLarge = errors.New("an answer of more than 64 MiB; keep objects and tables smaller")
 
-// Option changes how a Client works.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithTryTimeout bounds one HTTP request; the default is 2 s.
-func WithTryTimeout(d time.Duration) Option { return func(c *Client) { c.tryTimeout = d } }
+// WithTryTimeout sets the timeout of one HTTP request; the default is 2 s.
+func WithTryTimeout(d time.Duration) Option { return func(c *Client) { c.requestTimeout = d } }
 
-// WithSettleTimeout bounds how long Commit reads back after a lost answer, on
-// top of the caller's context; the default is 5 s.
-func WithSettleTimeout(d time.Duration) Option { return func(c *Client) { c.settleTimeout = d } }
+// WithSettleTimeout limits the time that Commit spends resolving a lost response, in
+// addition to the deadline of the caller's context; the default is 5 s.
+func WithSettleTimeout(d time.Duration) Option { return func(c *Client) { c.resolveTimeout = d } }
 
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// WithDial has connections opened by f. An error of f means that no connection
-// was had and nothing was sent.
+// WithDial makes f open the connections. An error of f means that no connection was
+// opened and nothing was sent.
 func WithDial(f DialFunc) Option { return func(c *Client) { c.transport.DialContext = f } }
 
-// WithRegisterer has the client's metrics registered.
+// WithRegisterer registers the client's metrics with r.
 func WithRegisterer(r prometheus.Registerer) Option { return func(c *Client) { c.registerer = r } }
 
-// WithLogger sets the logger; the default discards.
+// WithLogger sets the logger; the default discards all records.
 func WithLogger(l *slog.Logger) Option { return func(c *Client) { c.log = l } }
 
-// Client speaks HTTP and JSON to the platform's service. It implements Table,
-// Objects and VMList and is safe for concurrent use.
+// Client is an HTTP client of the platform's JSON API. It implements Table, Objects
+// and VMList and is safe for concurrent use.
 type Client struct {
-	base          string
-	http          *http.Client
-	transport     *http.Transport
-	tryTimeout    time.Duration
-	settleTimeout time.Duration
-	registerer    prometheus.Registerer
-	metrics       *clientMetrics
-	log           *slog.Logger
-	tracer        trace.Tracer
+	base           string
+	http           *http.Client
+	transport      *http.Transport
+	requestTimeout time.Duration
+	resolveTimeout time.Duration
+	registerer     prometheus.Registerer
+	metrics        *clientMetrics
+	log            *slog.Logger
+	tracer         trace.Tracer
 }
 
 var (
@@ -100,18 +100,18 @@
 func NewClient(baseURL string, opts ...Option) *Client {
 	tr := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost: idleConns,
+		MaxIdleConnsPerHost: maxIdleConns,
 		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
 	c := &Client{
-		base:          strings.TrimSuffix(baseURL, "/"),
-		transport:     tr,
-		http:          &http.Client{Transport: tr, CheckRedirect: noRedirect},
-		tryTimeout:    defaultTryTimeout,
-		settleTimeout: defaultSettleTimeout,
-		log:           slog.New(slog.DiscardHandler),
-		tracer:        otel.Tracer("chervilloom/platform"),
+		base:           strings.TrimSuffix(baseURL, "/"),
+		transport:      tr,
+		http:           &http.Client{Transport: tr, CheckRedirect: noRedirect},
+		requestTimeout: defaultRequestTimeout,
+		resolveTimeout: defaultResolveTimeout,
+		log:            slog.New(slog.DiscardHandler),
+		tracer:         otel.Tracer("chervilloom/platform"),
 	}
 	for _, o := range opts {
 		o(c)
@@ -120,7 +120,7 @@
 	return c
 }
 
-// noRedirect stops a redirect from turning one write into two requests.
+// noRedirect disables redirects, which could turn one write into two requests.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // Close closes the idle connections.
@@ -132,14 +132,14 @@
 	if key == "" {
 		return row, errors.New("platform: a row needs a key that is not empty")
 	}
-	_, err := c.read(ctx, opGet, "/v1/table/"+escape(table)+"/"+escape(key), &row)
+	_, err := c.read(ctx, opGet, "/v1/table/"+escapeSegment(table)+"/"+escapeSegment(key), &row)
 	return row, err
 }
 
 // List implements Table.
 func (c *Client) List(ctx context.Context, table, prefix string) ([]Row, error) {
 	var rows []Row
-	_, err := c.read(ctx, opList, "/v1/table/"+escape(table)+"?prefix="+url.QueryEscape(prefix), &rows)
+	_, err := c.read(ctx, opList, "/v1/table/"+escapeSegment(table)+"?prefix="+url.QueryEscape(prefix), &rows)
 	return rows, err
 }
 
@@ -152,8 +152,8 @@
 
 // GetObject implements Objects.
 func (c *Client) GetObject(ctx context.Context, name string) ([]byte, error) {
-	done := c.begin(&ctx, opGetObject)
-	a := c.send(ctx, http.MethodGet, "/v1/objects/"+escape(name), nil)
+	done := c.startOperation(&ctx, opGetObject)
+	a := c.send(ctx, http.MethodGet, "/v1/objects/"+escapeSegment(name), nil)
 	err := a.readError()
 	if a.status == http.StatusNotFound {
 		err = fmt.Errorf("%w: %q", ErrNotFound, name)
@@ -165,24 +165,23 @@
 	return a.body, nil
 }
 
-// PutObject implements Objects. After a lost answer it reads the object back;
-// ErrAmbiguous means that this did not settle it. Putting the same data again
-// is harmless.
+// PutObject implements Objects. After a lost response it reads the object back and
+// returns ErrAmbiguous unless it finds the data. Putting the same data again is safe.
 func (c *Client) PutObject(ctx context.Context, name string, data []byte) error {
-	done := c.begin(&ctx, opPutObject)
+	done := c.startOperation(&ctx, opPutObject)
 	err := c.putObject(ctx, name, data)
 	done(err)
 	return err
 }
 
 func (c *Client) putObject(ctx context.Context, name string, data []byte) error {
-	path := "/v1/objects/" + escape(name)
+	path := "/v1/objects/" + escapeSegment(name)
 	a := c.send(ctx, http.MethodPut, path, data)
 	if a.ok() {
 		return nil
 	}
-	if a.surelyWithoutEffect() {
-		return a.noEffect()
+	if a.hadNoEffect() {
+		return a.noEffectError()
 	}
 	back := c.send(ctx, http.MethodGet, path, nil)
 	if back.ok() && bytes.Equal(back.body, data) {
@@ -191,9 +190,9 @@
 	return fmt.Errorf("%w: object %q: %w", ErrAmbiguous, name, a.cause())
 }
 
-// read sends a GET and decodes its answer into v.
+// read sends a GET request, decodes the response into v and returns its header.
 func (c *Client) read(ctx context.Context, op operation, path string, v any) (http.Header, error) {
-	done := c.begin(&ctx, op)
+	done := c.startOperation(&ctx, op)
 	a := c.send(ctx, http.MethodGet, path, nil)
 	err := a.readError()
 	if err == nil {
@@ -210,9 +209,9 @@
 	return nil
 }
 
-// begin opens the span of an operation; the returned function closes it and
-// counts the result.
-func (c *Client) begin(ctx *context.Context, op operation) func(error) {
+// startOperation starts the span of an operation and stores it in ctx. The returned
+// function ends the span and records duration and result.
+func (c *Client) startOperation(ctx *context.Context, op operation) func(error) {
 	start := time.Now()
 	var span trace.Span
 	*ctx, span = c.tracer.Start(*ctx, "platform."+string(op), trace.WithSpanKind(trace.SpanKindClient))
@@ -228,36 +227,36 @@
 	}
 }
 
-// tryAnswer is how one HTTP request ended.
-type tryAnswer struct {
-	status    int // 0: no whole answer
+// httpResult is the result of one HTTP request.
+type httpResult struct {
+	status    int // 0 if no response headers were received
 	header    http.Header
 	body      []byte
 	err       error
-	connected bool // a connection was had: bytes may have left
+	connected bool // a connection was open, so that bytes may have been sent
 }
 
-func (a *tryAnswer) ok() bool { return a.err == nil && a.status/100 == 2 }
+func (a *httpResult) ok() bool { return a.err == nil && a.status/100 == 2 }
 
-// surelyWithoutEffect reports whether the request cannot have changed anything:
-// it never had a connection, or the platform refused it before applying it.
-func (a *tryAnswer) surelyWithoutEffect() bool {
+// hadNoEffect reports whether the request can't have changed anything: no connection
+// was open, or the platform rejected it with a 4xx status before applying it.
+func (a *httpResult) hadNoEffect() bool {
 	if a.err != nil {
 		return !a.connected
 	}
 	return a.status/100 == 4
 }
 
-// cause returns why the try is no success.
-func (a *tryAnswer) cause() error {
+// cause returns the error or status of a failed request.
+func (a *httpResult) cause() error {
 	if a.err != nil {
 		return a.err
 	}
 	return fmt.Errorf("status %d: %.200s", a.status, a.body)
 }
 
-// noEffect returns the error of a try without effect.
-func (a *tryAnswer) noEffect() error {
+// noEffectError returns the error of a failed request that had no effect.
+func (a *httpResult) noEffectError() error {
 	switch {
 	case a.err == nil && a.status == http.StatusTooManyRequests:
 		return fmt.Errorf("%w: %w", ErrDown, ErrLimited)
@@ -268,24 +267,24 @@
 	}
 }
 
-// readError returns the error of a read; no read has an effect.
-func (a *tryAnswer) readError() error {
+// readError returns the error of a read, or nil if it succeeded.
+func (a *httpResult) readError() error {
 	if a.ok() {
 		return nil
 	}
-	return a.noEffect()
+	return a.noEffectError()
 }
 
-// send makes one HTTP request and reads its answer whole.
+// send sends one HTTP request and reads the whole response.
 //
-// The request carries a body that cannot be rewound (GetBody is nil) and no
-// Idempotency-Key header. With either, net/http's Transport would send a write
-// again by itself when a reused connection breaks, and the caller would see one
-// answer for two writes.
-func (c *Client) send(ctx context.Context, method, path string, body []byte) *tryAnswer {
-	ctx, cancel := context.WithTimeout(ctx, c.timeoutOf(ctx, method))
+// The request has a body that can't be rewound (GetBody is nil) and no
+// Idempotency-Key header. With either, net/http's Transport would retry a write by
+// itself when a reused connection breaks, and the caller would get one response for
+// two writes.
+func (c *Client) send(ctx context.Context, method, path string, body []byte) *httpResult {
+	ctx, cancel := context.WithTimeout(ctx, c.timeoutFor(ctx, method))
 	defer cancel()
-	a := &tryAnswer{}
+	a := &httpResult{}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { a.connected = true },
 	})
@@ -304,27 +303,27 @@
 		return a
 	}
 	defer res.Body.Close()
-	a.body, a.err = io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes+1))
-	if len(a.body) > maxAnswerBytes {
-		a.err = errTooLong // the part that fits must not pass for the whole
+	a.body, a.err = io.ReadAll(io.LimitReader(res.Body, maxResponseBytes+1))
+	if len(a.body) > maxResponseBytes {
+		a.err = errResponseTooLarge // a truncated body must not be used as the whole
 	}
 	a.header = res.Header
 	a.status = res.StatusCode
 	return a
 }
 
-// timeoutOf bounds one try. A write leaves half of the caller's time, so that a
-// lost answer can still be read back.
-func (c *Client) timeoutOf(ctx context.Context, method string) time.Duration {
+// timeoutFor returns the timeout of one request. A write gets at most half of the
+// remaining time of ctx, so that a lost response can still be read back.
+func (c *Client) timeoutFor(ctx context.Context, method string) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok || method == http.MethodGet {
-		return c.tryTimeout
+		return c.requestTimeout
 	}
-	return min(c.tryTimeout, max(time.Until(deadline)/2, time.Millisecond))
+	return min(c.requestTimeout, max(time.Until(deadline)/2, time.Millisecond))
 }
 
-// escape makes s one path segment. A segment of dots alone would be taken out
-// of the path by its cleaning, so dots are escaped as well.
-func escape(s string) string {
+// escapeSegment escapes s as one path segment. Dots are escaped too, since path
+// cleaning would remove the segments "." and "..".
+func escapeSegment(s string) string {
 	return strings.ReplaceAll(url.PathEscape(s), ".", "%2E")
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -19,8 +19,8 @@
 	standin "chervilloom/internal/standin/platform"
 )
 
-// The properties are checked with the same draws in each run, unless the command
-// line asks for others.
+// TestMain runs the property tests with a fixed seed and 3000 checks unless the command
+// line sets other values.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "3000"} {
 		if err := flag.Set(name, value); err != nil {
@@ -31,29 +31,29 @@
 	goleak.VerifyTestMain(m)
 }
 
-const testTime = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// served is a stand-in with a client to it.
-type served struct {
+// fixture is a stand-in platform and a client of it.
+type fixture struct {
 	*standin.Platform
 	client *platform.Client
 	url    string
 }
 
-func serve(t *testing.T, opts ...platform.Option) (*served, context.Context) {
+func newFixture(t *testing.T, opts ...platform.Option) (*fixture, context.Context) {
 	t.Helper()
 	p := standin.New(standin.Options{NoLimits: true})
 	srv := httptest.NewServer(p)
 	t.Cleanup(srv.Close)
 	c := platform.NewClient(srv.URL, opts...)
 	t.Cleanup(c.Close)
-	ctx, cancel := context.WithTimeout(context.Background(), testTime)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
-	return &served{Platform: p, client: c, url: srv.URL}, ctx
+	return &fixture{Platform: p, client: c, url: srv.URL}, ctx
 }
 
-// setFaults keeps the rate limits off.
-func (s *served) setFaults(f standin.Faults) {
+// setFaults sets the faults and keeps rate limits disabled.
+func (s *fixture) setFaults(f standin.Faults) {
 	f.NoLimits = true
 	s.SetFaults(f)
 }
@@ -65,10 +65,11 @@
 	}
 }
 
-// Keys of any kind come back as they were written, in order.
+// Guards against keys with slashes, dots, spaces or other special characters that are
+// changed on the way, and against rows listed out of key order.
 func TestRowsRoundTrip(t *testing.T) {
 	is := is.New(t)
-	s, ctx := serve(t)
+	s, ctx := newFixture(t)
 	keys := []string{"..", "a b", "a/../b", "a//b", "a/b", "a?x=1", "zone/duty", "é"}
 	for _, k := range keys {
 		res, err := s.client.Commit(ctx, put(k, "v"+k, 0))
@@ -90,10 +91,10 @@
 	is.Equal(none.Version, uint64(0))
 }
 
-// A transaction whose check fails tells the present rows and changes nothing.
-func TestConflictTellsTheRows(t *testing.T) {
+// A transaction with a failed check returns the current rows and changes nothing.
+func TestConflictReturnsCurrentRows(t *testing.T) {
 	is := is.New(t)
-	s, ctx := serve(t)
+	s, ctx := newFixture(t)
 	_, err := s.client.Commit(ctx, put("k", "first", 0))
 	is.NoErr(err)
 	res, err := s.client.Commit(ctx, put("k", "second", 0))
@@ -102,14 +103,14 @@
 	is.Equal(string(res.Rows[0].Value), "first")
 }
 
-// The answer to a write is lost after the write took effect. The writer reads
-// back and learns that it landed; the row is written once, whether the platform
-// remembers attempts or keeps them in the rows only.
-func TestLostAnswerIsReadBack(t *testing.T) {
+// The response to a write is lost after the write took effect. Reading back shows that
+// it was committed, and the row is written once, whether the platform stores attempt
+// results or keeps attempt IDs in the rows only.
+func TestLostResponseIsReadBack(t *testing.T) {
 	for name, forget := range map[string]bool{"attempts remembered": false, "attempts in the rows only": true} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s, ctx := serve(t)
+			s, ctx := newFixture(t)
 			s.setFaults(standin.Faults{LoseAnswers: 1, ForgetAttempts: forget})
 			res, err := s.client.Commit(ctx, put("k", "v", 0))
 			is.NoErr(err)
@@ -122,11 +123,11 @@
 	}
 }
 
-// The request is lost before it takes effect. The writer finds the row
-// unchanged and sends again under the same attempt id.
-func TestLostRequestIsSentAgain(t *testing.T) {
+// The request is lost before it takes effect. The client finds the row unchanged and
+// resends the transaction with the same attempt ID.
+func TestLostRequestIsResent(t *testing.T) {
 	is := is.New(t)
-	s, ctx := serve(t)
+	s, ctx := newFixture(t)
 	s.setFaults(standin.Faults{DropBefore: 1, ForgetAttempts: true})
 	txn := put("k", "v", 0)
 	txn.Attempt = "one"
@@ -137,12 +138,12 @@
 	is.Equal(s.Stats().WrittenRows, uint64(1))
 }
 
-// A write without a check on its own row would land twice if it were sent
-// again. On a platform that forgets attempts the writer is told that it may
-// have landed; on one that remembers them it is sent again safely.
-func TestBlindWriteIsNotSentTwice(t *testing.T) {
+// A write without a check on its own row could be applied twice if it were resent. On a
+// platform that doesn't store attempt results the client returns ErrAmbiguous; on one
+// that does, resending is safe.
+func TestUncheckedWriteIsNotAppliedTwice(t *testing.T) {
 	is := is.New(t)
-	s, ctx := serve(t, platform.WithSettleTimeout(100*time.Millisecond))
+	s, ctx := newFixture(t, platform.WithSettleTimeout(100*time.Millisecond))
 	blind := platform.Txn{Writes: []platform.Write{{Table: "t", Key: "k", Value: []byte("v")}}}
 	s.setFaults(standin.Faults{DropBefore: 1, ForgetAttempts: true})
 	_, err := s.client.Commit(ctx, blind)
@@ -155,10 +156,10 @@
 	is.Equal(s.Stats().WrittenRows, uint64(1))
 }
 
-// The write lands, its answer is lost, and another writer overwrites the row
-// before the first reads back. A platform that remembers attempts settles it; on
-// one that keeps them in the row the trace is gone, and the writer must hear
-// that it is not known rather than a guess.
+// A write is applied, its response is lost, and another writer overwrites the row
+// before the first reads back. A platform that stores attempt results returns the
+// result; otherwise the attempt ID is gone from the row, and the client must return
+// ErrAmbiguous.
 func TestOverwrittenBeforeReadBack(t *testing.T) {
 	for name, forget := range map[string]bool{"attempts remembered": false, "attempts in the rows only": true} {
 		t.Run(name, func(t *testing.T) {
@@ -189,10 +190,10 @@
 	}
 }
 
-// ErrDown is a promise that nothing changed; ErrAmbiguous is not. A connection
-// that was refused, or a 429, cannot have changed anything. A connection that
-// closed without an answer, or a 503, might have.
-func TestOutageErrorsAreTruthful(t *testing.T) {
+// ErrDown guarantees that nothing changed; ErrAmbiguous doesn't. A refused connection
+// or a 429 can't have changed anything. A connection closed without a response, or a
+// 503, may have.
+func TestOutageErrors(t *testing.T) {
 	settle := platform.WithSettleTimeout(50 * time.Millisecond)
 	for _, tt := range []struct {
 		name   string
@@ -204,7 +205,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			s, ctx := serve(t, settle)
+			s, ctx := newFixture(t, settle)
 			s.setFaults(tt.faults)
 			_, err := s.client.Commit(ctx, put("k", "v", 0))
 			is.True(errors.Is(err, tt.write))
@@ -236,7 +237,7 @@
 		c := platform.NewClient(srv.URL)
 		defer c.Close()
 		limited := func(f func() error) (err error) {
-			for range 100 { // the bucket refills by one a second at most
+			for range 100 { // the token bucket refills at 1 per second
 				if err = f(); err != nil {
 					return err
 				}
@@ -251,9 +252,9 @@
 	})
 }
 
-// A request that the platform does not understand is no outage: trying again
-// would not help, and it must not be told so.
-func TestRefusedIsNotDown(t *testing.T) {
+// Guards against reporting a request that the platform rejects as invalid as an outage,
+// which callers would retry in vain.
+func TestRejectedRequestIsNotOutage(t *testing.T) {
 	is := is.New(t)
 	srv := httptest.NewServer(http.NotFoundHandler())
 	defer srv.Close()
@@ -266,13 +267,12 @@
 	is.True(errors.Is(err, platform.ErrRefused))
 }
 
-// The platform runs a write that came over a reused connection and closes that
-// connection without an answer. Were the request repeatable in net/http's eyes,
-// the Transport would send it again by itself, and the write would land twice
-// under one call.
-func TestTransportDoesNotRepeatWrites(t *testing.T) {
+// The platform applies a write received over a reused connection and closes it without
+// a response. Guards against a request that net/http's Transport considers replayable:
+// it would resend it by itself and the write would be applied twice.
+func TestTransportDoesNotRetryWrites(t *testing.T) {
 	is := is.New(t)
-	s, ctx := serve(t, platform.WithSettleTimeout(50*time.Millisecond))
+	s, ctx := newFixture(t, platform.WithSettleTimeout(50*time.Millisecond))
 	_, err := s.client.Get(ctx, "t", "k") // opens the connection that the write reuses
 	is.NoErr(err)
 	s.setFaults(standin.Faults{LoseAnswers: standin.Always, ForgetAttempts: true})
@@ -283,9 +283,9 @@
 	is.Equal(s.Stats().Writes, uint64(1))
 }
 
-// The platform answers slower than one try may take, after the write took
-// effect. The caller's context still has time, so the answer is read back.
-func TestSlowAnswerIsReadBack(t *testing.T) {
+// The response arrives after the request timeout although the write took effect. The
+// caller's context has time left, so the result is read back.
+func TestSlowResponseIsReadBack(t *testing.T) {
 	is := is.New(t)
 	p := standin.New(standin.Options{NoLimits: true})
 	release := make(chan struct{})
@@ -304,11 +304,11 @@
 	is.True(res.Committed)
 }
 
-// The store is restored to an older copy: what was written since is gone, and a
-// writer that still holds the newer version is refused.
+// The store is restored to an older copy: later writes are lost, and a transaction that
+// checks a later version fails.
 func TestRestoredStore(t *testing.T) {
 	is := is.New(t)
-	s, ctx := serve(t)
+	s, ctx := newFixture(t)
 	_, err := s.client.Commit(ctx, put("k", "old", 0))
 	is.NoErr(err)
 	s.Save()
@@ -323,11 +323,11 @@
 	is.True(!res.Committed)
 }
 
-// Objects come back whole; one that does not exist is told apart from an outage;
-// a put whose answer was lost is read back.
+// Objects are returned as written; a missing object is distinguished from an outage; a
+// put with a lost response is read back.
 func TestObjects(t *testing.T) {
 	is := is.New(t)
-	s, ctx := serve(t)
+	s, ctx := newFixture(t)
 	is.NoErr(s.client.PutObject(ctx, "a/b", []byte{0, 1, 2}))
 	data, err := s.client.GetObject(ctx, "a/b")
 	is.NoErr(err)
@@ -340,21 +340,22 @@
 	is.True(errors.Is(s.client.PutObject(ctx, "d", []byte("x")), platform.ErrAmbiguous))
 }
 
-// Operations are counted by kind and result, and lost answers by verdict.
+// Operations are counted by kind and result, and lost responses by verdict.
 func TestClientMetrics(t *testing.T) {
 	is := is.New(t)
 	reg := prometheus.NewRegistry()
-	s, ctx := serve(t, platform.WithRegisterer(reg))
+	s, ctx := newFixture(t, platform.WithRegisterer(reg))
 	s.setFaults(standin.Faults{LoseAnswers: 1})
 	_, err := s.client.Commit(ctx, put("k", "v", 0))
 	is.NoErr(err)
-	is.Equal(counted(t, reg, "chervilloom_platform_lost_answers_total", "landed"), 1.0)
-	is.Equal(counted(t, reg, "chervilloom_platform_operations_total", "commit"), 1.0)
-	is.Equal(counted(t, reg, "chervilloom_platform_operations_total", "get"), 1.0) // it settled the commit
+	is.Equal(counterValue(t, reg, "chervilloom_platform_lost_answers_total", "landed"), 1.0)
+	is.Equal(counterValue(t, reg, "chervilloom_platform_operations_total", "commit"), 1.0)
+	is.Equal(counterValue(t, reg, "chervilloom_platform_operations_total", "get"), 1.0) // the commit's read-back
 }
 
-// counted returns the counter of a name whose first label has the value.
-func counted(t *testing.T, reg *prometheus.Registry, name, label string) float64 {
+// counterValue returns the value of the counter with the name whose first label has the
+// value label, or 0.
+func counterValue(t *testing.T, reg *prometheus.Registry, name, label string) float64 {
 	t.Helper()
 	families, err := reg.Gather()
 	if err != nil {
@@ -370,16 +371,16 @@
 	return 0
 }
 
-// An object is longer than the client takes. It is told so: the part that fits,
-// given as the whole, would be loaded as if nothing were missing.
-func TestObjectBeyondTheBoundIsNotCut(t *testing.T) {
+// An object exceeds the client's limit. Guards against returning the truncated object
+// without an error: it would be loaded as if it were complete.
+func TestOversizedObjectIsNotTruncated(t *testing.T) {
 	is := is.New(t)
 	const bound = 64 << 20
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(make([]byte, bound+1))
 	}))
 	t.Cleanup(srv.Close)
-	c := platform.NewClient(srv.URL, platform.WithTryTimeout(testTime))
+	c := platform.NewClient(srv.URL, platform.WithTryTimeout(testTimeout))
 	t.Cleanup(c.Close)
 	_, err := c.GetObject(t.Context(), "weights")
 	is.True(errors.Is(err, platform.ErrDown))
--- a/internal/platform/commit.go
+++ b/internal/platform/commit.go
@@ -11,10 +11,10 @@
 	"github.com/google/uuid"
 )
 
-// Back-off between two tries to settle a lost answer.
+// Backoff between two attempts to resolve a lost response.
 const (
-	settleBackoffFirst = 20 * time.Millisecond
-	settleBackoffMost  = 500 * time.Millisecond
+	resolveBackoffMin = 20 * time.Millisecond
+	resolveBackoffMax = 500 * time.Millisecond
 )
 
 // Commit implements Table.
@@ -22,17 +22,17 @@
 	if txn.Attempt == "" {
 		txn.Attempt = uuid.NewString()
 	}
-	if err := txn.valid(); err != nil {
+	if err := txn.validate(); err != nil {
 		return Result{}, err
 	}
-	done := c.begin(&ctx, opCommit)
+	done := c.startOperation(&ctx, opCommit)
 	res, err := c.commit(ctx, &txn)
 	done(err)
 	return res, err
 }
 
-// valid refuses what the platform would refuse.
-func (t *Txn) valid() error {
+// validate returns an error for a transaction that the platform would reject.
+func (t *Txn) validate() error {
 	if len(t.Writes) == 0 {
 		return errors.New("platform: a transaction needs a write; use Get to read")
 	}
@@ -49,54 +49,54 @@
 	if err != nil {
 		return Result{}, fmt.Errorf("platform: transaction: %w", err)
 	}
-	first := c.post(ctx, body)
-	if first.known {
+	first := c.postTxn(ctx, body)
+	if first.hasResult {
 		return first.result, nil
 	}
-	if first.try.surelyWithoutEffect() {
-		return Result{}, first.try.noEffect()
+	if first.response.hadNoEffect() {
+		return Result{}, first.response.noEffectError()
 	}
-	res, v := c.settle(ctx, txn, body)
-	c.metrics.settled.WithLabelValues(string(v)).Inc()
-	c.log.Warn("the answer to a write was lost", "attempt", txn.Attempt, "found", string(v), "cause", first.try.cause())
+	res, v := c.resolve(ctx, txn, body)
+	c.metrics.lostResponses.WithLabelValues(string(v)).Inc()
+	c.log.Warn("write response was lost", "attempt", txn.Attempt, "found", string(v), "cause", first.response.cause())
 	if v == verdictUnsettled {
-		return Result{}, fmt.Errorf("%w: attempt %s: %w", ErrAmbiguous, txn.Attempt, first.try.cause())
+		return Result{}, fmt.Errorf("%w: attempt %s: %w", ErrAmbiguous, txn.Attempt, first.response.cause())
 	}
 	return res, nil
 }
 
-// posted is one try to send a transaction.
-type posted struct {
-	try    *tryAnswer
-	known  bool // result is the platform's word
-	result Result
+// postResult is the result of sending a transaction once.
+type postResult struct {
+	response  *httpResult
+	hasResult bool // result was received from the platform
+	result    Result
 }
 
-func (c *Client) post(ctx context.Context, body []byte) posted {
-	p := posted{try: c.send(ctx, http.MethodPost, "/v1/txn", body)}
-	if !p.try.ok() {
+func (c *Client) postTxn(ctx context.Context, body []byte) postResult {
+	p := postResult{response: c.send(ctx, http.MethodPost, "/v1/txn", body)}
+	if !p.response.ok() {
 		return p
 	}
-	// An answer cut short inside its JSON is a lost answer, not a result.
-	if err := json.Unmarshal(p.try.body, &p.result); err != nil {
-		p.try.err = err
+	// A truncated JSON response counts as lost.
+	if err := json.Unmarshal(p.response.body, &p.result); err != nil {
+		p.response.err = err
 		return p
 	}
-	p.known = true
+	p.hasResult = true
 	return p
 }
 
-// settle finds out what became of a transaction whose answer was lost.
+// resolve determines the result of a transaction whose response was lost.
 //
-// It reads the rows back and, where that is not enough, sends the transaction
-// again under the same attempt id. A fresh id is never drawn: with one, a write
-// that had landed before its answer was lost would land a second time.
-func (c *Client) settle(ctx context.Context, txn *Txn, body []byte) (Result, verdict) {
-	ctx, cancel := context.WithTimeout(ctx, c.settleTimeout)
+// It reads the rows back and, if that isn't sufficient, resends the transaction with
+// the same attempt ID. With a new ID a write that was applied before its response was
+// lost could be applied a second time.
+func (c *Client) resolve(ctx context.Context, txn *Txn, body []byte) (Result, verdict) {
+	ctx, cancel := context.WithTimeout(ctx, c.resolveTimeout)
 	defer cancel()
-	backoff := settleBackoffFirst
+	backoff := resolveBackoffMin
 	for {
-		res, v := c.settleOnce(ctx, txn, body)
+		res, v := c.resolveOnce(ctx, txn, body)
 		if v != verdictUnsettled {
 			return res, v
 		}
@@ -105,58 +105,58 @@
 			return Result{}, verdictUnsettled
 		case <-time.After(backoff):
 		}
-		backoff = min(2*backoff, settleBackoffMost)
+		backoff = min(2*backoff, resolveBackoffMax)
 	}
 }
 
-func (c *Client) settleOnce(ctx context.Context, txn *Txn, body []byte) (Result, verdict) {
-	rows, kept, err := c.readBack(ctx, txn)
+func (c *Client) resolveOnce(ctx context.Context, txn *Txn, body []byte) (Result, verdict) {
+	rows, attemptsKept, err := c.readBack(ctx, txn)
 	if err != nil {
 		return Result{}, verdictUnsettled
 	}
-	if res, v := judge(txn, rows); v != verdictUnsettled {
+	if res, v := resolveFromRows(txn, rows); v != verdictUnsettled {
 		return res, v
 	}
-	// Not visible now does not mean never: the first copy may still be on its
-	// way. Sending again is safe only if at most one copy can take effect.
-	if !kept && !txn.selfInvalidating() {
+	// The first request may still be in flight. Resending is safe only if at most one
+	// of the two can take effect.
+	if !attemptsKept && !txn.selfInvalidating() {
 		return Result{}, verdictUnsettled
 	}
-	again := c.post(ctx, body)
-	if !again.known {
+	resent := c.postTxn(ctx, body)
+	if !resent.hasResult {
 		return Result{}, verdictUnsettled
 	}
-	if again.result.Committed {
-		return again.result, verdictLanded
+	if resent.result.Committed {
+		return resent.result, verdictLanded
 	}
-	if again.try.header.Get(HeaderAttempts) == AttemptsKept {
-		return again.result, verdictNotLanded
+	if resent.response.header.Get(HeaderAttempts) == AttemptsKept {
+		return resent.result, verdictNotLanded
 	}
-	// A refusal may be due to the first copy having landed meanwhile: only the
-	// rows can tell, at the next look.
+	// The checks may have failed because the first request was applied in the
+	// meantime. The next read of the rows shows that.
 	return Result{}, verdictUnsettled
 }
 
-// readBack reads every row that the transaction checks or writes. kept reports
-// whether the platform remembers attempts.
-func (c *Client) readBack(ctx context.Context, txn *Txn) (rows map[rowID]Row, kept bool, err error) {
+// readBack reads every row that the transaction checks or writes. attemptsKept reports
+// whether the platform stores results by attempt ID.
+func (c *Client) readBack(ctx context.Context, txn *Txn) (rows map[rowID]Row, attemptsKept bool, err error) {
 	rows = make(map[rowID]Row)
 	for _, id := range txn.rowIDs() {
 		row := Row{Table: id.table, Key: id.key}
-		header, err := c.read(ctx, opGet, "/v1/table/"+escape(id.table)+"/"+escape(id.key), &row)
+		header, err := c.read(ctx, opGet, "/v1/table/"+escapeSegment(id.table)+"/"+escapeSegment(id.key), &row)
 		if err != nil {
 			return nil, false, err
 		}
-		kept = header.Get(HeaderAttempts) == AttemptsKept
+		attemptsKept = header.Get(HeaderAttempts) == AttemptsKept
 		rows[id] = row
 	}
-	return rows, kept, nil
+	return rows, attemptsKept, nil
 }
 
 type rowID struct{ table, key string }
 
-// rowIDs returns each row of the transaction once: first those that it only
-// checks, then those that it writes. judge relies on this order.
+// rowIDs returns each row of the transaction once: first the rows that it only checks,
+// then those that it writes. resolveFromRows depends on this order.
 func (t *Txn) rowIDs() []rowID {
 	written := t.writtenRows()
 	seen := make(map[rowID]bool)
@@ -194,8 +194,9 @@
 	return versions
 }
 
-// selfInvalidating reports whether the transaction's own effect makes its own
-// checks fail, so that at most one of two copies can take effect.
+// selfInvalidating reports whether the transaction writes a row that it checks. Its
+// checks then fail once it has been applied, so that at most one of two copies can take
+// effect.
 func (t *Txn) selfInvalidating() bool {
 	written := t.writtenRows()
 	for _, ch := range t.Checks {
@@ -206,21 +207,23 @@
 	return false
 }
 
-// judge decides from the rows as read after a lost answer, in the order of
-// rowIDs. It relies on two properties of the table: a transaction lands whole or
-// not at all, and a row's version is never used again. "Not landed" also
-// promises that a copy still on its way can land no more.
+// resolveFromRows determines the result of a transaction from rows read after its
+// response was lost, in the order of rowIDs. It relies on two properties of the table:
+// a transaction is applied completely or not at all, and a row's version is never
+// reused. verdictNotLanded also guarantees that a copy still in flight can't be applied
+// later.
 //
-//   - A row carries the attempt id: it landed.
-//   - A row that it checks and writes is one version on, by another attempt: that
-//     attempt took the place of this one.
-//   - A check was seen to have failed for good, and a row read later that it
-//     checks and writes still has the checked version: it had not landed by then
-//     and cannot after. The order of the reads matters: with the later read
-//     first, it could have landed between the two.
-//   - Anything else was overwritten or deleted since, or may still land. So may a
-//     transaction that checks that a row does not exist, once that row is deleted.
-func judge(txn *Txn, rows map[rowID]Row) (Result, verdict) {
+//   - A row has the transaction's attempt ID: it was applied.
+//   - A row that it checks and writes is at the next version, written by another
+//     attempt: that attempt superseded this one.
+//   - A check has permanently failed, and a row that it checks and writes, read later,
+//     still has the checked version: it had not been applied by then and can't be
+//     afterwards. The order of the reads matters: in reverse order it could have been
+//     applied between them.
+//   - Otherwise the rows were overwritten or deleted since, or the transaction may still
+//     be applied. That includes one that checks that a row doesn't exist, since the row
+//     may be deleted.
+func resolveFromRows(txn *Txn, rows map[rowID]Row) (Result, verdict) {
 	for _, w := range txn.Writes {
 		if rows[rowID{w.Table, w.Key}].Attempt == txn.Attempt {
 			return landedResult(txn, rows), verdictLanded
@@ -228,25 +231,25 @@
 	}
 	checked := txn.checkedVersions()
 	written := txn.writtenRows()
-	failed := false
+	hasFailedCheck := false
 	for _, id := range txn.rowIDs() {
 		version, ok := checked[id]
 		if !ok {
 			continue
 		}
 		row := rows[id]
-		passed := version > 0 && row.Version > version
-		superseded := written[id] && passed && row.Version == version+1
-		untouched := written[id] && row.Version == version
-		if superseded || (untouched && failed) {
+		isNewer := version > 0 && row.Version > version
+		isSuperseded := written[id] && isNewer && row.Version == version+1
+		isUnchanged := written[id] && row.Version == version
+		if isSuperseded || (isUnchanged && hasFailedCheck) {
 			return Result{Rows: failedChecks(txn, rows)}, verdictNotLanded
 		}
-		failed = failed || passed
+		hasFailedCheck = hasFailedCheck || isNewer
 	}
 	return Result{}, verdictUnsettled
 }
 
-// failedChecks returns the present rows of the checks that fail.
+// failedChecks returns the current rows of the failed checks.
 func failedChecks(txn *Txn, rows map[rowID]Row) []Row {
 	var failed []Row
 	for _, ch := range txn.Checks {
@@ -258,9 +261,9 @@
 	return failed
 }
 
-// landedResult rebuilds the result of a transaction that landed. A row that was
-// overwritten since is given as this transaction left it when its check tells
-// the version, and is left out otherwise.
+// landedResult reconstructs the result of a transaction that was applied. A row that
+// was overwritten since is returned as this transaction wrote it if a check gives its
+// version, and is omitted otherwise.
 func landedResult(txn *Txn, rows map[rowID]Row) Result {
 	checked := txn.checkedVersions()
 	res := Result{Committed: true}
--- a/internal/platform/judge_test.go
+++ b/internal/platform/judge_test.go
@@ -8,32 +8,32 @@
 	"pgregory.net/rapid"
 )
 
-// rowsOnly is a table that keeps the attempt in the rows and nowhere else.
-type rowsOnly struct {
+// rowTable is a table that keeps attempt IDs in the rows only.
+type rowTable struct {
 	rows    map[rowID]Row
-	version map[rowID]uint64 // outlives deletion
+	version map[rowID]uint64 // kept after deletion
 }
 
-func newRowsOnly() *rowsOnly {
-	return &rowsOnly{rows: map[rowID]Row{}, version: map[rowID]uint64{}}
+func newRowTable() *rowTable {
+	return &rowTable{rows: map[rowID]Row{}, version: map[rowID]uint64{}}
 }
 
-func (s *rowsOnly) get(id rowID) Row {
+func (s *rowTable) get(id rowID) Row {
 	if r, ok := s.rows[id]; ok {
 		return r
 	}
 	return Row{Table: id.table, Key: id.key}
 }
 
-func (s *rowsOnly) holds(txn *Txn) bool {
+func (s *rowTable) checksPass(txn *Txn) bool {
 	return !slices.ContainsFunc(txn.Checks, func(c Check) bool {
 		return s.get(rowID{c.Table, c.Key}).Version != c.Version
 	})
 }
 
-// apply runs the transaction and reports whether it landed.
-func (s *rowsOnly) apply(txn *Txn) bool {
-	if !s.holds(txn) {
+// apply runs the transaction and reports whether it was applied.
+func (s *rowTable) apply(txn *Txn) bool {
+	if !s.checksPass(txn) {
 		return false
 	}
 	for _, w := range txn.Writes {
@@ -47,14 +47,14 @@
 	return true
 }
 
-// The answer to a write is lost. While the writer reads the rows back one by
-// one, its own write may still land once, and others write, delete and make
-// anew the same rows between the reads. Whatever judge then says must be true,
-// and "not landed" must stay true however late the write arrives.
-func TestJudgeIsTruthful(t *testing.T) {
+// The response to a write is lost. While the writer reads the rows back one by one, its
+// own write may still be applied once, and others write, delete and recreate the same
+// rows between the reads. The verdict of resolveFromRows must be correct, and
+// verdictNotLanded must remain correct however late the write arrives.
+func TestResolveFromRowsIsCorrect(t *testing.T) {
 	verdicts := map[verdict]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		s := newRowsOnly()
+		s := newRowTable()
 		attempts := 0
 		other := func() {
 			attempts++
@@ -80,17 +80,17 @@
 			rows[id] = s.get(id)
 			step()
 		}
-		res, v := judge(txn, rows)
+		res, v := resolveFromRows(txn, rows)
 		verdicts[v]++
 		switch {
 		case v == verdictLanded && !landed:
-			t.Fatalf("said to have landed, but did not: %+v rows %+v", txn, rows)
+			t.Fatalf("verdict landed, but not applied: %+v rows %+v", txn, rows)
 		case v == verdictLanded && !res.Committed, v == verdictNotLanded && res.Committed:
 			t.Fatalf("verdict %s with result %+v", v, res)
 		case v == verdictNotLanded && landed:
-			t.Fatalf("said not to have landed, but did: %+v rows %+v", txn, rows)
+			t.Fatalf("verdict not_landed, but applied: %+v rows %+v", txn, rows)
 		case v == verdictNotLanded && s.apply(txn):
-			t.Fatalf("said not to land any more, but did: %+v rows %+v", txn, rows)
+			t.Fatalf("verdict not_landed, but applied afterwards: %+v rows %+v", txn, rows)
 		}
 	})
 	for _, v := range []verdict{verdictLanded, verdictNotLanded, verdictUnsettled} {
@@ -100,8 +100,9 @@
 	}
 }
 
-// drawTxn draws a transaction over few rows whose checks mostly hold now.
-func drawTxn(t *rapid.T, s *rowsOnly, attempt string) *Txn {
+// drawTxn generates a transaction over at most three rows, most of whose checks
+// currently pass.
+func drawTxn(t *rapid.T, s *rowTable, attempt string) *Txn {
 	txn := &Txn{Attempt: attempt}
 	keys := rapid.SampledFrom([]string{"a", "b", "c"})
 	for _, k := range rapid.SliceOfNDistinct(keys, 0, 2, rapid.ID).Draw(t, "checks") {
--- a/internal/platform/metrics.go
+++ b/internal/platform/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// operation is the label of one kind of request to the platform.
+// operation is the metric label of a kind of operation.
 type operation string
 
 const (
@@ -18,7 +18,7 @@
 	opPutObject operation = "put_object"
 )
 
-// verdict is the label of how a lost answer was settled.
+// verdict is the metric label of the resolution of a lost response.
 type verdict string
 
 const (
@@ -28,9 +28,9 @@
 )
 
 type clientMetrics struct {
-	ops     *prometheus.CounterVec
-	seconds *prometheus.HistogramVec
-	settled *prometheus.CounterVec
+	ops           *prometheus.CounterVec
+	seconds       *prometheus.HistogramVec
+	lostResponses *prometheus.CounterVec
 }
 
 func newClientMetrics(r prometheus.Registerer) *clientMetrics {
@@ -44,18 +44,18 @@
 			Help:    "Time of operations at the platform, reading back included.",
 			Buckets: []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5},
 		}, []string{"kind"}),
-		settled: prometheus.NewCounterVec(prometheus.CounterOpts{
+		lostResponses: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "chervilloom_platform_lost_answers_total",
 			Help: "Writes whose answer was lost, by what reading back found.",
 		}, []string{"verdict"}),
 	}
 	if r != nil {
-		r.MustRegister(m.ops, m.seconds, m.settled)
+		r.MustRegister(m.ops, m.seconds, m.lostResponses)
 	}
 	return m
 }
 
-// resultOf returns the label of an operation's error.
+// resultOf returns the metric label of an operation's error.
 func resultOf(err error) string {
 	switch {
 	case err == nil:
--- a/internal/platform/proxy_test.go
+++ b/internal/platform/proxy_test.go
@@ -18,10 +18,10 @@
 	standin "chervilloom/internal/standin/platform"
 )
 
-// proxied is a stand-in whose client's first connections go through a proxy
-// with a fault, and the later ones straight there. The fault is never changed
-// while connections are open: the proxy does not lock it against them.
-func proxied(t *testing.T, faulty int32, fault string) (*standin.Platform, *platform.Client) {
+// newProxiedClient returns a stand-in platform and a client whose first connections go
+// through a proxy with a fault, and the others directly. The fault isn't changed while
+// connections are open, since the proxy doesn't synchronize access to it.
+func newProxiedClient(t *testing.T, faulty int32, fault string) (*standin.Platform, *platform.Client) {
 	t.Helper()
 	p := standin.New(standin.Options{NoLimits: true})
 	srv := httptest.NewServer(p)
@@ -41,7 +41,7 @@
 		return (&net.Dialer{}).DialContext(ctx, network, addr)
 	}
 	c := platform.NewClient(srv.URL, platform.WithDial(dial),
-		platform.WithTryTimeout(time.Second), platform.WithSettleTimeout(testTime))
+		platform.WithTryTimeout(time.Second), platform.WithSettleTimeout(testTimeout))
 	t.Cleanup(func() {
 		c.Close()
 		proxy.Stop()
@@ -50,10 +50,10 @@
 	return p, c
 }
 
-// The connection to the platform breaks after some bytes of the request or of
-// the answer, once or on several connections in a row. Wherever it breaks, the
-// writer learns that its write landed, and it landed once.
-func TestBrokenConnectionSettles(t *testing.T) {
+// The connection breaks after some bytes of the request or of the response, once or on
+// several connections in a row. In each case the client reports the write as committed,
+// and it is applied once.
+func TestBrokenConnectionIsResolved(t *testing.T) {
 	for _, direction := range []string{"upstream", "downstream"} {
 		for _, bytes := range []int{0, 1, 60, 150, 250, 300} {
 			for _, faulty := range []int32{1, 3} {
@@ -61,7 +61,7 @@
 					name := fmt.Sprintf("%s at %d, %d connections, rows only %v", direction, bytes, faulty, forget)
 					t.Run(name, func(t *testing.T) {
 						is := is.New(t)
-						p, c := proxied(t, faulty, fmt.Sprintf(
+						p, c := newProxiedClient(t, faulty, fmt.Sprintf(
 							`{"name":"cut","type":"limit_data","stream":%q,"toxicity":1,"attributes":{"bytes":%d}}`, direction, bytes))
 						p.SetFaults(standin.Faults{NoLimits: true, ForgetAttempts: forget})
 						res, err := c.Commit(t.Context(), put("k", "value", 0))
@@ -78,11 +78,11 @@
 	}
 }
 
-// The answer never arrives though the connection stands, and the write landed.
-// The try ends by its timeout, and the write is read back.
-func TestSwallowedAnswerSettles(t *testing.T) {
+// The write is applied, but the response never arrives on an open connection. The
+// request times out, and the write is read back.
+func TestWithheldResponseIsReadBack(t *testing.T) {
 	is := is.New(t)
-	p, c := proxied(t, 1, `{"name":"hold","type":"timeout","stream":"downstream","toxicity":1,"attributes":{"timeout":0}}`)
+	p, c := newProxiedClient(t, 1, `{"name":"hold","type":"timeout","stream":"downstream","toxicity":1,"attributes":{"timeout":0}}`)
 	res, err := c.Commit(t.Context(), put("k", "value", 0))
 	is.NoErr(err)
 	is.True(res.Committed)
