--- a/internal/kv/bench_test.go
+++ b/internal/kv/bench_test.go
@@ -12,14 +12,14 @@
 	objects "chervilloom/internal/standin/platform"
 )
 
-// pacedStore takes as long as the KV cache of the prefixes would take: the
-// stand-in's objects hold hashes alone.
+// pacedStore delays each call by the transfer time of the prefixes' KV cache, since the
+// stand-in's objects contain only hashes.
 type pacedStore struct {
 	*objects.Platform
 	costs Costs
 }
 
-func (s *pacedStore) pace(data []byte) {
+func (s *pacedStore) delay(data []byte) {
 	var prefixes []uint64
 	if json.Unmarshal(data, &prefixes) != nil {
 		return
@@ -34,40 +34,39 @@
 }
 
 func (s *pacedStore) PutObject(ctx context.Context, name string, data []byte) error {
-	s.pace(data)
+	s.delay(data)
 	return s.Platform.PutObject(ctx, name, data)
 }
 
 func (s *pacedStore) GetObject(ctx context.Context, name string) ([]byte, error) {
 	data, err := s.Platform.GetObject(ctx, name)
-	s.pace(data)
+	s.delay(data)
 	return data, err
 }
 
-// BenchmarkMove reports how long the first call of a new group takes with and
-// without the move, and what the export and the import take, all through HTTP to
-// stand-in engines. Replicas compute a prompt token in 400 us; the store's speed
-// is that of DefaultCosts.
+// BenchmarkMove reports the duration of a new group's first request with and without a
+// move, and of the export and the import, over HTTP to stand-in engines. Replicas
+// compute a prompt token in 400 us; the store has the throughput of DefaultCosts.
 func BenchmarkMove(b *testing.B) {
 	for _, holds := range []bool{true, false} {
 		b.Run(fmt.Sprintf("move=%v", holds), func(b *testing.B) {
 			var first, export, imported time.Duration
 			cached := 0
 			for b.Loop() {
-				w := newWorld(b, &pacedStore{Platform: objects.New(objects.Options{}), costs: DefaultCosts()})
-				w.held, w.prefill = holds, 2500
+				w := newMoverFixture(b, &pacedStore{Platform: objects.New(objects.Options{}), costs: DefaultCosts()})
+				w.held, w.prefillPerSecond = holds, 2500
 				old := w.join(w.engine("e1"), "g", fleet.PhaseServing, "1")
-				w.see(old)
-				w.warm(&old)
+				w.step(old)
+				w.warmCache(&old)
 				began := time.Now()
-				w.see(with(old, fleet.PhaseDraining))
+				w.step(withPhase(old, fleet.PhaseDraining))
 				export += time.Since(began)
 				fresh := w.join(w.engine("e2"), "n", fleet.PhaseServing, "1")
 				began = time.Now()
-				w.see(fresh)
+				w.step(fresh)
 				imported += time.Since(began)
 				began = time.Now()
-				cached += w.ask(&fresh)
+				cached += w.sendPrompt(&fresh)
 				first += time.Since(began)
 			}
 			ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 / float64(b.N) }
--- a/internal/kv/decide.go
+++ b/internal/kv/decide.go
@@ -13,22 +13,22 @@
 	"chervilloom/internal/view"
 )
 
-// young is how long before an export a group may have begun to serve and still
-// get it: a replacement is often formed before the old group drains.
-const young = 10 * time.Minute
+// maxServingBeforeExport is how long before an export a group may have started to serve
+// and still import it: a replacement is often formed before the old group drains.
+const maxServingBeforeExport = 10 * time.Minute
 
-// Kind is what an Action does.
+// Kind is the kind of an Action.
 type Kind string
 
-// The kinds.
+// Kinds of actions.
 const (
 	Export Kind = "export" // the leader writes the prefixes to the object
 	Import Kind = "import" // the leader reads the object
-	Empty  Kind = "empty"  // the object is overwritten with nothing
-	Skip   Kind = "skip"   // nothing, for the reason given
+	Empty  Kind = "empty"  // the object is overwritten with empty data
+	Skip   Kind = "skip"   // no action; see Reason
 )
 
-// Action is one decision.
+// Action is one decision of Decide.
 type Action struct {
 	Kind       Kind
 	Key        Key
@@ -36,141 +36,143 @@
 	Generation fleet.Generation
 	Leader     fleet.Member
 	Prefixes   []uint64
-	Saves      time.Duration // expected engine time; exports
+	Saves      time.Duration // expected engine time saved; exports only
 	Reason     string
 }
 
-// Input is what Decide looks at.
+// Input is the input of Decide.
 type Input struct {
 	Now   clock.Instant
 	Snap  *view.Snapshot
-	Uses  func(fleet.GroupID) []Use // as this node sees them
+	Uses  func(fleet.GroupID) []Use // uses counted on this node
 	Costs Costs
 }
 
-// The reasons of an Action that are not capacity.AdviseExport's.
+// Reasons of an Action, in addition to those of capacity.AdviseExport.
 const (
-	reasonUnwanted = "no group spec asks for this model, version and adapters any more"
-	reasonUnfenced = "the leader's engine does not check what a move is meant for"
-	reasonAway     = "the leader does not answer as this generation"
-	reasonFixed    = "the saving is less than the fixed cost of an export and an import"
-	reasonOld      = "the object is older than its prefixes are likely to be used"
-	reasonMany     = "more objects are kept than allowed and this is the oldest"
+	reasonNotConfigured     = "no group spec asks for this model, version and adapters any more"
+	reasonNoFenceCheck      = "the leader's engine does not check what a move is meant for"
+	reasonLeaderUnavailable = "the leader does not answer as this generation"
+	reasonFixedCost         = "the saving is less than the fixed cost of an export and an import"
+	reasonExpired           = "the object is older than its prefixes are likely to be used"
+	reasonTooManyObjects    = "more objects are kept than allowed and this is the oldest"
 )
 
-// Decide returns what is to be done now, and why.
+// Decide returns the actions to execute now with their reasons, and updates m.
 func Decide(in *Input, m *Memory) []Action {
-	d := decision{in: in, m: m}
-	present := map[place]bool{}
+	d := decision{input: in, memory: m}
+	present := map[groupGeneration]bool{}
 	for i := range in.Snap.Groups {
 		g := &in.Snap.Groups[i]
 		if g.Zone != in.Snap.Zone || len(g.Members) == 0 {
 			continue
 		}
-		present[placeOf(&g.Group)] = true
+		present[generationOf(&g.Group)] = true
 		switch g.Phase {
 		case fleet.PhaseServing:
-			d.serving(g)
+			d.considerImport(g)
 		case fleet.PhaseDraining:
-			d.draining(g)
+			d.considerExport(g)
 		}
 	}
-	d.expire()
-	m.sweep(present)
-	m.begun = true
-	return d.out
+	d.expireObjects()
+	m.forgetMissing(present)
+	m.hasRun = true
+	return d.actions
 }
 
 type decision struct {
-	in    *Input
-	m     *Memory
-	out   []Action
-	moves int
+	input   *Input
+	memory  *Memory
+	actions []Action
+	moves   int
 }
 
 func (d *decision) add(a Action) {
 	if a.Kind == Export || a.Kind == Import {
 		d.moves++
 	}
-	d.out = append(d.out, a)
+	d.actions = append(d.actions, a)
 }
 
-func action(kind Kind, g *view.Group, reason string) Action {
+func newAction(kind Kind, g *view.Group, reason string) Action {
 	return Action{Kind: kind, Key: KeyOf(&g.Group), Group: g.ID, Generation: g.Generation, Leader: g.Members[0], Reason: reason}
 }
 
-// serving has a new group import what a group of the same key exported.
-func (d *decision) serving(g *view.Group) {
-	p := placeOf(&g.Group)
-	since, known := d.m.serving[p]
+// considerImport adds an import if a group of the same key has exported its cache
+// recently and g is new, whole, and checks the generation of a move.
+func (d *decision) considerImport(g *view.Group) {
+	p := generationOf(&g.Group)
+	since, known := d.memory.servingSince[p]
 	if !known {
-		// Groups that serve when the duty comes here may have done so for long:
-		// their caches are warm.
-		if d.m.begun {
-			since = d.in.Now
+		// Groups that already serve when this node acquires the duty may have served
+		// for long: their caches are assumed to be warm.
+		if d.memory.hasRun {
+			since = d.input.Now
 		}
-		d.m.serving[p] = since
+		d.memory.servingSince[p] = since
 	}
 	key := KeyOf(&g.Group)
-	obj, ok := d.m.objects[key]
+	obj, ok := d.memory.objects[key]
 	switch {
-	case !ok || since == 0 || d.moves >= maxMoves || !d.fenced(g):
+	case !ok || since == 0 || d.moves >= maxMoves || !d.checksFence(g):
 		return
-	case d.m.imported[p] >= obj.at || since.Add(young) < obj.at:
+	case d.memory.lastImported[p] >= obj.exportedAt || since.Add(maxServingBeforeExport) < obj.exportedAt:
 		return
-	case d.in.Now.Sub(obj.at) > d.in.Costs.Useful || !g.Whole:
+	case d.input.Now.Sub(obj.exportedAt) > d.input.Costs.Useful || !g.Whole:
 		return
 	}
-	d.m.imported[p] = obj.at // tried once: a failed import costs no more than a cold cache
-	a := action(Import, g, fmt.Sprintf("%s drained with prefixes that are used", obj.from))
+	d.memory.lastImported[p] = obj.exportedAt // no retry: a failed import costs no more than a cold cache
+	a := newAction(Import, g, fmt.Sprintf("%s drained with prefixes that are used", obj.source))
 	a.Prefixes = obj.prefixes
 	d.add(a)
 }
 
-// fenced reports whether the leader refuses a move that is meant for another
-// place. One that does not could be given to another model between the look at
-// it and the move, and would then answer from the cache of the wrong weights.
-func (d *decision) fenced(g *view.Group) bool {
-	doc := d.in.Snap.Config
+// checksFence reports whether the leader rejects a move for another generation. A leader
+// that doesn't could be assigned to another model between the check and the move, and
+// would then respond from a KV cache of the wrong weights.
+func (d *decision) checksFence(g *view.Group) bool {
+	doc := d.input.Snap.Config
 	return doc != nil && doc.ChecksFence(string(g.Members[0].VM))
 }
 
-// draining decides once for each drain whether the group exports. A leader that
-// misses a probe is waited for as long as the drain goes on.
-func (d *decision) draining(g *view.Group) {
-	p := placeOf(&g.Group)
-	before := d.m.drained[p]
+// considerExport decides once per drain whether the group exports its cache. If the
+// leader doesn't respond to probes, the decision is postponed until it does or the drain
+// ends.
+func (d *decision) considerExport(g *view.Group) {
+	p := generationOf(&g.Group)
+	before := d.memory.drainStates[p]
 	if before == decided || d.moves >= maxMoves {
 		return
 	}
-	if !d.fenced(g) {
-		d.m.drained[p] = decided
-		d.add(action(Skip, g, reasonUnfenced))
+	if !d.checksFence(g) {
+		d.memory.drainStates[p] = decided
+		d.add(newAction(Skip, g, reasonNoFenceCheck))
 		return
 	}
-	if !d.answers(g) {
-		d.m.drained[p] = silent
-		if before != silent {
-			d.add(action(Skip, g, reasonAway))
+	if !d.leaderResponds(g) {
+		d.memory.drainStates[p] = unresponsive
+		if before != unresponsive {
+			d.add(newAction(Skip, g, reasonLeaderUnavailable))
 		}
 		return
 	}
-	d.m.drained[p] = decided
+	d.memory.drainStates[p] = decided
 	switch {
-	case !d.wanted(KeyOf(&g.Group)):
-		d.add(action(Skip, g, reasonUnwanted))
+	case !d.isConfigured(KeyOf(&g.Group)):
+		d.add(newAction(Skip, g, reasonNotConfigured))
 	default:
-		d.add(d.advise(g))
+		d.add(d.adviseExport(g))
 	}
 }
 
-// wanted reports whether the configuration asks for groups of the key.
-func (d *decision) wanted(k Key) bool {
-	if d.in.Snap.Config == nil {
+// isConfigured reports whether the configuration has a group spec with the key.
+func (d *decision) isConfigured(k Key) bool {
+	if d.input.Snap.Config == nil {
 		return false
 	}
-	for i := range d.in.Snap.Config.Groups {
-		s := &d.in.Snap.Config.Groups[i]
+	for i := range d.input.Snap.Config.Groups {
+		s := &d.input.Snap.Config.Groups[i]
 		if keyOf(k.Zone, s.Model, s.ModelVer, s.Adapters) == k {
 			return true
 		}
@@ -178,24 +180,24 @@
 	return false
 }
 
-// answers reports whether the leader's newest probe was answered by the life and
-// generation that drains. A leader that is leaving still answers.
-func (d *decision) answers(g *view.Group) bool {
-	i := slices.IndexFunc(d.in.Snap.VMs, func(v view.VM) bool { return v.Record.VM == g.Members[0].VM })
+// leaderResponds reports whether the latest probe of the leader was answered by the
+// same process in the draining generation. A leader that is leaving still responds.
+func (d *decision) leaderResponds(g *view.Group) bool {
+	i := slices.IndexFunc(d.input.Snap.VMs, func(v view.VM) bool { return v.Record.VM == g.Members[0].VM })
 	if i < 0 {
 		return false
 	}
-	pr := &d.in.Snap.VMs[i].Probe
+	pr := &d.input.Snap.VMs[i].Probe
 	st := &pr.State
 	return pr.Answered != 0 && pr.Failing == 0 && st.Boot == g.Members[0].Boot &&
 		st.Group == g.ID && st.Generation == g.Generation
 }
 
-// advise weighs the export of the group's prefixes. All go into one object, so
-// that the fixed cost is weighed once against the sum.
-func (d *decision) advise(g *view.Group) Action {
-	c := &d.in.Costs
-	uses := d.in.Uses(g.ID)
+// adviseExport compares the cost and the savings of exporting the group's prefixes. All
+// prefixes go into one object, so the fixed cost is subtracted once from the sum.
+func (d *decision) adviseExport(g *view.Group) Action {
+	c := &d.input.Costs
+	uses := d.input.Uses(g.ID)
 	e := capacity.Export{
 		Group: g.ID, Heat: d.heat(g, uses), PrefillPerTok: c.PrefillPerTok,
 		BytesPerSecond: c.BytesPerSecond, Within: c.Within - c.PerObject, Useful: c.Useful,
@@ -207,47 +209,48 @@
 	saves := a.Saves - 2*c.PerObject
 	switch {
 	case len(a.Prefixes) == 0:
-		return action(Skip, g, best.Reason)
+		return newAction(Skip, g, best.Reason)
 	case saves <= 0:
-		return action(Skip, g, reasonFixed)
+		return newAction(Skip, g, reasonFixedCost)
 	}
-	out := action(Export, g, a.Reason)
+	out := newAction(Export, g, a.Reason)
 	out.Prefixes, out.Saves = a.Prefixes, saves
 	return out
 }
 
-// heat turns uses into what capacity weighs. The balancer spreads the calls over
-// the zone's nodes: this node's repeats stand for as many at each of the others.
+// heat converts uses into the input of capacity.AdviseExport. The load balancer spreads
+// requests over the zone's nodes, so this node's count is multiplied by their number.
 func (d *decision) heat(g *view.Group, uses []Use) []capacity.Heat {
-	nodes := float64(len(d.in.Snap.ZoneNodes()) + 1)
-	held := d.held(g)
+	nodes := float64(len(d.input.Snap.ZoneNodes()) + 1)
+	cachedElsewhere := d.cachedElsewhere(g)
 	out := make([]capacity.Heat, 0, len(uses))
 	for i := range uses {
 		tokens := blockTokens(uses[i].Depth)
-		_, stays := held[uses[i].Prefix]
+		_, isCachedElsewhere := cachedElsewhere[uses[i].Prefix]
 		out = append(out, capacity.Heat{
 			Prefix: uses[i].Prefix, Tokens: tokens, PerHour: uses[i].PerHour * nodes,
-			Bytes: int64(float64(tokens) * d.in.Costs.BytesPerToken), Held: stays,
+			Bytes: int64(float64(tokens) * d.input.Costs.BytesPerToken), Held: isCachedElsewhere,
 		})
 	}
 	return out
 }
 
-// held returns the prefixes that are cached at groups that stay: their caches as
-// far as this node watches them, and what this node sent there lately.
-func (d *decision) held(drains *view.Group) map[uint64]struct{} {
+// cachedElsewhere returns the prefixes that are cached by serving groups of the same key:
+// those in the caches that this node watches, and those that it sent there within
+// Costs.Useful.
+func (d *decision) cachedElsewhere(draining *view.Group) map[uint64]struct{} {
 	out := map[uint64]struct{}{}
-	key := KeyOf(&drains.Group)
-	for i := range d.in.Snap.Groups {
-		g := &d.in.Snap.Groups[i]
+	key := KeyOf(&draining.Group)
+	for i := range d.input.Snap.Groups {
+		g := &d.input.Snap.Groups[i]
 		if g.Phase != fleet.PhaseServing || !g.Whole || KeyOf(&g.Group) != key {
 			continue
 		}
 		for h := range g.Prefixes {
 			out[h] = struct{}{}
 		}
-		for _, u := range d.in.Uses(g.ID) {
-			if d.in.Now.Sub(u.Last) <= d.in.Costs.Useful {
+		for _, u := range d.input.Uses(g.ID) {
+			if d.input.Now.Sub(u.Last) <= d.input.Costs.Useful {
 				out[u.Prefix] = struct{}{}
 			}
 		}
@@ -255,9 +258,8 @@
 	return out
 }
 
-// connected returns those of the chosen prefixes all of whose shorter prefixes
-// are chosen as well: an engine can use no others. Uses has the shorter ones
-// first.
+// connected returns the chosen prefixes whose shorter prefixes are all chosen too, since
+// an engine can't use any others. uses must be sorted with shorter prefixes first.
 func connected(uses []Use, chosen []uint64) map[uint64]bool {
 	in := make(map[uint64]bool, len(chosen))
 	for _, h := range chosen {
@@ -273,19 +275,20 @@
 	return out
 }
 
-// expire empties the objects that are too old or too many, oldest first.
-func (d *decision) expire() {
-	keys := slices.SortedFunc(maps.Keys(d.m.objects), func(a, b Key) int {
-		return cmp.Or(cmp.Compare(d.m.objects[a].at, d.m.objects[b].at), cmp.Compare(a.Object(), b.Object()))
+// expireObjects empties objects older than Costs.Useful, and the oldest objects beyond
+// maxObjects.
+func (d *decision) expireObjects() {
+	keys := slices.SortedFunc(maps.Keys(d.memory.objects), func(a, b Key) int {
+		return cmp.Or(cmp.Compare(d.memory.objects[a].exportedAt, d.memory.objects[b].exportedAt), cmp.Compare(a.Object(), b.Object()))
 	})
 	for i, k := range keys {
-		o := d.m.objects[k]
-		a := Action{Kind: Empty, Key: k, Group: o.from}
+		o := d.memory.objects[k]
+		a := Action{Kind: Empty, Key: k, Group: o.source}
 		switch {
-		case d.in.Now.Sub(o.at) > d.in.Costs.Useful:
-			a.Reason = reasonOld
+		case d.input.Now.Sub(o.exportedAt) > d.input.Costs.Useful:
+			a.Reason = reasonExpired
 		case len(keys)-i > maxObjects:
-			a.Reason = reasonMany
+			a.Reason = reasonTooManyObjects
 		default:
 			continue
 		}
--- a/internal/kv/decide_test.go
+++ b/internal/kv/decide_test.go
@@ -19,7 +19,7 @@
 
 const start = clock.Instant(time.Hour)
 
-// replica is a group of one VM whose leader answers.
+// replica returns a whole group of one VM.
 func replica(id fleet.GroupID, phase fleet.Phase, version string, adapters ...string) view.Group {
 	return view.Group{Whole: true, Group: fleet.Group{
 		ID: id, Generation: 1, Phase: phase, Zone: "z", Model: "m", Version: version, Adapters: adapters,
@@ -27,8 +27,9 @@
 	}}
 }
 
-// snapOf asks for version 1 and 2 of model m with adapter a.
-func snapOf(groups ...view.Group) *view.Snapshot {
+// snapshotOf returns a snapshot with the groups, whose leaders respond to probes, and a
+// configuration with versions 1 and 2 of model m with adapter a, and version 1 without.
+func snapshotOf(groups ...view.Group) *view.Snapshot {
 	s := &view.Snapshot{Zone: "z", Config: &config.Document{FenceChecked: []string{"*"}, Groups: []config.GroupSpec{
 		{Name: "one", Model: "m", ModelVer: "1", Adapters: []string{"a"}},
 		{Name: "two", Model: "m", ModelVer: "2", Adapters: []string{"a"}},
@@ -44,19 +45,19 @@
 	return s
 }
 
-var long = func() (p []uint64) {
+var longPrompt = func() (p []uint64) {
 	for i := range uint64(32) {
 		p = append(p, i+1)
 	}
 	return p
 }()
 
-// used sends the long prompt n times to each group.
-func used(now clock.Clock, n int, groups ...fleet.GroupID) *Uses {
+// recordUses returns a counter in which the long prompt was sent n times to each group.
+func recordUses(now clock.Clock, n int, groups ...fleet.GroupID) *Uses {
 	u := NewUses(now)
 	for _, g := range groups {
 		for range n {
-			u.Note(g, long)
+			u.Note(g, longPrompt)
 		}
 	}
 	return u
@@ -66,19 +67,19 @@
 	return Decide(&Input{Now: now, Snap: s, Costs: DefaultCosts(), Uses: func(id fleet.GroupID) []Use { return u.Of(id, now) }}, m)
 }
 
-func TestExportWhereItPays(t *testing.T) {
+func TestExportDecision(t *testing.T) {
 	draining := replica("g", fleet.PhaseDraining, "1", "a")
-	gone := snapOf(draining)
-	gone.VMs[0].Probe.Failing = start
-	other := snapOf(draining)
-	other.VMs[0].Probe.State.Generation = 2
-	twin := replica("h", fleet.PhaseServing, "1", "a")
-	twin.Prefixes = map[uint64]struct{}{}
-	for _, h := range long {
-		twin.Prefixes[h] = struct{}{}
+	failingLeader := snapshotOf(draining)
+	failingLeader.VMs[0].Probe.Failing = start
+	reassignedLeader := snapshotOf(draining)
+	reassignedLeader.VMs[0].Probe.State.Generation = 2
+	sameKeyGroup := replica("h", fleet.PhaseServing, "1", "a")
+	sameKeyGroup.Prefixes = map[uint64]struct{}{}
+	for _, h := range longPrompt {
+		sameKeyGroup.Prefixes[h] = struct{}{}
 	}
-	stranger := replica("h", fleet.PhaseServing, "2", "a")
-	stranger.Prefixes = twin.Prefixes
+	otherVersionGroup := replica("h", fleet.PhaseServing, "2", "a")
+	otherVersionGroup.Prefixes = sameKeyGroup.Prefixes
 	cases := []struct {
 		name string
 		snap *view.Snapshot
@@ -86,16 +87,16 @@
 		want Kind
 		why  string
 	}{
-		{"used often", snapOf(draining), used(clock.NewManual(start), 6, "g"), Export, "computing these prefixes again costs more than moving them"},
-		{"used once", snapOf(draining), used(clock.NewManual(start), 1, "g"), Skip, "no prefix is used enough to pay for moving it"},
-		{"not used", snapOf(draining), used(clock.NewManual(start), 0), Skip, "no prefix is used enough to pay for moving it"},
-		{"used long ago", snapOf(draining), used(clock.NewManual(start-clock.Instant(time.Hour)), 6, "g"), Skip, "no prefix is used enough to pay for moving it"},
-		{"in the cache of a group that stays", snapOf(draining, twin), used(clock.NewManual(start), 6, "g"), Skip, "no prefix is used enough to pay for moving it"},
-		{"sent to a group that stays", snapOf(draining, replica("h", fleet.PhaseServing, "1", "a")), used(clock.NewManual(start), 6, "g", "h"), Skip, "no prefix is used enough to pay for moving it"},
-		{"in the cache of another version", snapOf(draining, stranger), used(clock.NewManual(start), 6, "g"), Export, "computing these prefixes again costs more than moving them"},
-		{"no spec asks for it", snapOf(replica("g", fleet.PhaseDraining, "0", "a")), used(clock.NewManual(start), 6, "g"), Skip, reasonUnwanted},
-		{"the leader does not answer", gone, used(clock.NewManual(start), 6, "g"), Skip, reasonAway},
-		{"the leader is elsewhere", other, used(clock.NewManual(start), 6, "g"), Skip, reasonAway},
+		{"used often", snapshotOf(draining), recordUses(clock.NewManual(start), 6, "g"), Export, "computing these prefixes again costs more than moving them"},
+		{"used once", snapshotOf(draining), recordUses(clock.NewManual(start), 1, "g"), Skip, "no prefix is used enough to pay for moving it"},
+		{"not used", snapshotOf(draining), recordUses(clock.NewManual(start), 0), Skip, "no prefix is used enough to pay for moving it"},
+		{"used long ago", snapshotOf(draining), recordUses(clock.NewManual(start-clock.Instant(time.Hour)), 6, "g"), Skip, "no prefix is used enough to pay for moving it"},
+		{"in the cache of a group that stays", snapshotOf(draining, sameKeyGroup), recordUses(clock.NewManual(start), 6, "g"), Skip, "no prefix is used enough to pay for moving it"},
+		{"sent to a group that stays", snapshotOf(draining, replica("h", fleet.PhaseServing, "1", "a")), recordUses(clock.NewManual(start), 6, "g", "h"), Skip, "no prefix is used enough to pay for moving it"},
+		{"in the cache of another version", snapshotOf(draining, otherVersionGroup), recordUses(clock.NewManual(start), 6, "g"), Export, "computing these prefixes again costs more than moving them"},
+		{"no spec asks for it", snapshotOf(replica("g", fleet.PhaseDraining, "0", "a")), recordUses(clock.NewManual(start), 6, "g"), Skip, reasonNotConfigured},
+		{"the leader does not respond", failingLeader, recordUses(clock.NewManual(start), 6, "g"), Skip, reasonLeaderUnavailable},
+		{"the leader is in another generation", reassignedLeader, recordUses(clock.NewManual(start), 6, "g"), Skip, reasonLeaderUnavailable},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -105,38 +106,38 @@
 			is.Equal(len(got), 1)
 			is.Equal(got[0].Kind, c.want)
 			is.Equal(got[0].Reason, c.why)
-			is.Equal(len(got[0].Prefixes) == len(long), c.want == Export)
-			is.Equal(len(decide(m, c.snap, c.uses, start)), 0) // once for each drain
+			is.Equal(len(got[0].Prefixes) == len(longPrompt), c.want == Export)
+			is.Equal(len(decide(m, c.snap, c.uses, start)), 0) // decided once per drain
 		})
 	}
 }
 
-// The leader misses a probe at the very moment at which its drain is first seen.
-// The cache is not given up for that.
-func TestSilentLeaderIsWaitedFor(t *testing.T) {
+// The leader misses a probe when its drain is first seen. Guards against giving up the
+// export for that.
+func TestExportWaitsForUnresponsiveLeader(t *testing.T) {
 	is := is.New(t)
-	m, u := NewMemory(), used(clock.NewManual(start), 6, "g")
-	s := snapOf(replica("g", fleet.PhaseDraining, "1", "a"))
+	m, u := NewMemory(), recordUses(clock.NewManual(start), 6, "g")
+	s := snapshotOf(replica("g", fleet.PhaseDraining, "1", "a"))
 	s.VMs[0].Probe.Failing = start
-	is.Equal(decide(m, s, u, start)[0].Reason, reasonAway)
+	is.Equal(decide(m, s, u, start)[0].Reason, reasonLeaderUnavailable)
 	s.VMs[0].Probe.Failing = 0
 	is.Equal(decide(m, s, u, start)[0].Kind, Export)
 	is.Equal(len(decide(m, s, u, start)), 0)
 }
 
-// A short prompt saves less than an export and an import cost by themselves.
-func TestFixedCostIsWeighed(t *testing.T) {
+// The savings of a short prompt are below the fixed cost of an export and an import.
+func TestExportBelowFixedCostIsSkipped(t *testing.T) {
 	is := is.New(t)
 	u := NewUses(clock.NewManual(start))
 	for range 6 {
-		u.Note("g", long[:2])
+		u.Note("g", longPrompt[:2])
 	}
-	got := decide(NewMemory(), snapOf(replica("g", fleet.PhaseDraining, "1", "a")), u, start)
+	got := decide(NewMemory(), snapshotOf(replica("g", fleet.PhaseDraining, "1", "a")), u, start)
 	is.Equal(got[0].Kind, Skip)
-	is.Equal(got[0].Reason, reasonFixed)
+	is.Equal(got[0].Reason, reasonFixedCost)
 }
 
-// A block is of no use to an engine without those before it.
+// An engine can't use a block without all blocks before it.
 func TestOnlyConnectedPrefixes(t *testing.T) {
 	is := is.New(t)
 	uses := []Use{{Prefix: 1, Depth: 1}, {Prefix: 9, Depth: 1}, {Prefix: 2, Parent: 1, Depth: 2}, {Prefix: 3, Parent: 2, Depth: 3}}
@@ -144,9 +145,9 @@
 	is.Equal(connected(uses, []uint64{3, 2, 1}), map[uint64]bool{1: true, 2: true, 3: true})
 }
 
-// A group of another version or with other adapters gets the exported cache. Its
-// engine takes the state of other weights for its own and answers wrongly, and
-// nobody sees an error.
+// Guards against importing the cache into a group of another version or with other
+// adapters: its engine would use the state of other weights and produce wrong output
+// without an error.
 func TestImportOnlyIntoTheSameKey(t *testing.T) {
 	old := replica("g", fleet.PhaseDraining, "1", "a")
 	elsewhere := replica("n", fleet.PhaseServing, "1", "a")
@@ -173,13 +174,13 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			m, u := NewMemory(), used(clock.NewManual(start), 6, "g")
-			got := decide(m, snapOf(old), u, start)
+			m, u := NewMemory(), recordUses(clock.NewManual(start), 6, "g")
+			got := decide(m, snapshotOf(old), u, start)
 			m.Exported(&got[0], start)
 			imports := 0
 			now := start.Add(c.after)
-			for range 3 { // offered once
-				for _, a := range decide(m, snapOf(old, c.group), u, now) {
+			for range 3 { // imported at most once
+				for _, a := range decide(m, snapshotOf(old, c.group), u, now) {
 					if a.Kind == Import {
 						imports++
 						is.Equal(a.Group, c.group.ID)
@@ -197,40 +198,40 @@
 	}
 }
 
-// A replacement often serves before the old group drains; a group that has
-// served for long is warm and left alone.
-func TestImportIntoYoungGroups(t *testing.T) {
+// A replacement often starts to serve before the old group drains and must import. A
+// group that has served for long has a warm cache and must not.
+func TestImportIntoRecentGroups(t *testing.T) {
 	for _, c := range []struct {
 		before time.Duration
 		want   int
-	}{{time.Minute, 1}, {young + time.Minute, 0}} {
+	}{{time.Minute, 1}, {maxServingBeforeExport + time.Minute, 0}} {
 		t.Run(c.before.String(), func(t *testing.T) {
 			is := is.New(t)
-			m, u := NewMemory(), used(clock.NewManual(start), 6, "g")
-			decide(m, snapOf(replica("g", fleet.PhaseServing, "1", "a")), u, start.Add(-c.before-1))
+			m, u := NewMemory(), recordUses(clock.NewManual(start), 6, "g")
+			decide(m, snapshotOf(replica("g", fleet.PhaseServing, "1", "a")), u, start.Add(-c.before-1))
 			n := replica("n", fleet.PhaseServing, "1", "a")
-			decide(m, snapOf(replica("g", fleet.PhaseServing, "1", "a"), n), u, start.Add(-c.before))
-			got := decide(m, snapOf(replica("g", fleet.PhaseDraining, "1", "a"), n), u, start)
+			decide(m, snapshotOf(replica("g", fleet.PhaseServing, "1", "a"), n), u, start.Add(-c.before))
+			got := decide(m, snapshotOf(replica("g", fleet.PhaseDraining, "1", "a"), n), u, start)
 			is.Equal(got[0].Kind, Export)
 			m.Exported(&got[0], start)
-			is.Equal(len(decide(m, snapOf(n), u, start+1)), c.want)
+			is.Equal(len(decide(m, snapshotOf(n), u, start+1)), c.want)
 		})
 	}
 }
 
-// A new holder of the duty does not know for how long the groups have served that
-// it finds. They count as warm.
-func TestNoImportIntoGroupsFoundServing(t *testing.T) {
+// A new holder of the duty doesn't know how long existing groups have served. Their
+// caches are assumed to be warm.
+func TestNoImportIntoGroupsServingAtStart(t *testing.T) {
 	is := is.New(t)
-	m, u := NewMemory(), used(clock.NewManual(start), 6, "g")
+	m, u := NewMemory(), recordUses(clock.NewManual(start), 6, "g")
 	n := replica("n", fleet.PhaseServing, "1", "a")
-	got := decide(m, snapOf(replica("g", fleet.PhaseDraining, "1", "a"), n), u, start)
+	got := decide(m, snapshotOf(replica("g", fleet.PhaseDraining, "1", "a"), n), u, start)
 	is.Equal(got[0].Kind, Export)
 	m.Exported(&got[0], start)
-	is.Equal(len(decide(m, snapOf(n), u, start+1)), 0)
+	is.Equal(len(decide(m, snapshotOf(n), u, start+1)), 0)
 }
 
-func TestKeysDiffer(t *testing.T) {
+func TestObjectNamesAreUnique(t *testing.T) {
 	is := is.New(t)
 	same := keyOf("z", "m", "1", []string{"a", "b"})
 	is.Equal(keyOf("z", "m", "1", []string{"b", "a", "a"}), same)
@@ -250,15 +251,15 @@
 	for i := range 3 * maxObjects {
 		k := keyOf("z", "m", fmt.Sprint(i), nil)
 		m.Exported(&Action{Key: k}, start.Add(time.Duration(i)))
-		for _, a := range decide(m, snapOf(), u, start.Add(time.Second)) {
+		for _, a := range decide(m, snapshotOf(), u, start.Add(time.Second)) {
 			is.Equal(a.Kind, Empty)
-			is.Equal(a.Reason, reasonMany)
+			is.Equal(a.Reason, reasonTooManyObjects)
 			m.Emptied(a.Key)
 		}
 	}
 	is.Equal(len(m.objects), maxObjects)
-	for _, a := range decide(m, snapOf(), u, start.Add(2*time.Hour)) {
-		is.Equal(a.Reason, reasonOld)
+	for _, a := range decide(m, snapshotOf(), u, start.Add(2*time.Hour)) {
+		is.Equal(a.Reason, reasonExpired)
 		m.Emptied(a.Key)
 	}
 	is.Equal(len(m.objects), 0)
@@ -275,7 +276,7 @@
 	is.True(len(u.Of("g", now.Now())) <= maxPrefixes)
 	for i := range 2 * maxGroups {
 		now.Advance(time.Second)
-		u.Note(fleet.GroupID(fmt.Sprint(i)), long)
+		u.Note(fleet.GroupID(fmt.Sprint(i)), longPrompt)
 	}
 	is.Equal(len(u.groups), maxGroups)
 	is.Equal(len(u.Of("g", now.Now())), 0)
@@ -291,29 +292,29 @@
 		for i := range prompt {
 			prompt[i] = uint64(i+1) * 0x9e3779b97f4a7c15
 			if i > 20 {
-				prompt[i] += n // every prompt goes on in its own way
+				prompt[i] += n // prompts share the first 21 prefixes only
 			}
 		}
 		u.Note("g", prompt)
 	}
 }
 
-// An engine that does not check what it is told could be given to another model
-// between the look at it and the move; callers would then get answers from the
-// cache of the wrong weights. Nothing is exported from it nor imported into it.
-func TestUncheckedEnginesMoveNothing(t *testing.T) {
+// An engine that doesn't check the generation of a move could be assigned to another model
+// between the check and the move, and would respond from a cache of the wrong weights.
+// Guards against exports from and imports into such an engine.
+func TestNoMoveWithoutFenceCheck(t *testing.T) {
 	is := is.New(t)
-	m, u := NewMemory(), used(clock.NewManual(start), 6, "old", "checked")
-	s := snapOf(replica("old", fleet.PhaseDraining, "1", "a"))
+	m, u := NewMemory(), recordUses(clock.NewManual(start), 6, "old", "checked")
+	s := snapshotOf(replica("old", fleet.PhaseDraining, "1", "a"))
 	s.Config.FenceChecked = []string{"vm-checked"}
-	is.Equal(decide(m, s, u, start)[0].Reason, reasonUnfenced)
+	is.Equal(decide(m, s, u, start)[0].Reason, reasonNoFenceCheck)
 	is.Equal(len(decide(m, s, u, start)), 0)
-	s = snapOf(replica("checked", fleet.PhaseDraining, "1", "a"))
+	s = snapshotOf(replica("checked", fleet.PhaseDraining, "1", "a"))
 	s.Config.FenceChecked = []string{"vm-checked"}
 	out := decide(m, s, u, start)
 	is.Equal(out[0].Kind, Export)
 	m.Exported(&out[0], start)
-	s = snapOf(replica("new", fleet.PhaseServing, "1", "a"))
+	s = snapshotOf(replica("new", fleet.PhaseServing, "1", "a"))
 	s.Config.FenceChecked = []string{"vm-checked"}
 	is.Equal(len(decide(m, s, u, start)), 0)
 	s.Config.FenceChecked = []string{"vm-new"}
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -1,11 +1,10 @@
-// Package kv moves the KV cache of a group that drains to a new group that
-// serves the same model, version and adapters, where that costs less than
-// computing the prompts again.
+// Package kv moves the KV cache of a draining group to a new group that serves the same
+// model, version and adapters, if that costs less than computing the prompts again.
 //
-// Decide is pure: belief, uses and time in, actions with reasons out. A Mover
-// carries the actions out on the node that holds the zone's duty, one at a time.
-// All is best effort: no drain and no group waits for it, and what fails is
-// computed again by the engine.
+// Decide has no side effects except on its Memory: it computes actions with reasons from
+// a snapshot, prefix uses and the time. A Mover executes the actions on the node that
+// holds the zone's duty, one at a time. All moves are best effort: no drain and no group
+// waits for them, and after a failed move the engine computes the prompts again.
 package kv
 
 import (
@@ -17,9 +16,9 @@
 	"chervilloom/internal/fleet"
 )
 
-// Key says for which groups a KV cache is good. Attention state depends on the
-// weights: state of another version or adapter gives wrong answers without any
-// error, so nothing is ever moved between two keys.
+// Key identifies the groups that can share a KV cache. Attention state depends on the
+// weights: state of another version or adapter produces wrong output without an error,
+// so a cache is never moved between two keys.
 type Key struct {
 	Zone     fleet.AvailabilityZone
 	Model    string
@@ -39,26 +38,26 @@
 	return Key{Zone: zone, Model: model, Version: version, Adapters: strings.Join(slices.Compact(names), "+")}
 }
 
-// Object returns the name of the key's only object. A new export overwrites the
-// one before, so that the names are no more than the keys.
+// Object returns the name of the key's object. A new export overwrites the previous one,
+// so there is at most one object per key.
 func (k Key) Object() string {
 	parts := []string{"kv", url.QueryEscape(string(k.Zone)), url.QueryEscape(k.Model), url.QueryEscape(k.Version), k.Adapters}
 	return strings.Join(parts, "/")
 }
 
-// Costs is what moving and computing KV cache is taken to cost.
+// Costs are the assumed costs of moving and computing KV cache.
 type Costs struct {
-	PrefillPerTok  time.Duration // to compute a prompt token
-	BytesPerToken  float64       // of KV cache
-	BytesPerSecond float64       // between a replica and the object store
+	PrefillPerTok  time.Duration // time to compute a prompt token
+	BytesPerToken  float64       // KV cache size of a token
+	BytesPerSecond float64       // throughput between a replica and the object store
 	PerObject      time.Duration // fixed cost of an export, and of an import
-	Within         time.Duration // the longest that an export or import may take
+	Within         time.Duration // timeout of an export or import
 	Useful         time.Duration // how long a prefix is likely to stay cached
 }
 
-// DefaultCosts describes a replica of a model of about 70 billion parameters over
-// four VMs with a link of a gigabyte a second each. They are assumptions, not
-// measurements; a deployment with another model sets its own.
+// DefaultCosts returns the costs of a replica of a model with about 70 billion
+// parameters on four VMs, each with a network link of 1 GB/s. Deployments with another
+// model set their own.
 func DefaultCosts() Costs {
 	return Costs{
 		PrefillPerTok: 400 * time.Microsecond, BytesPerToken: 320 << 10, BytesPerSecond: 4e9,
--- a/internal/kv/live_test.go
+++ b/internal/kv/live_test.go
@@ -23,17 +23,18 @@
 	"chervilloom/internal/view"
 )
 
-// control is a node's control path with stand-ins at its ends.
-type control struct {
-	*world
-	merger *view.Merger
-	lease  *lease.Manager
-	steps  atomic.Int64 // of the mover that began while the duty was held
+// controlFixture runs a node's control components with stand-ins for the engines and the
+// platform.
+type controlFixture struct {
+	*moverFixture
+	merger    *view.Merger
+	lease     *lease.Manager
+	heldSteps atomic.Int64 // number of duty checks by the mover that found the duty held
 }
 
-func startControl(t *testing.T) *control {
+func startControl(t *testing.T) *controlFixture {
 	store := objects.New(objects.Options{NoLimits: true})
-	c := &control{world: newWorld(t, store)}
+	c := &controlFixture{moverFixture: newMoverFixture(t, store)}
 	clk, log, self := clock.Boot{}, slog.New(slog.DiscardHandler), fleet.Node{VM: "node", Incarnation: 1}
 	c.uses = NewUses(clk)
 	c.merger = view.NewMerger(self, "z", clk)
@@ -41,7 +42,7 @@
 		Duty: group.Duty("z"), Self: self, Params: lease.DefaultParams(5 * time.Second), Table: store, Clock: clk,
 		Rank: func() int { return 0 }, Log: log,
 	}
-	set := probe.Settings{Period: 20 * time.Millisecond, LoadEvery: 40 * time.Millisecond, Timeout: testTime}
+	set := probe.Settings{Period: 20 * time.Millisecond, LoadEvery: 40 * time.Millisecond, Timeout: testTimeout}
 	prober := probe.New(set, c.client, c.merger, c.merger, clk, 1, prometheus.NewRegistry())
 	tune := group.DefaultTune()
 	tune.DrainSettle = 50 * time.Millisecond
@@ -51,9 +52,9 @@
 		Timing: group.Timing{Tick: 20 * time.Millisecond, Read: 100 * time.Millisecond, Margin: 50 * time.Millisecond},
 	})
 	costs := DefaultCosts()
-	costs.Within = testTime
+	costs.Within = testTimeout
 	mover := New(Options{
-		View: c.merger, Held: c.holds, Engines: c.client,
+		View: c.merger, Held: c.holdsDuty, Engines: c.client,
 		Objects: store, Uses: c.uses, Costs: costs, Clock: clk, Explain: c.explain, Registerer: prometheus.NewRegistry(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -71,31 +72,31 @@
 	return c
 }
 
-func (c *control) holds() bool {
+func (c *controlFixture) holdsDuty() bool {
 	_, held := c.lease.Held(clock.Boot{}.Now())
 	if held {
-		c.steps.Add(1)
+		c.heldSteps.Add(1)
 	}
 	return held
 }
 
-// until polls for a condition; the deadline only ends a test that would hang.
-func (c *control) until(what string, ok func() bool) {
+// waitFor polls until ok returns true and fails the test after testTimeout.
+func (c *controlFixture) waitFor(what string, ok func() bool) {
 	c.t.Helper()
-	for end := time.Now().Add(testTime); !ok(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			for _, g := range c.merger.Snapshot().Groups {
 				c.t.Logf("%s %s: %+v", g.ID, g.Phase, c.explain.Steps(string(g.ID)))
 			}
-			c.t.Fatalf("not reached: %s", what)
+			c.t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// served waits for a group that serves and is not the given one.
-func (c *control) served(not fleet.GroupID) view.Group {
+// waitForServing waits for a whole serving group other than the given one.
+func (c *controlFixture) waitForServing(not fleet.GroupID) view.Group {
 	var out view.Group
-	c.until("a serving group", func() bool {
+	c.waitFor("a serving group", func() bool {
 		for _, g := range c.merger.Snapshot().Groups {
 			if g.Whole && g.Phase == fleet.PhaseServing && g.ID != not {
 				out = g
@@ -107,9 +108,9 @@
 	return out
 }
 
-// hold keeps a request running at the group until the returned function is
-// called, so that its drain does not end before.
-func (c *control) hold(g *view.Group) func() {
+// startRequest starts a request at the group that runs until the returned function is
+// called, so that the group's drain doesn't end before.
+func (c *controlFixture) startRequest(g *view.Group) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	body := `{"model":"m","stream":true,"max_tokens":1000000,"messages":[{"role":"user","content":"x"}]}`
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+g.Members[0].Addr+"/v1/chat/completions", strings.NewReader(body))
@@ -128,11 +129,10 @@
 	}
 }
 
-// The platform says that a group's VM is leaving. The planner drains the group
-// and forms another on a spare VM; the cache goes from the one to the other while
-// a request still runs in the first, and the first caller of the second finds its
-// prompt cached.
-func TestLeavingVMHandsOverItsCache(t *testing.T) {
+// The platform reports that a group's VM is leaving. The planner drains the group and
+// forms another one on a spare VM. The cache is moved while a request still runs in the
+// first group, and the first request to the second group finds its prompt cached.
+func TestLeavingVMMovesItsCache(t *testing.T) {
 	is := is.New(t)
 	c := startControl(t)
 	var list []fleet.Record
@@ -148,25 +148,25 @@
 		Groups:  []config.GroupSpec{{Name: "one", Model: "m", ModelVer: "1", Adapters: []string{"a"}, VMs: 1, Min: 1, Max: 1}},
 	}})
 	c.merger.Put(view.List{At: clock.Boot{}.Now(), Records: list})
-	old := c.served("")
-	c.warm(&old)
-	// The mover has to have looked once before: it leaves groups alone that serve
-	// when the duty comes to it.
-	seen := c.steps.Load()
-	c.until("two looks of the mover", func() bool { return c.steps.Load() >= seen+2 })
-	release := c.hold(&old)
+	old := c.waitForServing("")
+	c.warmCache(&old)
+	// The mover must have run once before: it makes no import into groups that already
+	// serve when it acquires the duty.
+	seen := c.heldSteps.Load()
+	c.waitFor("two steps of the mover", func() bool { return c.heldSteps.Load() >= seen+2 })
+	release := c.startRequest(&old)
 	defer release()
 	c.merger.Put(view.MarkLeaving{VM: old.Members[0].VM, Boot: old.Members[0].Boot, Reason: "platform list"})
-	c.until("the export", func() bool { return c.explained(old.ID, string(Export)) })
+	c.waitFor("the export", func() bool { return c.moveSucceeded(old.ID, string(Export)) })
 	release()
-	fresh := c.served(old.ID)
+	fresh := c.waitForServing(old.ID)
 	is.True(fresh.Members[0].VM != old.Members[0].VM)
-	c.until("the import", func() bool { return c.explained(fresh.ID, string(Import)) })
-	is.True(c.ask(&fresh) > 0)
+	c.waitFor("the import", func() bool { return c.moveSucceeded(fresh.ID, string(Import)) })
+	is.True(c.sendPrompt(&fresh) > 0)
 }
 
-// explained reports whether a move of the group was made and went well.
-func (c *control) explained(id fleet.GroupID, decision string) bool {
+// moveSucceeded reports whether a successful action of the group was recorded.
+func (c *controlFixture) moveSucceeded(id fleet.GroupID, decision string) bool {
 	for _, st := range c.explain.Steps(string(id)) {
 		if st.Stage == "kv" && st.Decision == decision {
 			return true
--- a/internal/kv/memory.go
+++ b/internal/kv/memory.go
@@ -6,85 +6,85 @@
 )
 
 const (
-	// maxObjects bounds the exports that are kept for an import at once.
+	// maxObjects is the maximum number of exports kept for import.
 	maxObjects = 8
-	// maxMoves bounds what one Decide asks for, so that a rollout over many
-	// groups does not fill the object store's share of writes.
+	// maxMoves is the maximum number of exports and imports returned by one Decide, so
+	// that a rollout over many groups doesn't use up the object store's write quota.
 	maxMoves = 2
 )
 
-// place is one generation of a group.
-type place struct {
+// groupGeneration identifies one generation of a group.
+type groupGeneration struct {
 	group      fleet.GroupID
 	generation fleet.Generation
 }
 
-func placeOf(g *fleet.Group) place { return place{g.ID, g.Generation} }
+func generationOf(g *fleet.Group) groupGeneration { return groupGeneration{g.ID, g.Generation} }
 
-// drain is how far the decision on a draining group is.
-type drain int
+// drainState is the state of the export decision for a draining group.
+type drainState int
 
 const (
-	undecided drain = iota
-	silent          // its leader does not answer; it may yet
+	undecided    drainState = iota
+	unresponsive            // the leader doesn't respond; the decision is postponed
 	decided
 )
 
-// exported is an object that holds KV cache.
-type exported struct {
-	at       clock.Instant
-	from     fleet.GroupID
-	prefixes []uint64
+// exportedObject describes an object that holds a KV cache.
+type exportedObject struct {
+	exportedAt clock.Instant
+	source     fleet.GroupID
+	prefixes   []uint64
 }
 
-// Memory is what Decide remembers. It is lost with the process and when the duty
-// moves: exports that were not imported by then are not imported at all, and
-// their objects are overwritten by the key's next export.
+// Memory is the state that Decide keeps between calls. It is lost when the process ends
+// or the duty moves to another node: exports not imported by then are never imported,
+// and their objects are overwritten by the key's next export.
 type Memory struct {
-	begun    bool
-	serving  map[place]clock.Instant // since when it was seen to serve; 0: from the beginning
-	drained  map[place]drain
-	imported map[place]clock.Instant // of the export that was offered last
-	objects  map[Key]exported
+	hasRun       bool                              // Decide was called before
+	servingSince map[groupGeneration]clock.Instant // when the group was first seen serving; 0 if at the first Decide
+	drainStates  map[groupGeneration]drainState
+	lastImported map[groupGeneration]clock.Instant // time of the export last selected for import
+	objects      map[Key]exportedObject
 }
 
 // NewMemory returns an empty memory.
 func NewMemory() *Memory {
 	return &Memory{
-		serving: map[place]clock.Instant{}, drained: map[place]drain{},
-		imported: map[place]clock.Instant{}, objects: map[Key]exported{},
+		servingSince: map[groupGeneration]clock.Instant{}, drainStates: map[groupGeneration]drainState{},
+		lastImported: map[groupGeneration]clock.Instant{}, objects: map[Key]exportedObject{},
 	}
 }
 
-// Exporting notes that an export is about to begin: until it has surely ended
-// well nobody can vouch for what the object holds. An export that failed may have
-// written half of it, or the cache of a leader that had moved on; the one before
-// it is gone as well then.
+// Exporting records that an export is about to start and forgets the key's previous
+// export. The object's content is unknown until the export has succeeded: a failed export
+// may have written part of the data, or the cache of a leader that had been assigned to
+// another generation.
 func (m *Memory) Exporting(a *Action) { delete(m.objects, a.Key) }
 
-// Exported notes that an export has surely ended well.
+// Exported records that an export has succeeded.
 func (m *Memory) Exported(a *Action, now clock.Instant) {
-	m.objects[a.Key] = exported{at: now, from: a.Group, prefixes: a.Prefixes}
+	m.objects[a.Key] = exportedObject{exportedAt: now, source: a.Group, prefixes: a.Prefixes}
 }
 
-// Emptied notes that an object is of no use any more.
+// Emptied records that an object must not be imported any more.
 func (m *Memory) Emptied(k Key) { delete(m.objects, k) }
 
-// sweep forgets the places that exist no more.
-func (m *Memory) sweep(now map[place]bool) {
-	for p := range m.serving {
-		if !now[p] {
-			delete(m.serving, p)
+// forgetMissing removes the group generations that aren't in present.
+func (m *Memory) forgetMissing(present map[groupGeneration]bool) {
+	for p := range m.servingSince {
+		if !present[p] {
+			delete(m.servingSince, p)
 		}
 	}
-	for p := range m.drained {
-		if !now[p] {
-			delete(m.drained, p)
+	for p := range m.drainStates {
+		if !present[p] {
+			delete(m.drainStates, p)
 		}
 	}
-	for p := range m.imported {
-		if !now[p] {
-			delete(m.imported, p)
+	for p := range m.lastImported {
+		if !present[p] {
+			delete(m.lastImported, p)
 		}
 	}
 }
--- a/internal/kv/mover.go
+++ b/internal/kv/mover.go
@@ -18,40 +18,40 @@
 	"chervilloom/internal/view"
 )
 
-// tick is the interval between decisions.
-const tick = 250 * time.Millisecond
+// decisionInterval is the interval between two calls of Step.
+const decisionInterval = 250 * time.Millisecond
 
-// Engines is the part of the engines' client that moves need.
+// Engines is the part of the engine client that a Mover uses.
 type Engines interface {
 	State(ctx context.Context, addr string) (fleet.EngineState, error)
 	ExportKV(ctx context.Context, addr string, m engine.KVMove) error
 	ImportKV(ctx context.Context, addr string, m engine.KVMove) error
 }
 
-// Objects overwrites what is not needed any more.
+// Objects overwrites objects that aren't needed any more.
 type Objects interface {
 	PutObject(ctx context.Context, name string, data []byte) error
 }
 
-// Options sets up a Mover. Objects, Explain, Log and Registerer may be nil.
+// Options configures a Mover. Objects, Explain, Log and Registerer may be nil.
 type Options struct {
 	View       view.Source
-	Held       func() bool // whether this node holds the zone's duty now
-	Engines    Engines     // its own timeout must not be under Costs.Within
-	Objects    Objects     // nil: objects stay until they are overwritten
+	Held       func() bool // reports whether this node currently holds the zone's duty
+	Engines    Engines     // the client's timeout must be at least Costs.Within
+	Objects    Objects     // if nil, objects stay until they are overwritten
 	Uses       *Uses
-	Costs      Costs // zero: DefaultCosts
+	Costs      Costs // if zero, DefaultCosts
 	Clock      clock.Clock
 	Explain    explain.Recorder
 	Log        *slog.Logger
 	Registerer prometheus.Registerer
 }
 
-// Mover carries decisions out, one at a time.
+// Mover executes the actions of Decide, one at a time.
 type Mover struct {
-	opt   Options
-	meter *meter
-	mem   *Memory
+	opt    Options
+	meter  *meter
+	memory *Memory
 }
 
 // New returns a mover; Run starts it.
@@ -62,12 +62,12 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Mover{opt: o, meter: newMeter(o.Registerer), mem: NewMemory()}
+	return &Mover{opt: o, meter: newMeter(o.Registerer), memory: NewMemory()}
 }
 
-// Run decides and moves until ctx ends.
+// Run calls Step periodically until ctx is done.
 func (m *Mover) Run(ctx context.Context) error {
-	t := time.NewTicker(tick)
+	t := time.NewTicker(decisionInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -79,11 +79,11 @@
 	}
 }
 
-// Step decides once and carries the actions out. A node that does not hold the
-// duty forgets: what it knew is out of date when the duty comes back.
+// Step calls Decide once and executes the actions. A node that doesn't hold the duty
+// resets its memory, which would be out of date when it acquires the duty again.
 func (m *Mover) Step(ctx context.Context) {
 	if !m.opt.Held() {
-		m.mem = NewMemory()
+		m.memory = NewMemory()
 		return
 	}
 	now := m.opt.Clock.Now()
@@ -91,34 +91,34 @@
 		Now: now, Snap: m.opt.View.Snapshot(), Costs: m.opt.Costs,
 		Uses: func(id fleet.GroupID) []Use { return m.opt.Uses.Of(id, now) },
 	}
-	for _, a := range Decide(in, m.mem) {
+	for _, a := range Decide(in, m.memory) {
 		if !m.opt.Held() {
 			return
 		}
-		m.act(ctx, &a)
+		m.execute(ctx, &a)
 	}
 }
 
-func (m *Mover) act(ctx context.Context, a *Action) {
+func (m *Mover) execute(ctx context.Context, a *Action) {
 	ctx, cancel := context.WithTimeout(ctx, m.opt.Costs.Within)
 	defer cancel()
 	if a.Kind == Export {
-		m.mem.Exporting(a)
+		m.memory.Exporting(a)
 	}
-	began := m.opt.Clock.Now()
-	err := m.carryOut(ctx, a)
-	took := m.opt.Clock.Now().Sub(began)
+	start := m.opt.Clock.Now()
+	err := m.perform(ctx, a)
+	duration := m.opt.Clock.Now().Sub(start)
 	if a.Kind == Export && err == nil {
-		m.mem.Exported(a, m.opt.Clock.Now())
+		m.memory.Exported(a, m.opt.Clock.Now())
 	}
 	if a.Kind == Empty {
-		m.mem.Emptied(a.Key) // also when it failed: the next export overwrites it
+		m.memory.Emptied(a.Key) // even if it failed: the next export overwrites the object
 	}
-	m.meter.moved(a, err)
-	m.tell(a, err, took)
+	m.meter.recordAction(a, err)
+	m.recordResult(a, err, duration)
 }
 
-func (m *Mover) carryOut(ctx context.Context, a *Action) error {
+func (m *Mover) perform(ctx context.Context, a *Action) error {
 	switch a.Kind {
 	case Export:
 		return m.transfer(ctx, a, m.opt.Engines.ExportKV)
@@ -132,14 +132,14 @@
 	return nil
 }
 
-// transfer makes one move. The leader may have been given to another model since
-// the snapshot was made; its cache under this key's name would be answers from
-// the wrong weights. It is asked before, the order names the generation for
-// engines that check it, and an export counts only if the same life is in the
-// same generation afterwards: generations never come back, so it was there in
-// between.
+// transfer executes an export or import. The leader may have been assigned to another
+// model since the snapshot; a cache moved under the wrong key would produce output from
+// the wrong weights. So the leader's state is checked before the move, the request has
+// the generation for engines that check it, and the move counts only if the same process
+// is in the same generation afterwards. Generations are never reused, so it was in that
+// generation throughout.
 func (m *Mover) transfer(ctx context.Context, a *Action, move func(context.Context, string, engine.KVMove) error) error {
-	if err := m.check(ctx, a); err != nil {
+	if err := m.checkLeader(ctx, a); err != nil {
 		return err
 	}
 	err := move(ctx, a.Leader.Addr, engine.KVMove{
@@ -148,12 +148,12 @@
 	if err != nil {
 		return err
 	}
-	return m.check(ctx, a)
+	return m.checkLeader(ctx, a)
 }
 
-var errElsewhere = errors.New("kv: the leader is in another generation; nothing to do, the engine computes the prompts")
+var errLeaderMoved = errors.New("kv: the leader is in another generation; nothing to do, the engine computes the prompts")
 
-func (m *Mover) check(ctx context.Context, a *Action) error {
+func (m *Mover) checkLeader(ctx context.Context, a *Action) error {
 	st, err := m.opt.Engines.State(ctx, a.Leader.Addr)
 	if err != nil {
 		return err
@@ -162,12 +162,12 @@
 		st.Group == a.Group && st.Generation == a.Generation &&
 		keyOf(a.Key.Zone, st.Model, st.Version, st.Adapters) == a.Key
 	if !same {
-		return fmt.Errorf("%w (%s/%d, boot %s)", errElsewhere, st.Group, st.Generation, st.Boot)
+		return fmt.Errorf("%w (%s/%d, boot %s)", errLeaderMoved, st.Group, st.Generation, st.Boot)
 	}
 	return nil
 }
 
-func (m *Mover) tell(a *Action, err error, took time.Duration) {
+func (m *Mover) recordResult(a *Action, err error, duration time.Duration) {
 	decision := string(a.Kind)
 	if err != nil {
 		decision += " failed: " + err.Error()
@@ -175,7 +175,7 @@
 	facts := []explain.Fact{
 		{Name: "object", Value: a.Key.Object()},
 		{Name: "prefixes", Value: strconv.Itoa(len(a.Prefixes))},
-		{Name: "took", Value: took.String()},
+		{Name: "took", Value: duration.String()},
 	}
 	if a.Kind == Export {
 		facts = append(facts, explain.Fact{Name: "expected to save", Value: a.Saves.String()})
@@ -185,6 +185,6 @@
 			Subject: string(a.Group), Stage: "kv", Decision: decision, Reason: a.Reason, Facts: slices.Clip(facts),
 		})
 	}
-	m.opt.Log.Info("KV cache", "group", a.Group, "action", a.Kind, "prefixes", len(a.Prefixes),
-		"took", took, "reason", a.Reason, "err", err)
+	m.opt.Log.Info("KV cache action", "group", a.Group, "action", a.Kind, "prefixes", len(a.Prefixes),
+		"took", duration, "reason", a.Reason, "err", err)
 }
--- a/internal/kv/uses.go
+++ b/internal/kv/uses.go
@@ -13,22 +13,22 @@
 
 const (
 	maxGroups   = 128
-	maxPrefixes = 2048 // of one group
-	// usesWindow is the time over which uses count.
-	usesWindow = 15 * time.Minute
+	maxPrefixes = 2048 // per group
+	// usesDecayTime is the time constant of the exponential decay of use counts.
+	usesDecayTime = 15 * time.Minute
 )
 
-// Use is how a group's prefix is used, as one node sees it.
+// Use describes how often one node has sent a prefix to a group.
 type Use struct {
 	Prefix  uint64
-	Parent  uint64        // the prefix that is one block shorter; 0: none
-	Depth   int           // blocks, this one included
-	PerHour float64       // uses after the first
-	Last    clock.Instant // newest use
+	Parent  uint64        // the prefix that is one block shorter; 0 if none
+	Depth   int           // number of blocks, including the last one
+	PerHour float64       // rate of uses after the first
+	Last    clock.Instant // time of the latest use
 }
 
-// Uses counts the prefixes that this node sends to each group. Other nodes send
-// others: the count is a sample. It is safe for concurrent use.
+// Uses counts the prefixes that this node sends to each group. The count is a sample,
+// since other nodes send requests too. It is safe for concurrent use.
 type Uses struct {
 	clock  clock.Clock
 	mu     sync.Mutex
@@ -36,24 +36,24 @@
 }
 
 type groupUses struct {
-	last     clock.Instant
-	prefixes map[uint64]counted
+	lastUsed clock.Instant
+	prefixes map[uint64]prefixCount
 }
 
-type counted struct {
-	parent uint64
-	depth  int
-	count  float64 // decayed; the first use is not in it
-	last   clock.Instant
+type prefixCount struct {
+	parent   uint64
+	depth    int
+	count    float64 // uses after the first, decayed to the time of the last use
+	lastUsed clock.Instant
 }
 
-// NewUses returns an empty count.
+// NewUses returns an empty counter.
 func NewUses(c clock.Clock) *Uses {
 	return &Uses{clock: c, groups: make(map[fleet.GroupID]*groupUses)}
 }
 
-// Note counts a prompt sent to a group; prefixes are those of
-// request.Request.Prefix, shortest first.
+// Note counts a prompt sent to a group. prefixes are those of request.Request.Prefix,
+// shortest first.
 func (u *Uses) Note(id fleet.GroupID, prefixes []uint64) {
 	if len(prefixes) == 0 {
 		return
@@ -61,66 +61,66 @@
 	now := u.clock.Now()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	g := u.group(id)
-	g.last = now
+	g := u.getOrCreate(id)
+	g.lastUsed = now
 	parent := uint64(0)
 	for i, h := range prefixes {
-		g.note(h, parent, i+1, now)
+		g.record(h, parent, i+1, now)
 		parent = h
 	}
-	g.bound()
+	g.evictOldest()
 }
 
-func (u *Uses) group(id fleet.GroupID) *groupUses {
+func (u *Uses) getOrCreate(id fleet.GroupID) *groupUses {
 	if g, ok := u.groups[id]; ok {
 		return g
 	}
 	if len(u.groups) >= maxGroups {
-		u.dropOldest()
+		u.evictOldestGroup()
 	}
-	g := &groupUses{prefixes: make(map[uint64]counted)}
+	g := &groupUses{prefixes: make(map[uint64]prefixCount)}
 	u.groups[id] = g
 	return g
 }
 
-func (u *Uses) dropOldest() {
+func (u *Uses) evictOldestGroup() {
 	var oldest fleet.GroupID
 	for id, g := range u.groups {
-		if oldest == "" || g.last < u.groups[oldest].last {
+		if oldest == "" || g.lastUsed < u.groups[oldest].lastUsed {
 			oldest = id
 		}
 	}
 	delete(u.groups, oldest)
 }
 
-func (g *groupUses) note(h, parent uint64, depth int, now clock.Instant) {
+func (g *groupUses) record(h, parent uint64, depth int, now clock.Instant) {
 	c, ok := g.prefixes[h]
 	if !ok {
-		c = counted{parent: parent, depth: depth}
+		c = prefixCount{parent: parent, depth: depth}
 	} else {
-		c.count = c.at(now) + 1
+		c.count = c.decayed(now) + 1
 	}
-	c.last = now
+	c.lastUsed = now
 	g.prefixes[h] = c
 }
 
-func (c *counted) at(now clock.Instant) float64 {
-	return c.count * math.Exp(-float64(now.Sub(c.last))/float64(usesWindow))
+func (c *prefixCount) decayed(now clock.Instant) float64 {
+	return c.count * math.Exp(-float64(now.Sub(c.lastUsed))/float64(usesDecayTime))
 }
 
-// bound drops the quarter that was used longest ago when there are too many.
-func (g *groupUses) bound() {
+// evictOldest evicts the least recently used quarter if there are more than maxPrefixes.
+func (g *groupUses) evictOldest() {
 	if len(g.prefixes) <= maxPrefixes {
 		return
 	}
 	lasts := make([]clock.Instant, 0, len(g.prefixes))
 	for _, c := range g.prefixes {
-		lasts = append(lasts, c.last)
+		lasts = append(lasts, c.lastUsed)
 	}
 	slices.Sort(lasts)
 	limit := lasts[len(lasts)/4]
 	for h, c := range g.prefixes {
-		if c.last <= limit && len(g.prefixes) > maxPrefixes*3/4 {
+		if c.lastUsed <= limit && len(g.prefixes) > maxPrefixes*3/4 {
 			delete(g.prefixes, h)
 		}
 	}
@@ -137,8 +137,8 @@
 	out := make([]Use, 0, len(g.prefixes))
 	for h, c := range g.prefixes {
 		out = append(out, Use{
-			Prefix: h, Parent: c.parent, Depth: c.depth, Last: c.last,
-			PerHour: c.at(now) / usesWindow.Hours(),
+			Prefix: h, Parent: c.parent, Depth: c.depth, Last: c.lastUsed,
+			PerHour: c.decayed(now) / usesDecayTime.Hours(),
 		})
 	}
 	slices.SortFunc(out, func(a, b Use) int {
--- a/internal/kv/world_test.go
+++ b/internal/kv/world_test.go
@@ -18,31 +18,31 @@
 	"chervilloom/internal/view"
 )
 
-const testTime = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// source is the view of a test; the test replaces the snapshot.
+// source is a view whose snapshot the test replaces.
 type source struct{ snap *view.Snapshot }
 
 func (s *source) Snapshot() *view.Snapshot { return s.snap }
 
-// world is a mover with stand-in engines and a stand-in object store.
-type world struct {
-	t       testing.TB
-	store   platform.Objects
-	client  *engine.Client
-	now     *clock.Manual
-	uses    *Uses
-	src     *source
-	explain *explain.Store
-	held    bool
-	mover   *Mover
-	prefill float64 // prompt tokens a second of the engines
+// moverFixture is a mover with stand-in engines and a stand-in object store.
+type moverFixture struct {
+	t                testing.TB
+	store            platform.Objects
+	client           *engine.Client
+	now              *clock.Manual
+	uses             *Uses
+	src              *source
+	explain          *explain.Store
+	held             bool
+	mover            *Mover
+	prefillPerSecond float64 // prompt tokens per second of the engines
 }
 
-func newWorld(t testing.TB, store platform.Objects) *world {
-	w := &world{
-		t: t, store: store, client: engine.NewClient(engine.WithTimeout(testTime)), now: clock.NewManual(start),
-		src: &source{snapOf()}, explain: explain.NewStore("n", 100, 100), held: true, prefill: 1e6,
+func newMoverFixture(t testing.TB, store platform.Objects) *moverFixture {
+	w := &moverFixture{
+		t: t, store: store, client: engine.NewClient(engine.WithTimeout(testTimeout)), now: clock.NewManual(start),
+		src: &source{snapshotOf()}, explain: explain.NewStore("n", 100, 100), held: true, prefillPerSecond: 1e6,
 	}
 	t.Cleanup(w.client.Close)
 	w.uses = NewUses(w.now)
@@ -50,25 +50,25 @@
 	return w
 }
 
-// start starts the mover's process, anew when it ran before.
-func (w *world) start() {
+// start creates the mover; called again it simulates a restart of the process.
+func (w *moverFixture) start() {
 	costs := DefaultCosts()
-	costs.Within = testTime
+	costs.Within = testTimeout
 	w.mover = New(Options{
 		View: w.src, Held: func() bool { return w.held }, Engines: w.client, Objects: w.store, Uses: w.uses,
 		Costs: costs, Clock: w.now, Explain: w.explain,
 	})
 }
 
-// node is a stand-in engine VM.
-type node struct {
+// engineNode is a stand-in engine VM.
+type engineNode struct {
 	*standin.Engine
 	addr string
 }
 
-func (w *world) engine(name string) *node {
+func (w *moverFixture) engine(name string) *engineNode {
 	e := standin.New(standin.Options{
-		VM: fleet.VM(name), TokensPerSecond: 5000, PrefillTokensPerSecond: w.prefill, LoadTime: standin.Immediately,
+		VM: fleet.VM(name), TokensPerSecond: 5000, PrefillTokensPerSecond: w.prefillPerSecond, LoadTime: standin.Immediately,
 		LoadLag: standin.Immediately, CacheEventLag: standin.Immediately, Objects: w.store,
 	})
 	srv := httptest.NewServer(e)
@@ -77,11 +77,11 @@
 		srv.CloseClientConnections()
 		srv.Close()
 	})
-	return &node{e, srv.Listener.Addr().String()}
+	return &engineNode{e, srv.Listener.Addr().String()}
 }
 
-// join makes the engine a group and returns what the view holds of it.
-func (w *world) join(n *node, id fleet.GroupID, phase fleet.Phase, version string) view.Group {
+// join orders the engine to form a group and returns the group as in a snapshot.
+func (w *moverFixture) join(n *engineNode, id fleet.GroupID, phase fleet.Phase, version string) view.Group {
 	g := replica(id, phase, version, "a")
 	g.Members[0] = fleet.Member{VM: n.State().VM, Boot: n.State().Boot, Addr: n.addr, Fence: n.State().Fence + 1}
 	_, ok := n.Order(engine.Order{
@@ -89,21 +89,21 @@
 		Model: "m", Version: version, Adapters: []string{"a"}, Peers: []string{n.addr},
 	})
 	if !ok {
-		w.t.Fatal("the order was refused")
+		w.t.Fatal("the join order was rejected")
 	}
 	return g
 }
 
-var question = []engine.Message{{Role: "user", Content: strings.Repeat("the rules of the race, ", 400)}}
+var promptMessages = []engine.Message{{Role: "user", Content: strings.Repeat("the rules of the race, ", 400)}}
 
-// ask sends the prompt to a group's leader and returns its cached tokens.
-func (w *world) ask(g *view.Group) int {
+// sendPrompt sends the prompt to a group's leader and returns the number of cached tokens.
+func (w *moverFixture) sendPrompt(g *view.Group) int {
 	w.t.Helper()
-	body, err := json.Marshal(engine.ChatRequest{Model: "m", Messages: question, MaxTokens: 1})
+	body, err := json.Marshal(engine.ChatRequest{Model: "m", Messages: promptMessages, MaxTokens: 1})
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), testTime)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+g.Members[0].Addr+"/v1/chat/completions", strings.NewReader(string(body)))
 	if err != nil {
@@ -120,33 +120,33 @@
 	if err := json.NewDecoder(res.Body).Decode(&a); err != nil || res.StatusCode != http.StatusOK {
 		w.t.Fatal(res.StatusCode, err)
 	}
-	w.uses.Note(g.ID, engine.Prefixes("m", "", engine.PromptFields(question)))
+	w.uses.Note(g.ID, engine.Prefixes("m", "", engine.PromptFields(promptMessages)))
 	return a.Usage.CachedTokens
 }
 
-// see steps the mover with a new snapshot.
-func (w *world) see(groups ...view.Group) {
-	w.src.snap = snapOf(groups...)
+// step runs one step of the mover with a snapshot of the groups.
+func (w *moverFixture) step(groups ...view.Group) {
+	w.src.snap = snapshotOf(groups...)
 	for i := range w.src.snap.VMs {
 		w.src.snap.VMs[i].Probe.State.Boot = groups[i].Members[0].Boot
 	}
 	w.mover.Step(context.Background())
 }
 
-func with(g view.Group, phase fleet.Phase) view.Group {
+func withPhase(g view.Group, phase fleet.Phase) view.Group {
 	g.Phase = phase
 	return g
 }
 
-// warm has a group asked often enough that its cache is worth moving.
-func (w *world) warm(g *view.Group) {
+// warmCache sends the prompt often enough to make the group's cache worth moving.
+func (w *moverFixture) warmCache(g *view.Group) {
 	for range 4 {
-		w.ask(g)
+		w.sendPrompt(g)
 	}
 }
 
-// decisions returns what was explained of a group's moves.
-func (w *world) decisions(id fleet.GroupID) string {
+// decisions returns the recorded decisions of a group, joined by "; ".
+func (w *moverFixture) decisions(id fleet.GroupID) string {
 	var out []string
 	for _, st := range w.explain.Steps(string(id)) {
 		out = append(out, st.Decision)
