--- a/internal/kv/decide.go
+++ b/internal/kv/decide.go
@@ -58,13 +58,13 @@
 	reasonTooManyObjects    = "more objects are kept than allowed and this is the oldest"
 )
 
-// Decide returns the actions to execute now with their reasons, and updates m.
-func Decide(in *Input, m *Memory) []Action {
-	d := decision{input: in, memory: m}
+// Decide returns the actions to execute now with their reasons, and updates memory.
+func Decide(input *Input, memory *Memory) []Action {
+	d := decision{input: input, memory: memory}
 	present := map[groupGeneration]bool{}
-	for i := range in.Snap.Groups {
-		g := &in.Snap.Groups[i]
-		if g.Zone != in.Snap.Zone || len(g.Members) == 0 {
+	for i := range input.Snap.Groups {
+		g := &input.Snap.Groups[i]
+		if g.Zone != input.Snap.Zone || len(g.Members) == 0 {
 			continue
 		}
 		present[generationOf(&g.Group)] = true
@@ -76,8 +76,8 @@
 		}
 	}
 	d.expireObjects()
-	m.forgetMissing(present)
-	m.hasRun = true
+	memory.forgetMissing(present)
+	memory.hasRun = true
 	return d.actions
 }
 
