--- a/internal/kv/decide.go
+++ b/internal/kv/decide.go
@@ -236,8 +236,8 @@
 }
 
 // cachedElsewhere returns the prefixes that are cached by serving groups of the same key:
-// those in the caches that this node watches, and those that it sent there within
-// Costs.Useful.
+// those in the caches that this node watches, and those that it sent there no longer ago
+// than a prefix is likely to stay cached.
 func (d *decision) cachedElsewhere(draining *view.Group) map[uint64]struct{} {
 	out := map[uint64]struct{}{}
 	key := KeyOf(&draining.Group)
@@ -275,8 +275,8 @@
 	return out
 }
 
-// expireObjects empties objects older than Costs.Useful, and the oldest objects beyond
-// maxObjects.
+// expireObjects empties objects whose prefixes are no longer likely to be used, and the
+// oldest objects beyond maxObjects.
 func (d *decision) expireObjects() {
 	keys := slices.SortedFunc(maps.Keys(d.memory.objects), func(a, b Key) int {
 		return cmp.Or(cmp.Compare(d.memory.objects[a].exportedAt, d.memory.objects[b].exportedAt), cmp.Compare(a.Object(), b.Object()))
--- a/internal/kv/mover.go
+++ b/internal/kv/mover.go
@@ -37,7 +37,7 @@
 type Options struct {
 	View       view.Source
 	Held       func() bool // reports whether this node currently holds the zone's duty
-	Engines    Engines     // the client's timeout must be at least Costs.Within
+	Engines    Engines     // the client's timeout must not be shorter than that of a move in Costs
 	Objects    Objects     // if nil, objects stay until they are overwritten
 	Uses       *Uses
 	Costs      Costs // if zero, DefaultCosts
