--- a/internal/peer/answer_test.go
+++ b/internal/peer/answer_test.go
@@ -16,8 +16,8 @@
 	"chervilloom/internal/request"
 )
 
-// wire returns the frames in order, as they would come from a stream.
-func wire(frames ...any) []byte {
+// encodeFrames returns the encoded frames in order, as they are read from a stream.
+func encodeFrames(frames ...any) []byte {
 	b := &bytes.Buffer{}
 	kinds := map[string]frameType{
 		"answer.Head": frameStart, "answer.Frame": frameData, "peer.endFrame": frameEnd, "peer.callFrame": frameCall,
@@ -30,11 +30,11 @@
 	return b.Bytes()
 }
 
-// An answer that arrives in any way other than whole and in order must not be
-// told as whole. QUIC keeps order and loses nothing, so only a fault of the other
-// node's program or memory can bring these about; the caller must still not get
-// a wrong receipt that looks right.
-func TestAnswersThatAreNotWhole(t *testing.T) {
+// An answer that is incomplete or out of order must not be reported as whole.
+// QUIC delivers in order and without loss, so only a software or memory fault on
+// the other node causes these sequences; the caller must still not receive a
+// corrupt answer that looks valid.
+func TestIncompleteAnswersAreRejected(t *testing.T) {
 	head := answer.Head{Status: 200, Stream: true}
 	a, b, c := answer.Frame{Offset: 0, Data: []byte("a")}, answer.Frame{Offset: 1, Data: []byte("b")}, answer.Frame{Offset: 2, Data: []byte("c")}
 	sum := newSummary(true)
@@ -50,45 +50,45 @@
 	wrongBytes.Bytes++
 	wrongFirst.First++
 	body := answer.Head{Status: 200}
-	whole := wire(head, a, b, c, end)
+	whole := encodeFrames(head, a, b, c, end)
 	for name, bytes := range map[string][]byte{
-		"clean end of stream without End": wire(head, a, b, c),
+		"clean end of stream without End": encodeFrames(head, a, b, c),
 		"end within a frame":              whole[:len(whole)-3],
-		"frame twice":                     wire(head, a, b, b, c, end),
-		"frames exchanged":                wire(head, a, c, b, end),
-		"frame missing":                   wire(head, a, c, end),
-		"last frame missing":              wire(head, a, b, end),
-		"first frame missing":             wire(head, b, c, end),
-		"other content":                   wire(head, a, answer.Frame{Offset: 1, Data: []byte("x")}, c, end),
-		"other hash":                      wire(head, a, b, c, wrongHash),
-		"other length":                    wire(head, a, b, c, wrongBytes),
-		"other beginning":                 wire(head, a, b, c, wrongFirst),
-		"body that begins late":           wire(body, answer.Frame{Offset: 3, Data: []byte("x")}, end),
-		"data before start":               wire(a, b, c, end),
-		"start twice":                     wire(head, head, a, b, c, end),
-		"whole without start":             wire(end),
-		"a frame of another kind":         wire(head, callFrame{}, a, b, c, end),
-		"a frame over the bound":          append(wire(head), 0xff, 0xff, 0xff, 0xff, byte(frameData)),
-		"a frame of no length":            append(wire(head), 0, 0, 0, 0, byte(frameData)),
-		"no CBOR":                         append(wire(head), 0, 0, 0, 2, byte(frameData), 0xff),
+		"frame twice":                     encodeFrames(head, a, b, b, c, end),
+		"frames exchanged":                encodeFrames(head, a, c, b, end),
+		"frame missing":                   encodeFrames(head, a, c, end),
+		"last frame missing":              encodeFrames(head, a, b, end),
+		"first frame missing":             encodeFrames(head, b, c, end),
+		"other content":                   encodeFrames(head, a, answer.Frame{Offset: 1, Data: []byte("x")}, c, end),
+		"other hash":                      encodeFrames(head, a, b, c, wrongHash),
+		"other length":                    encodeFrames(head, a, b, c, wrongBytes),
+		"other beginning":                 encodeFrames(head, a, b, c, wrongFirst),
+		"body that begins late":           encodeFrames(body, answer.Frame{Offset: 3, Data: []byte("x")}, end),
+		"data before start":               encodeFrames(a, b, c, end),
+		"start twice":                     encodeFrames(head, head, a, b, c, end),
+		"whole without start":             encodeFrames(end),
+		"a frame of another kind":         encodeFrames(head, callFrame{}, a, b, c, end),
+		"a frame over the bound":          append(encodeFrames(head), 0xff, 0xff, 0xff, 0xff, byte(frameData)),
+		"a frame of no length":            append(encodeFrames(head), 0, 0, 0, 0, byte(frameData)),
+		"no CBOR":                         append(encodeFrames(head), 0, 0, 0, 2, byte(frameData), 0xff),
 	} {
 		t.Run(name, func(t *testing.T) {
-			taker := taker{w: &recorder{}}
-			_, err := taker.take(readerOf(bytes))
+			taker := answerReader{w: &recorder{}}
+			_, err := taker.readAll(newFrameReader(bytes))
 			is.New(t).True(err != nil)
 		})
 	}
-	taker := taker{w: &recorder{}}
-	got, err := taker.take(readerOf(whole))
+	taker := answerReader{w: &recorder{}}
+	got, err := taker.readAll(newFrameReader(whole))
 	is.New(t).NoErr(err)
 	is.New(t).True(got.Whole)
 }
 
-func readerOf(b []byte) *frameReader { return &frameReader{r: bytes.NewReader(b)} }
+func newFrameReader(b []byte) *frameReader { return &frameReader{r: bytes.NewReader(b)} }
 
-// rogue is a node that speaks the protocol up to the Commit and then does what
-// the test says with the stream.
-func rogue(t *testing.T, act func(*quic.Stream)) *Mesh {
+// startFaultyPeer starts a node that follows the protocol up to Commit and then calls act
+// with the stream.
+func startFaultyPeer(t *testing.T, act func(*quic.Stream)) *Mesh {
 	t.Helper()
 	id, err := IdentityFromSecret("b", testSecret)
 	if err != nil {
@@ -105,7 +105,7 @@
 		if err != nil {
 			return
 		}
-		c, err := m.greet(m.ctx, q)
+		c, err := m.exchangeHello(m.ctx, q)
 		if err != nil {
 			return
 		}
@@ -122,17 +122,17 @@
 	return m
 }
 
-// The other node ends the stream in good order but without an End, as when an
-// engine's dead connection was taken for the end of the answer. The caller has
-// all the tokens there are, and must still be told that the answer is cut.
+// The other node closes the stream cleanly but without an End frame, as after
+// taking an engine's broken connection for the end of the answer. The answer must
+// be reported as cut, although the caller has received every token.
 func TestCleanCloseWithoutEndIsCut(t *testing.T) {
 	is := is.New(t)
-	b := rogue(t, func(s *quic.Stream) {
-		s.Write(wire(answer.Head{Status: 200, Stream: true}, answer.Frame{Data: []byte("all of it")}))
+	b := startFaultyPeer(t, func(s *quic.Stream) {
+		s.Write(encodeFrames(answer.Head{Status: 200, Stream: true}, answer.Frame{Data: []byte("all of it")}))
 		s.Close()
 	})
 	a := startMesh(t, "a", nil)
-	introduce(a, b)
+	exchangeAddrs(a, b)
 	r := &recorder{}
 	err := a.Relay(testContext(t), "b", testRequest("q"), r)
 	is.True(err == nil)
@@ -141,13 +141,13 @@
 	is.Equal(r.end.Error.Kind, outcome.AnswerCut)
 }
 
-// The other node takes the Commit and closes without a word: the request may
-// have run.
+// The other node reads Commit and closes the stream without an answer. The
+// outcome must be unknown, because the request may have run.
 func TestCloseBeforeAnswerIsUnknown(t *testing.T) {
 	is := is.New(t)
-	b := rogue(t, func(s *quic.Stream) { s.Close() })
+	b := startFaultyPeer(t, func(s *quic.Stream) { s.Close() })
 	a := startMesh(t, "a", nil)
-	introduce(a, b)
+	exchangeAddrs(a, b)
 	r := &recorder{}
 	err := a.Relay(testContext(t), "b", testRequest("q"), r)
 	is.True(err != nil)
@@ -155,8 +155,8 @@
 	is.True(r.head == nil && r.end == nil)
 }
 
-// What a faulty handler does must reach the caller as a failure, not as a whole
-// answer, and must not take the node down.
+// A handler that violates the answer.Writer contract or panics must lead to an
+// error at the caller, not to a whole answer, and must not crash the node.
 func TestFaultyHandlers(t *testing.T) {
 	start := func(w answer.Writer) { w.Start(answer.Head{Status: 200, Stream: true}) }
 	frame := func(w answer.Writer, at uint64) { w.Frame(answer.Frame{Offset: at, Data: []byte("x")}) }
@@ -186,7 +186,7 @@
 			b := startMesh(t, "b", func(o *Options) {
 				o.Handler = filter.Func(func(_ context.Context, _ *request.Request, w answer.Writer) { serve(w) })
 			})
-			introduce(a, b)
+			exchangeAddrs(a, b)
 			r := &recorder{}
 			err := a.Relay(testContext(t), "b", testRequest("q"), r)
 			if name == "never starts" {
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -15,15 +15,15 @@
 	"chervilloom/internal/request"
 )
 
-// discard is an answer.Writer that keeps only the end.
+// discard is an answer.Writer that stores only the answer.End.
 type discard struct{ end answer.End }
 
 func (*discard) Start(answer.Head) error  { return nil }
 func (*discard) Frame(answer.Frame) error { return nil }
 func (d *discard) Finish(e answer.End)    { d.end = e }
 
-// lookupAnswer answers at once with one body of n bytes.
-func lookupAnswer(n int) filter.Handler {
+// fixedAnswer returns a handler that answers immediately with a body of n bytes.
+func fixedAnswer(n int) filter.Handler {
 	body := bytes.Repeat([]byte("x"), n)
 	return filter.Func(func(_ context.Context, _ *request.Request, w answer.Writer) {
 		w.Start(answer.Head{Status: 200})
@@ -32,7 +32,7 @@
 	})
 }
 
-// latencies collects durations of concurrent callers.
+// latencies collects the latencies measured by concurrent callers.
 type latencies struct {
 	mu  sync.Mutex
 	all []time.Duration
@@ -51,13 +51,13 @@
 	b.ReportMetric(at(0.99), "µs-p99")
 }
 
-// BenchmarkRelay measures the time from Relay to its return. The handler answers
-// at once, so all of it is what a hop adds.
+// BenchmarkRelay measures the duration of Relay. The handler answers immediately,
+// so the result is the overhead of one hop.
 func BenchmarkRelay(b *testing.B) {
 	for _, h := range []struct {
 		name    string
 		handler filter.Handler
-	}{{"lookup", lookupAnswer(300)}, {"stream50", tokens(50)}} {
+	}{{"lookup", fixedAnswer(300)}, {"stream50", tokenHandler(50)}} {
 		for _, idempotent := range []bool{true, false} {
 			for _, callers := range []int{1, 16} {
 				b.Run(fmt.Sprintf("%s/idempotent=%v/callers=%d", h.name, idempotent, callers), func(b *testing.B) {
@@ -70,7 +70,7 @@
 
 func benchRelay(b *testing.B, h filter.Handler, idempotent bool, callers int) {
 	here, there := startMesh(b, "a", nil), startMesh(b, "b", func(o *Options) { o.Handler = h })
-	introduce(here, there)
+	exchangeAddrs(here, there)
 	ctx := context.Background()
 	req := testRequest("q")
 	req.Idempotent, req.Deadline = idempotent, 0
@@ -85,12 +85,12 @@
 		wg.Go(func() {
 			for i := c; i < b.N; i += callers {
 				w := &discard{}
-				began := time.Now()
+				start := time.Now()
 				if err := here.Relay(ctx, "b", req, w); err != nil || !w.end.Whole {
 					b.Error("not whole: ", err)
 					return
 				}
-				l.add(time.Since(began))
+				l.add(time.Since(start))
 			}
 		})
 	}
@@ -100,8 +100,8 @@
 
 // BenchmarkBody measures the throughput of request bodies.
 func BenchmarkBody(b *testing.B) {
-	here, there := startMesh(b, "a", nil), startMesh(b, "b", func(o *Options) { o.Handler = lookupAnswer(1) })
-	introduce(here, there)
+	here, there := startMesh(b, "a", nil), startMesh(b, "b", func(o *Options) { o.Handler = fixedAnswer(1) })
+	exchangeAddrs(here, there)
 	req := testRequest("q")
 	req.Body, req.Deadline = make([]byte, 4<<20), 0
 	b.SetBytes(int64(len(req.Body)))
@@ -113,27 +113,27 @@
 	}
 }
 
-// BenchmarkCall measures calls one after the other.
+// BenchmarkCall measures the latency of sequential calls.
 func BenchmarkCall(b *testing.B) {
 	here, there := startMesh(b, "a", nil), startMesh(b, "b", nil)
 	there.HandleCall("echo", func(_ context.Context, _ fleet.Node, p []byte) ([]byte, error) { return p, nil })
-	introduce(here, there)
+	exchangeAddrs(here, there)
 	payload := make([]byte, 300)
 	var l latencies
 	b.ReportAllocs()
 	for b.Loop() {
-		began := time.Now()
+		start := time.Now()
 		if _, err := here.Call(context.Background(), "b", "echo", payload); err != nil {
 			b.Fatal(err)
 		}
-		l.add(time.Since(began))
+		l.add(time.Since(start))
 	}
 	l.report(b)
 }
 
-// BenchmarkMessages measures the rate of messages on one link, 32 on their way
-// at a time, and the bytes that one costs on the network: IP, UDP and QUIC
-// headers and the acknowledgements included.
+// BenchmarkMessages measures the message rate on one link with 32 messages in
+// flight, and the network overhead per message in bytes, including IP, UDP and
+// QUIC headers and acknowledgements.
 func BenchmarkMessages(b *testing.B) {
 	const window, ipUDP = 32, 28
 	for _, size := range []int{100, 1000} {
@@ -141,7 +141,7 @@
 			here, there := startMesh(b, "a", nil), startMesh(b, "b", nil)
 			arrived := make(chan struct{}, window)
 			there.Subscribe("bench", func(fleet.Node, []byte) { arrived <- struct{}{} })
-			introduce(here, there)
+			exchangeAddrs(here, there)
 			payload := make([]byte, size)
 			sent := 0
 			for got := range b.N {
@@ -159,14 +159,14 @@
 	b.Run("lone", func(b *testing.B) { benchLoneMessages(b) })
 }
 
-// benchLoneMessages sends each message after the last one was acknowledged, as
-// the membership's pings are: nothing shares a packet with them.
+// benchLoneMessages sends each message after the previous one was acknowledged,
+// like membership pings, so that no two messages share a packet.
 func benchLoneMessages(b *testing.B) {
 	const ipUDP, size = 28, 100
 	here, there := startMesh(b, "a", nil), startMesh(b, "b", nil)
 	arrived := make(chan struct{}, 1)
 	there.Subscribe("bench", func(fleet.Node, []byte) { arrived <- struct{}{} })
-	introduce(here, there)
+	exchangeAddrs(here, there)
 	cost := func() uint64 {
 		s := here.link("b").control.conn.ConnectionStats()
 		return s.BytesSent + s.BytesReceived + ipUDP*(s.PacketsSent+s.PacketsReceived)
@@ -174,10 +174,10 @@
 	send := func() {
 		here.Send("b", "bench", make([]byte, size))
 		<-arrived
-		time.Sleep(40 * time.Millisecond) // over the peer's delay of acknowledgements
+		time.Sleep(40 * time.Millisecond) // longer than the peer's ACK delay
 	}
 	for range 5 {
-		send() // the handshake and what follows it
+		send() // exclude the handshake and its follow-up packets
 	}
 	before := cost()
 	for range b.N {
@@ -187,18 +187,18 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkDial measures a first call to a new node: handshake, Hello and call.
+// BenchmarkDial measures the first call to a node: handshake, Hello and call.
 func BenchmarkDial(b *testing.B) {
 	here, there := startMesh(b, "a", nil), startMesh(b, "b", nil)
 	there.HandleCall("echo", func(_ context.Context, _ fleet.Node, p []byte) ([]byte, error) { return p, nil })
 	var l latencies
 	for b.Loop() {
 		here.SetPeers([]Peer{{VM: "b", Addr: there.Addr()}})
-		began := time.Now()
+		start := time.Now()
 		if _, err := here.Call(context.Background(), "b", "echo", nil); err != nil {
 			b.Fatal(err)
 		}
-		l.add(time.Since(began))
+		l.add(time.Since(start))
 		here.Forget("b")
 	}
 	l.report(b)
--- a/internal/peer/bounds_test.go
+++ b/internal/peer/bounds_test.go
@@ -18,15 +18,16 @@
 	"chervilloom/internal/request"
 )
 
-// A caller that reads slowly holds back its own answer and no other one.
-func TestSlowCallerHoldsUpNobody(t *testing.T) {
+// Guards against head-of-line blocking: a caller that reads slowly must delay
+// only its own answer.
+func TestSlowCallerBlocksOnlyItsOwnAnswer(t *testing.T) {
 	is := is.New(t)
-	const size = 8 << 20 // more than a stream's window
+	const size = 8 << 20 // larger than the stream window
 	a := startMesh(t, "a", nil)
 	b := startMesh(t, "b", func(o *Options) {
 		o.Handler = filter.Func(func(ctx context.Context, req *request.Request, w answer.Writer) {
 			if req.ID != "slow" {
-				tokens(5).Serve(ctx, req, w)
+				tokenHandler(5).Serve(ctx, req, w)
 				return
 			}
 			w.Start(answer.Head{Status: 200})
@@ -34,63 +35,64 @@
 			w.Finish(answer.End{Whole: true})
 		})
 	})
-	introduce(a, b)
+	exchangeAddrs(a, b)
 	ctx := testContext(t)
-	goOn, begun := make(chan struct{}), make(chan struct{})
-	slow := &recorder{onHead: func() { close(begun); <-goOn }}
+	resume, started := make(chan struct{}), make(chan struct{})
+	slow := &recorder{onHead: func() { close(started); <-resume }}
 	done := make(chan *outcome.Error)
 	go func() { done <- a.Relay(ctx, "b", testRequest("slow"), slow) }()
-	<-begun
+	<-started
 	for i := range 50 {
 		r := &recorder{}
 		is.True(a.Relay(ctx, "b", testRequest(fmt.Sprint(i)), r) == nil)
 		is.True(r.end.Whole)
 	}
-	close(goOn)
+	close(resume)
 	is.True(<-done == nil)
 	is.True(slow.end.Whole)
 	is.Equal(len(slow.text()), size)
 }
 
-// A peer that relays more requests than it may is refused at once, as not run.
-func TestRelaysOverTheLimit(t *testing.T) {
+// Relays above MaxRelays must be refused immediately as not run.
+func TestRelaysOverLimitAreRefused(t *testing.T) {
 	is := is.New(t)
 	const limit = 4
-	goOn := make(chan struct{})
+	resume := make(chan struct{})
 	a := startMesh(t, "a", nil)
 	b := startMesh(t, "b", func(o *Options) {
 		o.MaxRelays = limit
 		o.Handler = filter.Func(func(ctx context.Context, req *request.Request, w answer.Writer) {
 			w.Start(answer.Head{Status: 200})
 			select {
-			case <-goOn:
+			case <-resume:
 			case <-ctx.Done():
 			}
 			w.Finish(answer.End{Whole: true})
 		})
 	})
-	introduce(a, b)
+	exchangeAddrs(a, b)
 	ctx := testContext(t)
 	var wg sync.WaitGroup
-	begun := make(chan struct{}, limit)
+	started := make(chan struct{}, limit)
 	for i := range limit {
 		wg.Go(func() {
-			a.Relay(ctx, "b", testRequest(fmt.Sprint(i)), &recorder{onHead: func() { begun <- struct{}{} }})
+			a.Relay(ctx, "b", testRequest(fmt.Sprint(i)), &recorder{onHead: func() { started <- struct{}{} }})
 		})
 	}
 	for range limit {
-		<-begun
+		<-started
 	}
 	err := a.Relay(ctx, "b", testRequest("one more"), &recorder{})
 	is.True(err != nil)
 	is.Equal(err.Kind, outcome.Overloaded)
 	is.Equal(err.Outcome, outcome.NotRun)
 	is.True(err.RetryAfter > 0)
-	close(goOn)
+	close(resume)
 	wg.Wait()
 }
 
-// Requests that must not be sent are refused here, with the truth.
+// Requests that cannot be sent must be refused locally as not run, with the
+// matching error kind.
 func TestRefusedBeforeSending(t *testing.T) {
 	a := startMesh(t, "a", nil)
 	for name, c := range map[string]struct {
@@ -98,12 +100,12 @@
 		change func(*request.Request)
 		want   outcome.Kind
 	}{
-		"to itself":             {"a", func(*request.Request) {}, outcome.Internal},
-		"too many hops":         {"b", func(r *request.Request) { r.Hops = maxHops + 1 }, outcome.Internal},
-		"too large":             {"b", func(r *request.Request) { r.Body = make([]byte, MaxBodyBytes+1) }, outcome.TooLarge},
-		"deadline passed":       {"b", func(r *request.Request) { r.Deadline = 1 }, outcome.DeadlineExceeded},
-		"no address is known":   {"b", func(*request.Request) {}, outcome.EndpointFailed},
-		"nobody at the address": {"c", func(*request.Request) {}, outcome.EndpointFailed},
+		"to itself":              {"a", func(*request.Request) {}, outcome.Internal},
+		"too many hops":          {"b", func(r *request.Request) { r.Hops = maxHops + 1 }, outcome.Internal},
+		"too large":              {"b", func(r *request.Request) { r.Body = make([]byte, MaxBodyBytes+1) }, outcome.TooLarge},
+		"deadline passed":        {"b", func(r *request.Request) { r.Deadline = 1 }, outcome.DeadlineExceeded},
+		"no address is known":    {"b", func(*request.Request) {}, outcome.EndpointFailed},
+		"no node at the address": {"c", func(*request.Request) {}, outcome.EndpointFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -119,7 +121,7 @@
 	}
 }
 
-// Requests come to the handler as they were sent, bodies of any size included.
+// The handler must receive each request unchanged, with bodies of any size.
 func TestRequestArrivesAsSent(t *testing.T) {
 	a := startMesh(t, "a", nil)
 	got := make(chan *request.Request, 1)
@@ -129,7 +131,7 @@
 			w.Finish(answer.End{Error: outcome.New(outcome.NoCapacity, outcome.NotRun, "m", "r").After(3 * time.Second)})
 		})
 	})
-	introduce(a, b)
+	exchangeAddrs(a, b)
 	for _, size := range []int{0, 1, bodyChunkBytes, bodyChunkBytes + 1, 5<<20 + 7} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			is := is.New(t)
@@ -150,9 +152,9 @@
 	}
 }
 
-// Messages to a peer that can't be reached wait in a ring; when it is full the
-// oldest are dropped, so the newest arrive when the peer is there.
-func TestNewestMessagesSurvive(t *testing.T) {
+// Messages to an unreachable peer wait in a bounded queue. When it is full, the
+// oldest must be dropped, so that the newest arrive once the peer is reachable.
+func TestFullQueueKeepsNewestMessages(t *testing.T) {
 	is := is.New(t)
 	a, b := startMesh(t, "a", nil), startMesh(t, "b", nil)
 	a.SetDepth("digest", 1)
@@ -164,10 +166,10 @@
 		is.NoErr(a.Send("b", "digest", fmt.Append(nil, i)))
 		is.NoErr(a.Send("b", "list", fmt.Append(nil, i)))
 	}
-	introduce(a, b)
+	exchangeAddrs(a, b)
 	ctx := testContext(t)
 	var digests, lists int
-	for digests+lists < 1+defaultDepth {
+	for digests+lists < 1+defaultQueueDepth {
 		select {
 		case s := <-got:
 			if strings.HasPrefix(s, "digest") {
@@ -177,7 +179,7 @@
 				lists++
 			}
 		case <-ctx.Done():
-			t.Fatal("messages missing")
+			t.Fatal("not all messages were delivered")
 		}
 	}
 	is.Equal(digests, 1)
--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -13,34 +13,34 @@
 	"chervilloom/internal/outcome"
 )
 
-// callTimeout bounds a call whose context has no deadline.
+// callTimeout limits every call; the context may set an earlier deadline.
 const callTimeout = 10 * time.Second
 
 type callHandler = func(ctx context.Context, from fleet.Node, payload []byte) ([]byte, error)
 
-// CallError is a failure that the other node's handler reports.
+// CallError is an error returned by the other node's handler.
 type CallError struct {
 	To     fleet.VM
 	Method string
 	Text   string
 }
 
-// Error tells node, method and the other node's text.
+// Error returns the method, the node and the error text sent by the node.
 func (e *CallError) Error() string {
 	return fmt.Sprintf("peer: %s failed on %s: %s", e.Method, e.To, e.Text)
 }
 
-// HandleCall sets what answers the method. An *outcome.Error of f reaches the
-// caller as one, any other error as a CallError with its text. ctx ends when the
-// caller gives up.
+// HandleCall sets the handler of the method. An *outcome.Error returned by f
+// reaches the caller as such, any other error as a CallError with its text. ctx
+// is cancelled when the caller gives up.
 func (m *Mesh) HandleCall(method string, f func(ctx context.Context, from fleet.Node, payload []byte) ([]byte, error)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.calls[method] = f
 }
 
-// Call asks the VM and waits for its answer, for 10 s unless ctx ends sooner.
-// After an error the call may have run or not.
+// Call calls the method on the VM and returns the reply. The timeout is 10 s, or
+// less if ctx ends earlier. After an error the call may or may not have run.
 func (m *Mesh) Call(ctx context.Context, to fleet.VM, method string, payload []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -50,20 +50,20 @@
 	}
 	s, err := c.OpenStream()
 	if err != nil {
-		return nil, fmt.Errorf("peer: no room for a call to %s: %w", to, err)
+		return nil, fmt.Errorf("peer: cannot open a stream for a call to %s: %w", to, err)
 	}
 	unhook := context.AfterFunc(ctx, func() { resetStream(s) })
 	defer unhook()
 	defer s.CancelRead(0)
 	if err := writeFrame(s, frameCall, callFrame{Method: method, Payload: payload}, maxCallBytes); err != nil {
 		s.CancelWrite(resetCancelled)
-		return nil, callFailure(ctx, to, method, err)
+		return nil, callError(ctx, to, method, err)
 	}
-	endWrites(s)
+	closeWrite(s)
 	var reply replyFrame
 	r := frameReader{r: s}
 	if err := r.expect(frameReply, &reply, maxCallBytes); err != nil {
-		return nil, callFailure(ctx, to, method, err)
+		return nil, callError(ctx, to, method, err)
 	}
 	switch {
 	case reply.Error != nil:
@@ -74,20 +74,21 @@
 	return reply.Payload, nil
 }
 
-// endWrites tells the other side that no more follows. A side that has read a
-// whole frame may answer and stop reading before that reaches it; closing is then
-// an error although the frame has arrived. The answer is to be read all the same;
-// where the connection broke, the read tells.
-func endWrites(s io.Closer) {
+// closeWrite closes the write side of the stream and ignores the error. The other
+// side may answer and stop reading as soon as it has read the whole frame, before
+// it receives the FIN; Close then fails although the frame arrived, and the
+// answer must still be read. If the connection broke, that read fails.
+func closeWrite(s io.Closer) {
 	_ = s.Close()
 }
 
-// callFailure prefers the end of ctx, which is the cause when it reset the stream.
-func callFailure(ctx context.Context, to fleet.VM, method string, err error) error {
+// callError returns the error of a failed call. If ctx has ended, ctx.Err() is
+// reported, because the end of ctx resets the stream.
+func callError(ctx context.Context, to fleet.VM, method string, err error) error {
 	if ctx.Err() != nil {
 		err = ctx.Err()
 	}
-	return fmt.Errorf("peer: call %s to %s has no answer: %w", method, to, err)
+	return fmt.Errorf("peer: call of %s on %s failed without a reply: %w", method, to, err)
 }
 
 func resetStream(s *quic.Stream) {
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -18,17 +18,17 @@
 	backOffGrowth = 3
 )
 
-// backOff returns how long to wait after one more failed dial. draw is uniform
-// in [0, 1). The wait is drawn between the base and three times the last one,
-// so that nodes that lost the same peer don't dial it in step when it is back.
-func backOff(last time.Duration, draw float64) time.Duration {
-	top := min(max(backOffGrowth*last, backOffGrowth*backOffBase), backOffMax)
-	return backOffBase + time.Duration(draw*float64(top-backOffBase))
+// backOff returns the delay after another failed dial, with decorrelated jitter:
+// it is between the base and three times the last delay, so that nodes which lost
+// the same peer don't redial it simultaneously. draw is uniform in [0, 1).
+func backOff(previous time.Duration, draw float64) time.Duration {
+	upper := min(max(backOffGrowth*previous, backOffGrowth*backOffBase), backOffMax)
+	return backOffBase + time.Duration(draw*float64(upper-backOffBase))
 }
 
-func draw() float64 { return rand.Float64() }
+func randomFraction() float64 { return rand.Float64() }
 
-// dial connects to the link's VM and exchanges Hellos.
+// dial connects to the VM of the link and exchanges Hello frames.
 func (m *Mesh) dial(l *link, protocol string) (*conn, error) {
 	addr := l.address()
 	if addr == "" {
@@ -39,13 +39,13 @@
 	c, err := m.dialAddr(ctx, l.vm, protocol, addr)
 	if err != nil {
 		m.metrics.dialFailures.WithLabelValues(laneLabel(protocol)).Inc()
-		return nil, fmt.Errorf("peer: %s at %s can't be reached: %w", l.vm, addr, err)
+		return nil, fmt.Errorf("peer: cannot connect to %s at %s: %w", l.vm, addr, err)
 	}
 	return c, nil
 }
 
-// dialAddr connects to the address. An empty VM stands for whoever of the
-// deployment answers there.
+// dialAddr connects to the address. If vm is empty, any VM of the deployment is
+// accepted there.
 func (m *Mesh) dialAddr(ctx context.Context, vm fleet.VM, protocol, addr string) (*conn, error) {
 	to, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -55,43 +55,43 @@
 	if err != nil {
 		return nil, err
 	}
-	// The handshake is over for the dialler before the other side has looked at
-	// the dialler's certificate. Its Hello is the proof that it let us in;
-	// without waiting for it a refused relay would end as unknown.
-	c, err := m.greet(ctx, q)
+	// In TLS 1.3 the handshake completes for the dialler before the other side has
+	// verified the dialler's certificate; the other side's Hello shows that it
+	// was accepted. Without waiting for it a rejected relay would end as unknown.
+	c, err := m.exchangeHello(ctx, q)
 	if err != nil {
 		q.CloseWithError(closeRefused, err.Error())
 		return nil, err
 	}
-	m.serve(c, protocol)
+	m.serveConn(c, protocol)
 	return c, nil
 }
 
-// admit takes a connection that a peer dialled.
-func (m *Mesh) admit(q *quic.Conn) {
+// acceptConn serves a connection that a peer dialled.
+func (m *Mesh) acceptConn(q *quic.Conn) {
 	state := q.ConnectionState().TLS
 	ctx, cancel := context.WithTimeout(m.ctx, dialTimeout)
 	defer cancel()
-	c, err := m.greet(ctx, q)
+	c, err := m.exchangeHello(ctx, q)
 	if err != nil {
 		q.CloseWithError(closeRefused, err.Error())
-		m.opts.Log.Warn("peer refused", "vm", certifiedVM(q), "addr", q.RemoteAddr().String(), "error", err)
+		m.opts.Log.Warn("incoming peer connection rejected", "vm", certificateVM(q), "addr", q.RemoteAddr().String(), "error", err)
 		return
 	}
-	if state.NegotiatedProtocol == controlLane {
+	if state.NegotiatedProtocol == controlProtocol {
 		m.link(c.node.VM).control.adopt(c)
 	}
-	m.serve(c, state.NegotiatedProtocol)
+	m.serveConn(c, state.NegotiatedProtocol)
 }
 
-// certifiedVM returns the VM that the other side's certificate names. The
-// certificate was verified in the handshake.
-func certifiedVM(q *quic.Conn) fleet.VM {
+// certificateVM returns the VM named in the other side's certificate, which was
+// verified in the handshake.
+func certificateVM(q *quic.Conn) fleet.VM {
 	return fleet.VM(q.ConnectionState().TLS.PeerCertificates[0].Subject.CommonName)
 }
 
-// greet sends this node's Hello and reads the other's.
-func (m *Mesh) greet(ctx context.Context, q *quic.Conn) (*conn, error) {
+// exchangeHello sends this node's Hello and reads the other's.
+func (m *Mesh) exchangeHello(ctx context.Context, q *quic.Conn) (*conn, error) {
 	out, err := q.OpenUniStream()
 	if err != nil {
 		return nil, err
@@ -100,9 +100,9 @@
 	if err := writeFrame(out, frameHello, hello, maxHelloBytes); err != nil {
 		return nil, err
 	}
-	endWrites(out)
+	closeWrite(out)
 	// Streams are accepted in the order in which the other side opened them, so
-	// the first is the Hello.
+	// the first one carries the Hello.
 	in, err := q.AcceptUniStream(ctx)
 	if err != nil {
 		return nil, err
@@ -116,8 +116,8 @@
 		return nil, err
 	}
 	in.CancelRead(0)
-	if vm := certifiedVM(q); other.Version != protocolVersion || other.Node.VM != vm {
-		return nil, fmt.Errorf("%w: %s speaks version %d for %q", errFrame, vm, other.Version, other.Node.VM)
+	if vm := certificateVM(q); other.Version != protocolVersion || other.Node.VM != vm {
+		return nil, fmt.Errorf("%w: %s speaks version %d for %q", errProtocol, vm, other.Version, other.Node.VM)
 	}
 	return &conn{Conn: q, node: other.Node, zone: other.Zone, protocol: q.ConnectionState().TLS.NegotiatedProtocol}, nil
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -12,11 +12,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A frame is its length (4 bytes, big endian, of what follows), its type (1
-// byte) and its content: CBOR, but raw bytes in a body frame.
+// A frame consists of its length (4 bytes, big endian, not counting these 4),
+// its type (1 byte) and its content: CBOR, or raw bytes in a body frame.
 const (
-	lengthBytes = 4
-	frameHead   = lengthBytes + 1
+	lengthBytes      = 4
+	frameHeaderBytes = lengthBytes + 1
 )
 
 type frameType byte
@@ -24,8 +24,8 @@
 const (
 	frameHello   frameType = iota + 1 // helloFrame
 	frameRequest                      // requestFrame
-	frameBody                         // raw bytes of the request's body
-	frameReady                        // empty: the request has arrived whole and waits for its Commit
+	frameBody                         // raw bytes of the request body
+	frameReady                        // empty: the whole request was received, Commit is awaited
 	frameCommit                       // empty: the request may run
 	frameStart                        // answer.Head
 	frameData                         // answer.Frame
@@ -35,7 +35,7 @@
 	frameMessage                      // messageFrame
 )
 
-// Bounds of what one frame may hold. A longer one is refused before it is read.
+// Maximum content sizes. A longer frame is rejected before its content is read.
 const (
 	maxHelloBytes   = 4 << 10
 	maxRequestBytes = 1 << 20
@@ -46,25 +46,25 @@
 )
 
 var (
-	encoder cbor.UserBufferEncMode
-	decoder cbor.DecMode
-	buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+	encoder    cbor.UserBufferEncMode
+	decoder    cbor.DecMode
+	bufferPool = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 )
 
 func init() {
 	var err error
 	if encoder, err = (cbor.EncOptions{}).UserBufferEncMode(); err != nil {
-		panic(err) // the options are constants
+		panic(err) // unreachable: the options are constant
 	}
 	opts := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 16}
 	if decoder, err = opts.DecMode(); err != nil {
-		panic(err) // the options are constants
+		panic(err) // unreachable: the options are constant
 	}
 }
 
-var errFrame = errors.New("peer: the other side doesn't keep to the protocol; run the same version on all nodes")
+var errProtocol = errors.New("peer: the other side doesn't keep to the protocol; run the same version on all nodes")
 
-// appendFrame adds a frame with the CBOR form of v, or an empty one when v is nil.
+// appendFrame appends a frame with v encoded as CBOR, or an empty frame if v is nil.
 func appendFrame(b *bytes.Buffer, t frameType, v any) error {
 	at := b.Len()
 	b.Write(make([]byte, lengthBytes))
@@ -79,68 +79,69 @@
 }
 
 func appendRaw(b *bytes.Buffer, t frameType, raw []byte) {
-	var head [frameHead]byte
+	var head [frameHeaderBytes]byte
 	binary.BigEndian.PutUint32(head[:], uint32(len(raw)+1))
 	head[lengthBytes] = byte(t)
 	b.Write(head[:])
 	b.Write(raw)
 }
 
-// writeFrame writes one frame in one Write. limit bounds the content.
+// writeFrame writes one frame in a single Write call. It fails if the content is
+// longer than limit bytes.
 func writeFrame(w io.Writer, t frameType, v any, limit int) error {
-	b := buffers.Get().(*bytes.Buffer)
-	defer release(b)
+	b := bufferPool.Get().(*bytes.Buffer)
+	defer releaseBuffer(b)
 	b.Reset()
 	if err := appendFrame(b, t, v); err != nil {
 		return err
 	}
-	if n := b.Len() - frameHead; n > limit {
-		return fmt.Errorf("peer: a frame of %d bytes is over the limit of %d; send less at once", n, limit)
+	if n := b.Len() - frameHeaderBytes; n > limit {
+		return fmt.Errorf("peer: frame of %d bytes exceeds the limit of %d bytes; send smaller pieces", n, limit)
 	}
 	_, err := w.Write(b.Bytes())
 	return err
 }
 
-// keptBuffer is the largest buffer that goes back to the pool.
-const keptBuffer = 64 << 10
+// maxPooledBytes is the capacity in bytes of the largest buffer returned to the pool.
+const maxPooledBytes = 64 << 10
 
-func release(b *bytes.Buffer) {
-	if b.Cap() <= keptBuffer {
-		buffers.Put(b)
+func releaseBuffer(b *bytes.Buffer) {
+	if b.Cap() <= maxPooledBytes {
+		bufferPool.Put(b)
 	}
 }
 
-// readers are the buffers in front of streams; a relay needs one at either end.
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBuffer) }}
+// readerPool is a pool of buffered stream readers; a relay uses one on each node.
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferBytes) }}
 
-const readBuffer = 8 << 10
+const readBufferBytes = 8 << 10
 
 func borrowReader(r io.Reader) *bufio.Reader {
-	b := readers.Get().(*bufio.Reader)
+	b := readerPool.Get().(*bufio.Reader)
 	b.Reset(r)
 	return b
 }
 
 func returnReader(b *bufio.Reader) {
 	b.Reset(nil)
-	readers.Put(b)
+	readerPool.Put(b)
 }
 
-// frameReader reads frames. The content of a frame is valid until the next read.
+// frameReader reads frames. The returned content is valid until the next read.
 type frameReader struct {
-	r    io.Reader
-	head [frameHead]byte
-	buf  []byte
+	r      io.Reader
+	header [frameHeaderBytes]byte
+	buf    []byte
 }
 
-// next returns the next frame. It returns io.EOF only between two frames.
+// next returns the next frame. It returns io.EOF only at a frame boundary.
 func (f *frameReader) next(limit int) (frameType, []byte, error) {
-	if _, err := io.ReadFull(f.r, f.head[:]); err != nil {
+	if _, err := io.ReadFull(f.r, f.header[:]); err != nil {
 		return 0, nil, err
 	}
-	n := int(binary.BigEndian.Uint32(f.head[:])) - 1
+	n := int(binary.BigEndian.Uint32(f.header[:])) - 1
 	if n < 0 || n > limit {
-		return 0, nil, fmt.Errorf("%w: a frame of %d bytes, limit %d", errFrame, n, limit)
+		return 0, nil, fmt.Errorf("%w: a frame of %d bytes, limit %d", errProtocol, n, limit)
 	}
 	if cap(f.buf) < n {
 		f.buf = make([]byte, n)
@@ -152,24 +153,24 @@
 		}
 		return 0, nil, err
 	}
-	return frameType(f.head[lengthBytes]), f.buf, nil
+	return frameType(f.header[lengthBytes]), f.buf, nil
 }
 
-// expect reads a frame of type t into v.
+// expect reads a frame of type t and decodes it into v.
 func (f *frameReader) expect(t frameType, v any, limit int) error {
 	got, content, err := f.next(limit)
 	if err != nil {
 		return err
 	}
 	if got != t {
-		return fmt.Errorf("%w: frame type %d in place of %d", errFrame, got, t)
+		return fmt.Errorf("%w: frame type %d in place of %d", errProtocol, got, t)
 	}
 	return decode(content, v)
 }
 
 func decode(content []byte, v any) error {
 	if err := decoder.Unmarshal(content, v); err != nil {
-		return fmt.Errorf("%w: %w", errFrame, err)
+		return fmt.Errorf("%w: %w", errProtocol, err)
 	}
 	return nil
 }
--- a/internal/peer/identity.go
+++ b/internal/peer/identity.go
@@ -19,7 +19,7 @@
 	"chervilloom/internal/fleet"
 )
 
-// MinSecretBytes is the least length of a deployment secret.
+// MinSecretBytes is the minimum length of a deployment secret.
 const MinSecretBytes = 16
 
 const (
@@ -28,32 +28,31 @@
 	caName    = "chervilloom peer CA"
 )
 
-// Identity is what a node shows its peers and what it accepts from them. The
-// certificate's common name is the VM.
+// Identity holds the certificate that a node presents to its peers and the CAs
+// that it trusts. The certificate's common name is the name of the VM.
 type Identity struct {
-	vm    fleet.VM
-	cert  tls.Certificate
-	roots *x509.CertPool
-	reset quic.StatelessResetKey
+	vm       fleet.VM
+	cert     tls.Certificate
+	roots    *x509.CertPool
+	resetKey quic.StatelessResetKey
 }
 
-// VM returns the VM that the certificate names.
+// VM returns the VM named in the certificate.
 func (id Identity) VM() fleet.VM { return id.vm }
 
-// IdentityFromSecret makes an ephemeral key and has it signed by the CA whose
-// key follows from the deployment's secret: every holder of the secret can make
-// and check certificates, nobody else can. Peers that hold one of the secrets
-// in accepted are let in as well, which lets a secret be replaced without a
-// moment in which nodes refuse each other.
+// IdentityFromSecret generates an ephemeral key and a certificate signed by the
+// CA whose key is derived from the deployment secret. Only holders of the secret
+// can issue and verify certificates. Peers with a secret in accepted are trusted
+// too, so that the secret can be rotated without nodes rejecting each other.
 func IdentityFromSecret(vm fleet.VM, secret []byte, accepted ...[]byte) (Identity, error) {
 	if vm == "" {
-		return Identity{}, errors.New("peer: the VM's name is empty; set it in the node's settings")
+		return Identity{}, errors.New("peer: the VM name is empty; set it in the node's settings")
 	}
 	ca, caKey, err := deriveCA(secret)
 	if err != nil {
 		return Identity{}, err
 	}
-	cert, err := issue(vm, ca, caKey)
+	cert, err := issueCert(vm, ca, caKey)
 	if err != nil {
 		return Identity{}, err
 	}
@@ -66,55 +65,56 @@
 		}
 		roots.AddCert(other)
 	}
-	reset, err := deriveReset(secret, vm)
+	reset, err := deriveResetKey(secret, vm)
 	if err != nil {
 		return Identity{}, err
 	}
-	return Identity{vm: vm, cert: cert, roots: roots, reset: reset}, nil
+	return Identity{vm: vm, cert: cert, roots: roots, resetKey: reset}, nil
 }
 
-// IdentityFromFiles reads a PEM certificate with its key and the CA that signs
-// the certificates of all nodes. The CA must sign for nothing else: whoever
-// holds a certificate of it is a peer.
+// IdentityFromFiles reads a PEM certificate, its key and the certificate of the
+// CA that issues the certificates of all nodes. The CA must not be used for any
+// other purpose: every holder of a certificate issued by it is a trusted peer.
 func IdentityFromFiles(certFile, keyFile, caFile string) (Identity, error) {
 	cert, err := tls.LoadX509KeyPair(certFile, keyFile)
 	if err != nil {
-		return Identity{}, fmt.Errorf("peer: certificate and key can't be read; check the paths and that they belong together: %w", err)
+		return Identity{}, fmt.Errorf("peer: cannot load the certificate and key; check the paths and that they match: %w", err)
 	}
 	pem, err := os.ReadFile(caFile)
 	if err != nil {
-		return Identity{}, fmt.Errorf("peer: CA can't be read; check its path: %w", err)
+		return Identity{}, fmt.Errorf("peer: cannot read the CA certificate; check its path: %w", err)
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(pem) {
-		return Identity{}, fmt.Errorf("peer: %s holds no PEM certificate; give the CA's certificate", caFile)
+		return Identity{}, fmt.Errorf("peer: %s contains no PEM certificate; set the path of the CA certificate", caFile)
 	}
 	vm := fleet.VM(cert.Leaf.Subject.CommonName)
 	if vm == "" {
-		return Identity{}, fmt.Errorf("peer: %s has no common name; issue it with the VM's name", certFile)
+		return Identity{}, fmt.Errorf("peer: the certificate in %s has no common name; issue it with the VM's name", certFile)
 	}
 	key, err := x509.MarshalPKCS8PrivateKey(cert.PrivateKey)
 	if err != nil {
-		return Identity{}, fmt.Errorf("peer: the key can't be encoded; use ed25519 or ECDSA: %w", err)
+		return Identity{}, fmt.Errorf("peer: cannot encode the private key; use ed25519 or ECDSA: %w", err)
 	}
-	reset, err := deriveReset(key, vm)
+	reset, err := deriveResetKey(key, vm)
 	if err != nil {
 		return Identity{}, err
 	}
-	return Identity{vm: vm, cert: cert, roots: roots, reset: reset}, nil
+	return Identity{vm: vm, cert: cert, roots: roots, resetKey: reset}, nil
 }
 
-// deriveCA returns the CA that follows from the secret, the same on every node.
+// deriveCA returns the CA certificate and key derived from the secret. The key
+// is the same on every node.
 func deriveCA(secret []byte) (*x509.Certificate, ed25519.PrivateKey, error) {
 	if len(secret) < MinSecretBytes {
-		return nil, nil, fmt.Errorf("peer: the deployment secret has %d bytes; give at least %d random ones", len(secret), MinSecretBytes)
+		return nil, nil, fmt.Errorf("peer: the deployment secret has %d bytes; use at least %d random bytes", len(secret), MinSecretBytes)
 	}
 	seed, err := hkdf.Key(sha256.New, secret, nil, caInfo, ed25519.SeedSize)
 	if err != nil {
 		return nil, nil, err
 	}
 	key := ed25519.NewKeyFromSeed(seed)
-	tmpl := template(caName)
+	tmpl := certTemplate(caName)
 	tmpl.IsCA, tmpl.BasicConstraintsValid = true, true
 	tmpl.KeyUsage = x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, tmpl, key.Public(), key)
@@ -125,12 +125,12 @@
 	return ca, key, err
 }
 
-func issue(vm fleet.VM, ca *x509.Certificate, caKey ed25519.PrivateKey) (tls.Certificate, error) {
+func issueCert(vm fleet.VM, ca *x509.Certificate, caKey ed25519.PrivateKey) (tls.Certificate, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return tls.Certificate{}, err
 	}
-	tmpl := template(string(vm))
+	tmpl := certTemplate(string(vm))
 	tmpl.KeyUsage = x509.KeyUsageDigitalSignature
 	tmpl.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, ca, public, caKey)
@@ -140,10 +140,10 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}, nil
 }
 
-// template has a validity without practical end. Whoever can make a certificate
-// can make another, so an end would protect nothing, and a VM whose wall clock
-// is wrong would be shut out.
-func template(name string) *x509.Certificate {
+// certTemplate returns a certificate template that is valid until 2200. A shorter
+// validity would not improve security, since every node can issue itself a new
+// certificate, and it would lock out a VM whose wall clock is wrong.
+func certTemplate(name string) *x509.Certificate {
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(1),
 		Subject:      pkix.Name{CommonName: name},
@@ -152,20 +152,20 @@
 	}
 }
 
-// deriveReset returns the key by which a restarted node tells its peers that it
-// knows their old connections no more. It differs by VM: with one key for all,
-// anyone who sees a connection id could have another node make the reset token
-// for it.
-func deriveReset(secret []byte, vm fleet.VM) (quic.StatelessResetKey, error) {
+// deriveResetKey returns the QUIC stateless reset key, with which a restarted node
+// resets connections that it has no state for. The key differs per VM: with a
+// shared key, anyone who observes a connection ID could make another node
+// generate the reset token for it.
+func deriveResetKey(secret []byte, vm fleet.VM) (quic.StatelessResetKey, error) {
 	var k quic.StatelessResetKey
 	b, err := hkdf.Key(sha256.New, secret, nil, resetInfo+string(vm), len(k))
 	copy(k[:], b)
 	return k, err
 }
 
-// serverTLS is for connections that peers dial.
+// serverTLS returns the TLS configuration of connections that peers dial.
 func (id Identity) serverTLS() *tls.Config {
-	c := id.baseTLS(lanes[:]...)
+	c := id.baseTLS(protocols[:]...)
 	c.ClientAuth = tls.RequireAnyClientCert
 	c.VerifyConnection = func(s tls.ConnectionState) error {
 		vm, err := id.verify(s, x509.ExtKeyUsageClientAuth)
@@ -177,9 +177,10 @@
 	return c
 }
 
-var errSameVM = errors.New("peer: the other process has this VM's name; give every VM its own, and leave this node's address out of its seeds")
+var errSameVM = errors.New("peer: the other process uses the name of this VM; give every VM a unique name and remove this node's own address from its seeds")
 
-// clientTLS is for a connection to the VM, or to any other when vm is empty.
+// clientTLS returns the TLS configuration for dialling the VM. If to is empty,
+// any VM of the deployment is accepted.
 func (id Identity) clientTLS(to fleet.VM, protocol string) *tls.Config {
 	c := id.baseTLS(protocol)
 	c.VerifyConnection = func(s tls.ConnectionState) error {
@@ -192,8 +193,9 @@
 	return c
 }
 
-// baseTLS leaves the check of names to VerifyConnection: a VM's name need not
-// be a DNS name, and addresses are given by IP. verify checks the chain.
+// baseTLS disables the standard verification, which needs a DNS name or IP in the
+// certificate: a VM name need not be a DNS name. VerifyConnection checks the
+// name and calls verify, which checks the chain.
 func (id Identity) baseTLS(protocols ...string) *tls.Config {
 	return &tls.Config{
 		Certificates:           []tls.Certificate{id.cert},
@@ -204,20 +206,20 @@
 	}
 }
 
-func (id Identity) verify(s tls.ConnectionState, use x509.ExtKeyUsage) (fleet.VM, error) {
+func (id Identity) verify(s tls.ConnectionState, usage x509.ExtKeyUsage) (fleet.VM, error) {
 	if len(s.PeerCertificates) == 0 {
-		return "", errors.New("peer: the other side shows no certificate; give it the deployment's secret or a certificate")
+		return "", errors.New("peer: the other side presented no certificate; configure the deployment secret or a certificate there")
 	}
 	leaf := s.PeerCertificates[0]
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range s.PeerCertificates[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err := leaf.Verify(x509.VerifyOptions{
-		Roots: id.roots, Intermediates: between, KeyUsages: []x509.ExtKeyUsage{use},
+		Roots: id.roots, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{usage},
 	})
 	if err != nil {
-		return "", fmt.Errorf("peer: the certificate of %q is not of this deployment; give all nodes one secret or one CA: %w", leaf.Subject.CommonName, err)
+		return "", fmt.Errorf("peer: the certificate of %q was not issued by a trusted CA; configure the same secret or CA on all nodes: %w", leaf.Subject.CommonName, err)
 	}
 	return fleet.VM(leaf.Subject.CommonName), nil
 }
--- a/internal/peer/identity_test.go
+++ b/internal/peer/identity_test.go
@@ -15,7 +15,7 @@
 	"chervilloom/internal/fleet"
 )
 
-// writePEM writes the blocks to a file and returns its path.
+// writePEM writes the PEM blocks to a temporary file and returns its path.
 func writePEM(t *testing.T, name, kind string, der ...[]byte) string {
 	t.Helper()
 	var out []byte
@@ -29,14 +29,15 @@
 	return path
 }
 
-// identityOfFiles makes a certificate of the secret's CA and reads it back.
-func identityOfFiles(t *testing.T, vm fleet.VM, secret []byte) (Identity, error) {
+// identityFromIssuedFiles issues a certificate with the CA derived from the secret, writes
+// it to files and loads it with IdentityFromFiles.
+func identityFromIssuedFiles(t *testing.T, vm fleet.VM, secret []byte) (Identity, error) {
 	t.Helper()
 	ca, caKey, err := deriveCA(secret)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cert, err := issue(vm, ca, caKey)
+	cert, err := issueCert(vm, ca, caKey)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,26 +52,27 @@
 	)
 }
 
-// Certificates from files and from a secret meet when their CA is the same.
+// Nodes with a certificate from files and from a secret must accept each other if
+// both were issued by the same CA.
 func TestIdentityFromFiles(t *testing.T) {
 	is := is.New(t)
-	id, err := identityOfFiles(t, "b", testSecret)
+	id, err := identityFromIssuedFiles(t, "b", testSecret)
 	is.NoErr(err)
 	a := startMesh(t, "a", nil)
 	b := startMesh(t, "b", func(o *Options) { o.Identity = id })
-	introduce(a, b)
+	exchangeAddrs(a, b)
 	for from, to := range map[*Mesh]*Mesh{a: b, b: a} {
 		_, err := from.Call(testContext(t), to.opts.Self.VM, "none", nil)
 		var failed *CallError
 		is.True(errors.As(err, &failed))
 	}
-	_, err = identityOfFiles(t, "", testSecret)
-	is.True(err != nil) // names no VM
+	_, err = identityFromIssuedFiles(t, "", testSecret)
+	is.True(err != nil) // no common name
 }
 
-// A secret is replaced node by node: first all accept both, then they sign with
-// the new one. At no step may two nodes refuse each other.
-func TestSecretIsReplaced(t *testing.T) {
+// The secret is rotated node by node: first all nodes accept both secrets, then
+// they switch to the new one. Two nodes must accept each other at every step.
+func TestSecretRotation(t *testing.T) {
 	is := is.New(t)
 	old, fresh := testSecret, []byte("the next secret of these tests")
 	identity := func(vm fleet.VM, secret []byte, accepted ...[]byte) Identity {
@@ -85,18 +87,18 @@
 	} {
 		a := startMesh(t, "a", func(o *Options) { o.Identity = step[0] })
 		b := startMesh(t, "b", func(o *Options) { o.Identity = step[1] })
-		introduce(a, b)
+		exchangeAddrs(a, b)
 		for from, to := range map[*Mesh]*Mesh{a: b, b: a} {
 			_, err := from.Call(testContext(t), to.opts.Self.VM, "none", nil)
 			var failed *CallError
 			if !errors.As(err, &failed) {
-				t.Fatalf("%s refuses %s: %v", to.opts.Self, from.opts.Self, err)
+				t.Fatalf("%s rejects %s: %v", to.opts.Self, from.opts.Self, err)
 			}
 		}
 	}
 }
 
-func TestUnusableIdentities(t *testing.T) {
+func TestInvalidIdentities(t *testing.T) {
 	is := is.New(t)
 	_, err := IdentityFromSecret("a", []byte("too short"))
 	is.True(err != nil)
@@ -109,18 +111,18 @@
 	o := Options{Listen: "127.0.0.1:0", Identity: id}
 	o.Self.VM = "b"
 	_, err = New(o)
-	is.True(err != nil) // the certificate names another VM
+	is.True(err != nil) // the certificate is for another VM
 }
 
-// Waits stay within their bounds and can reach the greatest one, so a dead peer
-// is dialled seldom and a living one soon.
+// The back-off must stay within its bounds and reach the maximum, so that a dead
+// peer is dialled rarely and a restarted one soon.
 func TestBackOff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var wait time.Duration
 		for range rapid.IntRange(1, 30).Draw(t, "failures") {
 			wait = backOff(wait, rapid.Float64Range(0, 0.999).Draw(t, "draw"))
 			if wait < backOffBase || wait > backOffMax {
-				t.Fatal("out of bounds: ", wait)
+				t.Fatal("back-off out of bounds: ", wait)
 			}
 		}
 	})
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -13,7 +13,7 @@
 	"chervilloom/internal/fleet"
 )
 
-// conn is a connection whose two sides know each other.
+// conn is a connection on which both sides have exchanged Hello frames.
 type conn struct {
 	*quic.Conn
 	node     fleet.Node
@@ -21,17 +21,18 @@
 	protocol string
 
 	countMu               sync.Mutex
-	countedOut, countedIn uint64 // bytes that the metrics hold already
+	countedOut, countedIn uint64 // bytes already added to the metrics
 }
 
-func (c *conn) alive() bool { return c.Context().Err() == nil }
+func (c *conn) isAlive() bool { return c.Context().Err() == nil }
 
-// link is what this node has towards one other VM.
+// link holds the address of another VM, the connections to it and the messages
+// queued for it.
 type link struct {
 	mesh    *Mesh
 	vm      fleet.VM
-	control lane
-	relay   lane
+	control channel
+	relay   channel
 	outbox  *outbox
 
 	mu   sync.Mutex
@@ -40,8 +41,8 @@
 
 func newLink(m *Mesh, vm fleet.VM) *link {
 	l := &link{mesh: m, vm: vm}
-	l.control = lane{link: l, protocol: controlLane}
-	l.relay = lane{link: l, protocol: relayLane}
+	l.control = channel{link: l, protocol: controlProtocol}
+	l.relay = channel{link: l, protocol: relayProtocol}
 	l.outbox = newOutbox(l)
 	return l
 }
@@ -52,13 +53,13 @@
 	l.addr = addr
 	l.mu.Unlock()
 	if changed {
-		l.control.retryNow()
-		l.relay.retryNow()
+		l.control.resetBackOff()
+		l.relay.resetBackOff()
 	}
 }
 
-// learnAddr sets the address unless one is known.
-func (l *link) learnAddr(addr string) {
+// setAddrIfUnknown sets the address if none is known yet.
+func (l *link) setAddrIfUnknown(addr string) {
 	if l.address() == "" {
 		l.setAddr(addr)
 	}
@@ -70,59 +71,60 @@
 	return l.addr
 }
 
-func (l *link) close(code quic.ApplicationErrorCode, why string) {
+func (l *link) close(code quic.ApplicationErrorCode, reason string) {
 	l.outbox.close()
-	l.control.close(code, why)
-	l.relay.close(code, why)
+	l.control.close(code, reason)
+	l.relay.close(code, reason)
 }
 
-// lane is one of the link's two connections.
-type lane struct {
+// channel manages one of the two connections of a link: it dials on demand and
+// backs off after failed dials.
+type channel struct {
 	link     *link
 	protocol string
 
-	mu      sync.Mutex
-	conn    *conn
-	dialing *dialing
-	wait    time.Duration // back-off after the newest failure
-	retryAt clock.Instant
-	cause   error // of the newest failure
-	users   int   // relays that use conn
-	used    clock.Instant
-	closed  bool
+	mu           sync.Mutex
+	conn         *conn
+	dialing      *dialAttempt
+	backOff      time.Duration // back-off after the last failed dial
+	retryAt      clock.Instant
+	lastErr      error // error of the last failed dial
+	activeRelays int   // relays in flight
+	lastUsed     clock.Instant
+	closed       bool
 }
 
-// dialing is a dial in progress, shared by all who wait for it.
-type dialing struct {
-	began time.Time
-	done  chan struct{}
-	conn  *conn
-	err   error
+// dialAttempt is a dial in progress, shared by all callers of get.
+type dialAttempt struct {
+	startedAt time.Time
+	done      chan struct{}
+	conn      *conn
+	err       error
 }
 
 var (
-	errNoAddress = errors.New("peer: the VM's address is not known; check that it is in the platform's list or among the seeds")
-	errBackOff   = errors.New("peer: the last dial failed and the next one is not due")
-	errClosed    = errors.New("peer: the link is closed")
-	errSlowDial  = errors.New("peer: the other node doesn't answer the dial")
+	errNoAddress   = errors.New("peer: the address of the VM is unknown; check that it is in the platform's list or among the seeds")
+	errBackOff     = errors.New("peer: backing off after a failed dial")
+	errClosed      = errors.New("peer: the link is closed")
+	errDialTimeout = errors.New("peer: dial timed out")
 )
 
-// get returns the live connection or dials one. While the back-off after a
-// failed dial lasts it fails at once, and so it does when a dial that others
-// began has already run for longer than patience.
-func (la *lane) get(ctx context.Context, patience time.Duration) (*conn, error) {
-	la.mu.Lock()
-	if la.conn != nil && la.conn.alive() {
-		c := la.conn
-		la.mu.Unlock()
+// get returns the open connection or dials one. It fails immediately during the
+// back-off after a failed dial, and also when a dial started by another caller
+// has already taken longer than timeout.
+func (ch *channel) get(ctx context.Context, timeout time.Duration) (*conn, error) {
+	ch.mu.Lock()
+	if ch.conn != nil && ch.conn.isAlive() {
+		c := ch.conn
+		ch.mu.Unlock()
 		return c, nil
 	}
-	d, err := la.dialLocked()
-	la.mu.Unlock()
+	d, err := ch.dialLocked()
+	ch.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	t := time.NewTimer(patience - time.Since(d.began))
+	t := time.NewTimer(timeout - time.Since(d.startedAt))
 	defer t.Stop()
 	select {
 	case <-d.done:
@@ -130,143 +132,144 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-t.C:
-		return nil, errSlowDial
+		return nil, errDialTimeout
 	}
 }
 
-func (la *lane) dialLocked() (*dialing, error) {
-	if la.closed || la.link.mesh.ctx.Err() != nil {
+func (ch *channel) dialLocked() (*dialAttempt, error) {
+	if ch.closed || ch.link.mesh.ctx.Err() != nil {
 		return nil, errClosed
 	}
-	if la.dialing != nil {
-		return la.dialing, nil
+	if ch.dialing != nil {
+		return ch.dialing, nil
 	}
-	if la.link.mesh.opts.Clock.Now().Before(la.retryAt) {
-		return nil, fmt.Errorf("%w: %w", errBackOff, la.cause)
+	if ch.link.mesh.opts.Clock.Now().Before(ch.retryAt) {
+		return nil, fmt.Errorf("%w: %w", errBackOff, ch.lastErr)
 	}
-	d := &dialing{began: time.Now(), done: make(chan struct{})}
-	if !la.link.mesh.spawn(func() { la.dial(d) }) {
+	d := &dialAttempt{startedAt: time.Now(), done: make(chan struct{})}
+	if !ch.link.mesh.spawn(func() { ch.dial(d) }) {
 		return nil, errClosed
 	}
-	la.dialing = d
+	ch.dialing = d
 	return d, nil
 }
 
-func (la *lane) dial(d *dialing) {
-	m := la.link.mesh
-	d.conn, d.err = m.dial(la.link, la.protocol)
-	la.mu.Lock()
-	la.dialing = nil
+func (ch *channel) dial(d *dialAttempt) {
+	m := ch.link.mesh
+	d.conn, d.err = m.dial(ch.link, ch.protocol)
+	ch.mu.Lock()
+	ch.dialing = nil
 	if d.err != nil {
-		la.cause = d.err
-		la.wait = backOff(la.wait, draw())
-		la.retryAt = m.opts.Clock.Now().Add(la.wait)
+		ch.lastErr = d.err
+		ch.backOff = backOff(ch.backOff, randomFraction())
+		ch.retryAt = m.opts.Clock.Now().Add(ch.backOff)
 	} else {
-		la.wait, la.retryAt, la.cause = 0, 0, nil
-		la.conn = d.conn
-		la.used = m.opts.Clock.Now()
+		ch.backOff, ch.retryAt, ch.lastErr = 0, 0, nil
+		ch.conn = d.conn
+		ch.lastUsed = m.opts.Clock.Now()
 	}
-	closed := la.closed
-	la.mu.Unlock()
+	closed := ch.closed
+	ch.mu.Unlock()
 	if d.err == nil && closed {
 		d.conn.CloseWithError(closeShutdown, "the link is closed")
 	}
 	close(d.done)
 }
 
-// adopt takes a connection that the peer dialled, unless there is a live one
-// with the same or a later life of the peer. A connection to an earlier life is
-// closed: that process is gone and its answers will not come.
-func (la *lane) adopt(c *conn) {
-	la.mu.Lock()
-	old := la.conn
+// adopt uses a connection that the peer dialled, unless there is an open one to
+// the same or a later incarnation of the peer. A connection to an earlier
+// incarnation is closed, because that process no longer exists and its answers
+// will never arrive.
+func (ch *channel) adopt(c *conn) {
+	ch.mu.Lock()
+	old := ch.conn
 	switch {
-	case old == nil || !old.alive():
-		la.conn = c
+	case old == nil || !old.isAlive():
+		ch.conn = c
 	case c.node.Incarnation > old.node.Incarnation:
-		la.conn = c
+		ch.conn = c
 		defer old.CloseWithError(closeReplaced, "the process was restarted")
 	}
-	la.wait, la.retryAt, la.cause = 0, 0, nil
-	la.mu.Unlock()
+	ch.backOff, ch.retryAt, ch.lastErr = 0, 0, nil
+	ch.mu.Unlock()
 }
 
-func (la *lane) live() bool {
-	la.mu.Lock()
-	defer la.mu.Unlock()
-	return la.conn != nil && la.conn.alive()
+func (ch *channel) isConnected() bool {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	return ch.conn != nil && ch.conn.isAlive()
 }
 
-func (la *lane) retryNow() {
-	la.mu.Lock()
-	defer la.mu.Unlock()
-	la.wait, la.retryAt, la.cause = 0, 0, nil
+func (ch *channel) resetBackOff() {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	ch.backOff, ch.retryAt, ch.lastErr = 0, 0, nil
 }
 
-func (la *lane) close(code quic.ApplicationErrorCode, why string) {
-	la.mu.Lock()
-	c := la.conn
-	la.conn, la.closed = nil, true
-	la.mu.Unlock()
+func (ch *channel) close(code quic.ApplicationErrorCode, reason string) {
+	ch.mu.Lock()
+	c := ch.conn
+	ch.conn, ch.closed = nil, true
+	ch.mu.Unlock()
 	if c != nil {
-		c.CloseWithError(code, why)
+		c.CloseWithError(code, reason)
 	}
 }
 
-// relayDial is how many times Options.Ready a relay waits for a new connection: a
+// relayDialFactor is the dial timeout of a relay in multiples of the ready timeout. A
 // handshake takes more round trips than Ready, and each may lose a packet.
-const relayDial = 2
+const relayDialFactor = 2
 
-// acquire is get for a relay: the connection isn't closed as unused before
-// release.
-func (la *lane) acquire(ctx context.Context) (*conn, error) {
-	la.mu.Lock()
-	la.users++
-	la.mu.Unlock()
-	c, err := la.get(ctx, relayDial*la.link.mesh.opts.Ready)
+// acquire returns a connection like get for use by a relay. The connection is not
+// closed as unused until release is called.
+func (ch *channel) acquire(ctx context.Context) (*conn, error) {
+	ch.mu.Lock()
+	ch.activeRelays++
+	ch.mu.Unlock()
+	c, err := ch.get(ctx, relayDialFactor*ch.link.mesh.opts.Ready)
 	if err != nil {
-		la.release()
+		ch.release()
 	}
 	return c, err
 }
 
-func (la *lane) release() {
-	la.mu.Lock()
-	defer la.mu.Unlock()
-	la.users--
-	la.used = la.link.mesh.opts.Clock.Now()
+func (ch *channel) release() {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	ch.activeRelays--
+	ch.lastUsed = ch.link.mesh.opts.Clock.Now()
 }
 
-// closeUnused closes the connection when no relay used it of late. Only this
-// node opens relays on a connection that it dialled, so none can be on its way
-// when users is 0.
-func (la *lane) closeUnused(now clock.Instant) {
-	la.mu.Lock()
-	c := la.conn
-	unused := la.users == 0 && now.Sub(la.used) >= relayUnused
+// closeUnused closes the connection if no relay used it for relayUnusedTimeout. Only
+// this node opens relays on a connection that it dialled, so none can be in
+// flight when activeRelays is 0.
+func (ch *channel) closeUnused(now clock.Instant) {
+	ch.mu.Lock()
+	c := ch.conn
+	unused := ch.activeRelays == 0 && now.Sub(ch.lastUsed) >= relayUnusedTimeout
 	if unused {
-		la.conn = nil
+		ch.conn = nil
 	}
-	la.mu.Unlock()
+	ch.mu.Unlock()
 	if unused && c != nil {
 		c.CloseWithError(closeUnused, "no relay uses the link")
 	}
 }
 
-// serve starts the goroutines that take what the other side opens. Relays come
-// only from the side that dialled.
-func (m *Mesh) serve(c *conn, protocol string) {
-	if !m.keep(c) {
+// serveConn starts the goroutines that accept the other side's streams. Relays are
+// opened only by the side that dialled.
+func (m *Mesh) serveConn(c *conn, protocol string) {
+	if !m.registerConn(c) {
 		c.CloseWithError(closeShutdown, "this node stops")
 		return
 	}
 	m.spawn(func() {
 		<-c.Context().Done()
-		m.drop(c)
-		m.metrics.countBytes(c)
+		m.unregisterConn(c)
+		m.metrics.addLinkBytes(c)
 	})
 	m.spawn(func() { m.acceptStreams(c, protocol) })
-	if protocol == controlLane {
+	if protocol == controlProtocol {
 		m.spawn(func() { m.acceptMessages(c) })
 	}
 }
@@ -277,7 +280,7 @@
 		if err != nil {
 			return
 		}
-		if protocol == relayLane {
+		if protocol == relayProtocol {
 			m.spawn(func() { m.serveRelay(c, s) })
 		} else {
 			m.spawn(func() { m.serveCall(c, s) })
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -19,15 +19,15 @@
 	"chervilloom/internal/fleet"
 )
 
-// The protocols of the two connections between two nodes, negotiated by ALPN.
+// ALPN protocols of the two connections between two nodes.
 const (
-	controlLane = "chervilloom-control/1" // messages and calls
-	relayLane   = "chervilloom-relay/1"   // relayed requests
+	controlProtocol = "chervilloom-control/1" // messages and calls
+	relayProtocol   = "chervilloom-relay/1"   // relayed requests
 )
 
-var lanes = [...]string{controlLane, relayLane}
+var protocols = [...]string{controlProtocol, relayProtocol}
 
-// Codes with which a connection or stream is closed.
+// Application error codes for closing connections and resetting streams.
 const (
 	closeShutdown quic.ApplicationErrorCode = iota + 1
 	closeRefused
@@ -41,90 +41,91 @@
 )
 
 const (
-	// controlIdle is long: the control connections of a large fleet are used
-	// once in minutes each, and a handshake costs as much as hundreds of pings.
-	// Whether the peer lives is membership's to say.
-	controlIdle      = 15 * time.Minute
-	defaultSilence   = 6 * time.Second
-	keepAlives       = 3 // in the time of Options.Silence
-	defaultReady     = time.Second
-	defaultMaxRelays = 4096
-	// relayUnused is how long a relay connection stays without a relay.
-	relayUnused = time.Minute
+	// controlIdleTimeout is long because in a large fleet each control connection is
+	// used once in several minutes, and a handshake costs as much as hundreds of
+	// pings. Failure detection is done by the membership package.
+	controlIdleTimeout   = 15 * time.Minute
+	defaultIdleTimeout   = 6 * time.Second
+	keepAlivesPerTimeout = 3 // keep-alives sent per relay idle timeout
+	defaultReadyTimeout  = time.Second
+	defaultMaxRelays     = 4096
+	// relayUnusedTimeout is how long a relay connection without relays stays open.
+	relayUnusedTimeout = time.Minute
 
 	handshakeTimeout = 3 * time.Second
 	dialTimeout      = 3 * time.Second
 
-	maxUniStreams  = 256
-	streamWindow   = 256 << 10
-	maxWindow      = 1 << 20
-	connWindow     = 16 << 20
-	maxConnWindow  = 256 << 20
-	maxHops        = 3
-	janitorPeriod  = 10 * time.Second
-	drainedLinger  = 5 * time.Second
-	requestTimeout = 30 * time.Second // for a relayed request's body to arrive
+	maxUniStreams       = 256
+	streamWindow        = 256 << 10
+	maxStreamWindow     = 1 << 20
+	connWindow          = 16 << 20
+	maxConnWindow       = 256 << 20
+	maxHops             = 3
+	maintenanceInterval = 10 * time.Second
+	finWaitTimeout      = 5 * time.Second
+	requestReadTimeout  = 30 * time.Second // to receive a whole relayed request
 )
 
-// Options make a Mesh. Self, Listen, Identity and Log are needed.
+// Options configure a Mesh. Self, Listen, Identity and Log are required.
 type Options struct {
 	Self       fleet.Node
 	Zone       fleet.AvailabilityZone
-	Listen     string // ip:port of the UDP socket; port 0 takes a free one
+	Listen     string // ip:port of the UDP socket; port 0 selects a free port
 	Identity   Identity
-	Handler    filter.Handler // of relayed requests; may be set later by SetHandler
+	Handler    filter.Handler // serves relayed requests; can be set later with SetHandler
 	Clock      clock.Clock    // default clock.Boot
 	Log        *slog.Logger
-	Registerer prometheus.Registerer // nil: metrics are kept but not exposed
-	// Silence ends the relays over a link of which nothing is heard. The link's
-	// keep-alives are answered whatever the peer's handlers do, so silence means
-	// a dead, cut off or paused peer and not a slow answer. Default 6 s.
+	Registerer prometheus.Registerer // nil: metrics are counted but not exposed
+	// Silence is the idle timeout of relay connections: relays fail when nothing
+	// was received for this long. QUIC answers keep-alives whatever the peer's
+	// handlers do, so a timeout means a dead, partitioned or paused peer and not
+	// a slow answer. Default 6 s.
 	Silence time.Duration
-	// Ready is how long a peer may take to answer a dial for a relayed request,
-	// and to say that the request has arrived. Default 1 s.
+	// Ready is the timeout for the peer to send Ready for a relayed request. The
+	// dial of a relay connection may take twice as long. Default 1 s.
 	Ready time.Duration
-	// MaxRelays bounds the requests that one peer relays here at a time; further
-	// ones are refused as not run. Default 4096.
+	// MaxRelays limits the concurrent requests that one peer relays to this node;
+	// further ones are refused as not run. Default 4096.
 	MaxRelays int
 }
 
-func (o *Options) fill() {
+func (o *Options) setDefaults() {
 	if o.Clock == nil {
 		o.Clock = clock.Boot{}
 	}
 	if o.Log == nil {
 		o.Log = slog.Default()
 	}
-	o.Silence = cmp.Or(o.Silence, defaultSilence)
-	o.Ready = cmp.Or(o.Ready, defaultReady)
+	o.Silence = cmp.Or(o.Silence, defaultIdleTimeout)
+	o.Ready = cmp.Or(o.Ready, defaultReadyTimeout)
 	o.MaxRelays = cmp.Or(o.MaxRelays, defaultMaxRelays)
 }
 
-// Peer is another node's address.
+// Peer is the address of another node.
 type Peer struct {
 	VM   fleet.VM
 	Zone fleet.AvailabilityZone
 	Addr string // ip:port
 }
 
-// Mesh is one node's links to all others. Its methods are safe for concurrent
-// use.
+// Mesh manages the links of one node to all others. Its methods are safe for
+// concurrent use.
 type Mesh struct {
-	opts     Options
-	socket   *net.UDPConn
-	quic     *quic.Transport
-	listener *quic.Listener
-	metrics  *metrics
-	handler  atomic.Pointer[filter.Handler]
-	hops     tracker
-
-	ctx  context.Context // ends when Run does
+	opts           Options
+	socket         *net.UDPConn
+	quic           *quic.Transport
+	listener       *quic.Listener
+	metrics        *metrics
+	handler        atomic.Pointer[filter.Handler]
+	relaysInFlight relayTracker
+
+	ctx  context.Context // cancelled when Run returns
 	stop context.CancelFunc
 	wg   sync.WaitGroup
 
-	lifeMu sync.Mutex
-	over   bool // no goroutine may be started any more
-	conns  map[*conn]struct{}
+	closeMu sync.Mutex
+	closing bool // no goroutine may be started and no connection registered
+	conns   map[*conn]struct{}
 
 	mu     sync.Mutex
 	links  map[fleet.VM]*link
@@ -132,23 +133,23 @@
 	depths map[string]int
 	calls  map[string]callHandler
 
-	strangers map[string]*stranger // by address
+	seeds map[string]*seed // by address
 }
 
-// New binds the socket. Links are served once Run runs.
+// New returns a Mesh with a bound socket. Incoming connections are served by Run.
 func New(o Options) (*Mesh, error) {
 	if o.Identity.vm != o.Self.VM {
-		return nil, fmt.Errorf("peer: the certificate names %q, this VM is %q; issue a certificate for this VM", o.Identity.vm, o.Self.VM)
+		return nil, fmt.Errorf("peer: the certificate is for VM %q, but this VM is %q; issue a certificate for this VM", o.Identity.vm, o.Self.VM)
 	}
-	o.fill()
+	o.setDefaults()
 	addr, err := net.ResolveUDPAddr("udp", o.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("peer: %q is no ip:port; correct the peer address in the settings: %w", o.Listen, err)
+		return nil, fmt.Errorf("peer: %q is not an ip:port address; correct the peer address in the settings: %w", o.Listen, err)
 	}
 	m := &Mesh{
 		opts: o, links: map[fleet.VM]*link{}, topics: map[string]*topic{},
 		depths: map[string]int{}, calls: map[string]callHandler{}, conns: map[*conn]struct{}{},
-		strangers: map[string]*stranger{},
+		seeds: map[string]*seed{},
 	}
 	if m.metrics, err = newMetrics(o.Registerer); err != nil {
 		return nil, err
@@ -156,11 +157,11 @@
 	if m.socket, err = net.ListenUDP("udp", addr); err != nil {
 		return nil, fmt.Errorf("peer: %s can't be bound; free the port or change it in the settings: %w", o.Listen, err)
 	}
-	reset := o.Identity.reset
+	reset := o.Identity.resetKey
 	m.quic = &quic.Transport{Conn: m.socket, StatelessResetKey: &reset}
-	if m.listener, err = m.quic.Listen(o.Identity.serverTLS(), m.quicConfig(controlLane)); err != nil {
+	if m.listener, err = m.quic.Listen(o.Identity.serverTLS(), m.quicConfig(controlProtocol)); err != nil {
 		m.socket.Close()
-		return nil, fmt.Errorf("peer: QUIC can't listen on %s: %w", o.Listen, err)
+		return nil, fmt.Errorf("peer: cannot listen for QUIC on %s: %w", o.Listen, err)
 	}
 	m.ctx, m.stop = context.WithCancel(context.Background())
 	if o.Handler != nil {
@@ -169,24 +170,25 @@
 	return m, nil
 }
 
-// quicConfig gives the bounds of a connection. The idle timeout in force is the
-// smaller one of the two sides, so the dialler's lane decides. A stream's window
-// bounds what one slow caller holds in memory; the connection's window is 256
-// times as large, so that a few slow callers don't stop the other answers.
-func (m *Mesh) quicConfig(lane string) *quic.Config {
+// quicConfig returns the limits of a connection. The effective idle timeout is
+// the smaller of the two sides' values, so the protocol that the dialler chose
+// determines it. The stream window bounds the memory that one slow caller
+// occupies; the connection window is 256 times as large, so that a few slow
+// callers don't block the other answers.
+func (m *Mesh) quicConfig(protocol string) *quic.Config {
 	c := &quic.Config{
 		Versions:                       []quic.Version{quic.Version1},
 		HandshakeIdleTimeout:           handshakeTimeout,
-		MaxIdleTimeout:                 controlIdle,
+		MaxIdleTimeout:                 controlIdleTimeout,
 		InitialStreamReceiveWindow:     streamWindow,
-		MaxStreamReceiveWindow:         maxWindow,
+		MaxStreamReceiveWindow:         maxStreamWindow,
 		InitialConnectionReceiveWindow: connWindow,
 		MaxConnectionReceiveWindow:     maxConnWindow,
 		MaxIncomingStreams:             int64(m.opts.MaxRelays),
 		MaxIncomingUniStreams:          maxUniStreams,
 	}
-	if lane == relayLane {
-		c.MaxIdleTimeout, c.KeepAlivePeriod = m.opts.Silence, m.opts.Silence/keepAlives
+	if protocol == relayProtocol {
+		c.MaxIdleTimeout, c.KeepAlivePeriod = m.opts.Silence, m.opts.Silence/keepAlivesPerTimeout
 	}
 	return c
 }
@@ -197,39 +199,39 @@
 // Self returns this node.
 func (m *Mesh) Self() fleet.Node { return m.opts.Self }
 
-// SetHandler sets what answers relayed requests. Until it is set they are
-// refused as not run.
+// SetHandler sets the handler of relayed requests. Until then they are refused
+// as not run.
 func (m *Mesh) SetHandler(h filter.Handler) { m.handler.Store(&h) }
 
-// Run serves the links until ctx ends, then closes them all.
+// Run accepts and serves connections until ctx is cancelled, then closes the mesh.
 func (m *Mesh) Run(ctx context.Context) error {
 	defer m.Close()
 	unhook := context.AfterFunc(ctx, m.stop)
 	defer unhook()
-	m.spawn(m.janitor)
+	m.spawn(m.maintain)
 	for {
 		conn, err := m.listener.Accept(m.ctx)
 		if err != nil {
-			// Only Close closes the socket; the loop may find it closed before the
-			// context has ended.
+			// Only Close closes the socket, and Accept may see this before m.ctx is
+			// cancelled.
 			if m.ctx.Err() != nil || errors.Is(err, quic.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
 				return nil
 			}
 			return fmt.Errorf("peer: the socket failed: %w", err)
 		}
-		m.spawn(func() { m.admit(conn) })
+		m.spawn(func() { m.acceptConn(conn) })
 	}
 }
 
-// Close ends all links and waits for their goroutines. Run calls it.
+// Close closes all links and waits for their goroutines. Run calls it.
 func (m *Mesh) Close() error {
 	m.stop()
 	for _, l := range m.snapshotLinks() {
 		l.close(closeShutdown, "this node stops")
 	}
-	// Accepted relay connections belong to no link. Without this close the peer
-	// would wait out the idle timeout before it knew.
-	for _, c := range m.shut() {
+	// Accepted relay connections belong to no link. If they were not closed here,
+	// the peer would notice only after its idle timeout.
+	for _, c := range m.beginClose() {
 		c.CloseWithError(closeShutdown, "this node stops")
 	}
 	m.listener.Close()
@@ -239,55 +241,54 @@
 	return err
 }
 
-// spawn runs f in a goroutine that Close waits for. After Close has begun it
-// runs nothing and reports false.
+// spawn runs f in a goroutine that Close waits for. It reports false, without
+// running f, once Close was called.
 func (m *Mesh) spawn(f func()) bool {
-	m.lifeMu.Lock()
-	defer m.lifeMu.Unlock()
-	if m.over {
+	m.closeMu.Lock()
+	defer m.closeMu.Unlock()
+	if m.closing {
 		return false
 	}
 	m.wg.Go(f)
 	return true
 }
 
-// keep remembers the connection until it ends, or reports false when the mesh
-// is closing.
-func (m *Mesh) keep(c *conn) bool {
-	m.lifeMu.Lock()
-	defer m.lifeMu.Unlock()
-	if m.over {
+// registerConn registers the connection, or reports false if the mesh is closing.
+func (m *Mesh) registerConn(c *conn) bool {
+	m.closeMu.Lock()
+	defer m.closeMu.Unlock()
+	if m.closing {
 		return false
 	}
 	m.conns[c] = struct{}{}
 	return true
 }
 
-func (m *Mesh) drop(c *conn) {
-	m.lifeMu.Lock()
-	defer m.lifeMu.Unlock()
+func (m *Mesh) unregisterConn(c *conn) {
+	m.closeMu.Lock()
+	defer m.closeMu.Unlock()
 	delete(m.conns, c)
 }
 
-// countBytes brings the metrics of live connections up to date.
-func (m *Mesh) countBytes() {
-	m.lifeMu.Lock()
+// updateByteCounters updates the byte counters of all open connections.
+func (m *Mesh) updateByteCounters() {
+	m.closeMu.Lock()
 	live := make([]*conn, 0, len(m.conns))
 	for c := range m.conns {
 		live = append(live, c)
 	}
-	m.lifeMu.Unlock()
+	m.closeMu.Unlock()
 	for _, c := range live {
-		m.metrics.countBytes(c)
+		m.metrics.addLinkBytes(c)
 	}
 }
 
-// shut lets no goroutine and connection begin any more and returns the
-// connections that are left.
-func (m *Mesh) shut() []*conn {
-	m.lifeMu.Lock()
-	defer m.lifeMu.Unlock()
-	m.over = true
+// beginClose prevents new goroutines and connections and returns the connections that
+// are still open.
+func (m *Mesh) beginClose() []*conn {
+	m.closeMu.Lock()
+	defer m.closeMu.Unlock()
+	m.closing = true
 	out := make([]*conn, 0, len(m.conns))
 	for c := range m.conns {
 		out = append(out, c)
@@ -295,26 +296,28 @@
 	return out
 }
 
-// Drain refuses new relayed requests as not run and returns when those that
-// this node answers or passes on are over, or ctx ends. A hop is over when the
-// other node has taken the whole answer, so Run may be ended afterwards.
+// Drain refuses new relayed requests as not run and waits until the relays in
+// flight in both directions have finished, or ctx ends. An incoming relay is
+// finished when the other node has received the whole answer, so Run can be
+// stopped afterwards.
 func (m *Mesh) Drain(ctx context.Context) error {
-	m.hops.drain()
-	if err := m.hops.wait(ctx); err != nil {
-		return fmt.Errorf("peer: relayed requests are still running; give the shutdown more time: %w", err)
+	m.relaysInFlight.drain()
+	if err := m.relaysInFlight.wait(ctx); err != nil {
+		return fmt.Errorf("peer: relayed requests are still in flight; allow more time for the shutdown: %w", err)
 	}
 	return nil
 }
 
-// SetPeers makes the addresses known. A VM that is not named keeps the address
-// it had; a link in use stays and the new address is for its next dial.
+// SetPeers sets the addresses of the given VMs. VMs that are not in the list
+// keep their address. Open connections stay; a new address applies to the next
+// dial.
 func (m *Mesh) SetPeers(peers []Peer) {
 	for _, p := range peers {
 		m.Learn(p.VM, p.Addr)
 	}
 }
 
-// Learn is SetPeers for one VM.
+// Learn sets the address of one VM; see SetPeers.
 func (m *Mesh) Learn(vm fleet.VM, addr string) {
 	if vm == m.opts.Self.VM || addr == "" {
 		return
@@ -322,7 +325,7 @@
 	m.link(vm).setAddr(addr)
 }
 
-// Forget closes the links to the VM and drops its address.
+// Forget closes the link to the VM and discards its address.
 func (m *Mesh) Forget(vm fleet.VM) {
 	m.mu.Lock()
 	l := m.links[vm]
@@ -333,7 +336,7 @@
 	}
 }
 
-// link returns the link to the VM, made at first use.
+// link returns the link to the VM and creates it on first use.
 func (m *Mesh) link(vm fleet.VM) *link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -355,17 +358,17 @@
 	return out
 }
 
-// janitor keeps the byte counts up to date and closes relay connections that no
-// relay has used for a while: their keep-alives would add up in a large fleet.
-func (m *Mesh) janitor() {
-	t := time.NewTicker(janitorPeriod)
+// maintain periodically updates the byte counters and closes unused relay
+// connections, whose keep-alives would add up in a large fleet.
+func (m *Mesh) maintain() {
+	t := time.NewTicker(maintenanceInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-m.ctx.Done():
 			return
 		case <-t.C:
-			m.countBytes()
+			m.updateByteCounters()
 			now := m.opts.Clock.Now()
 			for _, l := range m.snapshotLinks() {
 				l.relay.closeUnused(now)
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	defaultDepth    = 64
-	subscriberDepth = 1024
-	messageTimeout  = 2 * time.Second // to hand a message to the connection, and to read one
+	defaultQueueDepth    = 64
+	subscriberQueueDepth = 1024
+	messageTimeout       = 2 * time.Second // to write or to read one message
 )
 
-// SetDepth bounds how many messages of the topic wait for one peer. A topic
-// whose messages replace each other has depth 1. The default is 64. It is to be
-// called before the topic's first Send.
+// SetDepth sets the capacity of the topic's send queue, which exists for each
+// peer. Use 1 for a topic where a newer message supersedes the older one. The
+// default is 64. Call it before the topic's first Send.
 func (m *Mesh) SetDepth(topic string, depth int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -32,26 +32,26 @@
 	if d, ok := m.depths[topic]; ok {
 		return d
 	}
-	return defaultDepth
+	return defaultQueueDepth
 }
 
-// Send queues a message for the VM and returns at once. Each topic has a ring
-// for each peer; when it is full the oldest message is dropped and counted, so
-// the newest reaches a peer that was out of reach. Messages may be lost and may
-// overtake each other. An error means that the message was not queued.
+// Send queues a message for the VM and returns immediately. Each topic has a
+// bounded queue per peer. When the queue is full, the oldest message is dropped
+// and counted, so a peer that was unreachable receives the newest ones.
+// Messages may be lost or reordered. On error the message was not queued.
 func (m *Mesh) Send(to fleet.VM, topic string, payload []byte) error {
 	if to == m.opts.Self.VM {
-		return fmt.Errorf("peer: a message of topic %q to this node itself; handle it in place", topic)
+		return fmt.Errorf("peer: message on topic %q is addressed to the local node; handle it locally", topic)
 	}
-	if len(payload) > maxMessageBytes-len(topic)-frameHead {
-		return fmt.Errorf("peer: a message of %d bytes is over the limit of %d; send it by Call", len(payload), maxMessageBytes)
+	if len(payload) > maxMessageBytes-len(topic)-frameHeaderBytes {
+		return fmt.Errorf("peer: message of %d bytes exceeds the limit of %d bytes; use Call instead", len(payload), maxMessageBytes)
 	}
-	m.link(to).outbox.put(topic, payload)
+	m.link(to).outbox.enqueue(topic, payload)
 	return nil
 }
 
-// Broadcast sends a message to every VM whose address is known or that has a
-// link to this node.
+// Broadcast sends a message to every VM with a known address or with a link to
+// this node.
 func (m *Mesh) Broadcast(topic string, payload []byte) {
 	for _, l := range m.snapshotLinks() {
 		if err := m.Send(l.vm, topic, payload); err != nil {
@@ -61,18 +61,19 @@
 	}
 }
 
-// Subscribe gives the topic's messages to f, from one goroutine. Between the
-// links and f lies a ring of 1024; when it is full new messages are dropped and
-// counted. f owns the payload. A topic has one subscriber.
+// Subscribe calls f for each message of the topic, from a single goroutine. Up
+// to 1024 received messages wait for f; when that queue is full, new messages
+// are dropped and counted. f owns the payload. A second subscriber of the same
+// topic panics.
 func (m *Mesh) Subscribe(name string, f func(from fleet.Node, payload []byte)) {
-	t := &topic{queue: ring.NewQueue[message](subscriberDepth)}
+	t := &topic{queue: ring.NewQueue[message](subscriberQueueDepth)}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.topics[name] != nil {
-		panic("peer: two subscribers of topic " + name)
+		panic("peer: duplicate subscriber of topic " + name)
 	}
 	m.topics[name] = t
-	m.metrics.knowTopic(name)
+	m.metrics.addTopic(name)
 	m.spawn(func() { m.deliver(t, f) })
 }
 
@@ -100,17 +101,17 @@
 		if err != nil {
 			return
 		}
-		m.spawn(func() { m.takeMessage(c, s) })
+		m.spawn(func() { m.readMessage(c, s) })
 	}
 }
 
-func (m *Mesh) takeMessage(c *conn, s *quic.ReceiveStream) {
+func (m *Mesh) readMessage(c *conn, s *quic.ReceiveStream) {
 	defer s.CancelRead(0)
 	s.SetReadDeadline(time.Now().Add(messageTimeout))
 	var f messageFrame
 	r := frameReader{r: s}
 	if err := r.expect(frameMessage, &f, maxMessageBytes); err != nil {
-		m.metrics.dropped(f.Topic, "unreadable")
+		m.metrics.countDropped(f.Topic, "unreadable")
 		return
 	}
 	m.mu.Lock()
@@ -118,47 +119,47 @@
 	m.mu.Unlock()
 	switch {
 	case t == nil:
-		m.metrics.dropped(f.Topic, "no_subscriber")
+		m.metrics.countDropped(f.Topic, "no_subscriber")
 	case !t.queue.Offer(message{from: c.node, payload: f.Payload}):
-		m.metrics.dropped(f.Topic, "subscriber_full")
+		m.metrics.countDropped(f.Topic, "subscriber_full")
 	default:
-		m.metrics.received(f.Topic)
+		m.metrics.countReceived(f.Topic)
 	}
 }
 
-// outbox holds the messages that wait for one peer.
+// outbox queues the outgoing messages for one peer.
 type outbox struct {
 	link *link
 	wake chan struct{}
 
-	mu      sync.Mutex
-	rings   map[string]*dropOldest
-	order   []string // topics with messages, in the order in which they came
-	running bool     // the sending goroutine lives
-	closed  bool
+	mu          sync.Mutex
+	queues      map[string]*evictingQueue
+	readyTopics []string // topics with queued messages, served round-robin
+	running     bool     // the sending goroutine has been started
+	closed      bool
 }
 
 func newOutbox(l *link) *outbox {
-	return &outbox{link: l, wake: make(chan struct{}, 1), rings: map[string]*dropOldest{}}
+	return &outbox{link: l, wake: make(chan struct{}, 1), queues: map[string]*evictingQueue{}}
 }
 
-func (o *outbox) put(topic string, payload []byte) {
+func (o *outbox) enqueue(topic string, payload []byte) {
 	depth := o.link.mesh.depth(topic)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed {
 		return
 	}
-	r := o.rings[topic]
+	r := o.queues[topic]
 	if r == nil {
-		r = &dropOldest{size: depth}
-		o.rings[topic] = r
+		r = &evictingQueue{capacity: depth}
+		o.queues[topic] = r
 	}
 	if len(r.items) == 0 {
-		o.order = append(o.order, topic)
+		o.readyTopics = append(o.readyTopics, topic)
 	}
 	if r.push(payload) {
-		o.link.mesh.metrics.dropped(topic, "ring_full")
+		o.link.mesh.metrics.countDropped(topic, "ring_full")
 	}
 	if !o.running {
 		o.running = o.link.mesh.spawn(o.run)
@@ -169,19 +170,20 @@
 	}
 }
 
-// take returns the oldest message of the topic that has waited longest.
-func (o *outbox) take() (topic string, payload []byte, ok bool) {
+// dequeue removes and returns the oldest message of the next topic in round-robin
+// order.
+func (o *outbox) dequeue() (topic string, payload []byte, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if len(o.order) == 0 {
+	if len(o.readyTopics) == 0 {
 		return "", nil, false
 	}
-	topic = o.order[0]
-	o.order = o.order[1:]
-	r := o.rings[topic]
+	topic = o.readyTopics[0]
+	o.readyTopics = o.readyTopics[1:]
+	r := o.queues[topic]
 	payload = r.pop()
 	if len(r.items) > 0 {
-		o.order = append(o.order, topic)
+		o.readyTopics = append(o.readyTopics, topic)
 	}
 	return topic, payload, true
 }
@@ -196,14 +198,15 @@
 	}
 }
 
-func (o *outbox) over() bool {
+func (o *outbox) isClosed() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.closed
 }
 
-// run sends until the link closes. Messages stay in their rings while the peer
-// can't be reached, so that the newest ones go out first thing afterwards.
+// run sends queued messages until the link is closed. While the peer is
+// unreachable the messages stay in their queues, so that the newest ones are
+// sent as soon as it is reachable again.
 func (o *outbox) run() {
 	m := o.link.mesh
 	for {
@@ -212,16 +215,16 @@
 			return
 		case <-o.wake:
 		}
-		if o.over() {
+		if o.isClosed() {
 			return
 		}
-		if !o.flush() && !pause(m.ctx.Done(), backOffBase) {
+		if !o.flush() && !sleep(m.ctx.Done(), backOffBase) {
 			return
 		}
 	}
 }
 
-// flush sends what waits. It reports false when the peer can't be reached.
+// flush sends all queued messages. It reports false if the peer is unreachable.
 func (o *outbox) flush() bool {
 	c, err := o.link.control.get(o.link.mesh.ctx, dialTimeout)
 	if err != nil {
@@ -232,15 +235,15 @@
 		return false
 	}
 	for {
-		topic, payload, ok := o.take()
+		topic, payload, ok := o.dequeue()
 		if !ok {
 			return true
 		}
 		if err := sendMessage(c, topic, payload); err != nil {
-			o.link.mesh.metrics.dropped(topic, "link")
-			return c.alive()
+			o.link.mesh.metrics.countDropped(topic, "link")
+			return c.isAlive()
 		}
-		o.link.mesh.metrics.sent(topic)
+		o.link.mesh.metrics.countSent(topic)
 	}
 }
 
@@ -257,8 +260,8 @@
 	return s.Close()
 }
 
-// pause waits for d and reports false when done closed first.
-func pause(done <-chan struct{}, d time.Duration) bool {
+// sleep waits for d and reports false if done was closed first.
+func sleep(done <-chan struct{}, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -269,16 +272,15 @@
 	}
 }
 
-// dropOldest is a first-in-first-out ring that makes room by dropping its
-// oldest item.
-type dropOldest struct {
-	size  int
-	items [][]byte
+// evictingQueue is a bounded FIFO queue that evicts its oldest item when full.
+type evictingQueue struct {
+	capacity int
+	items    [][]byte
 }
 
-// push adds p and reports whether another item was dropped for it.
-func (r *dropOldest) push(p []byte) bool {
-	full := len(r.items) >= r.size
+// push appends p and reports whether the oldest item was evicted.
+func (r *evictingQueue) push(p []byte) bool {
+	full := len(r.items) >= r.capacity
 	if full {
 		r.items = r.items[1:]
 	}
@@ -286,7 +288,7 @@
 	return full
 }
 
-func (r *dropOldest) pop() []byte {
+func (r *evictingQueue) pop() []byte {
 	p := r.items[0]
 	r.items[0] = nil
 	r.items = r.items[1:]
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -6,17 +6,17 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// otherTopic stands for topics without a subscriber here, which a peer could
-// name at will.
+// otherTopic is the label of all topics without a local subscriber; it bounds the
+// cardinality, since a peer can send any topic name.
 const otherTopic = "other"
 
 type metrics struct {
-	relays       *prometheus.CounterVec // result
-	served       *prometheus.CounterVec // result
-	relayBytes   *prometheus.CounterVec // direction
-	linkBytes    *prometheus.CounterVec // lane, direction
-	dialFailures *prometheus.CounterVec // lane
-	messages     *prometheus.CounterVec // topic, result
+	relays       *prometheus.CounterVec // labels: result
+	served       *prometheus.CounterVec // labels: result
+	relayBytes   *prometheus.CounterVec // labels: direction
+	linkBytes    *prometheus.CounterVec // labels: lane, direction
+	dialFailures *prometheus.CounterVec // labels: lane
+	messages     *prometheus.CounterVec // labels: topic, result
 	rtt          *prometheus.HistogramVec
 
 	mu     sync.RWMutex
@@ -55,19 +55,19 @@
 }
 
 func laneLabel(protocol string) string {
-	if protocol == relayLane {
+	if protocol == relayProtocol {
 		return "relay"
 	}
 	return "control"
 }
 
-func (m *metrics) knowTopic(name string) {
+func (m *metrics) addTopic(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.topics[name] = true
 }
 
-func (m *metrics) topic(name string) string {
+func (m *metrics) topicLabel(name string) string {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	if m.topics[name] {
@@ -76,17 +76,20 @@
 	return otherTopic
 }
 
-func (m *metrics) dropped(topic, why string) {
-	m.messages.WithLabelValues(m.topic(topic), "dropped_"+why).Inc()
+func (m *metrics) countDropped(topic, reason string) {
+	m.messages.WithLabelValues(m.topicLabel(topic), "dropped_"+reason).Inc()
 }
 
-func (m *metrics) sent(topic string) { m.messages.WithLabelValues(m.topic(topic), "sent").Inc() }
-func (m *metrics) received(topic string) {
-	m.messages.WithLabelValues(m.topic(topic), "received").Inc()
+func (m *metrics) countSent(topic string) {
+	m.messages.WithLabelValues(m.topicLabel(topic), "sent").Inc()
+}
+func (m *metrics) countReceived(topic string) {
+	m.messages.WithLabelValues(m.topicLabel(topic), "received").Inc()
 }
 
-// countBytes adds what went over the connection since the last time.
-func (m *metrics) countBytes(c *conn) {
+// addLinkBytes adds the bytes sent and received on the connection since the last
+// call.
+func (m *metrics) addLinkBytes(c *conn) {
 	c.countMu.Lock()
 	defer c.countMu.Unlock()
 	s := c.ConnectionStats()
--- a/internal/peer/network_test.go
+++ b/internal/peer/network_test.go
@@ -20,9 +20,9 @@
 	"chervilloom/internal/standin/netfault"
 )
 
-// faultyLink puts a datagram relay between a and b. Only a knows an address, so
-// all links go through it.
-func faultyLink(t *testing.T, h filter.Handler) (a, b *Mesh, net *netfault.Relay) {
+// startLinkWithRelay starts two meshes with a datagram relay between them. Only a knows
+// an address, so all traffic passes through the relay.
+func startLinkWithRelay(t *testing.T, h filter.Handler) (a, b *Mesh, net *netfault.Relay) {
 	t.Helper()
 	short := func(o *Options) { o.Silence, o.Handler = time.Second, h }
 	a, b = startMesh(t, "a", short), startMesh(t, "b", short)
@@ -35,17 +35,17 @@
 	return a, b, net
 }
 
-// The network between two nodes is cut in one direction or both while an answer
-// is on its way. The caller must be told that it is cut, new requests that they
-// did not run, and when the cut heals requests must go through again.
-func TestNetworkCutInAnswer(t *testing.T) {
+// The network between two nodes is partitioned in one or both directions during
+// an answer. The answer must be reported as cut, new requests as not run, and
+// after the partition heals requests must succeed again.
+func TestPartitionDuringAnswer(t *testing.T) {
 	for name, cut := range map[string][2]bool{"both ways": {true, true}, "towards the peer": {true, false}, "from the peer": {false, true}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			ended := make(chan struct{}, 8)
-			a, _, net := faultyLink(t, filter.Func(func(ctx context.Context, req *request.Request, w answer.Writer) {
+			a, _, net := startLinkWithRelay(t, filter.Func(func(ctx context.Context, req *request.Request, w answer.Writer) {
 				if req.ID != "long" {
-					tokens(3).Serve(ctx, req, w)
+					tokenHandler(3).Serve(ctx, req, w)
 					return
 				}
 				w.Start(answer.Head{Status: 200})
@@ -65,36 +65,36 @@
 				return a.Relay(ctx, "b", testRequest("healed"), r) == nil && r.end.Whole
 			}))
 			select {
-			case <-ended: // the other side's handler was told as well
+			case <-ended: // the context of the handler on the other node was cancelled
 			case <-ctx.Done():
-				t.Fatal("the handler behind the cut went on")
+				t.Fatal("the context of the handler on the other node was not cancelled")
 			}
 		})
 	}
 }
 
-// eventually repeats f until it is true or ctx ends.
+// eventually polls f until it returns true, or reports false when ctx ends.
 func eventually(ctx context.Context, f func() bool) bool {
 	for !f() {
-		if !pause(ctx.Done(), 20*time.Millisecond) {
+		if !sleep(ctx.Done(), 20*time.Millisecond) {
 			return false
 		}
 	}
 	return true
 }
 
-// The network is cut on a link that is in use, so that nothing tells the sender
-// before the other node fails to say Ready. A request that may not be repeated
-// has then not run, and may go elsewhere; one that may be repeated is unknown,
-// because its Commit went out with it.
-func TestCutBeforeReady(t *testing.T) {
+// The network is partitioned while a link is open, so that the sender notices it
+// only by the missing Ready. The outcome of a non-idempotent request must be not
+// run, so that it can be retried elsewhere; that of an idempotent one is unknown,
+// because its Commit was sent with it.
+func TestPartitionBeforeReady(t *testing.T) {
 	for _, c := range []struct {
 		idempotent bool
 		want       outcome.Outcome
 	}{{false, outcome.NotRun}, {true, outcome.Unknown}} {
 		t.Run(string(c.want), func(t *testing.T) {
 			is := is.New(t)
-			a, _, net := faultyLink(t, tokens(1))
+			a, _, net := startLinkWithRelay(t, tokenHandler(1))
 			ctx := testContext(t)
 			is.True(a.Relay(ctx, "b", testRequest("before"), &recorder{}) == nil)
 			net.Cut(true, true)
@@ -109,13 +109,13 @@
 	}
 }
 
-// A fifth of the datagrams is lost in both directions. Every answer must still
-// come whole, each to its own caller.
-func TestRelaysUnderLoss(t *testing.T) {
+// With 20% packet loss in both directions, every answer must still arrive whole
+// and at its own caller.
+func TestRelaysUnderPacketLoss(t *testing.T) {
 	is := is.New(t)
 	const callers, length = 100, 30
 	id := func(i int) string { return fmt.Sprint("q", i) }
-	a, b := startMesh(t, "a", nil), startMesh(t, "b", func(o *Options) { o.Handler = tokens(length) })
+	a, b := startMesh(t, "a", nil), startMesh(t, "b", func(o *Options) { o.Handler = tokenHandler(length) })
 	net, err := netfault.NewRelay(b.Addr())
 	is.NoErr(err)
 	t.Cleanup(func() { net.Close() })
@@ -135,19 +135,19 @@
 	}
 }
 
-// The other node's process dies without closing anything and a new one starts on
-// its port. Its reset of the old connection must let the next call through long
-// before the control connection's idle timeout of 15 minutes.
-func TestRestartOnTheSamePort(t *testing.T) {
+// The other node's process dies without closing its connections, and a new one
+// starts on the same port. Its stateless reset must allow new calls long before
+// the control connection's idle timeout of 15 minutes.
+func TestRestartOnSamePort(t *testing.T) {
 	is := is.New(t)
 	a, b := startMesh(t, "a", nil), startMesh(t, "b", nil)
-	introduce(a, b)
+	exchangeAddrs(a, b)
 	ctx := testContext(t)
 	var failed *CallError
 	_, err := a.Call(ctx, "b", "none", nil)
 	is.True(errors.As(err, &failed))
 	addr := b.Addr()
-	b.socket.Close() // nothing can be sent any more
+	b.socket.Close() // so that Close cannot send anything
 	b.Close()
 	startMesh(t, "b", func(o *Options) { o.Listen, o.Self.Incarnation = addr, 2 })
 	is.True(eventually(ctx, func() bool {
@@ -158,10 +158,10 @@
 	}))
 }
 
-// The socket of a mesh is closed just before the mesh begins to close, as when a
-// node ends while it accepts a link. The serving loop ends in order: only Close
-// closes the socket, so finding it closed is no failure of its own.
-func TestSocketThatIsClosedFirstEndsInOrder(t *testing.T) {
+// The accept loop sees the closed socket before the context is cancelled, as when
+// a node stops while it accepts a connection. Run must return nil: only Close
+// closes the socket, so this is not a socket failure.
+func TestRunReturnsNilWhenSocketClosesFirst(t *testing.T) {
 	is := is.New(t)
 	id, err := IdentityFromSecret("a", testSecret)
 	is.NoErr(err)
--- a/internal/peer/observe_test.go
+++ b/internal/peer/observe_test.go
@@ -17,8 +17,9 @@
 	"chervilloom/internal/request"
 )
 
-// A request through two nodes shows as one trace: the caller's span, the relay
-// below it, the other node's below that, and the handler's work below that.
+// A request through two nodes must produce one trace: the caller's span is the
+// parent of the relay span, that of the serve span on the other node, and that of
+// the handler's spans.
 func TestSpanForEachHop(t *testing.T) {
 	is := is.New(t)
 	spans := tracetest.NewSpanRecorder()
@@ -30,10 +31,10 @@
 	b := startMesh(t, "b", func(o *Options) {
 		o.Handler = filter.Func(func(ctx context.Context, req *request.Request, w answer.Writer) {
 			parent <- req.TraceParent
-			tokens(1).Serve(ctx, req, w)
+			tokenHandler(1).Serve(ctx, req, w)
 		})
 	})
-	introduce(a, b)
+	exchangeAddrs(a, b)
 	req := testRequest("q")
 	req.TraceParent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 	is.True(a.Relay(testContext(t), "b", req, &recorder{}) == nil)
@@ -49,55 +50,55 @@
 	is.Equal(<-parent, "00-0af7651916cd43dd8448eb211c80319c-"+serve.SpanContext().SpanID().String()+"-01")
 }
 
-// A relay connection that nobody uses is closed, one that carries a relay isn't,
-// however long it takes; the next relay dials again.
+// An unused relay connection must be closed, but not one with a relay in flight,
+// however long it takes. The next relay must dial again.
 func TestUnusedRelayLinkIsClosed(t *testing.T) {
 	is := is.New(t)
 	manual := clock.NewManual(clock.Instant(time.Hour))
-	goOn := make(chan struct{})
+	resume := make(chan struct{})
 	a := startMesh(t, "a", func(o *Options) { o.Clock = manual })
 	b := startMesh(t, "b", func(o *Options) {
 		o.Handler = filter.Func(func(ctx context.Context, req *request.Request, w answer.Writer) {
 			w.Start(answer.Head{Status: 200})
 			select {
-			case <-goOn:
+			case <-resume:
 			case <-ctx.Done():
 			}
 			w.Finish(answer.End{Whole: true})
 		})
 	})
-	introduce(a, b)
+	exchangeAddrs(a, b)
 	ctx := testContext(t)
-	begun, done := make(chan struct{}), make(chan *recorder)
-	r := &recorder{onHead: func() { close(begun) }}
+	started, done := make(chan struct{}), make(chan *recorder)
+	r := &recorder{onHead: func() { close(started) }}
 	req := testRequest("q")
 	req.Deadline = 0
 	go func() { a.Relay(ctx, "b", req, r); done <- r }()
-	<-begun
-	lane := &a.link("b").relay
-	manual.Advance(10 * relayUnused)
-	lane.closeUnused(manual.Now())
-	close(goOn)
+	<-started
+	ch := &a.link("b").relay
+	manual.Advance(10 * relayUnusedTimeout)
+	ch.closeUnused(manual.Now())
+	close(resume)
 	is.True((<-done).end.Whole)
-	lane.closeUnused(manual.Now())
-	is.True(lane.live())
-	manual.Advance(relayUnused)
-	lane.closeUnused(manual.Now())
-	is.True(!lane.live())
+	ch.closeUnused(manual.Now())
+	is.True(ch.isConnected())
+	manual.Advance(relayUnusedTimeout)
+	ch.closeUnused(manual.Now())
+	is.True(!ch.isConnected())
 	again := &recorder{}
 	is.True(a.Relay(ctx, "b", req, again) == nil)
 	is.True(again.end.Whole)
 }
 
-// What went over the links is counted while they live, not only when they close.
+// The bytes of a link must be counted while it is open, not only when it closes.
 func TestLinkBytesAreCounted(t *testing.T) {
 	is := is.New(t)
 	reg := prometheus.NewRegistry()
 	a := startMesh(t, "a", func(o *Options) { o.Registerer = reg })
-	b := startMesh(t, "b", func(o *Options) { o.Handler = tokens(10) })
-	introduce(a, b)
+	b := startMesh(t, "b", func(o *Options) { o.Handler = tokenHandler(10) })
+	exchangeAddrs(a, b)
 	is.True(a.Relay(testContext(t), "b", testRequest("q"), &recorder{}) == nil)
-	a.countBytes()
+	a.updateByteCounters()
 	families, err := reg.Gather()
 	is.NoErr(err)
 	values := map[string]float64{}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -25,12 +25,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds the wait for what must come; it is no measure of speed.
-const patience = 30 * time.Second
+// testTimeout is the test timeout. It is generous and says nothing about performance.
+const testTimeout = 30 * time.Second
 
 var testSecret = []byte("a secret of the tests, long enough")
 
-// startMesh runs a mesh until the test ends.
+// startMesh starts a mesh that runs until the end of the test.
 func startMesh(t testing.TB, vm fleet.VM, change func(*Options)) *Mesh {
 	t.Helper()
 	id, err := IdentityFromSecret(vm, testSecret)
@@ -40,7 +40,7 @@
 	o := Options{
 		Self: fleet.Node{VM: vm, Incarnation: 1}, Zone: "z1", Listen: "127.0.0.1:0",
 		Identity: id, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Ready: patience, // a busy machine must not turn a wait into a refusal
+		Ready: testTimeout, // a slow test machine must not cause timeouts
 	}
 	if change != nil {
 		change(&o)
@@ -61,7 +61,7 @@
 	return m
 }
 
-func introduce(ms ...*Mesh) {
+func exchangeAddrs(ms ...*Mesh) {
 	for _, m := range ms {
 		for _, o := range ms {
 			m.SetPeers([]Peer{{VM: o.opts.Self.VM, Addr: o.Addr()}})
@@ -70,7 +70,7 @@
 }
 
 func testContext(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -80,11 +80,11 @@
 	return &request.Request{
 		ID: id, Organisation: "sagarmatha", Class: request.ClassModel, Method: "POST",
 		Path: "/v1/chat/completions", Body: []byte(`{"prompt":"` + id + `"}`), Stream: true,
-		Arrived: now, Deadline: now.Add(patience), Stage: request.StageDispatch,
+		Arrived: now, Deadline: now.Add(testTimeout), Stage: request.StageDispatch,
 	}
 }
 
-// recorder is an answer.Writer that keeps what it is given.
+// recorder is an answer.Writer that records the answer.
 type recorder struct {
 	mu     sync.Mutex
 	head   *answer.Head
@@ -127,8 +127,8 @@
 	return b.String()
 }
 
-// tokens answers with n events that name the request.
-func tokens(n int) filter.Handler {
+// tokenHandler returns a handler that answers with n events containing the request ID.
+func tokenHandler(n int) filter.Handler {
 	return filter.Func(func(_ context.Context, req *request.Request, w answer.Writer) {
 		w.Start(answer.Head{Status: 200, Stream: true})
 		for i := range n {
@@ -149,8 +149,8 @@
 func TestRelayWhole(t *testing.T) {
 	is := is.New(t)
 	a := startMesh(t, "a", nil)
-	b := startMesh(t, "b", func(o *Options) { o.Handler = tokens(20) })
-	introduce(a, b)
+	b := startMesh(t, "b", func(o *Options) { o.Handler = tokenHandler(20) })
+	exchangeAddrs(a, b)
 	r := &recorder{}
 	err := a.Relay(testContext(t), "b", testRequest("q1"), r)
 	is.True(err == nil)
@@ -159,14 +159,14 @@
 	is.Equal(r.end.Frames, uint64(20))
 }
 
-// Hundreds of callers share one link. Each answer is checked token by token:
-// a frame that went to another caller or out of order would show.
-func TestRelaysDoNotMix(t *testing.T) {
+// 400 callers share one link. Each answer is compared token by token, to detect
+// frames that were misrouted to another caller or reordered.
+func TestConcurrentRelaysAreIsolated(t *testing.T) {
 	is := is.New(t)
 	const callers, length = 400, 60
 	a := startMesh(t, "a", nil)
-	b := startMesh(t, "b", func(o *Options) { o.Handler = tokens(length) })
-	introduce(a, b)
+	b := startMesh(t, "b", func(o *Options) { o.Handler = tokenHandler(length) })
+	exchangeAddrs(a, b)
 	ctx := testContext(t)
 	var wg sync.WaitGroup
 	results := make([]recorder, callers)
@@ -193,7 +193,7 @@
 		return nil, outcome.New(outcome.PlatformDown, outcome.NotRun, "m", "r")
 	})
 	b.Subscribe("news", func(from fleet.Node, p []byte) { got <- from.String() + " " + string(p) })
-	introduce(a, b)
+	exchangeAddrs(a, b)
 	ctx := testContext(t)
 	out, err := a.Call(ctx, "b", "upper", []byte("x"))
 	is.NoErr(err)
@@ -214,8 +214,8 @@
 	}
 }
 
-// A VM with another secret is refused in both directions. Its requests are told
-// as not run, because the link was never opened.
+// A VM with another secret must be rejected in both directions. Relays must fail
+// as not run, because no link was established.
 func TestWrongSecretRefused(t *testing.T) {
 	is := is.New(t)
 	ran := make(chan struct{}, 2)
@@ -228,7 +228,7 @@
 		o.Handler = h
 		o.Identity, _ = IdentityFromSecret("b", []byte("quite another secret than that"))
 	})
-	introduce(a, b)
+	exchangeAddrs(a, b)
 	ctx := testContext(t)
 	for from, to := range map[*Mesh]fleet.VM{a: "b", b: "a"} {
 		r := &recorder{}
@@ -242,12 +242,12 @@
 	is.Equal(len(ran), 0)
 }
 
-// The address of one VM answers as another (an address was given to a new VM):
-// the request must not go to the wrong node.
+// Another VM answers at the address, as after the address was reassigned. The
+// request must not be sent to the wrong node.
 func TestWrongVMRefused(t *testing.T) {
 	is := is.New(t)
 	a := startMesh(t, "a", nil)
-	b := startMesh(t, "b", func(o *Options) { o.Handler = tokens(1) })
+	b := startMesh(t, "b", func(o *Options) { o.Handler = tokenHandler(1) })
 	a.SetPeers([]Peer{{VM: "c", Addr: b.Addr()}})
 	err := a.Relay(testContext(t), "c", testRequest("q"), &recorder{})
 	is.True(err != nil)
@@ -255,8 +255,8 @@
 	is.True(strings.Contains(err.Cause.Error(), `VM "b" answers at the address of "c"`))
 }
 
-// The caller leaves in mid-answer: the other node's context ends, so that the
-// engine can be told to stop.
+// When the caller disconnects during the answer, the context on the other node
+// must be cancelled, so that the engine can be stopped.
 func TestCancelPropagates(t *testing.T) {
 	is := is.New(t)
 	cancelled := make(chan struct{})
@@ -269,23 +269,23 @@
 			w.Finish(answer.End{Error: outcome.New(outcome.CallerGone, outcome.Unknown, "", "")})
 		})
 	})
-	introduce(a, b)
+	exchangeAddrs(a, b)
 	ctx, cancel := context.WithCancel(testContext(t))
 	r := &recorder{onHead: cancel}
 	err := a.Relay(ctx, "b", testRequest("q"), r)
-	is.True(err == nil) // the answer had begun, so it was finished as cut
+	is.True(err == nil) // the answer had started and was finished as cut
 	is.True(!r.end.Whole)
 	is.Equal(r.end.Error.Kind, outcome.CallerGone)
 	select {
 	case <-cancelled:
-	case <-time.After(patience):
-		t.Fatal("the handler's context did not end")
+	case <-time.After(testTimeout):
+		t.Fatal("the handler's context was not cancelled")
 	}
 }
 
-// The node that answers goes away in mid-answer. What the caller got is a part;
-// it must be told so.
-func TestPeerDiesInAnswer(t *testing.T) {
+// The answering node shuts down during the answer. The partial answer must be
+// reported as cut.
+func TestPeerClosesDuringAnswer(t *testing.T) {
 	is := is.New(t)
 	a := startMesh(t, "a", nil)
 	b := startMesh(t, "b", func(o *Options) {
@@ -294,7 +294,7 @@
 			<-ctx.Done()
 		})
 	})
-	introduce(a, b)
+	exchangeAddrs(a, b)
 	r := &recorder{onHead: func() { go b.Close() }}
 	err := a.Relay(testContext(t), "b", testRequest("q"), r)
 	is.True(err == nil)
@@ -302,30 +302,30 @@
 	is.Equal(r.end.Error.Kind, outcome.AnswerCut)
 }
 
-// A node that shuts down refuses new requests as not run and finishes the one
-// it is answering: Drain returns only when the caller has the whole answer.
+// A draining node must refuse new requests as not run and complete the one in
+// flight: Drain returns only after the caller has received the whole answer.
 func TestDrain(t *testing.T) {
 	is := is.New(t)
-	goOn := make(chan struct{})
+	resume := make(chan struct{})
 	a := startMesh(t, "a", nil)
 	b := startMesh(t, "b", func(o *Options) {
 		o.Handler = filter.Func(func(_ context.Context, _ *request.Request, w answer.Writer) {
 			w.Start(answer.Head{Status: 200})
-			<-goOn
+			<-resume
 			w.Frame(answer.Frame{Data: []byte("late")})
 			w.Finish(answer.End{Whole: true})
 		})
 	})
-	introduce(a, b)
+	exchangeAddrs(a, b)
 	ctx := testContext(t)
-	begun := make(chan struct{})
-	first := &recorder{onHead: func() { close(begun) }}
+	started := make(chan struct{})
+	first := &recorder{onHead: func() { close(started) }}
 	relayed := make(chan *outcome.Error, 1)
 	go func() { relayed <- a.Relay(ctx, "b", testRequest("q1"), first) }()
 	select {
-	case <-begun:
+	case <-started:
 	case err := <-relayed:
-		t.Fatal("no answer began: ", err)
+		t.Fatal("no answer was started: ", err)
 	}
 	short, cancel := context.WithCancel(ctx)
 	cancel()
@@ -334,7 +334,7 @@
 	is.True(err != nil)
 	is.Equal(err.Kind, outcome.ShuttingDown)
 	is.Equal(err.Outcome, outcome.NotRun)
-	close(goOn)
+	close(resume)
 	is.NoErr(b.Drain(ctx))
 	b.Close()
 	is.True(<-relayed == nil)
@@ -342,10 +342,10 @@
 	is.Equal(first.text(), "late")
 }
 
-// A seed from the settings is an address without a name. The VM that answers
-// there gets the message and is known from then on; this node's own address
-// among the seeds leads nowhere.
-func TestSendToAnAddress(t *testing.T) {
+// A seed from the settings is an address without a VM name. The VM that answers
+// there must receive the message and be known from then on; a message to the
+// node's own address must be dropped.
+func TestSendAddr(t *testing.T) {
 	is := is.New(t)
 	a, b := startMesh(t, "a", nil), startMesh(t, "b", nil)
 	got := make(chan string, 16)
@@ -367,14 +367,14 @@
 	is.True(errors.As(err, &failed))
 }
 
-// A node answers a call as soon as it has read the whole frame, and stops reading.
-// The caller has yet to end its side of the stream: that fails then, and the call
-// must not, since its answer is there. A call that is told as unknown for that
-// would leave its caller without a receipt.
-func TestAnswerBeforeTheEndOfTheRequest(t *testing.T) {
+// A node answers a call and stops reading as soon as it has read the whole frame,
+// before the caller has closed its side of the stream. That close then fails, but
+// the call must succeed, since its reply arrives. Otherwise a call that ran would
+// be reported as unknown.
+func TestCallAnsweredBeforeRequestIsClosed(t *testing.T) {
 	is := is.New(t)
 	a, b := startMesh(t, "a", nil), startMesh(t, "b", nil)
-	introduce(a, b)
+	exchangeAddrs(a, b)
 	b.HandleCall("echo", func(_ context.Context, _ fleet.Node, payload []byte) ([]byte, error) { return payload, nil })
 	var g errgroup.Group
 	for range 8 {
--- a/internal/peer/ready.go
+++ b/internal/peer/ready.go
@@ -6,66 +6,68 @@
 )
 
 const (
-	// readyLooks is how many looks at the link there are in Options.Ready.
-	readyLooks = 8
-	// readyMost is how many times Options.Ready the wait for Ready may last while
-	// the other node is heard.
-	readyMost = 3
+	// readyChecks is the number of checks per ready timeout.
+	readyChecks = 8
+	// maxReadyFactor is the maximum wait for Ready, in multiples of the ready timeout, while
+	// packets arrive from the other node.
+	maxReadyFactor = 3
 )
 
-// readyWait bounds the wait for Ready. A node of which nothing arrives is given up
-// after Options.Ready, so that its requests go elsewhere soon. On a link that loses
-// packets Ready may take longer, although the other node is there: as long as
-// packets of it go on arriving the wait goes on, up to readyMost times as long.
+// readyWait limits the wait for Ready. If no packet arrives from the other node
+// within the ready timeout, the wait ends, so that the request can soon be retried
+// elsewhere. On a link with packet loss Ready may take longer although the node is
+// alive: while packets arrive, the wait is extended up to maxReadyFactor times
+// the ready timeout.
 //
-// Time is counted in looks: a process that stands still looks late, and must not take
-// for the other node's silence what it didn't read itself.
+// Time is measured in checks instead of by the clock: if this process is paused,
+// its checks are delayed too, and packets it has not read yet are not counted as
+// silence of the other node.
 type readyWait struct {
-	pause    time.Duration   // between two looks
-	packets  func() uint64   // that have come from the other node
-	deadline func(time.Time) // of the read of Ready; zero: none
+	interval        time.Duration   // interval between two checks
+	packetsReceived func() uint64   // returns the number of packets received from the other node
+	setDeadline     func(time.Time) // sets the deadline for reading Ready; zero: none
 
-	mu     sync.Mutex
-	timer  *time.Timer
-	heard  uint64 // packets when last looked
-	silent int    // looks since something was heard
-	looks  int
-	ended  bool
+	mu           sync.Mutex
+	timer        *time.Timer
+	lastPackets  uint64 // packets received up to the last check
+	silentChecks int    // consecutive checks without a new packet
+	checks       int    // checks so far
+	stopped      bool
 }
 
-func newReadyWait(ready time.Duration, packets func() uint64, deadline func(time.Time)) *readyWait {
-	p := &readyWait{pause: ready / readyLooks, packets: packets, deadline: deadline, heard: packets()}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.timer = time.AfterFunc(p.pause, p.look)
-	return p
+func newReadyWait(ready time.Duration, packetsReceived func() uint64, setDeadline func(time.Time)) *readyWait {
+	w := &readyWait{interval: ready / readyChecks, packetsReceived: packetsReceived, setDeadline: setDeadline, lastPackets: packetsReceived()}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.timer = time.AfterFunc(w.interval, w.check)
+	return w
 }
 
-// look ends the read of Ready when nothing was heard for as many looks as there are in
-// Options.Ready, or the wait has lasted for as long as it may.
-func (p *readyWait) look() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.ended {
+// check aborts the read of Ready after readyChecks checks without a new packet, or
+// when the maximum wait has passed.
+func (w *readyWait) check() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.stopped {
 		return
 	}
-	p.looks++
-	p.silent++
-	if heard := p.packets(); heard > p.heard {
-		p.heard, p.silent = heard, 0
+	w.checks++
+	w.silentChecks++
+	if received := w.packetsReceived(); received > w.lastPackets {
+		w.lastPackets, w.silentChecks = received, 0
 	}
-	if p.silent >= readyLooks || p.looks >= readyMost*readyLooks {
-		p.deadline(time.Now())
+	if w.silentChecks >= readyChecks || w.checks >= maxReadyFactor*readyChecks {
+		w.setDeadline(time.Now())
 		return
 	}
-	p.timer.Reset(p.pause)
+	w.timer.Reset(w.interval)
 }
 
-// end lifts the deadline.
-func (p *readyWait) end() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.ended = true
-	p.timer.Stop()
-	p.deadline(time.Time{})
+// stop stops the checks and removes the read deadline.
+func (w *readyWait) stop() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.stopped = true
+	w.timer.Stop()
+	w.setDeadline(time.Time{})
 }
--- a/internal/peer/ready_test.go
+++ b/internal/peer/ready_test.go
@@ -9,45 +9,45 @@
 	"github.com/matryer/is"
 )
 
-// waitForReady returns how long a wait for Ready that never comes lasts when a packet of
-// the other node arrives at each of the times.
-func waitForReady(ready time.Duration, arrivals ...time.Duration) time.Duration {
+// readyWaitDuration returns the duration of the wait for a Ready that is never sent,
+// while packets of the other node arrive at the given times.
+func readyWaitDuration(ready time.Duration, arrivals ...time.Duration) time.Duration {
 	var packets atomic.Uint64
 	for _, at := range arrivals {
 		time.AfterFunc(at, func() { packets.Add(1) })
 	}
-	over := make(chan struct{})
-	read := time.AfterFunc(time.Hour, func() { close(over) })
-	begun := time.Now()
+	expired := make(chan struct{})
+	read := time.AfterFunc(time.Hour, func() { close(expired) })
+	start := time.Now()
 	p := newReadyWait(ready, packets.Load, func(t time.Time) {
 		read.Stop()
 		if !t.IsZero() {
 			read.Reset(time.Until(t))
 		}
 	})
-	<-over
-	lasted := time.Since(begun)
-	p.end()
-	return lasted
+	<-expired
+	duration := time.Since(start)
+	p.stop()
+	return duration
 }
 
-// Guards against a node that is given up although packets of it went on arriving.
-func TestNodeThatIsHeardIsWaitedFor(t *testing.T) {
+// Guards against giving up on a node while its packets still arrive.
+func TestReadyWaitExtendsWhilePacketsArrive(t *testing.T) {
 	const ready = time.Second
 	for name, tc := range map[string]struct {
 		arrivals    []time.Duration
 		least, most time.Duration
 	}{
-		"nothing is heard": {nil, ready, ready},
-		"heard at times":   {[]time.Duration{300 * time.Millisecond, 1200 * time.Millisecond}, 2200 * time.Millisecond, 2500 * time.Millisecond},
-		"heard to the end": {[]time.Duration{800 * time.Millisecond, 1600 * time.Millisecond, 2400 * time.Millisecond}, readyMost * ready, readyMost * ready},
+		"no packets":              {nil, ready, ready},
+		"packets until 1.2 s":     {[]time.Duration{300 * time.Millisecond, 1200 * time.Millisecond}, 2200 * time.Millisecond, 2500 * time.Millisecond},
+		"packets until the limit": {[]time.Duration{800 * time.Millisecond, 1600 * time.Millisecond, 2400 * time.Millisecond}, maxReadyFactor * ready, maxReadyFactor * ready},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				lasted := waitForReady(ready, tc.arrivals...)
-				is.True(lasted >= tc.least)
-				is.True(lasted <= tc.most)
+				duration := readyWaitDuration(ready, tc.arrivals...)
+				is.True(duration >= tc.least)
+				is.True(duration <= tc.most)
 			})
 		})
 	}
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -17,36 +17,37 @@
 	"chervilloom/internal/request"
 )
 
-// MaxBodyBytes bounds the body of a relayed request.
+// MaxBodyBytes is the maximum size of the body of a relayed request.
 const MaxBodyBytes = 64 << 20
 
 const (
-	// comeBack is the advice after a link failed: the membership and the routes
-	// have changed by then.
-	comeBack = time.Second
-	// streamsFull is the advice when the link carries as many requests as it may.
-	streamsFull = 500 * time.Millisecond
+	// retryAfterLinkFailure is the Retry-After sent when a link failed; within this time the
+	// membership and the routes are updated.
+	retryAfterLinkFailure = time.Second
+	// retryAfterStreamLimit is the Retry-After sent when the stream limit of the link is
+	// reached.
+	retryAfterStreamLimit = 500 * time.Millisecond
 )
 
 const (
-	remedyTryAgain = "try again"
-	remedyLookUp   = "look up whether it took effect before sending it again"
+	remedyRetry  = "try again"
+	remedyLookUp = "look up whether it took effect before sending it again"
 )
 
-// Relay passes the request to the VM's handler and its answer to w.
+// Relay sends the request to the handler of the VM and writes its answer to w.
 //
-// A nil result means that an answer began and that w.Finish was called: with
-// End.Whole when the answer is whole and verified, with End.Error when it was
-// cut. A non-nil result means that no answer began and w was not touched, so the
-// caller may try elsewhere when the error's outcome allows it, or finish w with
-// the error. Nothing is sent twice here.
+// A nil result means that an answer started and w.Finish was called: with
+// End.Whole if the answer is complete and verified, with End.Error if it was
+// cut. A non-nil result means that no answer started and w was not used, so the
+// caller may retry on another node if the error's outcome allows it, or finish w
+// with the error. Relay itself never retries.
 //
-// When ctx ends, the other node's context for the request is cancelled too.
+// When ctx ends, the context of the request on the other node is cancelled too.
 func (m *Mesh) Relay(ctx context.Context, to fleet.VM, req *request.Request, w answer.Writer) *outcome.Error {
-	m.hops.enter(false)
-	defer m.hops.leave()
+	m.relaysInFlight.begin(false)
+	defer m.relaysInFlight.end()
 	ctx, span := startRelaySpan(ctx, to, req)
-	h := &hop{mesh: m, to: to, req: req, trace: traceParent(ctx, req.TraceParent)}
+	h := &hop{mesh: m, to: to, req: req, traceParent: traceParent(ctx, req.TraceParent)}
 	err := h.run(ctx, w)
 	result := h.result(err)
 	m.metrics.relays.WithLabelValues(result).Inc()
@@ -54,64 +55,64 @@
 	return err
 }
 
-// hop is one request on its way to another node and its answer on its way back.
+// hop is the state of one relayed request on the sending node.
 type hop struct {
-	mesh      *Mesh
-	to        fleet.VM
-	req       *request.Request
-	trace     string
-	committed bool // Commit was handed to the connection: the request may run
-	in        frameReader
-	taker     taker
+	mesh        *Mesh
+	to          fleet.VM
+	req         *request.Request
+	traceParent string
+	committed   bool // the write of Commit was started: the request may run
+	frames      frameReader
+	answer      answerReader
 }
 
 func (h *hop) run(ctx context.Context, w answer.Writer) *outcome.Error {
-	if err := h.check(); err != nil {
+	if err := h.validate(); err != nil {
 		return err
 	}
-	lane := &h.mesh.link(h.to).relay
-	c, err := lane.acquire(ctx)
+	ch := &h.mesh.link(h.to).relay
+	c, err := ch.acquire(ctx)
 	if err != nil {
-		return h.unreachable(ctx, err)
+		return h.unreachableError(ctx, err)
 	}
-	defer lane.release()
+	defer ch.release()
 	s, err := c.OpenStream()
 	if err != nil {
-		return h.noStream(err)
+		return h.streamError(err)
 	}
 	unhook := context.AfterFunc(ctx, func() { resetStream(s) })
 	defer unhook()
 	buffered := borrowReader(s)
 	defer returnReader(buffered)
-	h.in = frameReader{r: buffered}
-	end, err := h.open(c, s)
+	h.frames = frameReader{r: buffered}
+	end, err := h.start(c, s)
 	if err != nil {
 		resetStream(s)
-		return h.fail(ctx, err)
+		return h.failureError(ctx, err)
 	}
 	if end == nil {
-		h.taker = taker{w: w}
-		end, err = h.taker.take(&h.in)
+		h.answer = answerReader{w: w}
+		end, err = h.answer.readAll(&h.frames)
 	}
-	h.mesh.metrics.relayBytes.WithLabelValues("in").Add(float64(h.taker.sum.bytes))
+	h.mesh.metrics.relayBytes.WithLabelValues("in").Add(float64(h.answer.sum.bytes))
 	if err != nil {
 		resetStream(s)
-		return h.broken(ctx, err, w)
+		return h.finishCut(ctx, err, w)
 	}
-	// The other node waits for this side's end as the sign that its answer has
-	// arrived.
+	// The other node waits for this FIN as the acknowledgement that its answer was
+	// received.
 	s.Close()
 	s.CancelRead(0)
 	h.mesh.metrics.rtt.WithLabelValues(string(c.zone)).Observe(c.ConnectionStats().SmoothedRTT.Seconds())
 	return h.finish(end, w)
 }
 
-func (h *hop) check() *outcome.Error {
+func (h *hop) validate() *outcome.Error {
 	switch {
 	case h.to == h.mesh.opts.Self.VM:
-		return outcome.New(outcome.Internal, outcome.NotRun, "the node would pass the request to itself", remedyTryAgain)
+		return outcome.New(outcome.Internal, outcome.NotRun, "the node would pass the request to itself", remedyRetry)
 	case h.req.Hops > maxHops:
-		return outcome.New(outcome.Internal, outcome.NotRun, "the request has gone through too many nodes", remedyTryAgain)
+		return outcome.New(outcome.Internal, outcome.NotRun, "the request has gone through too many nodes", remedyRetry)
 	case len(h.req.Body) > MaxBodyBytes:
 		return outcome.New(outcome.TooLarge, outcome.NotRun, fmt.Sprintf("the body is over %d bytes", MaxBodyBytes), "send a smaller body")
 	case h.req.Deadline != 0 && !h.mesh.opts.Clock.Now().Before(h.req.Deadline):
@@ -120,60 +121,60 @@
 	return nil
 }
 
-// open sends the request, its Commit, and waits until the other node is ready.
-// It returns an End when the other node refuses.
-func (h *hop) open(c *conn, s *quic.Stream) (*endFrame, error) {
-	if err := h.send(s); err != nil {
+// start sends the request and its Commit and waits for Ready. It returns the End
+// frame if the other node refuses the request.
+func (h *hop) start(c *conn, s *quic.Stream) (*endFrame, error) {
+	if err := h.sendRequest(s); err != nil {
 		return nil, err
 	}
 	if h.req.Idempotent {
 		if err := h.commit(s); err != nil {
 			return nil, err
 		}
-		return h.await(c, s)
+		return h.awaitReady(c, s)
 	}
-	if end, err := h.await(c, s); end != nil || err != nil {
+	if end, err := h.awaitReady(c, s); end != nil || err != nil {
 		return end, err
 	}
 	return nil, h.commit(s)
 }
 
-// await reads Ready, or the End of a refusal.
-func (h *hop) await(c *conn, s *quic.Stream) (*endFrame, error) {
+// awaitReady reads Ready, or the End frame of a refusal.
+func (h *hop) awaitReady(c *conn, s *quic.Stream) (*endFrame, error) {
 	packets := func() uint64 { return c.ConnectionStats().PacketsReceived }
-	p := newReadyWait(h.mesh.opts.Ready, packets, func(t time.Time) { s.SetReadDeadline(t) })
-	defer p.end()
-	kind, content, err := h.in.next(maxAnswerBytes)
+	wait := newReadyWait(h.mesh.opts.Ready, packets, func(t time.Time) { s.SetReadDeadline(t) })
+	defer wait.stop()
+	kind, content, err := h.frames.next(maxAnswerBytes)
 	switch {
 	case err != nil:
 		return nil, err
 	case kind == frameReady:
 		return nil, nil
 	case kind != frameEnd:
-		return nil, fmt.Errorf("%w: frame type %d in place of Ready", errFrame, kind)
+		return nil, fmt.Errorf("%w: frame type %d, want Ready", errProtocol, kind)
 	}
 	var e endFrame
 	if err := decode(content, &e); err != nil {
 		return nil, err
 	}
-	e.Whole = false // nothing came before it
+	e.Whole = false // no answer has started
 	return &e, nil
 }
 
-// commit lets the request run. It counts as handed over before the write: an
-// error of the write doesn't prove that nothing left.
+// commit allows the request to run. committed is set before the write, because a
+// failed write doesn't prove that nothing was sent.
 func (h *hop) commit(s *quic.Stream) error {
 	h.committed = true
 	return writeFrame(s, frameCommit, nil, 0)
 }
 
-// send writes the request.
-func (h *hop) send(s *quic.Stream) error {
-	b := buffers.Get().(*bytes.Buffer)
-	defer release(b)
+// sendRequest writes the request header and body.
+func (h *hop) sendRequest(s *quic.Stream) error {
+	b := bufferPool.Get().(*bytes.Buffer)
+	defer releaseBuffer(b)
 	b.Reset()
 	f := toRequestFrame(h.req, h.mesh.opts.Clock.Now(), xxhash.Sum64(h.req.Body))
-	f.TraceParent = h.trace
+	f.TraceParent = h.traceParent
 	if err := appendFrame(b, frameRequest, f); err != nil {
 		return err
 	}
@@ -198,106 +199,106 @@
 	return nil
 }
 
-// outcome is what is true when no End arrived.
-func (h *hop) outcome() outcome.Outcome {
+// outcomeWithoutEnd returns the outcome to report when no End frame was received.
+func (h *hop) outcomeWithoutEnd() outcome.Outcome {
 	if h.committed {
 		return outcome.Unknown
 	}
 	return outcome.NotRun
 }
 
-func (h *hop) remedy() string {
+func (h *hop) remedyWithoutEnd() string {
 	if h.committed {
 		return remedyLookUp
 	}
-	return remedyTryAgain
+	return remedyRetry
 }
 
-func (h *hop) unreachable(ctx context.Context, err error) *outcome.Error {
+func (h *hop) unreachableError(ctx context.Context, err error) *outcome.Error {
 	if ctx.Err() != nil {
-		return h.ended(ctx)
+		return h.contextError(ctx)
 	}
-	return outcome.New(outcome.EndpointFailed, outcome.NotRun, "another node of the system can't be reached", remedyTryAgain).
-		WithCause(err).After(comeBack)
+	return outcome.New(outcome.EndpointFailed, outcome.NotRun, "another node of the system can't be reached", remedyRetry).
+		WithCause(err).After(retryAfterLinkFailure)
 }
 
-func (h *hop) noStream(err error) *outcome.Error {
+func (h *hop) streamError(err error) *outcome.Error {
 	var full *quic.StreamLimitReachedError
 	if errors.As(err, &full) {
-		return outcome.New(outcome.Overloaded, outcome.NotRun, "the link to another node carries as many requests as it may", remedyTryAgain).
-			WithCause(err).After(streamsFull)
+		return outcome.New(outcome.Overloaded, outcome.NotRun, "the link to another node carries as many requests as it may", remedyRetry).
+			WithCause(err).After(retryAfterStreamLimit)
 	}
-	return outcome.New(outcome.EndpointFailed, outcome.NotRun, "the link to another node broke", remedyTryAgain).
-		WithCause(err).After(comeBack)
+	return outcome.New(outcome.EndpointFailed, outcome.NotRun, "the link to another node broke", remedyRetry).
+		WithCause(err).After(retryAfterLinkFailure)
 }
 
-// ended is the error of a request whose context ended before an answer began.
-func (h *hop) ended(ctx context.Context) *outcome.Error {
+// contextError returns the error of a request whose context ended before End arrived.
+func (h *hop) contextError(ctx context.Context) *outcome.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return outcome.New(outcome.DeadlineExceeded, h.outcome(), "the deadline passed", h.remedy())
+		return outcome.New(outcome.DeadlineExceeded, h.outcomeWithoutEnd(), "the deadline passed", h.remedyWithoutEnd())
 	}
-	return outcome.New(outcome.CallerGone, h.outcome(), "the caller left", h.remedy())
+	return outcome.New(outcome.CallerGone, h.outcomeWithoutEnd(), "the caller left", h.remedyWithoutEnd())
 }
 
-// fail is the error of a request that broke before an answer began.
-func (h *hop) fail(ctx context.Context, err error) *outcome.Error {
+// failureError returns the error of a request that failed before its answer started.
+func (h *hop) failureError(ctx context.Context, err error) *outcome.Error {
 	var typed *outcome.Error
 	switch {
 	case errors.As(err, &typed):
 		return typed
 	case ctx.Err() != nil:
-		return h.ended(ctx)
+		return h.contextError(ctx)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return outcome.New(outcome.EndpointFailed, h.outcome(), "another node of the system doesn't answer", h.remedy()).
-			WithCause(err).After(comeBack)
+		return outcome.New(outcome.EndpointFailed, h.outcomeWithoutEnd(), "another node of the system doesn't answer", h.remedyWithoutEnd()).
+			WithCause(err).After(retryAfterLinkFailure)
 	}
-	return outcome.New(outcome.EndpointFailed, h.outcome(), "the link to another node broke", h.remedy()).
-		WithCause(err).After(comeBack)
+	return outcome.New(outcome.EndpointFailed, h.outcomeWithoutEnd(), "the link to another node broke", h.remedyWithoutEnd()).
+		WithCause(err).After(retryAfterLinkFailure)
 }
 
-// broken ends an answer that didn't arrive whole. Whether the request ran to
-// its end is not known, even though its answer began.
-func (h *hop) broken(ctx context.Context, err error, w answer.Writer) *outcome.Error {
-	if !h.taker.started {
-		return h.fail(ctx, err)
+// finishCut finishes an answer that was received only in part. Its outcome is
+// unknown: although the answer started, the request may not have run to its end.
+func (h *hop) finishCut(ctx context.Context, err error, w answer.Writer) *outcome.Error {
+	if !h.answer.started {
+		return h.failureError(ctx, err)
 	}
 	cut := outcome.New(outcome.AnswerCut, outcome.Unknown, "the answer was cut on its way from another node", remedyLookUp)
 	switch {
-	case errors.Is(err, errTaker):
+	case errors.Is(err, errWriter):
 		cut = outcome.New(outcome.CallerGone, outcome.Unknown, "the caller left", remedyLookUp)
 	case ctx.Err() != nil:
-		cut = h.ended(ctx)
+		cut = h.contextError(ctx)
 	}
-	w.Finish(h.taker.cut(cut.WithCause(err)))
+	w.Finish(h.answer.cutEnd(cut.WithCause(err)))
 	return nil
 }
 
-// finish hands on what the other node said at the end of its answer.
+// finish passes on the End frame of the other node.
 func (h *hop) finish(end *endFrame, w answer.Writer) *outcome.Error {
-	var told *outcome.Error
+	var peerErr *outcome.Error
 	if end.Error != nil {
-		told = end.Error.toError()
+		peerErr = end.Error.toError()
 	}
 	switch {
 	case end.Whole:
-		w.Finish(h.taker.whole())
+		w.Finish(h.answer.wholeEnd())
 		return nil
-	case told == nil:
-		told = outcome.New(outcome.Internal, outcome.Unknown, "another node ended the answer without a reason", remedyLookUp)
+	case peerErr == nil:
+		peerErr = outcome.New(outcome.Internal, outcome.Unknown, "another node ended the answer without a reason", remedyLookUp)
 	}
-	if !h.taker.started {
-		return told
+	if !h.answer.started {
+		return peerErr
 	}
-	w.Finish(h.taker.cut(told))
+	w.Finish(h.answer.cutEnd(peerErr))
 	return nil
 }
 
-// result names what became of the relay, for metrics and spans.
+// result returns the result label of the relay for metrics and spans.
 func (h *hop) result(err *outcome.Error) string {
 	switch {
 	case err != nil:
 		return string(err.Outcome)
-	case h.taker.finishedWhole:
+	case h.answer.complete:
 		return "whole"
 	}
 	return "cut"
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -16,39 +16,39 @@
 	"chervilloom/internal/request"
 )
 
-// serveRelay answers one request that another node passed on.
+// serveRelay answers one request relayed by another node.
 func (m *Mesh) serveRelay(c *conn, s *quic.Stream) {
-	if !m.hops.enter(true) {
-		m.refuse(s, outcome.New(outcome.ShuttingDown, outcome.NotRun, "this node takes no new work", remedyTryAgain).After(comeBack))
+	if !m.relaysInFlight.begin(true) {
+		m.refuse(s, outcome.New(outcome.ShuttingDown, outcome.NotRun, "this node takes no new work", remedyRetry).After(retryAfterLinkFailure))
 		return
 	}
-	defer m.hops.leave()
+	defer m.relaysInFlight.end()
 	buffered := borrowReader(s)
 	in := &frameReader{r: buffered}
-	if m.serveOpen(c, s, in) {
+	if m.serveAccepted(c, s, in) {
 		returnReader(buffered)
 	}
 }
 
-// serveOpen is serveRelay for a node that isn't draining. It reports whether in
-// is read no more.
-func (m *Mesh) serveOpen(c *conn, s *quic.Stream, in *frameReader) bool {
-	s.SetReadDeadline(time.Now().Add(requestTimeout))
+// serveAccepted serves the request on a node that isn't draining. It reports whether
+// in is no longer in use, so that its buffer can be reused.
+func (m *Mesh) serveAccepted(c *conn, s *quic.Stream, in *frameReader) bool {
+	s.SetReadDeadline(time.Now().Add(requestReadTimeout))
 	req, err := m.readRequest(c, s, in)
 	if err != nil {
-		// No Commit was read, so "not run" is true whatever went wrong.
-		m.opts.Log.Warn("relayed request unreadable", "from", c.node.String(), "error", err)
-		m.refuse(s, outcome.New(outcome.BadRequest, outcome.NotRun, "the relayed request didn't arrive whole", remedyTryAgain))
+		// No Commit was read, so the request has not run, whatever the error.
+		m.opts.Log.Warn("cannot read relayed request", "from", c.node.String(), "error", err)
+		m.refuse(s, outcome.New(outcome.BadRequest, outcome.NotRun, "the relayed request didn't arrive whole", remedyRetry))
 		return true
 	}
 	s.SetReadDeadline(time.Time{})
 	h := m.handler.Load()
 	switch {
 	case h == nil:
-		m.refuse(s, outcome.New(outcome.ShuttingDown, outcome.NotRun, "this node doesn't take requests yet", remedyTryAgain).After(comeBack))
+		m.refuse(s, outcome.New(outcome.ShuttingDown, outcome.NotRun, "this node doesn't take requests yet", remedyRetry).After(retryAfterLinkFailure))
 		return true
 	case req.Hops > maxHops:
-		m.refuse(s, outcome.New(outcome.Internal, outcome.NotRun, "the request has gone through too many nodes", remedyTryAgain))
+		m.refuse(s, outcome.New(outcome.Internal, outcome.NotRun, "the request has gone through too many nodes", remedyRetry))
 		return true
 	}
 	return m.answerRelay(c, s, in, req, *h)
@@ -63,7 +63,7 @@
 	s.CancelRead(resetRefused)
 }
 
-// readRequest reads request and body, says Ready and reads Commit.
+// readRequest reads the request and its body, sends Ready and reads Commit.
 func (m *Mesh) readRequest(c *conn, s *quic.Stream, in *frameReader) (*request.Request, error) {
 	var f requestFrame
 	if err := in.expect(frameRequest, &f, maxRequestBytes); err != nil {
@@ -81,49 +81,50 @@
 		return nil, err
 	}
 	if kind != frameCommit {
-		return nil, fmt.Errorf("%w: frame type %d in place of Commit", errFrame, kind)
+		return nil, fmt.Errorf("%w: frame type %d, want Commit", errProtocol, kind)
 	}
 	return f.toRequest(c.node.VM, m.opts.Clock.Now(), body), nil
 }
 
-// startingBody is what a body's length may make this node set aside before any
-// of it has arrived.
-const startingBody = 4 << 20
+// maxBodyPrealloc limits the memory that is preallocated for a body on the basis of
+// its announced length.
+const maxBodyPrealloc = 4 << 20
 
 func readBody(f *requestFrame, in *frameReader) ([]byte, error) {
 	if f.BodyBytes < 0 || f.BodyBytes > MaxBodyBytes {
-		return nil, fmt.Errorf("%w: a body of %d bytes, limit %d", errFrame, f.BodyBytes, MaxBodyBytes)
+		return nil, fmt.Errorf("%w: request body of %d bytes, limit %d", errProtocol, f.BodyBytes, MaxBodyBytes)
 	}
-	body := make([]byte, 0, min(f.BodyBytes, startingBody))
+	body := make([]byte, 0, min(f.BodyBytes, maxBodyPrealloc))
 	for len(body) < f.BodyBytes {
 		kind, content, err := in.next(bodyChunkBytes)
 		if err != nil {
 			return nil, err
 		}
 		if kind != frameBody || len(content) == 0 || len(body)+len(content) > f.BodyBytes {
-			return nil, fmt.Errorf("%w: frame type %d of %d bytes in a body", errFrame, kind, len(content))
+			return nil, fmt.Errorf("%w: unexpected frame of type %d with %d bytes in a request body", errProtocol, kind, len(content))
 		}
 		body = append(body, content...)
 	}
 	if xxhash.Sum64(body) != f.BodyHash {
-		return nil, fmt.Errorf("%w: the body is not the one that was sent", errFrame)
+		return nil, fmt.Errorf("%w: hash mismatch of the request body", errProtocol)
 	}
 	return body, nil
 }
 
-// answerRelay reports whether in is read no more.
+// answerRelay runs the handler and sends its answer. It reports whether in is no
+// longer in use.
 func (m *Mesh) answerRelay(c *conn, s *quic.Stream, in *frameReader, req *request.Request, h interface {
 	Serve(context.Context, *request.Request, answer.Writer)
 }) bool {
 	ctx, cancel := context.WithCancel(m.ctx)
 	defer cancel()
-	taken := make(chan struct{})
-	watching := m.spawn(func() {
-		defer close(taken)
-		watch(in, cancel)
+	peerClosed := make(chan struct{})
+	started := m.spawn(func() {
+		defer close(peerClosed)
+		watchPeerClose(in, cancel)
 	})
-	if !watching {
-		m.refuse(s, outcome.New(outcome.ShuttingDown, outcome.NotRun, "this node takes no new work", remedyTryAgain).After(comeBack))
+	if !started {
+		m.refuse(s, outcome.New(outcome.ShuttingDown, outcome.NotRun, "this node takes no new work", remedyRetry).After(retryAfterLinkFailure))
 		return true
 	}
 	ctx, span := startServeSpan(ctx, c.node.VM, req)
@@ -133,22 +134,23 @@
 	w.close()
 	m.metrics.served.WithLabelValues(w.result()).Inc()
 	endSpan(span, w.result(), w.failure)
-	// The hop is over when the other node has closed its side: it has the whole
-	// answer then, and closing the connection can't cut it any more.
-	linger := time.NewTimer(drainedLinger)
+	// The other node closes its side when it has received the whole answer. From
+	// then on, closing the connection cannot cut the answer.
+	linger := time.NewTimer(finWaitTimeout)
 	defer linger.Stop()
 	defer s.CancelRead(resetRefused)
 	select {
-	case <-taken:
+	case <-peerClosed:
 		return true
 	case <-linger.C:
 		return false
 	}
 }
 
-// watch waits for the end of the other node's side: its Close after the answer,
-// its reset when the request was cancelled, or the end of the link.
-func watch(in *frameReader, cancel context.CancelFunc) {
+// watchPeerClose waits until the other node closes its side: with a FIN after the answer,
+// with a reset if the request was cancelled, or because the link broke. In the
+// last two cases it calls cancel.
+func watchPeerClose(in *frameReader, cancel context.CancelFunc) {
 	_, _, err := in.next(0)
 	if !errors.Is(err, io.EOF) {
 		cancel()
@@ -166,46 +168,46 @@
 	h.Serve(ctx, req, w)
 }
 
-// relayWriter is an answer.Writer that writes frames to the node that passed
-// the request on.
+// relayWriter is an answer.Writer that sends the answer as frames to the node
+// that relayed the request.
 type relayWriter struct {
 	mesh     *Mesh
 	stream   *quic.Stream
 	started  bool
 	finished bool
 	whole    bool
-	broken   error
+	firstErr error
 	failure  *outcome.Error
 	sum      summary
 }
 
-// Start opens the answer.
+// Start implements answer.Writer.
 func (w *relayWriter) Start(h answer.Head) error {
 	if w.started {
-		return w.fail(errors.New("peer: an answer was started twice; the handler is at fault"))
+		return w.fail(errors.New("peer: the handler started the answer twice"))
 	}
 	w.started = true
 	w.sum = newSummary(h.Stream)
 	return w.write(frameStart, h)
 }
 
-// Frame writes a piece of the answer. A long run of body bytes goes in several
-// frames; an event goes whole.
+// Frame implements answer.Writer. Long body data is split into several frames; a
+// stream event is always sent in one frame.
 func (w *relayWriter) Frame(f answer.Frame) error {
 	for !w.sum.stream && len(f.Data) > bodyChunkBytes {
 		head := answer.Frame{Offset: f.Offset, ID: f.ID, Data: f.Data[:bodyChunkBytes]}
-		if err := w.frame(&head); err != nil {
+		if err := w.writeData(&head); err != nil {
 			return err
 		}
 		f.Offset += bodyChunkBytes
 		f.Data = f.Data[bodyChunkBytes:]
 	}
-	return w.frame(&f)
+	return w.writeData(&f)
 }
 
-func (w *relayWriter) frame(f *answer.Frame) error {
+func (w *relayWriter) writeData(f *answer.Frame) error {
 	if !w.started {
-		return w.fail(errors.New("peer: a frame came before the answer's start; the handler is at fault"))
+		return w.fail(errors.New("peer: the handler wrote a frame before it started the answer"))
 	}
 	if err := w.sum.add(f); err != nil {
 		return w.fail(err)
@@ -215,8 +217,8 @@
 }
 
 func (w *relayWriter) write(t frameType, v any) error {
-	if w.broken != nil {
-		return w.broken
+	if w.firstErr != nil {
+		return w.firstErr
 	}
 	if err := writeFrame(w.stream, t, v, maxAnswerBytes); err != nil {
 		return w.fail(err)
@@ -224,24 +226,24 @@
 	return nil
 }
 
-// fail makes sure that the answer can no longer end whole.
+// fail records the first error, after which the answer can only end as cut.
 func (w *relayWriter) fail(err error) error {
-	if w.broken == nil {
-		w.broken = err
+	if w.firstErr == nil {
+		w.firstErr = err
 	}
-	return w.broken
+	return w.firstErr
 }
 
-// Finish writes End. An answer that the handler calls whole is still told as
-// cut when a write failed or the handler's own sums are not those of what it
-// wrote.
+// Finish implements answer.Writer and sends the End frame. An answer that the
+// handler reports as whole is still sent as cut if a write failed or the
+// handler's counts and hash don't match the written data.
 func (w *relayWriter) Finish(e answer.End) {
 	if w.finished {
 		return
 	}
 	w.finished = true
 	end := w.sum.end()
-	w.failure = w.judge(&e)
+	w.failure = w.incompleteReason(&e)
 	w.whole = w.failure == nil
 	end.Whole, end.Error = w.whole, toErrorFrame(w.failure)
 	if err := writeFrame(w.stream, frameEnd, end, maxAnswerBytes); err != nil {
@@ -250,8 +252,8 @@
 	}
 }
 
-// judge returns why the answer is not whole, or nil.
-func (w *relayWriter) judge(e *answer.End) *outcome.Error {
+// incompleteReason returns the reason why the answer is incomplete, or nil if it is whole.
+func (w *relayWriter) incompleteReason(e *answer.End) *outcome.Error {
 	cut := outcome.New(outcome.AnswerCut, outcome.Unknown, "the answer was cut", remedyLookUp)
 	switch {
 	case !e.Whole && e.Error != nil:
@@ -260,17 +262,18 @@
 		return outcome.New(outcome.Internal, outcome.Unknown, "the answer ended without a reason", remedyLookUp)
 	case !w.started:
 		return outcome.New(outcome.Internal, outcome.Unknown, "the answer ended before it began", remedyLookUp)
-	case w.broken != nil:
-		return cut.WithCause(w.broken)
+	case w.firstErr != nil:
+		return cut.WithCause(w.firstErr)
 	case e.Hash != 0 && (e.Hash != w.sum.hash.Sum64() || e.Bytes != w.sum.bytes):
-		return cut.WithCause(errors.New("the handler's sums are not those of what it wrote"))
+		return cut.WithCause(errors.New("the handler's hash or byte count does not match the written data"))
 	case e.Hash != 0 && w.sum.stream && e.Frames != w.sum.frames:
-		return cut.WithCause(errors.New("the handler's count of events is not that of what it wrote"))
+		return cut.WithCause(errors.New("the handler's event count does not match the written events"))
 	}
 	return nil
 }
 
-// close ends the stream, with an error when the handler returned without Finish.
+// close closes the stream. If the handler returned without calling Finish, it
+// first sends an End frame with an error.
 func (w *relayWriter) close() {
 	if !w.finished {
 		w.Finish(answer.End{Error: outcome.New(outcome.Internal, outcome.Unknown, "the node failed", remedyLookUp)})
@@ -280,7 +283,7 @@
 
 func (w *relayWriter) result() string {
 	switch {
-	case w.whole && w.broken == nil:
+	case w.whole && w.firstErr == nil:
 		return "whole"
 	case w.started:
 		return "cut"
--- a/internal/peer/summary.go
+++ b/internal/peer/summary.go
@@ -8,12 +8,12 @@
 	"chervilloom/internal/answer"
 )
 
-// summary follows an answer's data frames: both ends of a hop keep one, and the
-// answer is whole only when the two agree.
+// summary accumulates the counts and the hash of an answer's data frames. Sender
+// and receiver keep one each, and the answer is whole only if the two match.
 type summary struct {
 	stream bool
 	first  uint64 // offset of the first frame
-	next   uint64 // offset that the next frame must have
+	next   uint64 // expected offset of the next frame
 	frames uint64
 	bytes  uint64
 	hash   *xxhash.Digest
@@ -21,23 +21,24 @@
 
 func newSummary(stream bool) summary { return summary{stream: stream, hash: xxhash.New()} }
 
-// add takes the next frame. A stream's offsets count events, a body's bytes. A
-// resumed stream may begin at any offset.
+// add adds the next frame, or returns an error if its offset is not the expected
+// one. Offsets count events in a stream and bytes in a body. A resumed stream
+// may start at any offset.
 func (s *summary) add(f *answer.Frame) error {
 	switch {
 	case s.frames == 0 && (s.stream || f.Offset == 0):
 		s.first, s.next = f.Offset, f.Offset
 	case f.Offset != s.next:
-		return fmt.Errorf("%w: a frame at offset %d where %d follows", errFrame, f.Offset, s.next)
+		return fmt.Errorf("%w: data frame at offset %d, want %d", errProtocol, f.Offset, s.next)
 	}
 	s.frames++
 	s.bytes += uint64(len(f.Data))
-	s.next += s.step(f)
+	s.next += s.offsetStep(f)
 	s.hash.Write(f.Data)
 	return nil
 }
 
-func (s *summary) step(f *answer.Frame) uint64 {
+func (s *summary) offsetStep(f *answer.Frame) uint64 {
 	if s.stream {
 		return 1
 	}
@@ -48,12 +49,12 @@
 	return endFrame{First: s.first, Frames: s.frames, Bytes: s.bytes, Hash: s.hash.Sum64()}
 }
 
-// matches compares the summary with the other side's.
-func (s *summary) matches(e *endFrame) error {
-	mine := s.end()
-	if mine.First == e.First && mine.Frames == e.Frames && mine.Bytes == e.Bytes && mine.Hash == e.Hash {
+// verify returns an error unless the summary equals the other side's.
+func (s *summary) verify(e *endFrame) error {
+	own := s.end()
+	if own.First == e.First && own.Frames == e.Frames && own.Bytes == e.Bytes && own.Hash == e.Hash {
 		return nil
 	}
-	return fmt.Errorf("%w: %d frames and %d bytes from offset %d arrived of %d and %d from %d, or with other content",
-		errFrame, mine.Frames, mine.Bytes, mine.First, e.Frames, e.Bytes, e.First)
+	return fmt.Errorf("%w: received %d frames with %d bytes from offset %d, want %d frames with %d bytes from offset %d and the same hash",
+		errProtocol, own.Frames, own.Bytes, own.First, e.Frames, e.Bytes, e.First)
 }
--- a/internal/peer/taker.go
+++ b/internal/peer/taker.go
@@ -8,20 +8,20 @@
 	"chervilloom/internal/outcome"
 )
 
-// errTaker marks an error of the writer that the answer goes to.
-var errTaker = errors.New("peer: the caller takes no more of the answer")
+// errWriter wraps an error of the answer.Writer that the answer is written to.
+var errWriter = errors.New("peer: the answer cannot be written to the caller")
 
-// taker reads an answer, checks it and writes it on.
-type taker struct {
-	w             answer.Writer
-	started       bool
-	finishedWhole bool
-	sum           summary
+// answerReader reads an answer from the link, verifies it and writes it to w.
+type answerReader struct {
+	w        answer.Writer
+	started  bool
+	complete bool
+	sum      summary
 }
 
-// take returns the End frame after it was checked against what came before it.
-// Any other way in which the stream ends is an error.
-func (t *taker) take(r *frameReader) (*endFrame, error) {
+// readAll copies the answer and returns its End frame, verified against the
+// received frames. A stream that ends in any other way is an error.
+func (t *answerReader) readAll(r *frameReader) (*endFrame, error) {
 	for {
 		kind, content, err := r.next(maxAnswerBytes)
 		if err != nil {
@@ -35,7 +35,7 @@
 		case frameEnd:
 			return t.end(content)
 		default:
-			err = fmt.Errorf("%w: frame type %d in an answer", errFrame, kind)
+			err = fmt.Errorf("%w: unexpected frame of type %d in an answer", errProtocol, kind)
 		}
 		if err != nil {
 			return nil, err
@@ -43,9 +43,9 @@
 	}
 }
 
-func (t *taker) start(content []byte) error {
+func (t *answerReader) start(content []byte) error {
 	if t.started {
-		return fmt.Errorf("%w: an answer began twice", errFrame)
+		return fmt.Errorf("%w: duplicate start of an answer", errProtocol)
 	}
 	var head answer.Head
 	if err := decode(content, &head); err != nil {
@@ -54,14 +54,14 @@
 	t.started = true
 	t.sum = newSummary(head.Stream)
 	if err := t.w.Start(head); err != nil {
-		return fmt.Errorf("%w: %w", errTaker, err)
+		return fmt.Errorf("%w: %w", errWriter, err)
 	}
 	return nil
 }
 
-func (t *taker) data(content []byte) error {
+func (t *answerReader) data(content []byte) error {
 	if !t.started {
-		return fmt.Errorf("%w: data before the answer's start", errFrame)
+		return fmt.Errorf("%w: data frame before the start of the answer", errProtocol)
 	}
 	var f answer.Frame
 	if err := decode(content, &f); err != nil {
@@ -71,12 +71,12 @@
 		return err
 	}
 	if err := t.w.Frame(f); err != nil {
-		return fmt.Errorf("%w: %w", errTaker, err)
+		return fmt.Errorf("%w: %w", errWriter, err)
 	}
 	return nil
 }
 
-func (t *taker) end(content []byte) (*endFrame, error) {
+func (t *answerReader) end(content []byte) (*endFrame, error) {
 	var e endFrame
 	if err := decode(content, &e); err != nil {
 		return nil, err
@@ -85,19 +85,19 @@
 		return &e, nil
 	}
 	if !t.started {
-		return nil, fmt.Errorf("%w: an answer ended whole that never began", errFrame)
+		return nil, fmt.Errorf("%w: End reports a whole answer that was never started", errProtocol)
 	}
-	if err := t.sum.matches(&e); err != nil {
+	if err := t.sum.verify(&e); err != nil {
 		return nil, err
 	}
 	return &e, nil
 }
 
-func (t *taker) whole() answer.End {
-	t.finishedWhole = true
+func (t *answerReader) wholeEnd() answer.End {
+	t.complete = true
 	return answer.End{Whole: true, Frames: t.sum.frames, Bytes: t.sum.bytes, Hash: t.sum.hash.Sum64()}
 }
 
-func (t *taker) cut(err *outcome.Error) answer.End {
+func (t *answerReader) cutEnd(err *outcome.Error) answer.End {
 	return answer.End{Frames: t.sum.frames, Bytes: t.sum.bytes, Hash: t.sum.hash.Sum64(), Error: err}
 }
--- a/internal/peer/trace.go
+++ b/internal/peer/trace.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	tracerName   = "chervilloom/peer"
-	traceparent  = "traceparent"
-	attrNode     = "chervilloom.node"
-	attrRequest  = "chervilloom.request"
-	attrStage    = "chervilloom.stage"
-	attrResult   = "chervilloom.result"
-	attrOutcome  = "chervilloom.outcome"
-	spanRelay    = "peer.relay"
-	spanServe    = "peer.serve"
-	hopAttribute = "chervilloom.hops"
+	tracerName  = "chervilloom/peer"
+	traceparent = "traceparent"
+	attrNode    = "chervilloom.node"
+	attrRequest = "chervilloom.request"
+	attrStage   = "chervilloom.stage"
+	attrResult  = "chervilloom.result"
+	attrOutcome = "chervilloom.outcome"
+	spanRelay   = "peer.relay"
+	spanServe   = "peer.serve"
+	attrHops    = "chervilloom.hops"
 )
 
 var propagator propagation.TraceContext
 
-// withParent returns ctx with the remote parent, unless ctx has a span already.
+// withParent returns ctx with the remote parent span, unless ctx already has a span.
 func withParent(ctx context.Context, parent string) context.Context {
 	if parent == "" || trace.SpanContextFromContext(ctx).IsValid() {
 		return ctx
@@ -37,7 +37,7 @@
 	return propagator.Extract(ctx, propagation.MapCarrier{traceparent: parent})
 }
 
-// traceParent returns ctx's span as W3C trace context, or old without a span.
+// traceParent returns the span of ctx as a W3C traceparent, or old if ctx has none.
 func traceParent(ctx context.Context, old string) string {
 	if !trace.SpanContextFromContext(ctx).IsValid() {
 		return old
@@ -60,7 +60,7 @@
 		attribute.String(attrNode, string(node)),
 		attribute.String(attrRequest, req.ID),
 		attribute.String(attrStage, string(req.Stage)),
-		attribute.Int(hopAttribute, req.Hops),
+		attribute.Int(attrHops, req.Hops),
 	))
 }
 
--- a/internal/peer/tracker.go
+++ b/internal/peer/tracker.go
@@ -5,16 +5,18 @@
 	"sync"
 )
 
-// tracker counts relayed requests for Drain. The zero value is ready.
-type tracker struct {
+// relayTracker counts the relayed requests in flight, for Drain. The zero value is
+// ready to use.
+type relayTracker struct {
 	mu       sync.Mutex
 	running  int
 	draining bool
-	idle     chan struct{} // closed when running falls to 0 while someone waits
+	idle     chan struct{} // closed when running drops to 0; nil if nobody waits
 }
 
-// enter counts one more, unless inbound ones are refused.
-func (t *tracker) enter(inbound bool) bool {
+// begin counts another request. It reports false, without counting, for an
+// inbound request while draining.
+func (t *relayTracker) begin(inbound bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if inbound && t.draining {
@@ -24,7 +26,7 @@
 	return true
 }
 
-func (t *tracker) leave() {
+func (t *relayTracker) end() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.running--
@@ -34,13 +36,13 @@
 	}
 }
 
-func (t *tracker) drain() {
+func (t *relayTracker) drain() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.draining = true
 }
 
-func (t *tracker) wait(ctx context.Context) error {
+func (t *relayTracker) wait(ctx context.Context) error {
 	t.mu.Lock()
 	if t.running == 0 {
 		t.mu.Unlock()
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -10,18 +10,18 @@
 	"chervilloom/internal/request"
 )
 
-// protocolVersion is told in the Hello; a peer of another version is refused.
+// protocolVersion is sent in the Hello; a peer with another version is rejected.
 const protocolVersion = 1
 
-// helloFrame is the first frame on each side's first unidirectional stream.
+// helloFrame is the first frame on the first unidirectional stream of each side.
 type helloFrame struct {
 	Version int                    `cbor:"1,keyasint"`
 	Node    fleet.Node             `cbor:"2,keyasint"`
 	Zone    fleet.AvailabilityZone `cbor:"3,keyasint"`
 }
 
-// requestFrame opens a relayed request. Times are sent as durations: clocks of
-// two VMs are not comparable.
+// requestFrame is the header of a relayed request. Times are sent as durations
+// because the clocks of two VMs are not comparable.
 type requestFrame struct {
 	ID           string             `cbor:"1,keyasint"`
 	TraceParent  string             `cbor:"2,keyasint,omitempty"`
@@ -31,8 +31,8 @@
 	Key          string             `cbor:"6,keyasint,omitempty"`
 	Ticket       string             `cbor:"7,keyasint,omitempty"`
 	Priority     int                `cbor:"8,keyasint,omitempty"`
-	Age          time.Duration      `cbor:"9,keyasint"`            // since the first node accepted it
-	Remaining    time.Duration      `cbor:"10,keyasint,omitempty"` // until the deadline; 0: none
+	Age          time.Duration      `cbor:"9,keyasint"`            // since the first node accepted the request
+	Remaining    time.Duration      `cbor:"10,keyasint,omitempty"` // until the deadline; 0: no deadline
 	Target       fleet.Target       `cbor:"11,keyasint"`
 	Service      string             `cbor:"12,keyasint,omitempty"`
 	Method       string             `cbor:"13,keyasint"`
@@ -46,11 +46,11 @@
 	MaxTokens    int                `cbor:"21,keyasint,omitempty"`
 	ResumeID     string             `cbor:"22,keyasint,omitempty"`
 	Stage        request.Stage      `cbor:"23,keyasint"`
-	Hops         int                `cbor:"24,keyasint"` // nodes passed through, the sender included
+	Hops         int                `cbor:"24,keyasint"` // number of nodes passed, including the sender
 }
 
-// endFrame closes an answer. First, Frames, Bytes and Hash describe the data
-// frames that came before it on this link.
+// endFrame terminates an answer. First, Frames, Bytes and Hash describe the
+// data frames that were sent before it on this stream.
 type endFrame struct {
 	Whole  bool        `cbor:"1,keyasint"`
 	First  uint64      `cbor:"2,keyasint"` // offset of the first data frame
@@ -60,8 +60,8 @@
 	Error  *errorFrame `cbor:"6,keyasint,omitempty"`
 }
 
-// errorFrame is an outcome.Error without its cause, which is for the logs of
-// the node where it arose.
+// errorFrame is an outcome.Error without its cause, which is only logged on the
+// node where the error occurred.
 type errorFrame struct {
 	Kind       outcome.Kind    `cbor:"1,keyasint"`
 	Outcome    outcome.Outcome `cbor:"2,keyasint"`
@@ -93,8 +93,8 @@
 	return &errorFrame{Kind: e.Kind, Outcome: e.Outcome, Message: e.Message, Remedy: e.Remedy, RetryAfter: e.RetryAfter}
 }
 
-// toError returns the error that the other node sent. An outcome that this
-// version doesn't know is taken as unknown: it must not read as "not run".
+// toError returns the error that the other node sent. An unrecognised outcome
+// is mapped to Unknown, so that it is never taken for "not run".
 func (e *errorFrame) toError() *outcome.Error {
 	o := e.Outcome
 	if o != outcome.NotRun && o != outcome.Ran {
