--- a/internal/once/before.go
+++ b/internal/once/before.go
@@ -8,31 +8,32 @@
 	"chervilloom/internal/request"
 )
 
-// Before makes a filter that stands before the keys tell the truth about a
-// keyed call: what it refuses itself goes through Refusal, what the filters
-// after it tell is left as it is.
+// Before wraps a filter that runs before the Keeper's filter, so that its
+// refusals report the right outcome for calls with a key or ticket: errors of f
+// itself are passed through Refusal, errors of the filters after it are left
+// unchanged.
 func Before(f filter.Filter) filter.Filter {
 	return func(next filter.Handler) filter.Handler {
 		h := f(filter.Func(func(ctx context.Context, req *request.Request, w answer.Writer) {
-			if own, ok := w.(*refusing); ok {
-				w = own.Writer
+			if wrapped, ok := w.(*refusalWriter); ok {
+				w = wrapped.Writer
 			}
 			next.Serve(ctx, req, w)
 		}))
 		return filter.Func(func(ctx context.Context, req *request.Request, w answer.Writer) {
-			h.Serve(ctx, req, &refusing{Writer: w, req: req})
+			h.Serve(ctx, req, &refusalWriter{Writer: w, req: req})
 		})
 	}
 }
 
-// refusing is the writer that the wrapped filter sees.
-type refusing struct {
+// refusalWriter is the answer.Writer given to the wrapped filter.
+type refusalWriter struct {
 	answer.Writer
 	req *request.Request
 }
 
-// Finish tells a refusal of the filter itself.
-func (r *refusing) Finish(e answer.End) {
+// Finish implements answer.Writer and passes an error through Refusal.
+func (r *refusalWriter) Finish(e answer.End) {
 	if e.Error != nil {
 		e.Error = Refusal(r.req, e.Error)
 	}
--- a/internal/once/bench_test.go
+++ b/internal/once/bench_test.go
@@ -18,16 +18,16 @@
 	standin "chervilloom/internal/standin/platform"
 )
 
-// fleetOf is six keepers that share a stand-in platform over HTTP.
-type fleetOf struct {
+// benchFleet is a fleet of six keepers that share a stand-in platform over HTTP.
+type benchFleet struct {
 	platform *standin.Platform
 	net      *fakeNet
 	keepers  []*Keeper
 	endpoint *endpoint
 }
 
-func startFleet(b *testing.B, limits WriteLimits, slow time.Duration) *fleetOf {
-	f := &fleetOf{net: &fakeNet{paths: map[fleet.VM]filter.Handler{}}, endpoint: &endpoint{body: "receipt 1"}}
+func startFleet(b *testing.B, limits WriteLimits, slow time.Duration) *benchFleet {
+	f := &benchFleet{net: &fakeNet{paths: map[fleet.VM]filter.Handler{}}, endpoint: &endpoint{body: "receipt 1"}}
 	f.platform = standin.New(standin.Options{NoLimits: true})
 	f.platform.SetFaults(standin.Faults{NoLimits: true, Slow: config.Duration(slow)})
 	server := httptest.NewServer(f.platform)
@@ -36,7 +36,7 @@
 		vm := fleet.VM(fmt.Sprint("n", i))
 		client := platform.NewClient(server.URL)
 		b.Cleanup(client.Close)
-		k, stop := launch(Options{
+		k, stop := startKeeper(Options{
 			Self: fleet.Node{VM: vm, Incarnation: 1}, Table: client, Peers: f.net, View: testView(), Clock: clock.Boot{}, Write: limits,
 		})
 		b.Cleanup(stop)
@@ -46,9 +46,8 @@
 	return f
 }
 
-// call makes the i-th call and returns how long it took, below zero when it was
-// refused.
-func (f *fleetOf) call(i int, mechanism string) time.Duration {
+// send sends the i-th call and returns its duration, negated if it was refused.
+func (f *benchFleet) send(i int, mechanism string) time.Duration {
 	at := f.keepers[i%6]
 	req := &request.Request{
 		Organisation: "org", Class: request.ClassCall, Method: "POST", Path: "/receipts", Body: []byte("driver 7"),
@@ -62,7 +61,7 @@
 		req.Ticket = f.keepers[(i+1)%6].newTicket("org")
 	}
 	from := time.Now()
-	g := &got{}
+	g := &receivedAnswer{}
 	f.net.paths[at.opt.Self.VM].Serve(context.Background(), req, g)
 	if !g.end.Whole {
 		return -time.Since(from)
@@ -70,22 +69,23 @@
 	return time.Since(from)
 }
 
-// open sends n calls, numbered from first, at the rate, whether or not earlier ones have ended.
-func (f *fleetOf) open(first, n int, perSecond float64, mechanism string) []time.Duration {
+// sendOpenLoop sends n calls, numbered from first, in an open loop at the given rate and
+// returns the sorted durations.
+func (f *benchFleet) sendOpenLoop(first, n int, perSecond float64, mechanism string) []time.Duration {
 	took := make([]time.Duration, n)
 	var group sync.WaitGroup
 	start := time.Now()
 	for i := range n {
 		time.Sleep(time.Duration(float64(i)/perSecond*float64(time.Second)) - time.Since(start))
-		group.Go(func() { took[i] = f.call(first+i, mechanism) })
+		group.Go(func() { took[i] = f.send(first+i, mechanism) })
 	}
 	group.Wait()
 	slices.Sort(took)
 	return took
 }
 
-// BenchmarkCalls sends calls to six nodes in an open loop. The platform takes
-// 3 ms for each request; the link between nodes takes no time.
+// BenchmarkCalls sends calls to six nodes in an open loop. The platform answers
+// each request after 3 ms; the links between nodes have no latency.
 func BenchmarkCalls(b *testing.B) {
 	every10 := WriteLimits{Gap: 10 * time.Millisecond}
 	single := WriteLimits{Batch: 1, InFlight: 256, Gap: 1, NoteDelay: 1, Notes: 1e6}
@@ -101,14 +101,14 @@
 	} {
 		b.Run(fmt.Sprintf("%s/%s/%.0f per s", c.mechanism, c.writes, c.rate), func(b *testing.B) {
 			f := startFleet(b, c.limits, 3*time.Millisecond)
-			f.open(0, 60, c.rate, c.mechanism) // connections
+			f.sendOpenLoop(0, 60, c.rate, c.mechanism) // warm up the connections
 			before := f.platform.Stats()
 			b.ResetTimer()
 			from := time.Now()
-			took := f.open(60, b.N, c.rate, c.mechanism)
+			took := f.sendOpenLoop(60, b.N, c.rate, c.mechanism)
 			seconds := time.Since(from).Seconds()
 			b.StopTimer()
-			time.Sleep(300 * time.Millisecond) // the last outcomes
+			time.Sleep(300 * time.Millisecond) // wait until the last outcomes are written
 			after := f.platform.Stats()
 			refused, _ := slices.BinarySearch(took, 0)
 			thousand := float64(b.N) / 1000
@@ -123,8 +123,8 @@
 	}
 }
 
-// BenchmarkOutage sends calls while the platform is down. Times are those of
-// the refusals, or of the answers where there are any.
+// BenchmarkOutage sends calls while the platform is down. The durations include
+// both answered and refused calls.
 func BenchmarkOutage(b *testing.B) {
 	down := map[string]standin.Faults{
 		"503": {Down: standin.DownRefused}, "closed": {Down: standin.DownClose}, "silent": {Slow: config.Duration(time.Hour)},
@@ -133,10 +133,10 @@
 		for _, mechanism := range []string{"key", "ticket elsewhere"} {
 			b.Run(name+"/"+mechanism, func(b *testing.B) {
 				f := startFleet(b, WriteLimits{}, 0)
-				f.open(0, 60, 420, mechanism)
+				f.sendOpenLoop(0, 60, 420, mechanism)
 				f.platform.SetFaults(down[name])
 				b.ResetTimer()
-				took := f.open(60, b.N, 420, mechanism)
+				took := f.sendOpenLoop(60, b.N, 420, mechanism)
 				b.StopTimer()
 				f.platform.SetFaults(standin.Faults{})
 				answered := b.N
--- a/internal/once/commit.go
+++ b/internal/once/commit.go
@@ -9,77 +9,79 @@
 	"chervilloom/internal/platform"
 )
 
-// commit writes the batch. The writes whose condition fails are taken out and
-// the others go on in another transaction: a conditional transaction that was
-// refused has changed nothing. Each round takes out one write at least.
+// commit writes the batch. A conditional transaction that was refused has changed
+// nothing, so the writes whose condition failed are removed and the others are
+// retried in another transaction. Each round removes at least one write.
 func (w *writer) commit(ctx context.Context, batch []write) {
-	batch, again := splitTwice(batch)
+	batch, duplicates := splitDuplicates(batch)
 	for len(batch) > 0 {
 		batch = w.commitOnce(ctx, batch)
 	}
-	if len(again) > 0 {
-		w.commit(ctx, again)
+	if len(duplicates) > 0 {
+		w.commit(ctx, duplicates)
 	}
 }
 
-// splitTwice takes second writes of the same row out of the batch.
-func splitTwice(batch []write) (once, again []write) {
+// splitDuplicates separates the first write of each row from further writes of the
+// same row, which need a transaction of their own.
+func splitDuplicates(batch []write) (unique, duplicates []write) {
 	seen := make(map[string]struct{}, len(batch))
-	once = batch[:0:0]
+	unique = batch[:0:0]
 	for _, op := range batch {
-		if _, twice := seen[op.key]; twice {
-			again = append(again, op)
+		if _, duplicate := seen[op.key]; duplicate {
+			duplicates = append(duplicates, op)
 			continue
 		}
 		seen[op.key] = struct{}{}
-		once = append(once, op)
+		unique = append(unique, op)
 	}
-	return once, again
+	return unique, duplicates
 }
 
 func (w *writer) commitOnce(ctx context.Context, batch []write) (rest []write) {
-	txn := transaction(batch)
-	res, err := w.send(ctx, txn)
-	w.meters.transactions.WithLabelValues(resultLabel(res, err)).Inc()
+	txn := newTransaction(batch)
+	res, err := w.commitWithTimeout(ctx, txn)
+	w.metrics.transactions.WithLabelValues(resultLabel(res, err)).Inc()
 	switch {
 	case err == nil && res.Committed:
-		w.answered()
-		landed(batch, res.Rows)
+		w.markAvailable()
+		finishCommitted(batch, res.Rows)
 		return nil
 	case err == nil:
-		w.answered()
-		return refused(batch, res.Rows)
+		w.markAvailable()
+		return finishRefused(batch, res.Rows)
 	case errors.Is(err, platform.ErrDown), errors.Is(err, platform.ErrRefused):
-		w.unreachable(err)
-		endAll(batch, writeFailed)
+		w.markUnavailable(err)
+		finishAll(batch, writeFailed)
 		return nil
 	}
-	w.unreachable(err)
+	w.markUnavailable(err)
 	w.readBack(ctx, txn, batch)
 	return nil
 }
 
-func (w *writer) send(ctx context.Context, txn platform.Txn) (platform.Result, error) {
+func (w *writer) commitWithTimeout(ctx context.Context, txn platform.Txn) (platform.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.limits.Timeout)
 	defer cancel()
 	return w.table.Commit(ctx, txn)
 }
 
-// readBack looks for the transaction's attempt in one of its rows: all of them
-// landed or none. A row without it proves nothing, for the write may land yet.
+// readBack looks up the transaction's attempt ID in one of its rows; since the
+// transaction is atomic, one row is enough. A row without it proves nothing,
+// because the transaction may still be applied later.
 func (w *writer) readBack(ctx context.Context, txn platform.Txn, batch []write) {
 	ctx, cancel := context.WithTimeout(ctx, readBackTimeout)
 	defer cancel()
 	row, err := w.table.Get(ctx, platform.TableKeys, batch[0].key)
 	if err == nil && row.Attempt == txn.Attempt {
-		w.answered()
-		landed(batch, nil)
+		w.markAvailable()
+		finishCommitted(batch, nil)
 		return
 	}
-	endAll(batch, writeUnclear)
+	finishAll(batch, writeAmbiguous)
 }
 
-func transaction(batch []write) platform.Txn {
+func newTransaction(batch []write) platform.Txn {
 	txn := platform.Txn{
 		Attempt: uuid.NewString(),
 		Checks:  make([]platform.Check, len(batch)),
@@ -92,22 +94,22 @@
 	return txn
 }
 
-func landed(batch []write, rows []platform.Row) {
-	at := rowsByKey(rows)
+func finishCommitted(batch []write, rows []platform.Row) {
+	byKey := rowsByKey(rows)
 	for _, op := range batch {
-		row, ok := at[op.key]
+		row, ok := byKey[op.key]
 		if !ok {
 			row = platform.Row{Table: platform.TableKeys, Key: op.key, Version: op.version + 1, Value: op.value}
 		}
-		op.done(writeLanded, row)
+		op.done(writeCommitted, row)
 	}
 }
 
-// refused ends the writes whose condition failed and returns the others.
-func refused(batch []write, rows []platform.Row) (rest []write) {
-	at := rowsByKey(rows)
+// finishRefused finishes the writes whose condition failed and returns the others.
+func finishRefused(batch []write, rows []platform.Row) (rest []write) {
+	byKey := rowsByKey(rows)
 	for _, op := range batch {
-		row, failed := at[op.key]
+		row, failed := byKey[op.key]
 		if !failed {
 			rest = append(rest, op)
 			continue
@@ -115,23 +117,23 @@
 		op.done(writeRefused, row)
 	}
 	if len(rest) == len(batch) {
-		// The platform refused without naming a row: going on would not end.
-		endAll(batch, writeFailed)
+		// The platform refused without naming a row, so retrying would loop forever.
+		finishAll(batch, writeFailed)
 		return nil
 	}
 	return rest
 }
 
 func rowsByKey(rows []platform.Row) map[string]platform.Row {
-	at := make(map[string]platform.Row, len(rows))
+	byKey := make(map[string]platform.Row, len(rows))
 	for _, r := range rows {
-		at[r.Key] = r
+		byKey[r.Key] = r
 	}
-	return at
+	return byKey
 }
 
-func endAll(batch []write, end writeEnd) {
+func finishAll(batch []write, result writeResult) {
 	for _, op := range batch {
-		op.done(end, platform.Row{})
+		op.done(result, platform.Row{})
 	}
 }
--- a/internal/once/edge_test.go
+++ b/internal/once/edge_test.go
@@ -18,35 +18,37 @@
 	"chervilloom/internal/request"
 )
 
-// hasty repeats the call the moment its answer ends.
-type hasty struct {
-	got
+// repeatingWriter is an answer.Writer that repeats the call as soon as its answer ends.
+type repeatingWriter struct {
+	receivedAnswer
 	repeat func()
 }
 
-func (h *hasty) Finish(e answer.End) { h.got.Finish(e); h.repeat() }
+func (h *repeatingWriter) Finish(e answer.End) { h.receivedAnswer.Finish(e); h.repeat() }
 
-func TestRepeatOnReceiptOfTheAnswer(t *testing.T) {
-	// A caller repeats the call the moment the first answer ends. The memory
-	// must know of the end by then: "still running" would send the caller away.
+func TestRepeatOnReceiptOfAnswer(t *testing.T) {
+	// A caller repeats the call as soon as the first answer ends. The repeat must
+	// be answered and not refused as "still running", so the memory must be updated
+	// before the caller's answer is finished.
 	is := is.New(t)
-	b := newBench(t)
+	b := newTestCluster(t)
 	b.start("a")
-	var again *got
-	first := &hasty{repeat: func() { again = b.send("a", withKey("k")) }}
+	var again *receivedAnswer
+	first := &repeatingWriter{repeat: func() { again = b.send("a", withKey("k")) }}
 	b.net.paths["a"].Serve(context.Background(), &request.Request{Organisation: "org", Method: "POST", Path: "/receipts", Body: []byte("driver 7"), Key: "k"}, first)
 	is.Equal(again.body, first.body)
 }
 
-func TestRunGoesOnWithoutItsCaller(t *testing.T) {
-	// The caller's connection breaks while the call runs. Cutting the run would
-	// leave its outcome unknown; it goes on, and the repeat gets its answer.
+func TestRunContinuesAfterCallerDisconnects(t *testing.T) {
+	// The caller's connection breaks while the call runs. The run must continue,
+	// since cancelling it would leave its outcome unknown, and a repeat must get its
+	// answer.
 	is := is.New(t)
-	b := newBench(t)
+	b := newTestCluster(t)
 	k := b.start("a")
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	run := filter.Func(func(ctx context.Context, req *request.Request, w answer.Writer) {
-		leave()
+		disconnect()
 		if ctx.Err() != nil {
 			w.Finish(answer.End{Error: outcome.Of(ctx.Err())})
 			return
@@ -55,33 +57,33 @@
 	})
 	ticket := k.newTicket("org")
 	req := &request.Request{Organisation: "org", Method: "POST", Path: "/receipts", Body: []byte("driver 7"), Ticket: ticket}
-	k.Filter()(run).Serve(ctx, req, &got{})
+	k.Filter()(run).Serve(ctx, req, &receivedAnswer{})
 	is.Equal(b.send("a", withTicket(ticket)).body, "receipt 1")
 
-	// One that left before the dispatch is not run at all.
+	// A call whose caller disconnected before the dispatch must not run.
 	req.Ticket = k.newTicket("org")
-	k.Filter()(b.endpoint).Serve(ctx, req, &got{})
+	k.Filter()(b.endpoint).Serve(ctx, req, &receivedAnswer{})
 	is.Equal(b.endpoint.runs.Load(), int64(1))
 }
 
 func TestPausedNodeDoesNotDispatch(t *testing.T) {
-	// The node is paused for a day after its claim landed and wakes believing
-	// that the row is its own. By then the row has expired and another node may
-	// have run the call: this one must not.
+	// The node is paused for a day after its claim was committed. When it resumes,
+	// the row has expired and another node may have run the call, so this node must
+	// not dispatch it.
 	is := is.New(t)
-	b := newBench(t)
-	b.table.landed = func() { b.clock.Advance(defaultRetention) }
+	b := newTestCluster(t)
+	b.table.onCommit = func() { b.clock.Advance(defaultRetention) }
 	b.start("a")
 	g := b.send("a", withKey("k"))
 	is.Equal(b.endpoint.runs.Load(), int64(0))
 	is.Equal(g.end.Error.Kind, outcome.DeadlineExceeded)
 }
 
-func TestLongAnswerIsNotGivenAgain(t *testing.T) {
-	// The first answer is over the bound. The repeat is told that the call ran
-	// and that its answer cannot be given again; it does not run.
+func TestLargeAnswerIsNotReplayed(t *testing.T) {
+	// The first answer is too large to be stored. The repeat must be refused with
+	// outcome "ran" and must not run.
 	is := is.New(t)
-	b := newBench(t)
+	b := newTestCluster(t)
 	b.start("a")
 	b.endpoint.body = strings.Repeat("x", 65<<10)
 	is.True(b.send("a", withKey("k")).end.Whole)
@@ -91,19 +93,20 @@
 	is.Equal(b.endpoint.runs.Load(), int64(1))
 }
 
-func TestTicketsThatAreRefused(t *testing.T) {
-	// "not-run" is told only of a ticket that no node of this deployment can
-	// have taken; one of another secret may have run before the secret changed.
-	b := newBench(t)
-	b.maxSlots = 1
+func TestRefusedTickets(t *testing.T) {
+	// "not-run" may be reported only for a ticket that no node of this deployment
+	// can have accepted. A ticket issued under another secret may have run before
+	// the secret was changed.
+	b := newTestCluster(t)
+	b.maxEntries = 1
 	k := b.start("a")
 	good := k.newTicket("org")
-	old := newSealer([]byte("an older secret of the same deployment")).seal(Ticket{Holder: k.opt.Self, Organisation: "org"})
-	expired := k.sealer.seal(Ticket{Holder: k.opt.Self, Organisation: "org", Expires: b.clock.Now()})
+	old := newTicketCodec([]byte("an older secret of the same deployment")).encode(Ticket{Holder: k.opt.Self, Organisation: "org"})
+	expired := k.ticketCodec.encode(Ticket{Holder: k.opt.Self, Organisation: "org", Expires: b.clock.Now()})
 	for name, c := range map[string]struct {
 		ticket string
 		kind   outcome.Kind
-		told   outcome.Outcome
+		want   outcome.Outcome
 	}{
 		"malformed":          {"x", outcome.BadRequest, outcome.NotRun},
 		"forged":             {good[:len(good)-4] + "AAAA", outcome.BadRequest, outcome.NotRun},
@@ -115,21 +118,21 @@
 			is := is.New(t)
 			g := b.send("a", withTicket(c.ticket))
 			is.Equal(g.end.Error.Kind, c.kind)
-			is.Equal(g.outcome(), c.told)
+			is.Equal(g.outcome(), c.want)
 		})
 	}
 	t.Run("memory full", func(t *testing.T) {
 		is := is.New(t)
 		is.True(b.send("a", withTicket(good)).end.Whole)
 		is.Equal(b.send("a", withTicket(k.newTicket("org"))).outcome(), outcome.NotRun)
-		is.True(b.send("a", withTicket(good)).end.Whole) // nothing was forgotten to make room
+		is.True(b.send("a", withTicket(good)).end.Whole) // no entry was evicted to make room
 		is.Equal(b.endpoint.runs.Load(), int64(1))
 	})
 }
 
 func TestIssuedTickets(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	b := newTestCluster(t)
 	k := b.start("a")
 	k.opt.Authorise = func(h http.Header) (fleet.Organisation, *outcome.Error) { return "org", nil }
 	rec := httptest.NewRecorder()
@@ -142,60 +145,60 @@
 	is.Equal(rec.Header().Get(outcome.Header), string(outcome.NotRun))
 }
 
-func TestOneConflictDoesNotFailTheOthers(t *testing.T) {
-	// Claims share a transaction, which the table refuses whole when one key is
-	// taken. The others must go on at once in a transaction of their own.
+func TestConflictFailsOnlyItsOwnWrite(t *testing.T) {
+	// Claims share a transaction, which the table refuses as a whole if one key is
+	// taken. The other claims must be retried immediately in another transaction.
 	is := is.New(t)
-	b := newBench(t)
+	b := newTestCluster(t)
 	k := b.start("a")
 	b.table.apply(platform.Txn{Writes: []platform.Write{{Key: "taken"}}})
-	ends := map[string]writeEnd{}
+	ends := map[string]writeResult{}
 	var batch []write
 	for _, key := range []string{"x", "taken", "y"} {
-		batch = append(batch, write{key: key, done: func(e writeEnd, _ platform.Row) { ends[key] = e }})
+		batch = append(batch, write{key: key, done: func(e writeResult, _ platform.Row) { ends[key] = e }})
 	}
 	k.writer.commit(context.Background(), batch)
-	is.Equal(ends, map[string]writeEnd{"x": writeLanded, "taken": writeRefused, "y": writeLanded})
+	is.Equal(ends, map[string]writeResult{"x": writeCommitted, "taken": writeRefused, "y": writeCommitted})
 	is.Equal(b.table.commits.Load(), int64(2))
 }
 
-func TestFlushedOutcomesOutliveTheHolder(t *testing.T) {
-	// The holder of a key is replaced. It has written the outcome before it
-	// stopped, so a repeat elsewhere gets the first answer, not "unknown".
+func TestFlushedOutcomeSurvivesHolder(t *testing.T) {
+	// The holder of a key has flushed its outcomes before it stopped. A repeat on
+	// another node must get the first answer, not "unknown".
 	is := is.New(t)
-	b := newBench(t)
-	b.limits.Notes = 1e-9 // nothing is written before the flush
+	b := newTestCluster(t)
+	b.limits.Notes = 1e-9 // no outcome is written before Flush
 	k := b.start("a")
 	b.start("b")
-	k.writer.pace.AllowN(time.Now(), 1)
+	k.writer.noteLimiter.AllowN(time.Now(), 1)
 	is.True(b.send("a", withKey("k")).end.Whole)
 	is.Equal(k.Flush(context.Background()), 0)
-	b.net.set("a", nil)
+	b.net.setPath("a", nil)
 	is.Equal(b.send("b", withKey("k")).body, "receipt 1")
 	is.Equal(b.endpoint.runs.Load(), int64(1))
 }
 
-func TestLateDeletionSparesANewClaim(t *testing.T) {
-	// A sweep gives up on its deletion, which is still on its way. Another
-	// sweep deletes the row, a caller claims the key again, and the row stands
-	// at the version that the late deletion expects. Landing, it would free the
-	// key of a running call for a second run.
+func TestLateDeletionKeepsNewClaim(t *testing.T) {
+	// A sweep times out while its deletion is still in flight. Another sweep deletes
+	// the row, and a caller claims the key again, so that the row has the version
+	// that the late deletion expects. If the late deletion were applied, it would
+	// free the key of a running call and allow a second run.
 	is := is.New(t)
-	b := newBench(t)
+	b := newTestCluster(t)
 	k := b.start("a")
 	now := time.Now()
 	k.opt.WallNow = func() time.Time { return now }
 	claim := platform.Txn{Writes: []platform.Write{{Key: "org/00", Value: (&keyRow{State: RowRan}).encode()}}}
 	b.table.apply(claim)
-	late := k.deletion(b.table.rows[sweepRow], []platform.Row{b.table.rows["org/00"]})
+	late := k.newDeletion(b.table.rows[sweepRow], []platform.Row{b.table.rows["org/00"]})
 	is.Equal(len(late.Writes), 2)
 	is.NoErr(k.sweepTable(context.Background()))
-	is.Equal(b.table.rows["org/00"].Version, uint64(0)) // swept
+	is.Equal(b.table.rows["org/00"].Version, uint64(0)) // deleted by the sweep
 	b.table.apply(claim)
 	is.True(!b.table.apply(late).Committed)
 	is.Equal(b.table.rows["org/00"].Version, uint64(1))
 
-	// A row that has not expired stays.
+	// A row that has not expired is not deleted.
 	fresh := keyRow{State: RowRan, Expires: now.Add(-k.opt.Skew).UnixMilli()}
-	is.Equal(len(k.deletion(platform.Row{}, []platform.Row{{Version: 1, Value: fresh.encode()}}).Writes), 1)
+	is.Equal(len(k.newDeletion(platform.Row{}, []platform.Row{{Version: 1, Value: fresh.encode()}}).Writes), 1)
 }
--- a/internal/once/entry.go
+++ b/internal/once/entry.go
@@ -5,63 +5,65 @@
 	"chervilloom/internal/outcome"
 )
 
-// State is what one life of a node knows of one key or ticket.
+// State is the state of one key or ticket on one incarnation of a node.
 type State uint8
 
-// The states. Only Running, Ran and Unresolved have handed the call to an
-// endpoint; in every other state nothing was dispatched that could have run.
+// The states. Only in Running, Ran and Unresolved may the call have been run by
+// an endpoint; in every other state nothing was dispatched that could have run.
 const (
-	Free       State = iota // nothing is known
-	Claiming                // the claim is on its way to the table
-	Abandoned               // a claim of this life may stand in the table and was never dispatched
+	Free       State = iota // no call known
+	Claiming                // the claim is in flight to the table
+	Abandoned               // the table may contain a claim of this incarnation that was never dispatched
 	Running                 // dispatched
-	Ran                     // ran; the answer may be kept
-	Unresolved              // dispatched, and whether it ran cannot be told
-	Released                // dispatched, and it surely did not run
+	Ran                     // ran; the answer may be stored
+	Unresolved              // dispatched; whether it ran is unknown
+	Released                // dispatched, but it certainly did not run
 )
 
 var stateNames = [...]string{"free", "claiming", "abandoned", "running", "ran", "unresolved", "released"}
 
-// String returns the state's name.
+// String returns the name of the state.
 func (s State) String() string { return stateNames[s] }
 
 // Hash identifies the method, path and body of a call.
 type Hash [16]byte
 
-// Entry is the memory of one key or ticket at the node that holds it.
+// Entry is the state of one key or ticket on the node that holds it.
 type Entry struct {
 	State State
-	// Keyed entries need a row of the table before each dispatch; tickets need
-	// none.
+	// Keyed is set for keys, which need a claim in the table before each dispatch.
+	// Tickets need none.
 	Keyed bool
 	Body  Hash
-	// Version is the newest version of the row that this life wrote, or 0.
+	// Version is the latest version of the row written by this incarnation, or 0.
 	Version uint64
-	// Prior is the state that Claiming began in. A row that names this life may
-	// be dispatched under only when Prior tells that it never was.
+	// Prior is the state before Claiming. A row claimed by this incarnation may be
+	// claimed again for a dispatch only if Prior shows that nothing was dispatched
+	// under it.
 	Prior State
-	// Waiting is set while a caller waits for the claim.
+	// Waiting reports whether a caller waits for the claim.
 	Waiting bool
 }
 
-// Event is something that happened to an entry.
+// Event is an input of the state machine of an entry.
 type Event interface{ event() }
 
 // The events.
 type (
-	// Call is a try of a caller.
+	// Call: a caller sent a try.
 	Call struct{ Body Hash }
-	// Left tells that the caller stopped waiting for the claim.
+	// Left: the caller stopped waiting for the claim.
 	Left struct{}
-	// Claimed tells that the claim stands in the table.
+	// Claimed: the claim was committed to the table.
 	Claimed struct{ Version uint64 }
-	// Taken tells that the row was not as the claim expected, and how it is.
+	// Taken: the row was not at the version that the claim expected; Row is its
+	// current state.
 	Taken struct{ Row RowFacts }
-	// ClaimFailed tells that the claim surely did not land.
+	// ClaimFailed: the claim was certainly not committed and never will be.
 	ClaimFailed struct{}
-	// ClaimUnclear tells that the claim may or may not have landed, or may yet.
+	// ClaimUnclear: the claim may have been committed or may still be.
 	ClaimUnclear struct{}
-	// Ended tells how the dispatch ended.
+	// Ended: the dispatch ended with the outcome.
 	Ended struct{ Outcome outcome.Outcome }
 )
 
@@ -73,32 +75,32 @@
 func (ClaimUnclear) event() {}
 func (Ended) event()        {}
 
-// RowFacts is a row of the table as a claim met it.
+// RowFacts is the content of a row as found by a claim.
 type RowFacts struct {
-	Version uint64 // 0: no row
+	Version uint64 // 0: the row does not exist
 	Holder  fleet.Node
 	State   RowState
 	Body    Hash
 	Expired bool
-	Answer  *keptAnswer // RowRan: nil when it was too long
+	Answer  *keptAnswer // RowRan: nil if it was too large
 }
 
-// Verb says what to do after an event.
+// Verb is the action to take after an event.
 type Verb uint8
 
 // The verbs.
 const (
 	Nothing       Verb = iota
-	WriteClaim         // write the row under the condition Action.Version
-	AwaitClaim         // an earlier try's claim is on its way: wait for it
-	Dispatch           // hand the call on; it is the only dispatch of this claim
-	Replay             // give the first answer, from memory
-	ReplayRow          // give the first answer, from the row
-	PassOn             // pass the call to Action.Holder
-	TellRunning        // the first try is in progress
-	TellReused         // the key came with another body
-	TellUnknown        // whether the call ran cannot be told
-	TellNoClaim        // nothing was dispatched because the table gave no claim
+	WriteClaim         // write the claim, if the row is at Action.Version
+	AwaitClaim         // wait for the claim of an earlier try
+	Dispatch           // dispatch the call; happens at most once per claim
+	Replay             // send the first answer from memory
+	ReplayRow          // send the first answer from the row
+	PassOn             // forward the call to Action.Holder
+	TellRunning        // refuse: the first try is in progress
+	TellReused         // refuse: the key was used with another body
+	TellUnknown        // refuse: whether the call ran is unknown
+	TellNoClaim        // refuse: not dispatched, as the key could not be claimed
 	WriteOutcome       // write the outcome to the row
 	WriteReleased      // write to the row that the key is free again
 )
@@ -106,35 +108,35 @@
 var verbNames = [...]string{"nothing", "write-claim", "await-claim", "dispatch", "replay", "replay-row", "pass-on",
 	"still-running", "key-reused", "unknown", "no-claim", "write-outcome", "write-released"}
 
-// String returns the verb's name.
+// String returns the name of the verb.
 func (v Verb) String() string { return verbNames[v] }
 
-// Action is a decision with its reason.
+// Action is a decision with its parameters and its reason.
 type Action struct {
 	Verb    Verb
-	Version uint64      // WriteClaim, WriteOutcome, WriteReleased: the condition
-	Holder  fleet.Node  // PassOn
-	Ran     bool        // PassOn: the row tells that the call ran; the holder may have the answer
-	Answer  *keptAnswer // ReplayRow: nil when it was too long
+	Version uint64      // WriteClaim, WriteOutcome, WriteReleased: the expected row version
+	Holder  fleet.Node  // PassOn: the node to forward to
+	Ran     bool        // PassOn: the call ran according to the row; the holder may have the answer
+	Answer  *keptAnswer // ReplayRow: nil if it was too large
 	Reason  string
 }
 
-// Decide returns the entry after the event and what to do. self is the life of
-// the node that holds the entry.
+// Decide is the transition function: it returns the entry after the event and the
+// action to take. self is the incarnation of the node that holds the entry.
 //
-// One rule carries the promise: each dispatch of a keyed call comes after a
-// conditional write of its own that is known to have landed. So a write that
-// was given up on and lands late always meets a newer version and fails.
+// At-most-once execution rests on one invariant: each dispatch of a keyed call
+// follows its own conditional write that is known to be committed. A write that
+// timed out and is applied late therefore meets a newer version and fails.
 func Decide(self fleet.Node, e Entry, ev Event) (Entry, Action) {
 	switch ev := ev.(type) {
 	case Call:
-		return call(e, ev)
+		return decideCall(e, ev)
 	case Left:
-		return left(e)
+		return decideLeft(e)
 	case Claimed:
-		return claimed(e, ev)
+		return decideClaimed(e, ev)
 	case Taken:
-		return taken(self, e, ev.Row)
+		return decideTaken(self, e, ev.Row)
 	case ClaimFailed:
 		e.State, e.Waiting = e.Prior, false
 		return e, Action{Verb: TellNoClaim, Reason: "the claim did not land"}
@@ -142,15 +144,15 @@
 		e.State, e.Waiting = Abandoned, false
 		return e, Action{Verb: TellNoClaim, Reason: "whether the claim landed is not known; nothing was dispatched"}
 	case Ended:
-		return ended(e, ev.Outcome)
+		return decideEnded(e, ev.Outcome)
 	}
 	return e, Action{}
 }
 
-func call(e Entry, ev Call) (Entry, Action) {
+func decideCall(e Entry, ev Call) (Entry, Action) {
 	switch e.State {
 	case Free, Abandoned, Released:
-		return begin(e, ev)
+		return decideFirstCall(e, ev)
 	}
 	same := e.Body == ev.Body
 	switch {
@@ -158,8 +160,8 @@
 		e.Waiting = true
 		return e, Action{Verb: AwaitClaim, Reason: "an earlier try left its claim on the way"}
 	case e.State == Claiming:
-		// Also with another body: until the claim stands, the key may be
-		// another node's, and may have run with this body there.
+		// This includes other bodies: until the claim is committed, the key may
+		// belong to another node and may have run there with this body.
 		return e, Action{Verb: TellRunning, Reason: "an earlier try waits for the claim"}
 	case !same:
 		return e, Action{Verb: TellReused, Reason: "the key was first used with another body"}
@@ -169,7 +171,7 @@
 	return e, Action{Verb: Replay, Reason: "the first try has ended"}
 }
 
-func begin(e Entry, ev Call) (Entry, Action) {
+func decideFirstCall(e Entry, ev Call) (Entry, Action) {
 	e.Body = ev.Body
 	if !e.Keyed {
 		e.State = Running
@@ -179,7 +181,7 @@
 	return e, Action{Verb: WriteClaim, Version: e.Version, Reason: "nothing was dispatched for the key by this life"}
 }
 
-func left(e Entry) (Entry, Action) {
+func decideLeft(e Entry) (Entry, Action) {
 	if e.State != Claiming {
 		return e, Action{}
 	}
@@ -187,11 +189,11 @@
 	return e, Action{Verb: TellNoClaim, Reason: "the table did not answer in time"}
 }
 
-func claimed(e Entry, ev Claimed) (Entry, Action) {
+func decideClaimed(e Entry, ev Claimed) (Entry, Action) {
 	e.Version = ev.Version
 	if !e.Waiting {
-		// The caller was told that this try did not run. Dispatching now would
-		// make that false.
+		// The caller has already received "not-run" for this try, so it must not be
+		// dispatched any more.
 		e.State = Abandoned
 		return e, Action{Reason: "the claim landed after the caller had left"}
 	}
@@ -199,13 +201,13 @@
 	return e, Action{Verb: Dispatch, Reason: "claimed"}
 }
 
-// taken decides on a row that was not at the version the claim expected.
-func taken(self fleet.Node, e Entry, r RowFacts) (Entry, Action) {
+// decideTaken handles a row that was not at the version expected by the claim.
+func decideTaken(self fleet.Node, e Entry, r RowFacts) (Entry, Action) {
 	switch {
 	case r.Version == 0 || r.Expired || r.State == RowReleased:
-		return claimAgain(e, r, "the row is free")
+		return decideClaimAgain(e, r, "the row is free")
 	case r.Holder == self && r.State == RowClaimed && e.Prior != Free:
-		return claimAgain(e, r, "the row is this life's and was never dispatched")
+		return decideClaimAgain(e, r, "the row is this life's and was never dispatched")
 	}
 	body := e.Body
 	e = Entry{Keyed: true}
@@ -219,13 +221,13 @@
 	case r.State == RowUnresolved:
 		return e, Action{Verb: TellUnknown, Reason: "the row tells that the outcome is not known"}
 	case r.Holder == self:
-		// This life has forgotten what it did under the row: it may have run.
+		// This incarnation no longer has an entry for the row; the call may have run.
 		return e, Action{Verb: TellUnknown, Reason: "the row is this life's, which does not remember it"}
 	}
 	return e, Action{Verb: PassOn, Holder: r.Holder, Reason: "the row names another holder"}
 }
 
-func claimAgain(e Entry, r RowFacts, reason string) (Entry, Action) {
+func decideClaimAgain(e Entry, r RowFacts, reason string) (Entry, Action) {
 	e.Version = r.Version
 	if !e.Waiting {
 		e.State = e.Prior
@@ -234,7 +236,7 @@
 	return e, Action{Verb: WriteClaim, Version: r.Version, Reason: reason}
 }
 
-func ended(e Entry, o outcome.Outcome) (Entry, Action) {
+func decideEnded(e Entry, o outcome.Outcome) (Entry, Action) {
 	if e.State != Running {
 		return e, Action{}
 	}
--- a/internal/once/fake_test.go
+++ b/internal/once/fake_test.go
@@ -24,22 +24,22 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeTable is a conditional table with faults.
+// fakeTable is an in-memory table with conditional commits and fault injection.
 type fakeTable struct {
-	mu      sync.Mutex
-	rows    map[string]platform.Row
-	down    atomic.Bool
-	refuses atomic.Bool  // commits are refused for good, without effect
-	lose    atomic.Int32 // how many of the next commits take effect and lose their answer
-	blind   atomic.Bool  // reads fail
-	commits atomic.Int64
-	landed  func() // not nil: called after each commit
+	mu            sync.Mutex
+	rows          map[string]platform.Row
+	down          atomic.Bool
+	refuse        atomic.Bool  // commits fail with ErrRefused, without effect
+	loseResponses atomic.Int32 // number of next commits that are applied but fail with ErrAmbiguous
+	failReads     atomic.Bool  // reads fail
+	commits       atomic.Int64
+	onCommit      func() // if not nil, called after each commit
 }
 
 func newFakeTable() *fakeTable { return &fakeTable{rows: map[string]platform.Row{}} }
 
 func (f *fakeTable) Get(_ context.Context, _, key string) (platform.Row, error) {
-	if f.down.Load() || f.blind.Load() {
+	if f.down.Load() || f.failReads.Load() {
 		return platform.Row{}, platform.ErrDown
 	}
 	f.mu.Lock()
@@ -63,15 +63,15 @@
 	if f.down.Load() {
 		return platform.Result{}, platform.ErrDown
 	}
-	if f.refuses.Load() {
+	if f.refuse.Load() {
 		return platform.Result{}, platform.ErrRefused
 	}
 	f.commits.Add(1)
 	res := f.apply(txn)
-	if f.landed != nil {
-		f.landed()
+	if f.onCommit != nil {
+		f.onCommit()
 	}
-	if f.lose.Add(-1) >= 0 {
+	if f.loseResponses.Add(-1) >= 0 {
 		return platform.Result{}, platform.ErrAmbiguous
 	}
 	return res, nil
@@ -103,7 +103,7 @@
 	return res
 }
 
-// fakeView is a view that does not change.
+// fakeView is a view.Source with a constant snapshot.
 type fakeView view.Snapshot
 
 func (v *fakeView) Snapshot() *view.Snapshot { return (*view.Snapshot)(v) }
@@ -112,7 +112,7 @@
 	return &fakeView{Revision: 1, Config: &config.Document{Organisations: []config.Organisation{{Name: "org"}}}}
 }
 
-// fakeNet joins the nodes of a test. A node without a path is cut off.
+// fakeNet connects the nodes of a test. A node without a path is partitioned.
 type fakeNet struct {
 	mu    sync.Mutex
 	paths map[fleet.VM]filter.Handler
@@ -127,7 +127,7 @@
 	return n.paths[to]
 }
 
-func (n *fakeNet) set(vm fleet.VM, h filter.Handler) {
+func (n *fakeNet) setPath(vm fleet.VM, h filter.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.paths[vm] = h
@@ -138,40 +138,40 @@
 	if h == nil {
 		return outcome.New(outcome.EndpointFailed, outcome.NotRun, "node not reached", "try again")
 	}
-	held := &got{}
-	h.Serve(ctx, req, held)
+	received := &receivedAnswer{}
+	h.Serve(ctx, req, received)
 	switch {
 	case n.path(to, req.From) == nil:
 		return outcome.New(outcome.EndpointFailed, outcome.Unknown, "the link broke", "look up")
-	case !held.began:
-		return held.end.Error
+	case !received.started:
+		return received.end.Error
 	}
-	w.Start(held.head)
-	w.Frame(answer.Frame{Data: []byte(held.body)})
-	w.Finish(held.end)
+	w.Start(received.head)
+	w.Frame(answer.Frame{Data: []byte(received.body)})
+	w.Finish(received.end)
 	return nil
 }
 
-// got is an answer as a caller sees it.
-type got struct {
-	head  answer.Head
-	body  string
-	end   answer.End
-	began bool
+// receivedAnswer records an answer as received by a caller.
+type receivedAnswer struct {
+	head    answer.Head
+	body    string
+	end     answer.End
+	started bool
 }
 
-func (g *got) Start(h answer.Head) error  { g.head, g.began = h, true; return nil }
-func (g *got) Frame(f answer.Frame) error { g.body += string(f.Data); return nil }
-func (g *got) Finish(e answer.End)        { g.end = e }
+func (g *receivedAnswer) Start(h answer.Head) error  { g.head, g.started = h, true; return nil }
+func (g *receivedAnswer) Frame(f answer.Frame) error { g.body += string(f.Data); return nil }
+func (g *receivedAnswer) Finish(e answer.End)        { g.end = e }
 
-func (g *got) outcome() outcome.Outcome {
+func (g *receivedAnswer) outcome() outcome.Outcome {
 	if g.end.Whole {
 		return outcome.Ran
 	}
 	return g.end.Error.Outcome
 }
 
-// endpoint counts runs and answers with its body.
+// endpoint counts the runs and answers with body.
 type endpoint struct {
 	runs atomic.Int64
 	fail atomic.Pointer[outcome.Error]
@@ -189,20 +189,20 @@
 	w.Finish(answer.End{Whole: true, Bytes: uint64(len(e.body))})
 }
 
-// bench is nodes that share a table and an endpoint.
-type bench struct {
-	t        testing.TB
-	table    *fakeTable
-	net      *fakeNet
-	endpoint *endpoint
-	clock    *clock.Manual
-	limits   WriteLimits
-	maxSlots int
-	sequence fleet.Incarnation
+// testCluster is a set of nodes that share a table and an endpoint.
+type testCluster struct {
+	t               testing.TB
+	table           *fakeTable
+	net             *fakeNet
+	endpoint        *endpoint
+	clock           *clock.Manual
+	limits          WriteLimits
+	maxEntries      int
+	lastIncarnation fleet.Incarnation
 }
 
-func newBench(t testing.TB) *bench {
-	return &bench{
+func newTestCluster(t testing.TB) *testCluster {
+	return &testCluster{
 		t: t, table: newFakeTable(), net: &fakeNet{paths: map[fleet.VM]filter.Handler{}},
 		endpoint: &endpoint{body: "receipt 1"}, clock: clock.NewManual(1),
 		limits: WriteLimits{Gap: time.Microsecond, NoteDelay: time.Millisecond},
@@ -211,8 +211,8 @@
 
 var testSecret = []byte("a secret of the tests, long enough")
 
-// launch makes and runs a keeper.
-func launch(opt Options) (k *Keeper, stop func()) {
+// startKeeper creates and runs a Keeper.
+func startKeeper(opt Options) (k *Keeper, stop func()) {
 	opt.Log, opt.Secret = slog.New(slog.DiscardHandler), testSecret
 	k, err := New(opt)
 	if err != nil {
@@ -224,26 +224,26 @@
 	return k, func() { cancel(); <-done }
 }
 
-// start starts a new life of the node on the VM.
-func (b *bench) start(vm fleet.VM) *Keeper {
-	b.sequence++
-	k, stop := launch(Options{
-		Self: fleet.Node{VM: vm, Incarnation: b.sequence}, Table: b.table, Peers: b.net, View: testView(), Clock: b.clock,
-		Write: b.limits, SweepEvery: time.Hour, MaxEntries: b.maxSlots, ClaimWait: 10 * time.Second,
+// start starts a new incarnation of the node on the VM.
+func (b *testCluster) start(vm fleet.VM) *Keeper {
+	b.lastIncarnation++
+	k, stop := startKeeper(Options{
+		Self: fleet.Node{VM: vm, Incarnation: b.lastIncarnation}, Table: b.table, Peers: b.net, View: testView(), Clock: b.clock,
+		Write: b.limits, SweepEvery: time.Hour, MaxEntries: b.maxEntries, ClaimWait: 10 * time.Second,
 	})
 	b.t.Cleanup(stop)
-	b.net.set(vm, k.Filter()(b.endpoint))
+	b.net.setPath(vm, k.Filter()(b.endpoint))
 	return k
 }
 
-// send sends a call to the node.
-func (b *bench) send(vm fleet.VM, change func(*request.Request)) *got {
+// send sends a call to the node and returns its answer.
+func (b *testCluster) send(vm fleet.VM, change func(*request.Request)) *receivedAnswer {
 	req := &request.Request{
 		ID: "r", Organisation: "org", Class: request.ClassCall, Service: "receipts", Method: "POST",
 		Path: "/receipts", Body: []byte("driver 7"),
 	}
 	change(req)
-	g := &got{}
+	g := &receivedAnswer{}
 	b.net.path(vm, vm).Serve(context.Background(), req, g)
 	return g
 }
--- a/internal/once/memory.go
+++ b/internal/once/memory.go
@@ -9,26 +9,27 @@
 	"chervilloom/internal/outcome"
 )
 
-// slot is one entry with what the adapter keeps beside it.
-type slot struct {
+// memoryEntry is an entry of the memory: the state machine's Entry with its expiry and
+// the data for replays.
+type memoryEntry struct {
 	Entry
-	expires  clock.Instant
-	answer   *keptAnswer    // Ran: the first answer, when it was kept
-	failure  *outcome.Error // Ran or Unresolved: the error that the first try was told
-	size     int            // bytes held in answer
-	recorded bool           // the row tells the outcome: the memory is not needed any more
-	wake     chan Action    // Claiming: told what becomes of the claim
+	expires     clock.Instant
+	answer      *keptAnswer    // Ran: the first answer, if stored
+	failure     *outcome.Error // Ran or Unresolved: the error returned to the first try
+	answerBytes int            // bytes of answer
+	recorded    bool           // the row contains the outcome, so the entry may be evicted
+	decided     chan Action    // Claiming: receives the decision on the claim
 }
 
-// memory is the bounded table of entries of this life. An entry is forgotten
-// when it has expired or when its row tells the outcome, never for want of
-// room: a forgotten entry would read as "never dispatched".
+// memory is the bounded table of entries of this incarnation. An entry is evicted
+// only if it has expired or its row contains the outcome, never just to make
+// room: an evicted entry would be taken for "never dispatched".
 type memory struct {
-	self     fleet.Node
-	maxSlots int
-	maxBytes int64
-	held     atomic.Int64 // bytes of kept answers
-	used     atomic.Int64 // slots
+	self        fleet.Node
+	maxEntries  int
+	maxBytes    int64
+	answerBytes atomic.Int64 // bytes of stored answers
+	entryCount  atomic.Int64 // number of entries
 
 	shards [shardCount]shard
 }
@@ -36,14 +37,14 @@
 const shardCount = 32
 
 type shard struct {
-	mu    sync.Mutex
-	slots map[string]*slot
+	mu      sync.Mutex
+	entries map[string]*memoryEntry
 }
 
-func newMemory(self fleet.Node, maxSlots int, maxBytes int64) *memory {
-	m := &memory{self: self, maxSlots: maxSlots, maxBytes: maxBytes}
+func newMemory(self fleet.Node, maxEntries int, maxBytes int64) *memory {
+	m := &memory{self: self, maxEntries: maxEntries, maxBytes: maxBytes}
 	for i := range m.shards {
-		m.shards[i].slots = map[string]*slot{}
+		m.shards[i].entries = map[string]*memoryEntry{}
 	}
 	return m
 }
@@ -57,73 +58,75 @@
 	return &m.shards[h%shardCount]
 }
 
-// full reports whether a new entry would be refused.
-func (m *memory) full() bool { return m.used.Load() >= int64(m.maxSlots) }
+// isFull reports whether a new entry would be rejected.
+func (m *memory) isFull() bool { return m.entryCount.Load() >= int64(m.maxEntries) }
 
-// call takes a try. The returned slot is valid until the shard changes; ok is
-// false when the memory is full and knows nothing of the entry.
-func (m *memory) call(id string, keyed bool, body Hash, expires clock.Instant) (Action, *slot, bool) {
+// beginCall applies the Call event of a try, creating the entry if needed. It returns
+// the decision and a copy of the entry. ok is false if there is no such entry and
+// the memory is full.
+func (m *memory) beginCall(id string, keyed bool, body Hash, expires clock.Instant) (Action, *memoryEntry, bool) {
 	sh := m.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	s := sh.slots[id]
+	s := sh.entries[id]
 	if s == nil {
-		if m.full() {
+		if m.isFull() {
 			return Action{}, nil, false
 		}
-		s = &slot{Entry: Entry{Keyed: keyed}}
-		sh.slots[id] = s
-		m.used.Add(1)
+		s = &memoryEntry{Entry: Entry{Keyed: keyed}}
+		sh.entries[id] = s
+		m.entryCount.Add(1)
 	}
 	var act Action
 	s.Entry, act = Decide(m.self, s.Entry, Call{Body: body})
 	switch act.Verb {
 	case WriteClaim, AwaitClaim:
-		s.wake = make(chan Action, 1)
+		s.decided = make(chan Action, 1)
 		s.expires = max(s.expires, expires)
 	case Dispatch:
 		s.expires = max(s.expires, expires)
 	}
-	seen := *s
-	return act, &seen, true
+	snapshot := *s
+	return act, &snapshot, true
 }
 
-// step applies what the table said of a claim and returns the decision. Who
-// waits for the claim is told the decision unless it writes another claim.
-func (m *memory) step(id string, ev Event) Action {
+// applyEvent applies the result of a claim and returns the decision. A caller that
+// waits for the claim receives the decision too, unless it is to write another
+// claim.
+func (m *memory) applyEvent(id string, ev Event) Action {
 	sh := m.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	s := sh.slots[id]
+	s := sh.entries[id]
 	if s == nil {
 		return Action{}
 	}
-	waited := s.Waiting
+	waiting := s.Waiting
 	var act Action
 	s.Entry, act = Decide(m.self, s.Entry, ev)
-	if waited && act.Verb != WriteClaim {
-		s.wake <- act
+	if waiting && act.Verb != WriteClaim {
+		s.decided <- act
 	}
 	if s.State == Free {
-		m.drop(sh, id, s)
+		m.evict(sh, id, s)
 	}
 	return act
 }
 
-// leave ends the wait for a claim and returns what the caller is told. The
-// decision may have come in the meantime; wake is sent to under the same lock.
-// The entry may by then be waited on by another try, which has its own wake.
-func (m *memory) leave(id string, wake chan Action) Action {
+// cancelWait ends a caller's wait for a claim and returns the decision for the caller.
+// The decision on the claim may have arrived meanwhile; decided is sent to under the
+// same lock. By then another try with its own channel may wait on the entry.
+func (m *memory) cancelWait(id string, decided chan Action) Action {
 	sh := m.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	select {
-	case act := <-wake:
+	case act := <-decided:
 		return act
 	default:
 	}
-	s := sh.slots[id]
-	if s == nil || s.wake != wake {
+	s := sh.entries[id]
+	if s == nil || s.decided != decided {
 		return Action{Verb: TellNoClaim, Reason: "another try waits for the claim"}
 	}
 	var act Action
@@ -131,46 +134,46 @@
 	return act
 }
 
-// end stores how the dispatch ended together with what the caller is told, so
-// that a repeat never sees one without the other.
-func (m *memory) end(id string, o outcome.Outcome, kept *keptAnswer, size int, failure *outcome.Error) Action {
+// endDispatch stores the outcome of the dispatch together with the answer or error that
+// the caller receives, so that a repeat never sees one without the other.
+func (m *memory) endDispatch(id string, o outcome.Outcome, kept *keptAnswer, answerBytes int, failure *outcome.Error) Action {
 	sh := m.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	s := sh.slots[id]
+	s := sh.entries[id]
 	if s == nil {
 		return Action{}
 	}
 	var act Action
 	s.Entry, act = Decide(m.self, s.Entry, Ended{Outcome: o})
-	if s.State == Ran && kept != nil && m.held.Add(int64(size)) <= m.maxBytes {
-		s.answer, s.size = kept, size
+	if s.State == Ran && kept != nil && m.answerBytes.Add(int64(answerBytes)) <= m.maxBytes {
+		s.answer, s.answerBytes = kept, answerBytes
 	} else if s.State == Ran && kept != nil {
-		m.held.Add(-int64(size))
+		m.answerBytes.Add(-int64(answerBytes))
 	}
 	s.failure = failure
 	return act
 }
 
-// recorded tells that the row at the version holds the outcome of the entry.
-func (m *memory) recorded(id string) {
+// markRecorded marks the entry's outcome as contained in its row.
+func (m *memory) markRecorded(id string) {
 	sh := m.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	if s := sh.slots[id]; s != nil && (s.State == Ran || s.State == Unresolved) {
+	if s := sh.entries[id]; s != nil && (s.State == Ran || s.State == Unresolved) {
 		s.recorded = true
 	}
 }
 
-func (m *memory) drop(sh *shard, id string, s *slot) {
-	delete(sh.slots, id)
-	m.used.Add(-1)
-	m.held.Add(-int64(s.size))
+func (m *memory) evict(sh *shard, id string, s *memoryEntry) {
+	delete(sh.entries, id)
+	m.entryCount.Add(-1)
+	m.answerBytes.Add(-int64(s.answerBytes))
 }
 
-// sweep forgets what has expired and, when more than half of the slots are in
-// use, what the table tells as well. It returns the ids whose outcome the table
-// does not tell yet.
+// sweep evicts expired entries and, if the memory is more than half full, those
+// whose outcome is in the table. It returns the IDs of the entries whose outcome
+// is not in the table yet.
 func (m *memory) sweep(now clock.Instant) (unrecorded []string) {
 	for i := range m.shards {
 		unrecorded = m.sweepShard(&m.shards[i], now, unrecorded)
@@ -181,13 +184,13 @@
 func (m *memory) sweepShard(sh *shard, now clock.Instant, unrecorded []string) []string {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	crowded := m.used.Load() > int64(m.maxSlots)/2
-	for id, s := range sh.slots {
-		busy := s.State == Claiming || s.State == Running
+	overHalf := m.entryCount.Load() > int64(m.maxEntries)/2
+	for id, s := range sh.entries {
+		active := s.State == Claiming || s.State == Running
 		switch {
-		case busy:
-		case now.After(s.expires), crowded && s.recorded:
-			m.drop(sh, id, s)
+		case active:
+		case now.After(s.expires), overHalf && s.recorded:
+			m.evict(sh, id, s)
 		case s.Keyed && !s.recorded && (s.State == Ran || s.State == Unresolved):
 			unrecorded = append(unrecorded, id)
 		}
@@ -195,14 +198,14 @@
 	return unrecorded
 }
 
-// outcomeOf returns what the row of an ended entry shall tell.
-func (m *memory) outcomeOf(id string) (s slot, ok bool) {
+// unrecordedOutcome returns a finished entry whose outcome is not in the table yet.
+func (m *memory) unrecordedOutcome(id string) (s memoryEntry, ok bool) {
 	sh := m.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	p := sh.slots[id]
+	p := sh.entries[id]
 	if p == nil || p.recorded || (p.State != Ran && p.State != Unresolved) {
-		return slot{}, false
+		return memoryEntry{}, false
 	}
 	return *p, true
 }
--- a/internal/once/meters.go
+++ b/internal/once/meters.go
@@ -8,8 +8,8 @@
 	"chervilloom/internal/platform"
 )
 
-// meters are the package's metrics.
-type meters struct {
+// metrics holds the metrics of the package.
+type metrics struct {
 	decisions    *prometheus.CounterVec
 	transactions *prometheus.CounterVec
 	notesDropped prometheus.Counter
@@ -17,8 +17,8 @@
 	claimSeconds prometheus.Histogram
 }
 
-func newMeters(reg prometheus.Registerer, mem *memory) *meters {
-	m := &meters{
+func newMetrics(reg prometheus.Registerer, mem *memory) *metrics {
+	m := &metrics{
 		decisions: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "chervilloom_once_decisions_total", Help: "Decisions on tries with a key or ticket.",
 		}, []string{"mechanism", "decision"}),
@@ -41,10 +41,10 @@
 	}
 	entries := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "chervilloom_once_entries", Help: "Keys and tickets held in memory.",
-	}, func() float64 { return float64(mem.used.Load()) })
+	}, func() float64 { return float64(mem.entryCount.Load()) })
 	held := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "chervilloom_once_held_bytes", Help: "Bytes of first answers held in memory.",
-	}, func() float64 { return float64(mem.held.Load()) })
+	}, func() float64 { return float64(mem.answerBytes.Load()) })
 	reg.MustRegister(m.decisions, m.transactions, m.notesDropped, m.swept, m.claimSeconds, entries, held)
 	return m
 }
--- a/internal/once/model_test.go
+++ b/internal/once/model_test.go
@@ -16,65 +16,66 @@
 	"chervilloom/internal/request"
 )
 
-// The model runs real keepers of three VMs, with their goroutines, in a bubble
-// of virtual time. A schedule of random steps decides when a write lands, when
-// its answer arrives or is lost, when a dispatch ends and how, who crashes, is
-// cut off or leaves, and when time passes. A crashed life goes on in the
-// background as a paused process would that wakes up later.
+// The model runs real keepers on three VMs, with their goroutines, in a synctest
+// bubble with virtual time. A random schedule decides when a write is applied,
+// when its response arrives or is lost, when and how a dispatch ends, which nodes
+// crash or are partitioned, which callers disconnect, and when time passes. A
+// crashed incarnation continues in the background, like a paused process that
+// resumes later.
 
 type bubbleClock struct{}
 
 func (bubbleClock) Now() clock.Instant { return clock.Instant(time.Now().UnixNano()) }
 
-// pendingTxn is a transaction on its way.
+// pendingTxn is a transaction in flight.
 type pendingTxn struct {
-	txn    platform.Txn
-	landed bool
-	result platform.Result
-	answer chan error // nil error: the result
+	txn     platform.Txn
+	applied bool
+	result  platform.Result
+	answer  chan error // nil: Commit returns result
 }
 
-// pendingRun is a dispatch that the endpoint has not ended.
+// pendingRun is a dispatch that the endpoint has not finished.
 type pendingRun struct {
 	try *modelTry
 	end chan string
 }
 
-// modelTry is one try of a caller.
+// modelTry is one try sent by a caller.
 type modelTry struct {
-	key, body  string
-	ticket     string
-	vouched    bool
-	overlapped bool // another try of the key was sent before this one was answered
-	cancel     context.CancelFunc
-	done       bool
-	told       outcome.Outcome
-	got        got
+	key, body     string
+	ticket        string
+	assertedFirst bool
+	overlapped    bool // another try with the key was sent before this one was answered
+	cancel        context.CancelFunc
+	done          bool
+	outcome       outcome.Outcome
+	answer        receivedAnswer
 }
 
 type model struct {
-	*fakeTable // its rows, and its reads
+	*fakeTable // provides the rows and the reads
 	*fakeNet
 
-	mu      sync.Mutex // of all below
-	vms     []fleet.VM
-	keepers map[fleet.VM]*Keeper
-	stop    []func()
-	life    fleet.Incarnation
-	txns    []*pendingTxn
-	late    []*pendingTxn
-	runs    []*pendingRun
-	tries   []*modelTry
-	ran     map[string]int // executions by key
-	ranBody map[string]int // executions by key and body
-	fault   error
-	over    bool
+	mu          sync.Mutex // guards the fields below
+	vms         []fleet.VM
+	keepers     map[fleet.VM]*Keeper
+	stops       []func()
+	incarnation fleet.Incarnation
+	txns        []*pendingTxn
+	lateTxns    []*pendingTxn
+	runs        []*pendingRun
+	tries       []*modelTry
+	runsByKey   map[string]int // executions by key
+	runsByBody  map[string]int // executions by key and body
+	failures    error
+	closed      bool
 }
 
 func newModel() *model {
 	m := &model{
 		fakeTable: newFakeTable(), fakeNet: &fakeNet{paths: map[fleet.VM]filter.Handler{}},
-		vms: []fleet.VM{"a", "b", "c"}, keepers: map[fleet.VM]*Keeper{}, ran: map[string]int{}, ranBody: map[string]int{},
+		vms: []fleet.VM{"a", "b", "c"}, keepers: map[fleet.VM]*Keeper{}, runsByKey: map[string]int{}, runsByBody: map[string]int{},
 	}
 	for _, vm := range m.vms {
 		m.start(vm)
@@ -83,42 +84,42 @@
 }
 
 func (m *model) start(vm fleet.VM) {
-	m.life++
-	k, stop := launch(Options{
-		Self: fleet.Node{VM: vm, Incarnation: m.life}, Table: m, Peers: m, View: testView(), Clock: bubbleClock{},
+	m.incarnation++
+	k, stop := startKeeper(Options{
+		Self: fleet.Node{VM: vm, Incarnation: m.incarnation}, Table: m, Peers: m, View: testView(), Clock: bubbleClock{},
 	})
-	m.stop = append(m.stop, stop)
+	m.stops = append(m.stops, stop)
 	m.keepers[vm] = k
-	m.fakeNet.set(vm, k.Filter()(m))
+	m.fakeNet.setPath(vm, k.Filter()(m))
 }
 
-// Commit implements Table: the schedule decides what becomes of it.
+// Commit implements Table: the schedule decides when and how it ends.
 func (m *model) Commit(ctx context.Context, txn platform.Txn) (platform.Result, error) {
 	p := &pendingTxn{txn: txn, answer: make(chan error, 1)}
 	m.mu.Lock()
-	over := m.over
+	closed := m.closed
 	m.txns = append(m.txns, p)
 	m.mu.Unlock()
-	if over {
+	if closed {
 		return platform.Result{}, platform.ErrDown
 	}
 	select {
 	case err := <-p.answer:
 		return p.result, err
 	case <-ctx.Done():
-		// It may land at any later time.
+		// The transaction may be applied at any later time.
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.forget(p)
-		if !p.landed {
-			m.late = append(m.late, p)
+		m.removeTxn(p)
+		if !p.applied {
+			m.lateTxns = append(m.lateTxns, p)
 		}
 		return platform.Result{}, ctx.Err()
 	}
 }
 
-// forget takes the transaction out of the pending ones.
-func (m *model) forget(p *pendingTxn) {
+// removeTxn removes the transaction from the pending ones.
+func (m *model) removeTxn(p *pendingTxn) {
 	for i, q := range m.txns {
 		if q == p {
 			m.txns = append(m.txns[:i:i], m.txns[i+1:]...)
@@ -127,18 +128,18 @@
 	}
 }
 
-// Serve is the endpoint: the schedule decides how the call ends.
+// Serve implements the endpoint: the schedule decides when and how the call ends.
 func (m *model) Serve(_ context.Context, req *request.Request, w answer.Writer) {
-	r := m.dispatched(req)
+	r := m.addRun(req)
 	m.finish(r.try, <-r.end, w)
 }
 
-func (m *model) dispatched(req *request.Request) *pendingRun {
+func (m *model) addRun(req *request.Request) *pendingRun {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t := m.tries[req.PromptTokens] // the try's number, see send
-	if t.done && t.told == outcome.NotRun {
-		m.fail("a try of %s was told not-run and is dispatched now", t.key)
+	t := m.tries[req.PromptTokens] // index of the try, set by send
+	if t.done && t.outcome == outcome.NotRun {
+		m.fail("a try of %s was answered not-run and dispatched afterwards", t.key)
 	}
 	r := &pendingRun{try: t, end: make(chan string, 1)}
 	m.runs = append(m.runs, r)
@@ -149,37 +150,37 @@
 	switch how {
 	case "end ran":
 		body := fmt.Sprintf("answer to %s %s", t.key, t.body)
-		m.execute(t)
+		m.countRun(t)
 		w.Start(answer.Head{Status: 200})
 		w.Frame(answer.Frame{Data: []byte(body)})
 		w.Finish(answer.End{Whole: true})
 	case "end not run":
 		w.Finish(answer.End{Error: outcome.New(outcome.NoCapacity, outcome.NotRun, "no capacity", "later")})
 	case "end unknown ran":
-		m.execute(t)
+		m.countRun(t)
 		w.Finish(answer.End{Error: outcome.New(outcome.EndpointFailed, outcome.Unknown, "lost", "look up")})
 	default:
 		w.Finish(answer.End{Error: outcome.New(outcome.EndpointFailed, outcome.Unknown, "lost", "look up")})
 	}
 }
 
-func (m *model) execute(t *modelTry) {
+func (m *model) countRun(t *modelTry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ran[t.key]++
-	m.ranBody[t.key+t.body]++
-	if m.ran[t.key] > 1 {
+	m.runsByKey[t.key]++
+	m.runsByBody[t.key+t.body]++
+	if m.runsByKey[t.key] > 1 {
 		m.fail("%s ran twice", t.key)
 	}
 }
 
 func (m *model) fail(format string, args ...any) {
-	m.fault = errors.Join(m.fault, fmt.Errorf(format, args...))
+	m.failures = errors.Join(m.failures, fmt.Errorf(format, args...))
 }
 
-// send starts a try at the VM.
+// send sends a try to the VM.
 func (m *model) send(vm fleet.VM, key, body, ticket string, first bool) {
-	t := &modelTry{key: key, body: body, ticket: ticket, vouched: first}
+	t := &modelTry{key: key, body: body, ticket: ticket, assertedFirst: first}
 	for _, o := range m.tries {
 		o.overlapped = o.overlapped || o.key == key && !o.done
 	}
@@ -198,32 +199,32 @@
 	ctx, t.cancel = context.WithCancel(context.Background())
 	h := m.keepers[vm].Filter()(m)
 	go func() {
-		h.Serve(ctx, req, &t.got)
-		m.tell(t)
+		h.Serve(ctx, req, &t.answer)
+		m.checkAnswer(t)
 	}()
 }
 
-// tell checks what a caller is told against what has happened.
-func (m *model) tell(t *modelTry) {
+// checkAnswer checks the answer of a try against the executions so far.
+func (m *model) checkAnswer(t *modelTry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t.done, t.told = true, t.got.outcome()
+	t.done, t.outcome = true, t.answer.outcome()
 	switch {
-	case t.got.end.Whole && t.got.body != fmt.Sprintf("answer to %s %s", t.key, t.body):
-		m.fail("a try of %s %s got %q", t.key, t.body, t.got.body)
-	case t.told == outcome.Ran && m.ran[t.key] == 0:
-		m.fail("%s was told ran and has not run", t.key)
-	case t.told == outcome.NotRun && t.got.end.Error.Kind == outcome.KeyReused && m.ranBody[t.key+t.body] == 0:
-	case t.told == outcome.NotRun && t.vouched && t.overlapped:
-		// The caller did not keep its word.
-	case t.told == outcome.NotRun && m.ran[t.key] > 0:
-		m.fail("%s was told not-run and has run: %v", t.key, t.got.end.Error)
-	case t.told == outcome.NotRun && m.inFlight(t):
-		m.fail("%s was told not-run while another try is dispatched", t.key)
+	case t.answer.end.Whole && t.answer.body != fmt.Sprintf("answer to %s %s", t.key, t.body):
+		m.fail("a try of %s %s got %q", t.key, t.body, t.answer.body)
+	case t.outcome == outcome.Ran && m.runsByKey[t.key] == 0:
+		m.fail("%s was answered ran but has not run", t.key)
+	case t.outcome == outcome.NotRun && t.answer.end.Error.Kind == outcome.KeyReused && m.runsByBody[t.key+t.body] == 0:
+	case t.outcome == outcome.NotRun && t.assertedFirst && t.overlapped:
+		// The caller's assertion of a first try was false.
+	case t.outcome == outcome.NotRun && m.runsByKey[t.key] > 0:
+		m.fail("%s was answered not-run but has run: %v", t.key, t.answer.end.Error)
+	case t.outcome == outcome.NotRun && m.isDispatched(t):
+		m.fail("%s was answered not-run while another try is dispatched", t.key)
 	}
 }
 
-func (m *model) inFlight(t *modelTry) bool {
+func (m *model) isDispatched(t *modelTry) bool {
 	for _, r := range m.runs {
 		if r.try != t && r.try.key == t.key {
 			return true
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -1,16 +1,16 @@
-// Package once makes a call that is marked as not repeatable run at most once,
-// also when its caller repeats it through other nodes while nodes, availability
-// zones and the platform fail.
+// Package once provides at-most-once execution of non-repeatable calls, also when
+// the caller retries through other nodes while nodes, availability zones and the
+// platform fail.
 //
-// A caller names its call by one of two means. A ticket, asked for beforehand,
-// names the life of one node; that node alone dispatches the call and remembers
-// how it ended, and every other node passes tries to it. No platform is needed,
-// and when the holder is lost the answer is "unknown". An Idempotency-Key alone
-// is claimed in the platform's table before each dispatch, and the claim names
-// the node that remembers; when the table does not answer, nothing is sent.
+// A caller identifies its call in one of two ways. A ticket, requested
+// beforehand, names one incarnation of a node, its holder. Only the holder
+// dispatches the call and stores its outcome; every other node forwards tries to
+// it. Tickets don't need the platform; if the holder is lost, the outcome is
+// "unknown". An Idempotency-Key alone is claimed in the platform's table before
+// each dispatch, and the row names the holder; if the table does not answer,
+// nothing is dispatched.
 //
-// Calls without either, and requests that carry no key and may be repeated,
-// pass through.
+// Requests with neither a ticket nor a key pass through.
 package once
 
 import (
@@ -32,8 +32,7 @@
 	"chervilloom/internal/view"
 )
 
-// Options are what a Keeper needs. Zero values of the bounds stand for the
-// defaults.
+// Options configure a Keeper. A zero limit selects its default.
 type Options struct {
 	Self    fleet.Node
 	Table   Table
@@ -47,20 +46,20 @@
 	Registerer prometheus.Registerer // nil: none
 	// Secret authenticates tickets. All nodes have the same.
 	Secret []byte
-	// Authorise tells the organisation of a caller who asks for a ticket.
+	// Authorise returns the organisation of a caller that requests a ticket.
 	Authorise func(http.Header) (fleet.Organisation, *outcome.Error)
-	// Owns reports whether this node has the duty of the subject (SweepSubject).
+	// Owns reports whether this node owns the duty of the subject (SweepSubject).
 	Owns func(subject string) bool
 
 	TicketLife  time.Duration // default 30min
-	ClaimWait   time.Duration // how long a caller waits for a claim; default 1s
-	Skew        time.Duration // how far wall clocks of nodes may differ; default 5min
-	MaxEntries  int           // keys and tickets in memory; default 200,000
-	MaxHeld     int64         // bytes of first answers in memory; default 64 MiB
-	MaxAnswer   int           // bytes of one first answer in memory; default 64 KiB
-	MaxRecorded int           // bytes of one first answer in the table; default 4 KiB
+	ClaimWait   time.Duration // timeout of a caller's wait for a claim; default 1s
+	Skew        time.Duration // maximum difference between the wall clocks of nodes; default 5min
+	MaxEntries  int           // maximum number of keys and tickets in memory; default 200,000
+	MaxHeld     int64         // maximum total bytes of first answers in memory; default 64 MiB
+	MaxAnswer   int           // maximum bytes of one first answer in memory; default 64 KiB
+	MaxRecorded int           // maximum bytes of one first answer in the table; default 4 KiB
 	SweepEvery  time.Duration // default 5s
-	SweepBatch  int           // rows deleted a round; default 100
+	SweepBatch  int           // maximum rows deleted per sweep; default 100
 	Write       WriteLimits
 }
 
@@ -86,37 +85,38 @@
 
 const defaultRetention = 24 * time.Hour
 
-// Keeper holds the keys and tickets of one life of a node.
+// Keeper manages the keys and tickets held by one incarnation of a node.
 type Keeper struct {
-	opt    Options
-	mem    *memory
-	writer *writer
-	sealer sealer
-	meters *meters
-	sweep  sweepCursor
+	opt         Options
+	mem         *memory
+	writer      *writer
+	ticketCodec ticketCodec
+	metrics     *metrics
+	sweepPos    sweepPosition
 }
 
-// New returns a keeper. It fails when tickets could not be made or read.
+// New returns a Keeper. It fails if the secret is too short or the VM name too
+// long for tickets.
 func New(opt Options) (*Keeper, error) {
 	opt = opt.withDefaults()
-	if len(opt.Secret) < minSecret {
-		return nil, errors.New("once: the secret for tickets is shorter than 16 bytes; set a longer one, the same on all nodes")
+	if len(opt.Secret) < minSecretBytes {
+		return nil, errors.New("once: the ticket secret is shorter than 16 bytes; set a longer one, the same on all nodes")
 	}
-	if len(opt.Self.VM) > maxTicketName {
-		return nil, errors.New("once: the VM's name is longer than 255 bytes; shorten it")
+	if len(opt.Self.VM) > maxNameBytes {
+		return nil, errors.New("once: the VM name is longer than 255 bytes; use a shorter one")
 	}
-	k := &Keeper{opt: opt, sealer: newSealer(opt.Secret)}
+	k := &Keeper{opt: opt, ticketCodec: newTicketCodec(opt.Secret)}
 	k.mem = newMemory(opt.Self, opt.MaxEntries, opt.MaxHeld)
-	k.meters = newMeters(opt.Registerer, k.mem)
-	k.writer = newWriter(opt.Table, opt.Clock, opt.Log, k.meters, opt.Write)
+	k.metrics = newMetrics(opt.Registerer, k.mem)
+	k.writer = newWriter(opt.Table, opt.Clock, opt.Log, k.metrics, opt.Write)
 	return k, nil
 }
 
-const minSecret = 16
+const minSecretBytes = 16
 
-// Run commits claims and sweeps until ctx ends. It is to end after the last
-// request has and after Flush: a request that comes later is refused for want of
-// a claim.
+// Run commits claims and sweeps expired entries and rows until ctx ends. Cancel
+// ctx only after the last request has finished and Flush has returned; keyed
+// requests that arrive later are refused because they cannot be claimed.
 func (k *Keeper) Run(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -127,12 +127,12 @@
 	<-done
 }
 
-// Filter returns the filter of the request path.
+// Filter returns the filter that handles keys and tickets on the request path.
 func (k *Keeper) Filter() filter.Filter {
 	return func(next filter.Handler) filter.Handler {
 		return filter.Func(func(ctx context.Context, req *request.Request, w answer.Writer) {
 			if req.Stage == request.StageKey {
-				w = &sealing{Writer: w}
+				w = &refusalEncoder{Writer: w}
 			}
 			k.serve(ctx, req, w, next)
 		})
@@ -142,10 +142,10 @@
 func (k *Keeper) serve(ctx context.Context, req *request.Request, w answer.Writer, next filter.Handler) {
 	switch {
 	case req.Stage == request.StageDispatch:
-		// The node that passed it on holds its state.
+		// The state is held by the node that forwarded the request.
 		next.Serve(ctx, req, w)
 	case req.ResumeID != "":
-		// The rest of an answer that has begun is not another run.
+		// Resuming an answer does not run the call again.
 		next.Serve(ctx, req, w)
 	case req.Ticket != "":
 		k.serveTicket(ctx, req, w, next)
@@ -164,34 +164,34 @@
 	return doc.Policy.KeyRetention.Or(defaultRetention)
 }
 
-// try is one try of a call on its way through the filter.
+// try is one try of a call in the filter.
 type try struct {
-	k         *Keeper
-	req       *request.Request
-	w         answer.Writer
-	next      filter.Handler
-	id        string // of the entry
-	mechanism string
-	hash      Hash
-	began     clock.Instant // before any claim was sent
-	valid     time.Duration // how long from then a claim keeps others away
+	k             *Keeper
+	req           *request.Request
+	w             answer.Writer
+	next          filter.Handler
+	id            string // ID of the entry
+	mechanism     string
+	hash          Hash
+	startedAt     clock.Instant // start of the try, before a claim is sent
+	claimValidity time.Duration // validity of a claim, counted from startedAt
 }
 
 func (k *Keeper) newTry(req *request.Request, w answer.Writer, next filter.Handler, mechanism string) *try {
 	return &try{
 		k: k, req: req, w: w, next: next, mechanism: mechanism, hash: bodyHash(req),
-		began: k.opt.Clock.Now(), valid: k.retention(),
+		startedAt: k.opt.Clock.Now(), claimValidity: k.retention(),
 	}
 }
 
-// The mechanisms, as metrics and explanations name them.
+// Names of the mechanisms in metrics and explanations.
 const (
-	byTicket = "ticket"
-	byKey    = "key"
+	mechanismTicket = "ticket"
+	mechanismKey    = "key"
 )
 
-func (t *try) note(act Action) {
-	t.k.meters.decisions.WithLabelValues(t.mechanism, act.Verb.String()).Inc()
+func (t *try) recordDecision(act Action) {
+	t.k.metrics.decisions.WithLabelValues(t.mechanism, act.Verb.String()).Inc()
 	if t.k.opt.Explain == nil {
 		return
 	}
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -12,18 +12,18 @@
 	"chervilloom/internal/request"
 )
 
-func TestRepeatElsewhereGetsTheFirstAnswer(t *testing.T) {
-	// The caller's answer is lost on its way and the balancer hands the repeat
-	// to another node. A second run would issue a second receipt; the repeat
-	// gets the first answer, which the holder remembers.
-	for _, name := range []string{byKey, byTicket} {
+func TestRepeatOnOtherNodeGetsFirstAnswer(t *testing.T) {
+	// The answer is lost on its way to the caller, and the load balancer sends the
+	// repeat to another node. The repeat must get the first answer, which the holder
+	// has stored; a second run would issue a second receipt.
+	for _, name := range []string{mechanismKey, mechanismTicket} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(t)
+			b := newTestCluster(t)
 			k := b.start("a")
 			b.start("b")
 			call := withKey("k1")
-			if name == byTicket {
+			if name == mechanismTicket {
 				call = withTicket(k.newTicket("org"))
 			}
 			first := b.send("a", call)
@@ -38,16 +38,16 @@
 	}
 }
 
-func TestLostHolderMeansUnknown(t *testing.T) {
-	// The node that ran the call restarts and has forgotten it. The repeat must
-	// not run, and "not-run" would be false: it is told "unknown".
+func TestLostHolderReturnsUnknown(t *testing.T) {
+	// The node that ran the call is restarted and has lost its state. The repeat must
+	// not run, and its outcome must be "unknown", as "not-run" would be wrong.
 	is := is.New(t)
-	b := newBench(t)
+	b := newTestCluster(t)
 	k := b.start("a")
 	b.start("b")
 	call := withTicket(k.newTicket("org"))
 	is.True(b.send("b", call).end.Whole)
-	b.net.set("a", nil)
+	b.net.setPath("a", nil)
 	is.Equal(b.send("b", call).outcome(), outcome.Unknown)
 	b.start("a")
 	for _, vm := range []fleet.VM{"a", "b"} {
@@ -58,29 +58,29 @@
 	is.Equal(b.endpoint.runs.Load(), int64(1))
 }
 
-func TestRefusedClaimLeavesNothing(t *testing.T) {
-	// The platform refuses every write, as another release of it might. Each
-	// clerk is told that nothing was claimed, and the refused claims do not fill
-	// the memory: full, the node would refuse tickets, which need no table, too.
+func TestRefusedClaimLeavesNoEntry(t *testing.T) {
+	// The platform refuses every write, as another release of it might. Each call
+	// must be refused, and the refused claims must not stay in memory: a full memory
+	// would also make the node refuse tickets, which need no table.
 	is := is.New(t)
-	b := newBench(t)
+	b := newTestCluster(t)
 	k := b.start("a")
-	b.table.refuses.Store(true)
+	b.table.refuse.Store(true)
 	for i := range 3 {
-		b.clock.Advance(time.Minute) // the pause after a refusal is over
+		b.clock.Advance(time.Minute) // past the pause after a refusal
 		g := b.send("a", withKey(fmt.Sprint(i)))
 		is.Equal(g.end.Error.Kind, outcome.PlatformDown)
-		is.Equal(k.mem.used.Load(), int64(0))
+		is.Equal(k.mem.entryCount.Load(), int64(0))
 	}
 	is.Equal(b.endpoint.runs.Load(), int64(0))
 }
 
 func TestPlatformDownRefusesKeys(t *testing.T) {
-	// The table is down. A key cannot be claimed, so nothing is sent. Only a
-	// caller that vouches for a first try is told "not-run": an earlier try may
-	// have run at another node, which cannot be looked up now.
+	// The table is down, so keys cannot be claimed and nothing is dispatched. Only a
+	// caller that asserts a first try may get "not-run": an earlier try may have run
+	// on another node, which cannot be looked up now.
 	is := is.New(t)
-	b := newBench(t)
+	b := newTestCluster(t)
 	b.start("a")
 	b.table.down.Store(true)
 	g := b.send("a", withKey("k"))
@@ -95,12 +95,12 @@
 	is.Equal(b.endpoint.runs.Load(), int64(0))
 }
 
-func TestNotRunFreesTheKey(t *testing.T) {
-	// The dispatch is refused "not-run", which a caller is told also through
-	// another node: it is the holder's word, not the link's. The caller repeats
-	// through another node, and the call runs then.
+func TestNotRunReleasesKey(t *testing.T) {
+	// The dispatch is refused with "not-run". A caller on another node must get the
+	// same outcome, since it comes from the holder and not from the link. When the
+	// caller repeats through another node, the call must run.
 	is := is.New(t)
-	b := newBench(t)
+	b := newTestCluster(t)
 	k := b.start("a")
 	b.start("b")
 	b.endpoint.fail.Store(outcome.New(outcome.NoCapacity, outcome.NotRun, "no capacity", "later"))
@@ -116,7 +116,7 @@
 
 func TestOtherBodyIsRefused(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	b := newTestCluster(t)
 	b.start("a")
 	b.start("b")
 	is.True(b.send("a", withKey("k")).end.Whole)
@@ -126,20 +126,20 @@
 	}
 }
 
-func TestLostClaimAnswer(t *testing.T) {
-	// The claim lands, its answer is lost and reading back fails. Nothing was
-	// dispatched, and the key stands claimed by this life. The repeat may run,
-	// once, for this life remembers that it never dispatched.
+func TestLostClaimResponse(t *testing.T) {
+	// The claim is committed, but its response is lost and reading it back fails.
+	// Nothing was dispatched, and the key is claimed by this incarnation. The repeat
+	// must run once, because this incarnation knows that it never dispatched.
 	is := is.New(t)
-	b := newBench(t)
+	b := newTestCluster(t)
 	b.start("a")
 	b.start("b")
-	b.table.lose.Store(1)
-	b.table.blind.Store(true)
+	b.table.loseResponses.Store(1)
+	b.table.failReads.Store(true)
 	is.Equal(b.send("a", withKey("k")).end.Error.Kind, outcome.PlatformDown)
 	is.Equal(b.endpoint.runs.Load(), int64(0))
-	b.table.blind.Store(false)
-	b.clock.Advance(maxPause) // the table is asked again
+	b.table.failReads.Store(false)
+	b.clock.Advance(maxPause) // claims are sent to the table again
 	is.True(b.send("b", withKey("k")).end.Whole)
 	is.True(b.send("a", withKey("k")).end.Whole)
 	is.Equal(b.endpoint.runs.Load(), int64(1))
--- a/internal/once/recorder.go
+++ b/internal/once/recorder.go
@@ -7,9 +7,10 @@
 	"chervilloom/internal/outcome"
 )
 
-// KeyStateHeader tells whether the answer is of this try or of an earlier one.
-// In a request, KeyStateFirst is the caller's word that no other try with this
-// key or ticket was sent, nor will be before this one is answered.
+// KeyStateHeader reports whether the answer is from this try or a replay of an
+// earlier one. In a request, KeyStateFirst is the caller's assertion that no
+// other try with this key or ticket was sent, nor will be before this one is
+// answered.
 const KeyStateHeader = "Chervilloom-Key-State"
 
 // The values of KeyStateHeader.
@@ -18,28 +19,29 @@
 	KeyStateRepeat = "repeat"
 )
 
-// TicketHeader carries a ticket in a request and echoes it in the answer.
+// TicketHeader contains the ticket of a request and is echoed in the answer.
 const TicketHeader = "Chervilloom-Ticket"
 
-// frameOverhead is counted for each kept frame besides its data.
-const frameOverhead = 64
+// frameOverheadBytes is the number of bytes counted per stored frame in addition to
+// its data.
+const frameOverheadBytes = 64
 
-// recorder passes an answer on and keeps a copy up to a bound. It goes on
-// taking the answer when the caller has left: the repeat that follows a lost
-// answer is given this one instead of a second run.
+// recorder forwards an answer and stores a copy of up to limit bytes. It continues
+// to record after the caller has disconnected, so that a repeat after a lost
+// answer gets this one instead of a second run.
 type recorder struct {
 	w      answer.Writer
 	ticket string
 	limit  int
 	onEnd  func(o outcome.Outcome, kept *keptAnswer, size int, failure *outcome.Error)
-	cancel func() // stops the run; called when nobody can use its answer
-
-	kept     keptAnswer
-	size     int
-	over     bool
-	gone     bool
-	started  bool
-	finished bool
+	cancel func() // cancels the run; called when its answer is of no use any more
+
+	kept       keptAnswer
+	size       int
+	overLimit  bool
+	callerGone bool
+	started    bool
+	finished   bool
 }
 
 // Start implements answer.Writer.
@@ -47,23 +49,24 @@
 	r.started = true
 	r.kept.Head = h
 	r.kept.Head.Header = h.Header.Clone()
-	r.gone = r.w.Start(marked(h, KeyStateFirst, r.ticket)) != nil
-	r.stopUseless()
+	r.callerGone = r.w.Start(withKeyState(h, KeyStateFirst, r.ticket)) != nil
+	r.cancelIfUseless()
 	return nil
 }
 
 // Frame implements answer.Writer.
 func (r *recorder) Frame(f answer.Frame) error {
-	r.keep(f)
-	if !r.gone {
-		r.gone = r.w.Frame(f) != nil
+	r.store(f)
+	if !r.callerGone {
+		r.callerGone = r.w.Frame(f) != nil
 	}
-	r.stopUseless()
+	r.cancelIfUseless()
 	return nil
 }
 
-// Finish implements answer.Writer. The memory learns the end before the caller
-// does: a repeat sent on receipt of the answer must not be told "in progress".
+// Finish implements answer.Writer. It updates the memory before it finishes the
+// caller's answer: a repeat sent on receipt of the answer must not be refused as
+// "in progress".
 func (r *recorder) Finish(e answer.End) {
 	if r.finished {
 		return
@@ -77,13 +80,14 @@
 	r.w.Finish(e)
 }
 
-// failure returns the error as far as it can be believed.
+// failure returns the error to report. If an answer had started, "not-run" is
+// replaced by "unknown".
 func (r *recorder) failure(e *outcome.Error) *outcome.Error {
 	switch {
 	case e == nil:
 		return outcome.Of(errNoReason)
 	case r.started && e.Outcome == outcome.NotRun:
-		// An answer that began is no proof that nothing ran.
+		// If an answer has started, the call may have run.
 		c := *e
 		c.Outcome = outcome.Unknown
 		return &c
@@ -93,7 +97,7 @@
 
 func (r *recorder) outcome(e answer.End) (outcome.Outcome, *keptAnswer, int, *outcome.Error) {
 	switch {
-	case e.Whole && r.over:
+	case e.Whole && r.overLimit:
 		return outcome.Ran, nil, 0, nil
 	case e.Whole:
 		return outcome.Ran, &r.kept, r.size, nil
@@ -101,10 +105,10 @@
 	return e.Error.Outcome, nil, 0, e.Error
 }
 
-func (r *recorder) keep(f answer.Frame) {
-	r.size += len(f.Data) + len(f.ID) + frameOverhead
-	if r.over || r.size > r.limit {
-		r.over = true
+func (r *recorder) store(f answer.Frame) {
+	r.size += len(f.Data) + len(f.ID) + frameOverheadBytes
+	if r.overLimit || r.size > r.limit {
+		r.overLimit = true
 		r.kept.Frames = nil
 		return
 	}
@@ -112,16 +116,16 @@
 	r.kept.Frames = append(r.kept.Frames, f)
 }
 
-// stopUseless ends a stream that has no reader and is too long to be kept. A
-// plain call goes on: whether it ended well is worth knowing by itself.
-func (r *recorder) stopUseless() {
-	if r.gone && r.over && r.kept.Head.Stream {
+// cancelIfUseless cancels a stream whose caller has disconnected and which is too long
+// to be stored. Other calls continue, because their outcome alone is useful.
+func (r *recorder) cancelIfUseless() {
+	if r.callerGone && r.overLimit && r.kept.Head.Stream {
 		r.cancel()
 	}
 }
 
-// marked returns the head with the key's state and the ticket.
-func marked(h answer.Head, state, ticket string) answer.Head {
+// withKeyState returns the head with the KeyStateHeader and the TicketHeader set.
+func withKeyState(h answer.Head, state, ticket string) answer.Head {
 	h.Header = h.Header.Clone()
 	if h.Header == nil {
 		h.Header = make(map[string][]string, 2)
@@ -134,16 +138,16 @@
 	return h
 }
 
-// replay gives a kept answer again.
-func replay(w answer.Writer, a *keptAnswer, ticket string) {
-	if err := w.Start(marked(a.Head, KeyStateRepeat, ticket)); err != nil {
-		w.Finish(a.End)
+// replay writes a stored answer to w.
+func replay(w answer.Writer, kept *keptAnswer, ticket string) {
+	if err := w.Start(withKeyState(kept.Head, KeyStateRepeat, ticket)); err != nil {
+		w.Finish(kept.End)
 		return
 	}
-	for _, f := range a.Frames {
+	for _, f := range kept.Frames {
 		if w.Frame(f) != nil {
 			break
 		}
 	}
-	w.Finish(a.End)
+	w.Finish(kept.End)
 }
--- a/internal/once/refuse.go
+++ b/internal/once/refuse.go
@@ -9,27 +9,27 @@
 )
 
 var (
-	errNoReason  = errors.New("once: the rest of the path ended an answer without a reason")
-	errSlowClaim = errors.New("once: a claim was not answered in time; look at the platform's table")
+	errNoReason     = errors.New("once: the next handler ended an answer without an error")
+	errClaimTimeout = errors.New("once: a claim timed out; check the platform's table")
 )
 
-// Advice on when to come back.
+// Retry-After values of refusals.
 const (
-	retryRunning  = time.Second
-	retryPlatform = 2 * time.Second
-	retryHolder   = 2 * time.Second
-	retryFull     = 5 * time.Second
+	retryAfterRunning  = time.Second
+	retryAfterPlatform = 2 * time.Second
+	retryAfterHolder   = 2 * time.Second
+	retryAfterFull     = 5 * time.Second
 )
 
-// Refusal returns e as it may be told for the request. "not-run" is a promise
-// about the caller's call, not about one try: when an earlier try with the same
-// key or ticket may have run elsewhere, a refusal of this one says "unknown".
-// A caller that sends KeyStateHeader "first" vouches that there was none, and
-// that it sends no other before this one is answered.
+// Refusal returns e with the outcome to report for the request. "not-run" is a
+// statement about the call, not about one try: if an earlier try with the same
+// key or ticket may have run elsewhere, "not-run" is replaced by "unknown". A
+// caller that sends KeyStateHeader "first" asserts that there was no earlier try
+// and that it sends no other before this one is answered.
 //
-// Every filter that refuses a request before its key was looked up uses it.
+// Every filter that refuses a request before its key was looked up must use it.
 func Refusal(req *request.Request, e *outcome.Error) *outcome.Error {
-	if e.Outcome != outcome.NotRun || firstTry(req) {
+	if e.Outcome != outcome.NotRun || isFirstTry(req) {
 		return e
 	}
 	c := *e
@@ -38,13 +38,13 @@
 	return &c
 }
 
-func firstTry(req *request.Request) bool {
+func isFirstTry(req *request.Request) bool {
 	return req.Key == "" && req.Ticket == "" || req.Header.Get(KeyStateHeader) == KeyStateFirst
 }
 
 func stillRunning() *outcome.Error {
 	return outcome.New(outcome.StillRunning, outcome.Unknown, "the first try of this call is in progress",
-		"repeat the call with the same key or ticket after the advised time").After(retryRunning)
+		"repeat the call with the same key or ticket after the advised time").After(retryAfterRunning)
 }
 
 func keyReused() *outcome.Error {
@@ -57,24 +57,24 @@
 		"look up in your own records whether the call took effect before you send it under a new key")
 }
 
-func holderAway() *outcome.Error {
+func holderUnreachable() *outcome.Error {
 	return outcome.New(outcome.HolderLost, outcome.Unknown, "the node that holds the state of this call cannot be reached now",
-		"repeat the call with the same key or ticket; if this lasts, look up in your records whether it took effect").After(retryHolder)
+		"repeat the call with the same key or ticket; if this lasts, look up in your records whether it took effect").After(retryAfterHolder)
 }
 
-func answerGone() *outcome.Error {
+func answerNotStored() *outcome.Error {
 	return outcome.New(outcome.AnswerCut, outcome.Ran, "the call ran; its answer was too long to be kept and cannot be given again",
 		"do not send it under a new key; look up its effect in your own records")
 }
 
 func noClaim() *outcome.Error {
 	return outcome.New(outcome.PlatformDown, outcome.NotRun, "the key could not be claimed in the platform's table, so nothing was sent",
-		"repeat the call with the same key after the advised time, or ask for a ticket, which needs no table").After(retryPlatform)
+		"repeat the call with the same key after the advised time, or ask for a ticket, which needs no table").After(retryAfterPlatform)
 }
 
 func tooManyKeys() *outcome.Error {
 	return outcome.New(outcome.Overloaded, outcome.NotRun, "this node holds as many keys and tickets as it may",
-		"repeat the call after the advised time").After(retryFull)
+		"repeat the call after the advised time").After(retryAfterFull)
 }
 
 func badTicket(cause error) *outcome.Error {
--- a/internal/once/relayed.go
+++ b/internal/once/relayed.go
@@ -16,21 +16,20 @@
 	"chervilloom/internal/view"
 )
 
-// Peers passes requests to other nodes. Relay returns an error, with w
-// untouched, when no answer began, and nil when one began and w.Finish was
-// called.
+// Peers relays requests to other nodes. Relay returns an error, without having
+// used w, if no answer started, and nil if one started and w.Finish was called.
 type Peers interface {
 	Relay(ctx context.Context, to fleet.VM, req *request.Request, w answer.Writer) *outcome.Error
 }
 
-// refusalHeader marks an answer that carries a refusal of the holder to the
-// node that passed the try on. Only a refusal that comes this way is the
-// holder's word on the call. One that the link made up on this side, or a
-// filter before the holder's memory, tells of this try alone: "not-run" in it
-// would be false when an earlier try has run.
+// refusalHeader marks an answer that contains a refusal by the holder, sent to the
+// node that forwarded the try. Only such a refusal is authoritative for the call.
+// An error generated locally by the link, or by a filter before the holder's
+// memory, refers to this try only: its "not-run" would be wrong if an earlier try
+// has run.
 const refusalHeader = "Chervilloom-Key-Refusal"
 
-// refusal is an outcome.Error between two nodes.
+// refusal is the encoding of an outcome.Error between two nodes.
 type refusal struct {
 	Kind       outcome.Kind    `cbor:"1,keyasint"`
 	Outcome    outcome.Outcome `cbor:"2,keyasint"`
@@ -39,36 +38,36 @@
 	RetryAfter time.Duration   `cbor:"5,keyasint,omitempty"`
 }
 
-// sealing is the holder's side: it writes a refusal as an answer.
-type sealing struct {
+// refusalEncoder is the answer.Writer on the holder: it encodes a refusal as an answer.
+type refusalEncoder struct {
 	answer.Writer
 	started bool
 }
 
 // Start implements answer.Writer.
-func (s *sealing) Start(h answer.Head) error {
+func (s *refusalEncoder) Start(h answer.Head) error {
 	s.started = true
 	return s.Writer.Start(h)
 }
 
 // Finish implements answer.Writer.
-func (s *sealing) Finish(e answer.End) {
+func (s *refusalEncoder) Finish(e answer.End) {
 	if s.started || e.Whole || e.Error == nil {
 		s.Writer.Finish(e)
 		return
 	}
 	b, err := cbor.Marshal(refusal{e.Error.Kind, e.Error.Outcome, e.Error.Message, e.Error.Remedy, e.Error.RetryAfter})
-	if err != nil { // strings and a number
+	if err != nil { // unreachable: the fields are strings and a number
 		panic(err)
 	}
-	// A node that left hears nothing; Finish is called all the same.
+	// Errors are ignored: if the forwarding node is gone, Finish must still be called.
 	s.Writer.Start(answer.Head{Status: e.Error.Kind.Status(), Header: http.Header{refusalHeader: {"1"}}})
 	s.Writer.Frame(answer.Frame{Data: b})
 	s.Writer.Finish(answer.End{Whole: true, Frames: 1, Bytes: uint64(len(b)), Hash: xxhash.Sum64(b)})
 }
 
-// unsealing is the side that passed the try on: it reads refusals back.
-type unsealing struct {
+// refusalDecoder is the answer.Writer on the forwarding node: it decodes refusals.
+type refusalDecoder struct {
 	w       answer.Writer
 	refused bool
 	body    bytes.Buffer
@@ -76,7 +75,7 @@
 }
 
 // Start implements answer.Writer.
-func (u *unsealing) Start(h answer.Head) error {
+func (u *refusalDecoder) Start(h answer.Head) error {
 	if h.Header.Get(refusalHeader) != "" {
 		u.refused = true
 		return nil
@@ -85,7 +84,7 @@
 }
 
 // Frame implements answer.Writer.
-func (u *unsealing) Frame(f answer.Frame) error {
+func (u *refusalDecoder) Frame(f answer.Frame) error {
 	if u.refused {
 		u.body.Write(f.Data)
 		return nil
@@ -94,10 +93,10 @@
 }
 
 // Finish implements answer.Writer.
-func (u *unsealing) Finish(e answer.End) { u.end = e }
+func (u *refusalDecoder) Finish(e answer.End) { u.end = e }
 
-// refusal returns the holder's refusal, or nil when it gave none that is whole.
-func (u *unsealing) refusal() *outcome.Error {
+// refusal returns the holder's refusal, or nil if no complete one was received.
+func (u *refusalDecoder) refusal() *outcome.Error {
 	var r refusal
 	if !u.refused || !u.end.Whole || cbor.Unmarshal(u.body.Bytes(), &r) != nil {
 		return nil
@@ -105,45 +104,46 @@
 	return outcome.New(r.Kind, r.Outcome, r.Message, r.Remedy).After(r.RetryAfter)
 }
 
-// relay passes the try to the life that holds the call's state.
-func (t *try) relay(ctx context.Context, act Action) {
-	if e := t.lost(act.Holder); e != nil {
-		t.refuse(known(t.asVouched(e), act.Ran))
+// forward forwards the try to the node that holds the state of the call.
+func (t *try) forward(ctx context.Context, act Action) {
+	if e := t.holderLostError(act.Holder); e != nil {
+		t.refuse(ranIfRecorded(t.notRunIfFirst(e), act.Ran))
 		return
 	}
-	passed := *t.req
-	passed.Stage = request.StageKey
-	passed.Hops++
-	passed.From = t.k.opt.Self.VM
-	u := &unsealing{w: t.w}
-	err := t.k.opt.Peers.Relay(ctx, act.Holder.VM, &passed, u)
-	switch told := u.refusal(); {
-	case told != nil:
-		t.refuse(told)
+	forwarded := *t.req
+	forwarded.Stage = request.StageKey
+	forwarded.Hops++
+	forwarded.From = t.k.opt.Self.VM
+	u := &refusalDecoder{w: t.w}
+	err := t.k.opt.Peers.Relay(ctx, act.Holder.VM, &forwarded, u)
+	switch holderRefusal := u.refusal(); {
+	case holderRefusal != nil:
+		t.refuse(holderRefusal)
 	case err != nil || u.refused:
-		t.refuse(known(t.notAnswered(err), act.Ran))
+		t.refuse(ranIfRecorded(t.noAnswerError(err), act.Ran))
 	default:
 		t.w.Finish(u.end)
 	}
 }
 
-// notAnswered is what is true when the holder did not answer: that this try did
-// not leave does not tell that an earlier one did not run.
-func (t *try) notAnswered(err *outcome.Error) *outcome.Error {
+// noAnswerError returns the error to report when the holder did not answer. Even if
+// this try was not sent, an earlier one may have run.
+func (t *try) noAnswerError(err *outcome.Error) *outcome.Error {
 	switch {
 	case err == nil:
-		return holderAway()
+		return holderUnreachable()
 	case err.Outcome == outcome.NotRun:
-		return t.asVouched(holderAway().WithCause(err))
+		return t.notRunIfFirst(holderUnreachable().WithCause(err))
 	}
-	return holderAway().WithCause(err)
+	return holderUnreachable().WithCause(err)
 }
 
-// asVouched returns e as "not-run" when this try did not leave and the caller
-// vouches that it is the first with its ticket. A key that is passed on has a
-// row, so it has been tried before, whatever the caller says.
-func (t *try) asVouched(e *outcome.Error) *outcome.Error {
-	if t.mechanism != byTicket || !firstTry(t.req) {
+// notRunIfFirst returns e with outcome "not-run" if the caller asserts that this try is
+// the first one with its ticket; use it only if the try was not sent. It doesn't
+// apply to keys: a forwarded key has a row, so there was an earlier try, whatever
+// the caller asserts.
+func (t *try) notRunIfFirst(e *outcome.Error) *outcome.Error {
+	if t.mechanism != mechanismTicket || !isFirstTry(t.req) {
 		return e
 	}
 	c := *e
@@ -152,32 +152,32 @@
 	return &c
 }
 
-// known returns e, or that the call ran when the row told so.
-func known(e *outcome.Error, ran bool) *outcome.Error {
+// ranIfRecorded returns e, or an error with outcome "ran" if the row says that the call ran.
+func ranIfRecorded(e *outcome.Error, ran bool) *outcome.Error {
 	if ran {
-		return answerGone().WithCause(e)
+		return answerNotStored().WithCause(e)
 	}
 	return e
 }
 
-// lost returns why the holder cannot be asked, or nil.
-func (t *try) lost(to fleet.Node) *outcome.Error {
+// holderLostError returns an error if the try cannot be forwarded to the holder, or nil.
+func (t *try) holderLostError(to fleet.Node) *outcome.Error {
 	if t.req.Stage == request.StageKey {
-		// Another node believed this life to be the holder: passing it on again
-		// could go in circles.
+		// Another node forwarded the try to this incarnation as the holder;
+		// forwarding it again could loop.
 		return holderLost()
 	}
 	if to.VM == t.k.opt.Self.VM {
-		return holderLost() // another life of this node
+		return holderLost() // another incarnation of this node
 	}
 	n := findNode(t.k.opt.View.Snapshot(), to.VM)
 	switch {
 	case n == nil:
-		return nil // not seen yet, or no longer: asking tells
+		return nil // not in the view; try to reach it
 	case n.Incarnation > to.Incarnation, n.Node == to && n.State == view.NodeLeft:
 		return holderLost()
 	case n.State == view.NodeDead:
-		return holderAway()
+		return holderUnreachable()
 	}
 	return nil
 }
--- a/internal/once/row.go
+++ b/internal/once/row.go
@@ -15,18 +15,18 @@
 	"chervilloom/internal/request"
 )
 
-// RowState is what a key's row tells.
+// RowState is the state of a key in the table.
 type RowState uint8
 
 // The states of a row.
 const (
-	RowClaimed    RowState = iota + 1 // the holder may have dispatched it
-	RowRan                            // it ran; the answer is in the row when it was small
-	RowUnresolved                     // it was dispatched, and whether it ran cannot be told
-	RowReleased                       // it did not run: the key is free
+	RowClaimed    RowState = iota + 1 // the holder may have dispatched the call
+	RowRan                            // the call ran; the row contains the answer if it is small
+	RowUnresolved                     // the call was dispatched; whether it ran is unknown
+	RowReleased                       // the call did not run; the key is free
 )
 
-// keyRow is the value of a row of the keys table.
+// keyRow is the value of a row in the keys table.
 type keyRow struct {
 	State   RowState    `cbor:"1,keyasint"`
 	Holder  fleet.Node  `cbor:"2,keyasint"`
@@ -35,7 +35,7 @@
 	Answer  *keptAnswer `cbor:"5,keyasint,omitempty"`
 }
 
-// keptAnswer is a whole first answer.
+// keptAnswer is a complete first answer.
 type keptAnswer struct {
 	Head   answer.Head    `cbor:"1,keyasint"`
 	Frames []answer.Frame `cbor:"2,keyasint"`
@@ -44,7 +44,7 @@
 
 func (r *keyRow) encode() []byte {
 	b, err := cbor.Marshal(r)
-	if err != nil { // every field is a plain value
+	if err != nil { // unreachable: every field can be encoded
 		panic(err)
 	}
 	return b
@@ -53,14 +53,15 @@
 func decodeRow(b []byte) (keyRow, error) {
 	var r keyRow
 	if err := cbor.Unmarshal(b, &r); err != nil {
-		return r, fmt.Errorf("once: row of the keys table cannot be read, check that all nodes run the same release: %w", err)
+		return r, fmt.Errorf("once: cannot decode a row of the keys table; check that all nodes run the same release: %w", err)
 	}
 	return r, nil
 }
 
-// facts tells what a claim needs to know of a row. A row is free only skew
-// after its expiry, so that a holder whose clock is behind still remembers it.
-func facts(row platform.Row, now time.Time, skew time.Duration) (RowFacts, error) {
+// rowFacts decodes a row for the evaluation of a claim. The row counts as expired
+// only when skew has passed after its expiry, to allow for a holder whose clock
+// is behind.
+func rowFacts(row platform.Row, now time.Time, skew time.Duration) (RowFacts, error) {
 	if row.Version == 0 {
 		return RowFacts{}, nil
 	}
@@ -69,11 +70,11 @@
 		return RowFacts{}, err
 	}
 	f := RowFacts{Version: row.Version, Holder: r.Holder, State: r.State, Body: r.Body, Answer: r.Answer}
-	f.Expired = r.expired(now, skew)
+	f.Expired = r.isExpired(now, skew)
 	return f, nil
 }
 
-func (r *keyRow) expired(now time.Time, skew time.Duration) bool {
+func (r *keyRow) isExpired(now time.Time, skew time.Duration) bool {
 	return now.Add(-skew).UnixMilli() > r.Expires
 }
 
@@ -83,8 +84,8 @@
 	return string(org) + "/" + hex.EncodeToString(sum[:16])
 }
 
-// bodyHash identifies the call: the same key with another method, path or body
-// is another call.
+// bodyHash returns the hash of method, path and body. The same key with another
+// hash is a different call.
 func bodyHash(req *request.Request) Hash {
 	h := sha256.New()
 	var n [8]byte
--- a/internal/once/schedule_test.go
+++ b/internal/once/schedule_test.go
@@ -14,9 +14,9 @@
 	"chervilloom/internal/platform"
 )
 
-// step is one step of a schedule; pick chooses among what is there.
+// step is one step of a schedule; pick selects the object that it applies to.
 type step struct {
-	what string
+	name string
 	pick int
 }
 
@@ -27,24 +27,24 @@
 	"restart", "cut", "leave", "time", "time",
 }
 
-func steps(t *rapid.T) []step {
+func drawSteps(t *rapid.T) []step {
 	one := rapid.Custom(func(t *rapid.T) step {
 		return step{rapid.SampledFrom(stepNames).Draw(t, "what"), rapid.IntRange(0, 1000).Draw(t, "pick")}
 	})
 	return rapid.SliceOfN(one, 5, 60).Draw(t, "steps")
 }
 
-// do takes one step.
-func (m *model) do(s step) {
-	if s.what == "time" {
+// perform executes one step.
+func (m *model) perform(s step) {
+	if s.name == "time" {
 		time.Sleep(time.Duration(s.pick) * 2 * time.Millisecond)
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.blind.Store(false)
+	m.failReads.Store(false)
 	vm := m.vms[s.pick%len(m.vms)]
-	switch s.what {
+	switch s.name {
 	case "first key":
 		m.send(vm, fmt.Sprintf("k%d", len(m.tries)), "x", "", s.pick%2 == 0)
 	case "first ticket":
@@ -52,13 +52,13 @@
 	case "repeat", "repeat other body", "repeat vouched":
 		m.repeat(vm, s)
 	case "land", "land late", "answer", "lose answer", "lose answer blind", "refuse down":
-		m.platform(s)
+		m.stepPlatform(s)
 	case "end ran", "end not run", "end unknown ran", "end unknown not run":
-		m.end(s)
+		m.endRun(s)
 	case "restart":
 		m.start(vm)
 	case "cut":
-		m.toggle(vm)
+		m.togglePartition(vm)
 	case "leave":
 		if len(m.tries) > 0 {
 			m.tries[s.pick%len(m.tries)].cancel()
@@ -66,13 +66,13 @@
 	}
 }
 
-// toggle cuts the VM off, or joins it again.
-func (m *model) toggle(vm fleet.VM) {
+// togglePartition partitions the VM, or reconnects it.
+func (m *model) togglePartition(vm fleet.VM) {
 	if m.path(vm, vm) != nil {
-		m.fakeNet.set(vm, nil)
+		m.fakeNet.setPath(vm, nil)
 		return
 	}
-	m.fakeNet.set(vm, m.keepers[vm].Filter()(m))
+	m.fakeNet.setPath(vm, m.keepers[vm].Filter()(m))
 }
 
 func (m *model) repeat(vm fleet.VM, s step) {
@@ -81,75 +81,75 @@
 	}
 	old := m.tries[s.pick/3%len(m.tries)]
 	body := old.body
-	if s.what == "repeat other body" {
+	if s.name == "repeat other body" {
 		body = "y"
 	}
-	// A caller vouches truly: every earlier try was told not-run.
-	m.send(vm, old.key, body, old.ticket, s.what == "repeat vouched" && m.allToldNotRun(old.key))
+	// The caller's assertion is true: every earlier try was answered not-run.
+	m.send(vm, old.key, body, old.ticket, s.name == "repeat vouched" && m.allNotRun(old.key))
 }
 
-func (m *model) allToldNotRun(key string) bool {
+func (m *model) allNotRun(key string) bool {
 	for _, t := range m.tries {
-		if t.key == key && !(t.done && t.told == outcome.NotRun) {
+		if t.key == key && !(t.done && t.outcome == outcome.NotRun) {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *model) platform(s step) {
-	if s.what == "land late" && len(m.late) > 0 {
-		i := s.pick % len(m.late)
-		m.apply(m.late[i].txn)
-		m.late = append(m.late[:i:i], m.late[i+1:]...)
+func (m *model) stepPlatform(s step) {
+	if s.name == "land late" && len(m.lateTxns) > 0 {
+		i := s.pick % len(m.lateTxns)
+		m.apply(m.lateTxns[i].txn)
+		m.lateTxns = append(m.lateTxns[:i:i], m.lateTxns[i+1:]...)
 	}
-	if len(m.txns) == 0 || s.what == "land late" {
+	if len(m.txns) == 0 || s.name == "land late" {
 		return
 	}
 	p := m.txns[s.pick%len(m.txns)]
-	if s.what == "land" {
-		if !p.landed {
-			p.landed, p.result = true, m.apply(p.txn)
+	if s.name == "land" {
+		if !p.applied {
+			p.applied, p.result = true, m.apply(p.txn)
 		}
 		return
 	}
-	m.reply(p, s.what)
+	m.reply(p, s.name)
 }
 
-// reply ends the wait for a transaction.
+// reply ends the Commit call of a transaction.
 func (m *model) reply(p *pendingTxn, how string) {
-	if how == "refuse down" && p.landed {
+	if how == "refuse down" && p.applied {
 		return
 	}
-	m.forget(p)
+	m.removeTxn(p)
 	switch how {
 	case "answer":
-		if !p.landed {
-			p.landed, p.result = true, m.apply(p.txn)
+		if !p.applied {
+			p.applied, p.result = true, m.apply(p.txn)
 		}
 		p.answer <- nil
 	case "refuse down":
 		p.answer <- platform.ErrDown
 	default:
-		m.blind.Store(how == "lose answer blind")
-		if !p.landed {
-			m.late = append(m.late, p)
+		m.failReads.Store(how == "lose answer blind")
+		if !p.applied {
+			m.lateTxns = append(m.lateTxns, p)
 		}
 		p.answer <- platform.ErrAmbiguous
 	}
 }
 
-func (m *model) end(s step) {
+func (m *model) endRun(s step) {
 	if len(m.runs) == 0 {
 		return
 	}
 	i := s.pick % len(m.runs)
 	r := m.runs[i]
 	m.runs = append(m.runs[:i:i], m.runs[i+1:]...)
-	r.end <- s.what
+	r.end <- s.name
 }
 
-// settle ends all that is pending and lets every try end.
+// settle finishes all pending transactions and runs, until every try has ended.
 func (m *model) settle(r *rand.Rand) {
 	for range 300 {
 		synctest.Wait()
@@ -161,49 +161,50 @@
 			}
 		}
 	}
-	m.fail("a try never got its answer")
+	m.fail("a try was never answered")
 }
 
-// settleOne ends one thing that is pending, or reports that there is none.
+// settleOne finishes one pending transaction or run, or reports true if there is none.
 func (m *model) settleOne(r *rand.Rand) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.blind.Store(false)
+	m.failReads.Store(false)
 	switch {
 	case len(m.txns) > 0:
 		m.reply(m.txns[r.IntN(len(m.txns))], "answer")
 	case len(m.runs) > 0:
-		m.end(step{[]string{"end ran", "end not run", "end unknown ran"}[r.IntN(3)], r.IntN(1000)})
+		m.endRun(step{[]string{"end ran", "end not run", "end unknown ran"}[r.IntN(3)], r.IntN(1000)})
 	default:
 		return true
 	}
 	return false
 }
 
-// askAll repeats every call after all has settled: no key may be stuck.
-func (m *model) askAll(r *rand.Rand) {
-	from := m.sendAll(r)
+// repeatAll repeats every call after everything has settled, and checks that no key
+// is stuck in Running or Claiming.
+func (m *model) repeatAll(r *rand.Rand) {
+	from := m.sendRepeats(r)
 	m.settle(r)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, t := range m.tries[from:] {
-		if !t.got.end.Whole && t.got.end.Error.Kind == outcome.StillRunning {
+		if !t.answer.end.Whole && t.answer.end.Error.Kind == outcome.StillRunning {
 			m.fail("%s is stuck", t.key)
 		}
 	}
 }
 
-func (m *model) sendAll(r *rand.Rand) (from int) {
+func (m *model) sendRepeats(r *rand.Rand) (from int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, vm := range m.vms {
-		m.fakeNet.set(vm, m.keepers[vm].Filter()(m))
+		m.fakeNet.setPath(vm, m.keepers[vm].Filter()(m))
 	}
 	from = len(m.tries)
-	asked := map[string]bool{}
+	sent := map[string]bool{}
 	for _, t := range m.tries[:from] {
-		if !asked[t.key] {
-			asked[t.key] = true
+		if !sent[t.key] {
+			sent[t.key] = true
 			m.send(m.vms[r.IntN(len(m.vms))], t.key, t.body, t.ticket, false)
 		}
 	}
@@ -226,32 +227,32 @@
 
 func (m *model) run(schedule []step) error {
 	for _, s := range schedule {
-		m.do(s)
+		m.perform(s)
 		synctest.Wait()
 	}
 	r := rand.New(rand.NewPCG(uint64(len(schedule)), 1))
 	m.settle(r)
-	m.askAll(r)
+	m.repeatAll(r)
 	m.mu.Lock()
-	m.over = true
+	m.closed = true
 	for _, p := range m.txns {
 		p.answer <- platform.ErrDown
 	}
 	m.mu.Unlock()
-	for _, stop := range m.stop {
+	for _, stop := range m.stops {
 		stop()
 	}
-	return m.fault
+	return m.failures
 }
 
 func TestModelRunsAtMostOnce(t *testing.T) {
-	// Callers send calls with keys and tickets and repeat them anywhere, while
-	// writes land late or lose their answers, nodes restart, are cut off and
-	// wake again, and callers leave. Whatever the order: a call runs at most
-	// once, "not-run" and "ran" are true, an answer is that of the call's own
+	// Callers send calls with keys and tickets and repeat them on any node, while
+	// writes are applied late or lose their responses, nodes restart, are partitioned
+	// or resume, and callers disconnect. For any schedule: a call runs at most once,
+	// the outcomes "not-run" and "ran" are true, an answer belongs to the call's own
 	// run, and every try is answered.
 	rapid.Check(t, func(rt *rapid.T) {
-		schedule := steps(rt)
+		schedule := drawSteps(rt)
 		var fault error
 		synctest.Test(t, func(*testing.T) { fault = newModel().run(schedule) })
 		if fault != nil {
--- a/internal/once/ticket.go
+++ b/internal/once/ticket.go
@@ -12,51 +12,51 @@
 	"chervilloom/internal/fleet"
 )
 
-// Ticket names the life of the node that holds the state of one call.
+// Ticket identifies one call and the incarnation of the node that holds its state.
 type Ticket struct {
 	Holder       fleet.Node
 	ID           [16]byte // random
 	Organisation fleet.Organisation
-	Expires      clock.Instant // on the holder's clock; nobody else reads it
+	Expires      clock.Instant // on the holder's clock; used only by the holder
 }
 
-// The errors of reading a ticket.
+// Errors of decoding a ticket.
 var (
-	// ErrTicketMalformed means that the bytes were never a ticket.
-	ErrTicketMalformed = errors.New("once: not a ticket; send it exactly as POST /tickets gave it")
-	// ErrTicketForeign means that the ticket was made under another secret.
-	ErrTicketForeign = errors.New("once: the ticket was made under another secret; give all nodes the same secret")
+	// ErrTicketMalformed means that the text is not a ticket issued under the secret.
+	ErrTicketMalformed = errors.New("once: malformed ticket; send it exactly as returned by POST /tickets")
+	// ErrTicketForeign means that the ticket was issued under another secret.
+	ErrTicketForeign = errors.New("once: the ticket was issued under another secret; configure the same secret on all nodes")
 )
 
 const (
-	ticketFormat  = 1
-	macSize       = 16
-	secretIDSize  = 4
-	ticketFixed   = 1 + secretIDSize + 8 + 8 + 16 // format, secret id, incarnation, expiry, id
-	maxTicketName = 255
+	ticketFormat     = 1
+	macBytes         = 16
+	secretIDBytes    = 4
+	ticketFixedBytes = 1 + secretIDBytes + 8 + 8 + 16 // format, secret ID, incarnation, expiry, ticket ID
+	maxNameBytes     = 255
 )
 
-// sealer makes and reads tickets under the deployment's secret.
-type sealer struct {
+// ticketCodec encodes and decodes tickets, authenticated with the deployment secret.
+type ticketCodec struct {
 	secret   []byte
-	secretID [secretIDSize]byte
+	secretID [secretIDBytes]byte
 }
 
-func newSealer(secret []byte) sealer {
-	s := sealer{secret: secret}
+func newTicketCodec(secret []byte) ticketCodec {
+	s := ticketCodec{secret: secret}
 	sum := sha256.Sum256(append([]byte("chervilloom ticket secret id\x00"), secret...))
 	copy(s.secretID[:], sum[:])
 	return s
 }
 
 func newTicketID() (id [16]byte) {
-	rand.Read(id[:]) // never fails, see crypto/rand
+	rand.Read(id[:]) // never returns an error, see crypto/rand
 	return id
 }
 
-// seal returns the ticket in the form that callers carry.
-func (s sealer) seal(t Ticket) string {
-	b := make([]byte, 0, ticketFixed+2+len(t.Holder.VM)+len(t.Organisation)+macSize)
+// encode returns the encoded ticket that is given to callers.
+func (s ticketCodec) encode(t Ticket) string {
+	b := make([]byte, 0, ticketFixedBytes+2+len(t.Holder.VM)+len(t.Organisation)+macBytes)
 	b = append(b, ticketFormat)
 	b = append(b, s.secretID[:]...)
 	b = binary.BigEndian.AppendUint64(b, uint64(t.Holder.Incarnation))
@@ -67,31 +67,31 @@
 	return base64.RawURLEncoding.EncodeToString(append(b, s.mac(b)...))
 }
 
-// open reads a ticket.
-func (s sealer) open(text string) (Ticket, error) {
+// decode decodes and authenticates a ticket.
+func (s ticketCodec) decode(text string) (Ticket, error) {
 	b, err := base64.RawURLEncoding.Strict().DecodeString(text)
-	if err != nil || len(b) < ticketFixed+2+macSize || b[0] != ticketFormat {
+	if err != nil || len(b) < ticketFixedBytes+2+macBytes || b[0] != ticketFormat {
 		return Ticket{}, ErrTicketMalformed
 	}
-	if [secretIDSize]byte(b[1:1+secretIDSize]) != s.secretID {
+	if [secretIDBytes]byte(b[1:1+secretIDBytes]) != s.secretID {
 		return Ticket{}, ErrTicketForeign
 	}
-	body, mac := b[:len(b)-macSize], b[len(b)-macSize:]
+	body, mac := b[:len(b)-macBytes], b[len(b)-macBytes:]
 	if !hmac.Equal(mac, s.mac(body)) {
 		return Ticket{}, ErrTicketMalformed
 	}
 	return parseTicket(body)
 }
 
-func (s sealer) mac(b []byte) []byte {
+func (s ticketCodec) mac(b []byte) []byte {
 	m := hmac.New(sha256.New, s.secret)
 	m.Write(b)
-	return m.Sum(nil)[:macSize]
+	return m.Sum(nil)[:macBytes]
 }
 
 func parseTicket(b []byte) (Ticket, error) {
 	var t Ticket
-	b = b[1+secretIDSize:]
+	b = b[1+secretIDBytes:]
 	t.Holder.Incarnation = fleet.Incarnation(binary.BigEndian.Uint64(b))
 	t.Expires = clock.Instant(binary.BigEndian.Uint64(b[8:]))
 	copy(t.ID[:], b[16:])
--- a/internal/once/tickets.go
+++ b/internal/once/tickets.go
@@ -13,28 +13,29 @@
 	"chervilloom/internal/outcome"
 )
 
-// maxTickets is how many tickets one call may ask for.
-const maxTickets = 64
+// maxTicketsPerRequest is the maximum number of tickets per request.
+const maxTicketsPerRequest = 64
 
-// ticketsBody is the answer to POST /tickets.
+// ticketsBody is the response body of POST /tickets.
 type ticketsBody struct {
 	Tickets   []string `json:"tickets"`
 	ExpiresIn int64    `json:"expires_in_seconds"`
 }
 
-// Tickets serves POST /tickets?count=N (default 1, at most 64): tickets that
-// name this life of this node. Making one takes no memory and no platform. One
-// call for several saves the caller a round trip for each.
+// Tickets returns the handler of POST /tickets?count=N (default 1, at most 64),
+// which issues tickets held by this incarnation of this node. Issuing a ticket
+// uses no memory and no platform. Requesting several at once saves the caller
+// round trips.
 func (k *Keeper) Tickets() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, e := k.issue(r)
+		body, e := k.issueTickets(r)
 		if e != nil {
 			e.SetHeaders(w.Header())
 			writeJSON(w, e.Kind.Status(), e.JSON(uuid.NewString()))
 			return
 		}
 		b, err := json.Marshal(body)
-		if err != nil { // strings and a number
+		if err != nil { // unreachable: the fields are strings and a number
 			panic(err)
 		}
 		w.Header().Set(TicketHeader, body.Tickets[0])
@@ -49,7 +50,7 @@
 	w.Write(b)
 }
 
-func (k *Keeper) issue(r *http.Request) (*ticketsBody, *outcome.Error) {
+func (k *Keeper) issueTickets(r *http.Request) (*ticketsBody, *outcome.Error) {
 	if r.Method != http.MethodPost {
 		return nil, outcome.New(outcome.BadRequest, outcome.NotRun, "tickets are asked for with POST", "send POST /tickets")
 	}
@@ -61,10 +62,10 @@
 	if refused != nil {
 		return nil, refused
 	}
-	if len(org) > maxTicketName {
+	if len(org) > maxNameBytes {
 		return nil, outcome.New(outcome.BadRequest, outcome.NotRun, "the organisation's name is longer than 255 bytes", "ask the operator to shorten it")
 	}
-	if k.mem.full() {
+	if k.mem.isFull() {
 		return nil, tooManyKeys()
 	}
 	body := &ticketsBody{ExpiresIn: int64(k.opt.TicketLife / time.Second)}
@@ -80,16 +81,16 @@
 		return 1, true
 	}
 	n, err := strconv.Atoi(text)
-	return n, err == nil && n >= 1 && n <= maxTickets
+	return n, err == nil && n >= 1 && n <= maxTicketsPerRequest
 }
 
 func (k *Keeper) newTicket(org fleet.Organisation) string {
-	return k.sealer.seal(Ticket{
+	return k.ticketCodec.encode(Ticket{
 		Holder: k.opt.Self, ID: newTicketID(), Organisation: org,
 		Expires: k.opt.Clock.Now().Add(k.opt.TicketLife),
 	})
 }
 
-// ticketID returns the id of the ticket's entry. It differs from every id of a
-// key, which ends in 32 hexadecimal digits after a slash.
+// ticketID returns the entry ID of the ticket. It cannot collide with the ID of a
+// key, which ends in a slash and 32 hexadecimal digits.
 func ticketID(t Ticket) string { return "ticket:" + hex.EncodeToString(t.ID[:]) }
--- a/internal/once/try.go
+++ b/internal/once/try.go
@@ -12,97 +12,97 @@
 	"chervilloom/internal/request"
 )
 
-// refuse ends the try with an error that is true as it stands.
+// refuse finishes the try with the error, whose outcome is right for the call.
 func (t *try) refuse(e *outcome.Error) { t.w.Finish(answer.End{Error: e}) }
 
-// refuseEarly ends the try before its key or ticket was looked up where its
-// state is held.
-func (t *try) refuseEarly(e *outcome.Error) { t.refuse(Refusal(t.req, e)) }
+// refuseBeforeLookup finishes the try with an error that occurred before its key or
+// ticket was looked up at the holder.
+func (t *try) refuseBeforeLookup(e *outcome.Error) { t.refuse(Refusal(t.req, e)) }
 
-// dispatch runs the call unless that is of no use or not safe any more.
+// dispatch runs the call, unless dispatchError returns an error.
 func (t *try) dispatch(ctx context.Context) {
-	e := t.tooLate(ctx)
+	e := t.dispatchError(ctx)
 	if e == nil {
 		t.run(ctx)
 		return
 	}
-	t.ended(e.Outcome, nil, 0, e)
+	t.recordEnd(e.Outcome, nil, 0, e)
 	t.refuse(e)
 }
 
-// tooLate returns why the call is not to be dispatched. A try that was on its
-// way when its connection broke would else run after a later try of the same key
-// was told "not-run". A node that was paused since its claim would run a call
-// whose row has expired and was claimed by another.
-func (t *try) tooLate(ctx context.Context) *outcome.Error {
+// dispatchError returns an error if the call must not be dispatched any more. If the
+// caller has disconnected, a later try of the same key may already have been
+// answered "not-run". If this node was paused after its claim, the row may have
+// expired and been claimed by another node.
+func (t *try) dispatchError(ctx context.Context) *outcome.Error {
 	now := t.k.opt.Clock.Now()
 	switch {
 	case ctx.Err() != nil:
 		return outcome.New(outcome.CallerGone, outcome.NotRun, "the caller left before the call was sent",
 			"repeat the call with the same key or ticket")
-	case t.req.Deadline != 0 && !now.Before(t.req.Deadline), now.Sub(t.began) >= t.valid:
+	case t.req.Deadline != 0 && !now.Before(t.req.Deadline), now.Sub(t.startedAt) >= t.claimValidity:
 		return outcome.New(outcome.DeadlineExceeded, outcome.NotRun, "the deadline passed before the call was sent",
 			"repeat the call with the same key or ticket and allow more time")
 	}
 	return nil
 }
 
-// run dispatches the call. It goes on when the caller leaves: cutting a call
-// that may not be repeated would leave its outcome unknown, and the caller's
-// repeat is to get its answer.
+// run dispatches the call. The call continues if the caller disconnects:
+// cancelling a non-repeatable call would leave its outcome unknown, and the
+// caller's repeat should get the answer.
 func (t *try) run(ctx context.Context) {
 	ctx, cancel := t.runContext(ctx)
 	defer cancel()
 	rec := &recorder{
 		w: t.w, ticket: t.req.Ticket, limit: t.k.opt.MaxAnswer,
-		onEnd: t.ended, cancel: cancel,
+		onEnd: t.recordEnd, cancel: cancel,
 	}
-	// A panic below must not leave the entry "running" for ever.
+	// A panic in the next handler must not leave the entry in Running forever.
 	defer rec.Finish(answer.End{Error: outcome.Of(errNoReason)})
 	t.next.Serve(ctx, t.req, rec)
 }
 
 func (t *try) runContext(ctx context.Context) (context.Context, context.CancelFunc) {
-	return t.untilDeadline(context.WithoutCancel(ctx))
+	return t.withDeadline(context.WithoutCancel(ctx))
 }
 
-func (t *try) untilDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
+func (t *try) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if t.req.Deadline == 0 {
 		return context.WithCancel(ctx)
 	}
 	return context.WithTimeout(ctx, t.req.Deadline.Sub(t.k.opt.Clock.Now()))
 }
 
-func (t *try) ended(o outcome.Outcome, kept *keptAnswer, size int, failure *outcome.Error) {
-	act := t.k.mem.end(t.id, o, kept, size, failure)
+func (t *try) recordEnd(o outcome.Outcome, kept *keptAnswer, size int, failure *outcome.Error) {
+	act := t.k.mem.endDispatch(t.id, o, kept, size, failure)
 	t.k.writeNote(t.id, act)
 }
 
-// replayFrom answers a repeat from memory.
-func (t *try) replayFrom(s *slot) {
+// replayFromMemory answers a repeat from memory.
+func (t *try) replayFromMemory(s *memoryEntry) {
 	switch {
 	case s.answer != nil:
 		replay(t.w, s.answer, t.req.Ticket)
 	case s.failure != nil:
 		t.refuse(s.failure)
 	default:
-		t.refuse(answerGone())
+		t.refuse(answerNotStored())
 	}
 }
 
-// replayRow answers a repeat from the row.
-func (t *try) replayRow(a *keptAnswer) {
-	if a == nil {
-		t.refuse(answerGone())
+// replayFromRow answers a repeat with the answer in the row.
+func (t *try) replayFromRow(kept *keptAnswer) {
+	if kept == nil {
+		t.refuse(answerNotStored())
 		return
 	}
-	replay(t.w, a, t.req.Ticket)
+	replay(t.w, kept, t.req.Ticket)
 }
 
-// serveTicket answers a try that carries a ticket.
+// serveTicket handles a try with a ticket.
 func (k *Keeper) serveTicket(ctx context.Context, req *request.Request, w answer.Writer, next filter.Handler) {
-	t := k.newTry(req, w, next, byTicket)
-	ticket, err := k.sealer.open(req.Ticket)
+	t := k.newTry(req, w, next, mechanismTicket)
+	ticket, err := k.ticketCodec.decode(req.Ticket)
 	switch {
 	case err == ErrTicketForeign:
 		t.refuse(foreignTicket(err))
@@ -117,87 +117,88 @@
 	t.id = ticketID(ticket)
 	if ticket.Holder != k.opt.Self {
 		act := Action{Verb: PassOn, Holder: ticket.Holder, Reason: "the ticket names another holder"}
-		t.note(act)
-		t.relay(ctx, act)
+		t.recordDecision(act)
+		t.forward(ctx, act)
 		return
 	}
-	t.holdTicket(ctx, ticket)
+	t.serveHeldTicket(ctx, ticket)
 }
 
-func (t *try) holdTicket(ctx context.Context, ticket Ticket) {
-	if !t.began.Before(ticket.Expires) {
-		t.refuse(t.asVouched(expiredTicket()))
+func (t *try) serveHeldTicket(ctx context.Context, ticket Ticket) {
+	if !t.startedAt.Before(ticket.Expires) {
+		t.refuse(t.notRunIfFirst(expiredTicket()))
 		return
 	}
-	act, s, ok := t.k.mem.call(t.id, false, t.hash, ticket.Expires)
+	act, s, ok := t.k.mem.beginCall(t.id, false, t.hash, ticket.Expires)
 	if !ok {
-		// The memory forgets no ticket before it expires, so one that it does
-		// not know was never dispatched.
+		// The memory evicts no ticket before it expires, so a ticket without an
+		// entry was never dispatched.
 		t.refuse(tooManyKeys())
 		return
 	}
-	t.follow(ctx, act, s)
+	t.execute(ctx, act, s)
 }
 
-// serveKey answers a try that carries a key and no ticket.
+// serveKey handles a try with a key and without a ticket.
 func (k *Keeper) serveKey(ctx context.Context, req *request.Request, w answer.Writer, next filter.Handler) {
-	t := k.newTry(req, w, next, byKey)
+	t := k.newTry(req, w, next, mechanismKey)
 	t.id = rowKey(req.Organisation, req.Key)
-	expires := t.began.Add(t.valid + 2*k.opt.Skew)
-	act, s, ok := k.mem.call(t.id, true, t.hash, expires)
+	expires := t.startedAt.Add(t.claimValidity + 2*k.opt.Skew)
+	act, s, ok := k.mem.beginCall(t.id, true, t.hash, expires)
 	if !ok {
-		t.refuseEarly(tooManyKeys())
+		t.refuseBeforeLookup(tooManyKeys())
 		return
 	}
-	t.follow(ctx, act, s)
+	t.execute(ctx, act, s)
 }
 
-// follow carries out a decision on the try.
-func (t *try) follow(ctx context.Context, act Action, s *slot) {
-	t.note(act)
+// execute executes a decision for the try.
+func (t *try) execute(ctx context.Context, act Action, s *memoryEntry) {
+	t.recordDecision(act)
 	switch act.Verb {
 	case WriteClaim:
 		t.k.writeClaim(t.id, t.hash, act.Version)
-		t.follow(ctx, t.await(ctx, s.wake), s)
+		t.execute(ctx, t.awaitClaim(ctx, s.decided), s)
 	case AwaitClaim:
-		t.follow(ctx, t.await(ctx, s.wake), s)
+		t.execute(ctx, t.awaitClaim(ctx, s.decided), s)
 	case Dispatch:
 		t.dispatch(ctx)
 	case Replay:
-		t.replayFrom(s)
+		t.replayFromMemory(s)
 	case ReplayRow:
-		t.replayRow(act.Answer)
+		t.replayFromRow(act.Answer)
 	case PassOn:
-		t.relay(ctx, act)
+		t.forward(ctx, act)
 	case TellRunning:
 		t.refuse(stillRunning())
 	case TellReused:
 		t.refuse(keyReused())
 	case TellNoClaim:
-		t.refuseEarly(noClaim())
+		t.refuseBeforeLookup(noClaim())
 	default:
 		t.refuse(holderLost())
 	}
 }
 
-// await waits for what becomes of the claim, within the caller's patience.
-func (t *try) await(ctx context.Context, wake chan Action) Action {
-	from := time.Now()
+// awaitClaim waits for the decision on the claim, until the claim timeout, the
+// deadline of the request or the end of ctx.
+func (t *try) awaitClaim(ctx context.Context, decided chan Action) Action {
+	start := time.Now()
 	_, span := otel.Tracer("chervilloom/once").Start(ctx, "once.claim")
 	defer func() {
-		t.k.meters.claimSeconds.Observe(time.Since(from).Seconds())
+		t.k.metrics.claimSeconds.Observe(time.Since(start).Seconds())
 		span.End()
 	}()
 	timer := time.NewTimer(t.k.opt.ClaimWait)
 	defer timer.Stop()
-	ctx, cancel := t.untilDeadline(ctx)
+	ctx, cancel := t.withDeadline(ctx)
 	defer cancel()
 	select {
-	case act := <-wake:
+	case act := <-decided:
 		return act
 	case <-timer.C:
-		t.k.writer.unreachable(errSlowClaim)
+		t.k.writer.markUnavailable(errClaimTimeout)
 	case <-ctx.Done():
 	}
-	return t.k.mem.leave(t.id, wake)
+	return t.k.mem.cancelWait(t.id, decided)
 }
--- a/internal/once/writer.go
+++ b/internal/once/writer.go
@@ -15,65 +15,67 @@
 	"chervilloom/internal/ring"
 )
 
-// Table is what the keys need of the platform's table.
+// Table is the part of the platform client that this package uses.
 type Table interface {
 	Get(ctx context.Context, table, key string) (platform.Row, error)
 	List(ctx context.Context, table, prefix string) ([]platform.Row, error)
 	Commit(ctx context.Context, txn platform.Txn) (platform.Result, error)
 }
 
-// writeEnd is how a conditional write of one row ended.
-type writeEnd uint8
+// writeResult is the result of a conditional write of one row.
+type writeResult uint8
 
 const (
-	writeLanded  writeEnd = iota + 1
-	writeRefused          // the row was not at the version; it is in the result
-	writeFailed           // surely without effect
-	writeUnclear          // may have landed, or may yet
+	writeCommitted writeResult = iota + 1
+	writeRefused               // the row was not at the expected version; done receives the current row
+	writeFailed                // certainly without effect
+	writeAmbiguous             // may have been committed or may still be
 )
 
-// write is one conditional write of one row.
+// write is a conditional write of one row. done is called once with the result.
 type write struct {
 	key     string
 	version uint64
 	value   []byte
-	done    func(writeEnd, platform.Row)
+	done    func(writeResult, platform.Row)
 }
 
-// writer commits the writes of many calls in shared transactions, so that the
-// platform sees far fewer transactions than there are calls.
+// writer batches the writes of many calls in shared transactions, so that the
+// platform receives far fewer transactions than there are calls.
 //
-// Claims go first: a caller waits for each. Notes (outcomes, releases) ride
-// along, and go alone only when no claim has come for noteDelay.
+// Claims have priority, because a caller waits for each. Notes (outcomes and
+// releases) are added to batches of claims, and are committed alone only if no
+// claim arrives within WriteLimits.NoteDelay.
 type writer struct {
-	table  Table
-	clock  clock.Clock
-	log    *slog.Logger
-	meters *meters
-	limits WriteLimits
-
-	claims *ring.Queue[write] // full: the call is refused at once
-	notes  *ring.Queue[write] // full: dropped; the sweeper offers it again
-	// pace keeps notes from using up the rows that the platform takes: a claim
-	// that it refuses is a caller refused, a note can come later.
-	pace *rate.Limiter
-
-	turn      chan struct{} // holds one token while a committer collects the next batch
-	lastStart time.Time     // of the newest commit; guarded by turn
-	downUntil atomic.Int64  // clock.Instant until which claims are refused unasked
-	downFor   atomic.Int64  // the next pause, in nanoseconds
-	quiet     atomic.Int64  // clock.Instant until which notes are dropped: the platform was over its rate
-}
-
-// WriteLimits bounds what one node asks of the table.
+	table   Table
+	clock   clock.Clock
+	log     *slog.Logger
+	metrics *metrics
+	limits  WriteLimits
+
+	claims *ring.Queue[write] // when full, the call is refused immediately
+	notes  *ring.Queue[write] // when full, the note is dropped; the sweep queues outcomes again
+	// noteLimiter limits the rate of notes, so that they don't use up the platform's row
+	// rate: a refused claim means a refused caller, while a note can be written
+	// later.
+	noteLimiter *rate.Limiter
+
+	collecting        chan struct{} // mutex: contains a token while a committer collects a batch
+	lastCommitStart   time.Time     // start of the last commit; guarded by collecting
+	claimsPausedUntil atomic.Int64  // clock.Instant until which claims are refused without asking the table
+	nextPause         atomic.Int64  // next pause in nanoseconds
+	notesPausedUntil  atomic.Int64  // clock.Instant until which notes are dropped, as the platform's rate limit was exceeded
+}
+
+// WriteLimits limits the load of one node on the table.
 type WriteLimits struct {
-	Gap       time.Duration // least time between two commits' starts; default 25ms: six nodes commit 240 times a second at most
-	InFlight  int           // commits at once; default 4
-	Batch     int           // rows of one commit; default 64
-	Notes     float64       // outcomes a second; default 25
-	NoteDelay time.Duration // how long an outcome waits for a claim to ride with; default 100ms
-	Timeout   time.Duration // of one commit; default 2s
-	Queue     int           // claims and notes that wait, each; default 1024
+	Gap       time.Duration // minimum interval between the starts of commits; default 25ms, with which six nodes commit at most 240 times per second
+	InFlight  int           // maximum concurrent commits; default 4
+	Batch     int           // maximum rows per commit; default 64
+	Notes     float64       // maximum outcomes per second; default 25
+	NoteDelay time.Duration // maximum time that an outcome waits for a claim to share its commit; default 100ms
+	Timeout   time.Duration // timeout of one commit; default 2s
+	Queue     int           // capacity of the claim queue and of the note queue; default 1024
 }
 
 func (l WriteLimits) withDefaults() WriteLimits {
@@ -99,27 +101,28 @@
 
 	firstPause = 250 * time.Millisecond
 	maxPause   = 2 * time.Second
-	quietPause = 5 * time.Second
+	notePause  = 5 * time.Second
 )
 
-func newWriter(t Table, c clock.Clock, log *slog.Logger, m *meters, l WriteLimits) *writer {
+func newWriter(t Table, c clock.Clock, log *slog.Logger, m *metrics, l WriteLimits) *writer {
 	return &writer{
-		table: t, clock: c, log: log, meters: m, limits: l,
+		table: t, clock: c, log: log, metrics: m, limits: l,
 		claims: ring.NewQueue[write](l.Queue), notes: ring.NewQueue[write](l.Queue),
-		pace: rate.NewLimiter(rate.Limit(l.Notes), 2*int(l.Notes)+1),
-		turn: make(chan struct{}, 1),
+		noteLimiter: rate.NewLimiter(rate.Limit(l.Notes), 2*int(l.Notes)+1),
+		collecting:  make(chan struct{}, 1),
 	}
 }
 
-// claim queues a claim. It reports false when the queue is full or the table
-// did not answer a moment ago: the caller is told so at once instead of waiting
-// for a timeout.
-func (w *writer) claim(op write) bool { return w.open() && w.claims.Offer(op) }
+// enqueueClaim queues a claim. It reports false if the queue is full or the table was
+// recently unavailable, so that the caller is refused immediately instead of
+// after a timeout.
+func (w *writer) enqueueClaim(op write) bool { return w.allowClaim() && w.claims.Offer(op) }
 
-// open reports whether a claim may be tried. After a pause one claim at a time
-// finds out whether the table answers again; the others need not wait for it.
-func (w *writer) open() bool {
-	until := w.downUntil.Load()
+// allowClaim reports whether a claim may be sent to the table, like a circuit breaker.
+// After a pause, one claim per firstPause is let through to probe the table; the
+// others are refused without waiting for it.
+func (w *writer) allowClaim() bool {
+	until := w.claimsPausedUntil.Load()
 	now := w.clock.Now()
 	switch {
 	case until == 0:
@@ -127,17 +130,17 @@
 	case int64(now) < until:
 		return false
 	}
-	return w.downUntil.CompareAndSwap(until, int64(now.Add(firstPause)))
+	return w.claimsPausedUntil.CompareAndSwap(until, int64(now.Add(firstPause)))
 }
 
-// note queues an outcome.
-func (w *writer) note(op write) {
-	if int64(w.clock.Now()) < w.quiet.Load() || !w.pace.Allow() || !w.notes.Offer(op) {
-		w.meters.notesDropped.Inc()
+// enqueueNote queues an outcome or a release, or drops and counts it.
+func (w *writer) enqueueNote(op write) {
+	if int64(w.clock.Now()) < w.notesPausedUntil.Load() || !w.noteLimiter.Allow() || !w.notes.Offer(op) {
+		w.metrics.notesDropped.Inc()
 	}
 }
 
-// run commits until ctx ends.
+// run commits queued writes until ctx ends, then fails the remaining ones.
 func (w *writer) run(ctx context.Context) {
 	var group sync.WaitGroup
 	for range w.limits.InFlight {
@@ -157,7 +160,7 @@
 	}
 }
 
-// failQueued ends the writes that nobody will commit any more.
+// failQueued fails the writes that are still queued at shutdown.
 func (w *writer) failQueued() {
 	for {
 		select {
@@ -171,42 +174,45 @@
 	}
 }
 
-// collect waits for the next batch. It holds the turn, so that what arrives in
-// the gap goes into one batch instead of one for each committer.
+// collect waits for the next batch. Only one committer collects at a time, so that
+// the writes that arrive within the gap go into one batch instead of one per
+// committer.
 func (w *writer) collect(ctx context.Context) ([]write, bool) {
-	w.turn <- struct{}{}
-	defer func() { <-w.turn }()
-	first, ok := w.first(ctx)
+	w.collecting <- struct{}{}
+	defer func() { <-w.collecting }()
+	first, ok := w.firstWrite(ctx)
 	if !ok {
 		return nil, false
 	}
-	if !clock.Sleep(ctx, w.limits.Gap-time.Since(w.lastStart)) {
+	if !clock.Sleep(ctx, w.limits.Gap-time.Since(w.lastCommitStart)) {
 		first.done(writeFailed, platform.Row{})
 		return nil, false
 	}
-	w.lastStart = time.Now()
-	return w.fill(first), true
+	w.lastCommitStart = time.Now()
+	return w.fillBatch(first), true
 }
 
-func (w *writer) first(ctx context.Context) (write, bool) {
+func (w *writer) firstWrite(ctx context.Context) (write, bool) {
 	select {
 	case op := <-w.claims.C():
 		return op, true
 	case op := <-w.notes.C():
-		return w.waitToRide(ctx, op)
+		return w.waitForClaim(ctx, op)
 	case <-ctx.Done():
 		return write{}, false
 	}
 }
 
-// waitToRide holds a note until a claim comes or the delay is over.
-func (w *writer) waitToRide(ctx context.Context, note write) (write, bool) {
+// waitForClaim waits for a claim to commit together with the note. When one arrives,
+// the note is queued again and the claim is returned; after the delay the note is
+// returned.
+func (w *writer) waitForClaim(ctx context.Context, note write) (write, bool) {
 	timer := time.NewTimer(w.limits.NoteDelay)
 	defer timer.Stop()
 	select {
 	case op := <-w.claims.C():
 		if !w.notes.Offer(note) {
-			w.meters.notesDropped.Inc()
+			w.metrics.notesDropped.Inc()
 		}
 		return op, true
 	case <-timer.C:
@@ -217,13 +223,13 @@
 	}
 }
 
-func (w *writer) fill(first write) []write {
+func (w *writer) fillBatch(first write) []write {
 	batch := append(make([]write, 0, 8), first)
-	batch = w.drain(batch, w.claims)
-	return w.drain(batch, w.notes)
+	batch = w.appendQueued(batch, w.claims)
+	return w.appendQueued(batch, w.notes)
 }
 
-func (w *writer) drain(batch []write, q *ring.Queue[write]) []write {
+func (w *writer) appendQueued(batch []write, q *ring.Queue[write]) []write {
 	for len(batch) < w.limits.Batch {
 		select {
 		case op := <-q.C():
@@ -235,20 +241,22 @@
 	return batch
 }
 
-func (w *writer) answered() {
-	w.downUntil.Store(0)
-	w.downFor.Store(0)
+func (w *writer) markAvailable() {
+	w.claimsPausedUntil.Store(0)
+	w.nextPause.Store(0)
 }
 
-// unreachable makes claims be refused at once for a while that doubles. Over
-// the platform's rate the first pause is enough: it answers.
-func (w *writer) unreachable(err error) {
-	pause := min(max(time.Duration(w.downFor.Load()), firstPause), maxPause)
+// markUnavailable makes claims be refused immediately for a pause that doubles each
+// time up to maxPause. If the platform's rate limit was exceeded, the pause is
+// always firstPause, since the platform does answer, and notes are dropped for
+// notePause.
+func (w *writer) markUnavailable(err error) {
+	pause := min(max(time.Duration(w.nextPause.Load()), firstPause), maxPause)
 	if errors.Is(err, platform.ErrLimited) {
 		pause = firstPause
-		w.quiet.Store(int64(w.clock.Now().Add(quietPause)))
+		w.notesPausedUntil.Store(int64(w.clock.Now().Add(notePause)))
 	}
-	w.downFor.Store(int64(2 * pause))
-	w.downUntil.Store(int64(w.clock.Now().Add(pause)))
-	w.log.Warn("claims of keys are refused, the table does not answer; it is asked again soon", "pause_seconds", pause.Seconds(), "err", err)
+	w.nextPause.Store(int64(2 * pause))
+	w.claimsPausedUntil.Store(int64(w.clock.Now().Add(pause)))
+	w.log.Warn("key claims refused: table unavailable; retrying after the pause", "pause_seconds", pause.Seconds(), "err", err)
 }
