--- a/internal/revision/accept.go
+++ b/internal/revision/accept.go
@@ -13,17 +13,17 @@
 
 const tracerName = "chervilloom/revision"
 
-// Accept makes document the next revision after base, puts it in force here and
-// tells the peers. Errors as of Store.Accept.
+// Accept makes document the next revision after base, puts it in force on this
+// node and announces it to the peers. Errors are those of Store.Accept.
 func (k *Keeper) Accept(ctx context.Context, base uint64, document []byte, author string) (*Record, error) {
 	return k.Propose(ctx, Proposal{Base: base, Document: document, Author: author})
 }
 
-// Propose is Accept with the hash of the base checked as well.
+// Propose is Accept with an optional check of the base's hash.
 //
-// Before it looks at the table it has heard the highest revision of the peers
-// that it reaches: the table may have been put back to an older state, and a
-// number given twice would leave one of two accepted revisions out of force.
+// It asks the reachable peers for their highest revision before it reads the
+// table. The table may have been restored to an older state, and a number
+// assigned twice would leave one of two accepted revisions out of force.
 func (k *Keeper) Propose(ctx context.Context, p Proposal) (*Record, error) {
 	ctx, span := otel.Tracer(tracerName).Start(ctx, "revision.accept")
 	defer span.End()
@@ -43,43 +43,44 @@
 		return nil, err
 	}
 	k.askPeers(ctx)
-	k.fetchHeard(ctx)
+	k.fetchPending(ctx)
 	state := k.snapshot()
-	if err := k.mayBeBehind(ctx, &state, &p); err != nil {
+	if err := k.checkUnavailable(ctx, &state, &p); err != nil {
 		return nil, err
 	}
 	rec, err := k.store.Accept(ctx, p, state.Records())
 	if err != nil {
-		k.learnFrom(err)
+		k.applyConflict(err)
 		return nil, err
 	}
-	k.learn(Got{k.hold(rec)})
+	k.applyEvent(Got{k.parseRecord(rec)})
 	return rec, nil
 }
 
-// mayBeBehind deals with a revision that was heard of and is neither held here
-// nor in the table, which was put back. Its number must not be given again. For
-// a while the proposal is refused, so that its holder can be reached again;
-// after that the revision counts as lost and the next number is above it, or
-// nothing could ever be accepted here.
-func (k *Keeper) mayBeBehind(ctx context.Context, state *State, p *Proposal) error {
+// checkUnavailable handles a revision that was announced but is neither in
+// memory nor in the table, which was restored to an older state. Its number
+// must not be reused. Until LostAfter has passed the proposal is refused,
+// because a node that has the revision may become reachable again. After that
+// the revision counts as lost and the next number is above it; otherwise no
+// revision could be accepted here any more.
+func (k *Keeper) checkUnavailable(ctx context.Context, state *State, p *Proposal) error {
 	if state.Seen.Compare(state.Highest()) <= 0 {
 		return nil
 	}
 	head, err := k.store.Head(ctx)
 	if err != nil {
-		return platformDown(err)
+		return platformDownError(err)
 	}
 	if head.Stamp.Compare(state.Seen) >= 0 {
 		return nil
 	}
-	if left := k.opts.LostAfter - time.Since(k.lastHeard()); left > 0 {
+	if left := k.opts.LostAfter - time.Since(k.lastHeardTime()); left > 0 {
 		return &Refused{
 			Reason: fmt.Sprintf("revision %d was in force elsewhere, and neither a peer nor the table hands it out", state.Seen.Number),
 			Remedy: fmt.Sprintf("nothing changed, try again; unless it turns up it counts as lost in %s", left.Round(time.Second)),
 		}
 	}
-	k.opts.Log.Error("a revision that was heard of counts as lost; the next one takes a number above it", "lost", state.Seen.String())
+	k.opts.Log.Error("announced revision is lost; the next revision gets a higher number", "lost", state.Seen.String())
 	p.Above = state.Seen.Number
 	return nil
 }
@@ -93,15 +94,15 @@
 	}
 }
 
-// learnFrom takes in the newer revision that a conflict names.
-func (k *Keeper) learnFrom(err error) {
+// applyConflict applies the newer revision named by a conflict to the state.
+func (k *Keeper) applyConflict(err error) {
 	var c *Conflict
 	if errors.As(err, &c) {
-		k.learn(HeadRead{c.Current})
+		k.applyEvent(HeadRead{c.Current})
 	}
 }
 
-// RollBack accepts the document of an old revision as the next one after base.
+// RollBack accepts the document of revision to as the next revision after base.
 func (k *Keeper) RollBack(ctx context.Context, base, to uint64, author string) (*Record, error) {
 	old, err := k.Get(ctx, to)
 	if err != nil {
@@ -110,7 +111,8 @@
 	return k.Accept(ctx, base, old.Document, author)
 }
 
-// Get returns the revision with the given number from memory or the table.
+// Get returns the revision with the given number from memory or the table, or
+// ErrNoRevision.
 func (k *Keeper) Get(ctx context.Context, number uint64) (*Record, error) {
 	state := k.snapshot()
 	for i := len(state.Memory) - 1; i >= 0; i-- {
@@ -121,7 +123,7 @@
 	return k.store.Get(ctx, number)
 }
 
-// History returns up to n revisions, the newest first.
+// History returns up to n revisions, newest first.
 func (k *Keeper) History(ctx context.Context, n int) ([]*Record, error) {
 	return k.store.History(ctx, n)
 }
--- a/internal/revision/bench_test.go
+++ b/internal/revision/bench_test.go
@@ -13,8 +13,8 @@
 	"chervilloom/internal/revision"
 )
 
-// BenchmarkHandleAnnounce is the cost of one digest of a peer that tells
-// nothing new: decoding, Decide and no action.
+// BenchmarkHandleAnnounce measures a digest from a peer that contains nothing
+// new: decoding, and Decide without actions.
 func BenchmarkHandleAnnounce(b *testing.B) {
 	k := revision.NewKeeper(revision.Options{Table: newTable()})
 	payload, err := cbor.Marshal(revision.Announcement{})
@@ -28,8 +28,8 @@
 	}
 }
 
-// BenchmarkAccept is one acceptance on a table in memory: parsing, encoding and
-// four requests.
+// BenchmarkAccept measures one acceptance on an in-memory table: parsing,
+// encoding and four requests.
 func BenchmarkAccept(b *testing.B) {
 	for _, n := range []int{10, 200} {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
@@ -56,9 +56,9 @@
 	return out
 }
 
-// BenchmarkSpread is the time from the call of Accept at one node until the
-// revision is in force on all nodes, with messages in memory.
-func BenchmarkSpread(b *testing.B) {
+// BenchmarkReplicate measures the time from the call of Accept on one node
+// until the revision is in force on all nodes, with in-memory messages.
+func BenchmarkReplicate(b *testing.B) {
 	for _, n := range []int{6, 50} {
 		b.Run(fmt.Sprintf("nodes=%d", n), func(b *testing.B) {
 			m, tab := newMesh(), newTable()
@@ -72,7 +72,7 @@
 				k := revision.NewKeeper(revision.Options{
 					Table: tab, Peers: port{m, vm}, Nodes: func() []fleet.VM { return m.others(vm) }, JoinWait: -1,
 				})
-				m.set(func() { m.keepers[vm] = k })
+				m.update(func() { m.keepers[vm] = k })
 				nodes = append(nodes, k)
 				running.Go(func() { _ = k.Run(ctx) })
 			}
@@ -84,7 +84,7 @@
 				}
 				base = rec.Stamp.Number
 				for _, k := range nodes {
-					for number(k) != base {
+					for currentNumber(k) != base {
 						runtime.Gosched()
 					}
 				}
--- a/internal/revision/decide.go
+++ b/internal/revision/decide.go
@@ -8,30 +8,32 @@
 )
 
 // MemorySize is how many of the highest revisions a node keeps, to write them
-// again into a table that lost them.
+// back into a table that lost them.
 const MemorySize = 16
 
-// Held is a revision in a node's memory. Document is nil when this node cannot
-// use it, such as one of a newer program; it is passed on all the same.
+// Held is a revision in a node's memory. Document is nil if this node cannot
+// use it, such as one written for a newer version of the program; it is still
+// passed on to other nodes.
 type Held struct {
 	*Record
 	Document *config.Document
 }
 
-// State is what a node knows of the revisions. The zero value knows nothing.
-// Decide never changes a State; it returns a new one.
+// State is a node's knowledge of the revisions. The zero value is empty. Decide
+// never changes a State; it returns a new one.
 type State struct {
-	// Joined is set once a peer has answered or the node has waited long
-	// enough for one. Until then nothing is in force: the table alone may have
-	// been put back to an older state than the peers are in.
+	// Joined is set once a peer has answered or the wait for one has expired.
+	// Before that no revision is in force: the table may have been restored to
+	// an older state than that of the peers.
 	Joined    bool
-	PeerHeard bool   // a peer that was asked told of a revision that it holds
-	Memory    []Held // by stamp, at most MemorySize
-	InForce   Held   // the highest usable revision; its Record is nil when there is none
-	Seen      Stamp  // the highest stamp heard of, held or not
+	PeerHeard bool   // a peer answered with a revision of its own
+	Memory    []Held // in ascending order of stamps, at most MemorySize
+	InForce   Held   // the highest usable revision; Record is nil if there is none
+	Seen      Stamp  // the highest stamp known, whether or not the revision is in memory
 }
 
-// Highest returns the stamp of the highest revision in memory.
+// Highest returns the stamp of the highest revision in memory, or the zero
+// stamp.
 func (s *State) Highest() Stamp {
 	if len(s.Memory) == 0 {
 		return Stamp{}
@@ -39,7 +41,8 @@
 	return s.Memory[len(s.Memory)-1].Stamp
 }
 
-// Find returns the revision with the stamp, nil when it is not in memory.
+// Find returns the revision with the given stamp, or nil if it is not in
+// memory.
 func (s *State) Find(stamp Stamp) *Record {
 	i, ok := s.search(stamp)
 	if !ok {
@@ -48,7 +51,7 @@
 	return s.Memory[i].Record
 }
 
-// Records returns the revisions in memory by stamp.
+// Records returns the revisions in memory in ascending order of stamps.
 func (s *State) Records() []*Record {
 	out := make([]*Record, len(s.Memory))
 	for i, h := range s.Memory {
@@ -61,27 +64,27 @@
 	return slices.BinarySearchFunc(s.Memory, stamp, func(h Held, t Stamp) int { return h.Stamp.Compare(t) })
 }
 
-// Event is what a node learns.
+// Event is an input of Decide.
 type Event interface{ event() }
 
-// Heard is the word of a peer that Stamp is its highest revision.
+// Heard reports that Stamp is the highest revision of a peer.
 type Heard struct {
 	From  fleet.VM
 	Stamp Stamp
-	// Answer is set when the peer was asked by this life of the node. Only an
-	// answer ends the wait at the start: an announcement may have been on its
-	// way since before, and a node that joined on it would put a revision in
-	// force that the peer no longer holds the highest.
+	// Answer is set if the peer replied to a request of this run of the
+	// process. Only such a reply ends the wait at startup: an announcement may
+	// have been in flight since before the restart, and a node that joined on
+	// it could put a revision in force that is no longer the peer's highest.
 	Answer bool
 }
 
-// HeadRead is the head of the table.
+// HeadRead reports the stamp read from the head of the table.
 type HeadRead struct{ Stamp Stamp }
 
-// Got is a revision that was fetched or accepted here.
+// Got reports a revision that was fetched, or accepted by this node.
 type Got struct{ Held }
 
-// Joined ends the wait for a first answer of a peer.
+// Joined reports that the wait for a peer's answer at startup is over.
 type Joined struct{}
 
 func (Heard) event()    {}
@@ -89,10 +92,10 @@
 func (Got) event()      {}
 func (Joined) event()   {}
 
-// Action is what a node does about an event.
+// Action is an output of Decide, to be executed by the caller.
 type Action interface{ action() }
 
-// FetchPeer asks a peer for a revision.
+// FetchPeer requests a revision from a peer.
 type FetchPeer struct {
 	From  fleet.VM
 	Stamp Stamp
@@ -101,22 +104,23 @@
 // FetchTable reads a revision from the table.
 type FetchTable struct{ Stamp Stamp }
 
-// Install puts a revision in force. Its stamp is above that of the one before.
+// Install puts a revision in force. Its stamp is higher than that of the
+// previous one.
 type Install struct{ Held }
 
-// Announce tells the peers of the highest revision.
+// Announce broadcasts the highest revision to the peers.
 type Announce struct{ Stamp Stamp }
 
-// HealTable writes into the table what it lost.
+// HealTable writes revisions that the table lost back into it.
 type HealTable struct{}
 
-// Report tells the operators of two revisions that were accepted without
-// knowledge of each other. The content of Loser is no longer in force; its
+// Report notifies the operators of two revisions that were accepted
+// independently of each other. The content of Loser is no longer in force; its
 // author has to apply it again.
 type Report struct{ Winner, Loser Stamp }
 
-// Refuse tells the operators that this node cannot use a revision and keeps
-// the one in force.
+// Refuse notifies the operators that this node cannot use a revision and keeps
+// the current one in force.
 type Refuse struct{ Stamp Stamp }
 
 func (FetchPeer) action()  {}
@@ -127,20 +131,20 @@
 func (Report) action()     {}
 func (Refuse) action()     {}
 
-// Decide returns the state after the event and what to do.
+// Decide returns the state after the event and the actions to execute.
 //
-// The revision in force only goes up: Install is returned for a stamp above
-// that of s.InForce alone, and no event takes a revision out of force. As
-// stamps are totally ordered, nodes that hear of the same revisions end with
-// the same one in force, whatever the order.
+// The revision in force only increases: Install is returned only for a stamp
+// above that of s.InForce, and no event takes a revision out of force. Stamps
+// are totally ordered, so nodes that receive the same revisions in any order
+// converge on the same one.
 func Decide(s State, e Event) (State, []Action) {
 	switch e := e.(type) {
 	case Heard:
-		return s.heard(e)
+		return s.onHeard(e)
 	case HeadRead:
-		return s.headRead(e)
+		return s.onHeadRead(e)
 	case Got:
-		return s.got(e.Held)
+		return s.onGot(e.Held)
 	case Joined:
 		s.Joined = true
 		return s.install(nil)
@@ -148,41 +152,41 @@
 	return s, nil
 }
 
-func (s State) heard(e Heard) (State, []Action) {
+func (s State) onHeard(e Heard) (State, []Action) {
 	s.PeerHeard = s.PeerHeard || (e.Answer && e.Stamp.Number > 0)
 	if e.Stamp.Compare(s.Highest()) <= 0 {
 		return s, nil
 	}
-	s.see(e.Stamp)
+	s.raiseSeen(e.Stamp)
 	return s, []Action{FetchPeer{From: e.From, Stamp: e.Stamp}}
 }
 
-func (s State) headRead(e HeadRead) (State, []Action) {
+func (s State) onHeadRead(e HeadRead) (State, []Action) {
 	switch e.Stamp.Compare(s.Highest()) {
 	case 0:
 		return s, nil
 	case -1:
-		// The table was put back to an older state. Following it would take a
-		// revision back that an operator was told is accepted.
+		// The table was restored to an older state. Following it would revert a
+		// revision that its author was told is accepted.
 		return s, []Action{HealTable{}}
 	}
-	s.see(e.Stamp)
+	s.raiseSeen(e.Stamp)
 	return s, []Action{FetchTable(e)}
 }
 
-func (s *State) see(stamp Stamp) {
+func (s *State) raiseSeen(stamp Stamp) {
 	if stamp.Compare(s.Seen) > 0 {
 		s.Seen = stamp
 	}
 }
 
-func (s State) got(h Held) (State, []Action) {
+func (s State) onGot(h Held) (State, []Action) {
 	at, known := s.search(h.Stamp)
 	if known {
 		return s, nil
 	}
-	s.see(h.Stamp)
-	actions := s.clashes(h)
+	s.raiseSeen(h.Stamp)
+	actions := s.detectClashes(h)
 	top := at == len(s.Memory)
 	s.Memory = slices.Insert(slices.Clone(s.Memory), at, h)
 	if extra := len(s.Memory) - MemorySize; extra > 0 {
@@ -197,7 +201,8 @@
 	return s.install(actions)
 }
 
-// install puts the highest usable revision in force if it is above the present one.
+// install puts the highest usable revision in force if it is higher than the
+// current one.
 func (s State) install(actions []Action) (State, []Action) {
 	if !s.Joined {
 		return s, actions
@@ -215,26 +220,27 @@
 	return s, actions
 }
 
-// clashes reports the revisions in memory whose author and the author of h did
-// not know of each other.
-func (s *State) clashes(h Held) []Action {
+// detectClashes returns a Report for each revision in memory that was accepted
+// independently of h.
+func (s *State) detectClashes(h Held) []Action {
 	var out []Action
 	for _, m := range s.Memory {
 		winner, loser := m, h
 		if h.Stamp.Compare(m.Stamp) > 0 {
 			winner, loser = h, m
 		}
-		if unaware(winner.Record, loser.Record) {
+		if isIndependent(winner.Record, loser.Record) {
 			out = append(out, Report{Winner: winner.Stamp, Loser: loser.Stamp})
 		}
 	}
 	return out
 }
 
-// unaware reports whether the higher revision is known not to descend from the
-// lower one: it has the same number and other content, or is based on other
-// content of the lower one's number, or on a revision below it.
-func unaware(higher, lower *Record) bool {
+// isIndependent reports whether the higher revision does not descend from the
+// lower one: both have the same number and different content, or the higher one
+// is based on different content under the lower one's number, or on a number
+// below it.
+func isIndependent(higher, lower *Record) bool {
 	switch {
 	case higher.Stamp.Number == lower.Stamp.Number:
 		return higher.Stamp.Hash != lower.Stamp.Hash
--- a/internal/revision/export_test.go
+++ b/internal/revision/export_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// GiveUpAtOnce makes the store end its search for what became of a write at
-// the first failure, as if the time for it were over.
-func (s *Store) GiveUpAtOnce() {
-	s.pause = func(context.Context, time.Duration) bool { return false }
+// DisableReadBackRetry makes the store stop reading back the outcome of a write
+// at the first failure, as if acceptTimeout had expired.
+func (s *Store) DisableReadBackRetry() {
+	s.sleep = func(context.Context, time.Duration) bool { return false }
 }
--- a/internal/revision/fake_test.go
+++ b/internal/revision/fake_test.go
@@ -20,25 +20,28 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // table is an in-memory platform table that can lose answers, be down and be
-// put back to an older state.
+// restored to an older state.
 type table struct {
 	mu   sync.Mutex
 	rows map[string]platform.Row
 	down bool
 	// beforeCommit runs before each transaction, outside the lock.
 	beforeCommit func()
-	// lose makes the next transactions that commit answer ErrAmbiguous.
-	lose int
-	// downAfterLoss takes the table down with a lost answer.
+	// loseAnswers is how many of the next committed transactions are answered with
+	// ErrAmbiguous.
+	loseAnswers int
+	// downAfterLoss sets down when an answer is lost.
 	downAfterLoss bool
-	// downAfter takes the table down after that many more requests; 0: not.
+	// downAfter is the number of further requests after which the table goes
+	// down; 0: never.
 	downAfter int
-	// drop makes the next transactions have no effect and answer ErrAmbiguous;
-	// they stay in flight and may be delivered later.
-	drop     int
-	inFlight []platform.Txn
-	// landAfter lets them land after that many more reads; 0: not.
-	landAfter int
+	// delayWrites is how many of the next transactions have no effect and are answered
+	// with ErrAmbiguous; they stay in flight and may be delivered later.
+	delayWrites int
+	inFlight    []platform.Txn
+	// deliverAfter is the number of further reads after which the transactions in
+	// flight are applied; 0: never.
+	deliverAfter int
 }
 
 func newTable() *table { return &table{rows: map[string]platform.Row{}} }
@@ -46,20 +49,20 @@
 func (t *table) Get(ctx context.Context, name, key string) (platform.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.count(ctx) {
+	if t.countRequest(ctx) {
 		return platform.Row{}, platform.ErrDown
 	}
 	row := t.rows[name+"/"+key]
-	if t.landAfter > 0 {
-		if t.landAfter--; t.landAfter == 0 {
-			t.land()
+	if t.deliverAfter > 0 {
+		if t.deliverAfter--; t.deliverAfter == 0 {
+			t.deliverLocked()
 		}
 	}
 	return row, nil
 }
 
-// count counts a request and reports whether it fails.
-func (t *table) count(ctx context.Context) bool {
+// countRequest counts a request and reports whether it fails.
+func (t *table) countRequest(ctx context.Context) bool {
 	failed := t.down || ctx.Err() != nil
 	if t.downAfter > 0 {
 		t.downAfter--
@@ -81,29 +84,29 @@
 }
 
 func (t *table) Commit(ctx context.Context, txn platform.Txn) (platform.Result, error) {
-	if hook := t.hook(); hook != nil {
+	if hook := t.takeHook(); hook != nil {
 		hook()
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.count(ctx) {
+	if t.countRequest(ctx) {
 		return platform.Result{}, platform.ErrDown
 	}
-	if t.drop > 0 {
-		t.drop--
+	if t.delayWrites > 0 {
+		t.delayWrites--
 		t.inFlight = append(t.inFlight, txn)
 		return platform.Result{}, platform.ErrAmbiguous
 	}
 	res := t.apply(txn)
-	if res.Committed && t.lose > 0 {
-		t.lose--
+	if res.Committed && t.loseAnswers > 0 {
+		t.loseAnswers--
 		t.down = t.downAfterLoss
 		return platform.Result{}, platform.ErrAmbiguous
 	}
 	return res, nil
 }
 
-func (t *table) hook() func() {
+func (t *table) takeHook() func() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	hook := t.beforeCommit
@@ -128,14 +131,14 @@
 	return platform.Result{Committed: true}
 }
 
-// deliver lets the writes that were in flight reach the table.
+// deliver applies the transactions in flight and returns how many committed.
 func (t *table) deliver() (committed int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.land()
+	return t.deliverLocked()
 }
 
-func (t *table) land() (committed int) {
+func (t *table) deliverLocked() (committed int) {
 	for _, txn := range t.inFlight {
 		if t.apply(txn).Committed {
 			committed++
@@ -145,7 +148,7 @@
 	return committed
 }
 
-func (t *table) set(change func()) {
+func (t *table) update(change func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	change()
@@ -158,27 +161,28 @@
 }
 
 func (t *table) restore(rows map[string]platform.Row) {
-	t.set(func() { t.rows = maps.Clone(rows) })
+	t.update(func() { t.rows = maps.Clone(rows) })
 }
 
-// mesh carries messages among keepers, except between VMs that are cut off.
+// mesh delivers messages between keepers, except to and from VMs that are cut
+// off.
 type mesh struct {
-	mu      sync.Mutex
-	keepers map[fleet.VM]*revision.Keeper
-	cut     map[fleet.VM]bool
-	told    map[fleet.VM]uint64 // number that each VM last broadcast, whoever heard it
+	mu            sync.Mutex
+	keepers       map[fleet.VM]*revision.Keeper
+	cutOff        map[fleet.VM]bool
+	lastBroadcast map[fleet.VM]uint64 // revision number last broadcast by each VM, whether or not any peer received it
 }
 
 func newMesh() *mesh {
-	return &mesh{keepers: map[fleet.VM]*revision.Keeper{}, cut: map[fleet.VM]bool{}, told: map[fleet.VM]uint64{}}
+	return &mesh{keepers: map[fleet.VM]*revision.Keeper{}, cutOff: map[fleet.VM]bool{}, lastBroadcast: map[fleet.VM]uint64{}}
 }
 
-var errCut = errors.New("cut off")
+var errCutOff = errors.New("cut off")
 
-func (m *mesh) reach(from, to fleet.VM) *revision.Keeper {
+func (m *mesh) reachableKeeper(from, to fleet.VM) *revision.Keeper {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.cut[from] || m.cut[to] {
+	if m.cutOff[from] || m.cutOff[to] {
 		return nil
 	}
 	return m.keepers[to]
@@ -191,13 +195,13 @@
 	return slices.DeleteFunc(all, func(vm fleet.VM) bool { return vm == self })
 }
 
-func (m *mesh) set(change func()) {
+func (m *mesh) update(change func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	change()
 }
 
-// port is one node's side of the mesh.
+// port is one node's connection to the mesh; it implements revision.Peers.
 type port struct {
 	mesh *mesh
 	self fleet.VM
@@ -208,7 +212,7 @@
 		panic("unknown topic " + topic)
 	}
 	for _, vm := range p.mesh.others(p.self) {
-		if k := p.mesh.reach(p.self, vm); k != nil {
+		if k := p.mesh.reachableKeeper(p.self, vm); k != nil {
 			k.HandleAnnounce(fleet.Node{VM: p.self}, payload)
 		}
 	}
@@ -216,13 +220,13 @@
 	if err := cbor.Unmarshal(payload, &a); err != nil {
 		panic(err)
 	}
-	p.mesh.set(func() { p.mesh.told[p.self] = a.Stamp.Number })
+	p.mesh.update(func() { p.mesh.lastBroadcast[p.self] = a.Stamp.Number })
 }
 
 func (p port) Call(ctx context.Context, to fleet.VM, method string, payload []byte) ([]byte, error) {
-	k := p.mesh.reach(p.self, to)
+	k := p.mesh.reachableKeeper(p.self, to)
 	if k == nil {
-		return nil, errCut
+		return nil, errCutOff
 	}
 	switch method {
 	case revision.MethodFetch:
--- a/internal/revision/heal.go
+++ b/internal/revision/heal.go
@@ -7,56 +7,56 @@
 	"chervilloom/internal/platform"
 )
 
-// Heal writes those of the known revisions that the table lost, and raises its
-// head to the highest of them. It reports whether it wrote anything.
+// Heal writes the known revisions that the table lost, and raises its head to
+// the highest of them. It reports whether it wrote anything.
 //
-// Nodes may heal at once: each checks the head's version, so one of them
-// writes, and the others find nothing missing at their next look. Known
-// revisions were accepted, each of them, so writing them again accepts nothing
-// new. Where the table has given a number again, the order of stamps decides
-// who keeps it, on every node alike; the other revision is kept as a copy under
-// its number and hash, and is never in force again.
+// Nodes may heal concurrently: each transaction checks the head's version, so
+// one node writes and the others find nothing missing at their next poll. All
+// known revisions were accepted before, so writing them again accepts nothing
+// new. If the table has reassigned a number, the order of stamps decides on
+// every node which revision keeps it. The other one is kept as a copy under its
+// number and hash, and is never in force again.
 func (s *Store) Heal(ctx context.Context, known []*Record) (bool, error) {
 	head, err := s.Head(ctx)
 	if err != nil {
 		return false, err
 	}
-	top := last(known)
+	top := lastRecord(known)
 	if top == nil || top.Stamp.Compare(head.Stamp) <= 0 {
 		return false, nil
 	}
-	h := healing{table: platform.TableRevisions}
+	h := healTxn{table: platform.TableRevisions}
 	h.check(headKey, head.version)
 	for _, rec := range known {
-		if err := s.restore(ctx, &h, rec); err != nil {
+		if err := s.addRecord(ctx, &h, rec); err != nil {
 			return false, err
 		}
 	}
 	h.write(headKey, encodeHead(top))
 	res, err := s.table.Commit(ctx, platform.Txn{Attempt: s.newAttempt(), Checks: h.checks, Writes: h.writes})
 	if errors.Is(err, platform.ErrAmbiguous) {
-		return false, nil // level-triggered: the next look at the head tells
+		return false, nil // the next read of the head shows whether anything is still missing
 	}
 	return res.Committed, err
 }
 
-// healing collects one transaction.
-type healing struct {
+// healTxn collects the checks and writes of one transaction.
+type healTxn struct {
 	table  string
 	checks []platform.Check
 	writes []platform.Write
 }
 
-func (h *healing) check(key string, version uint64) {
+func (h *healTxn) check(key string, version uint64) {
 	h.checks = append(h.checks, platform.Check{Table: h.table, Key: key, Version: version})
 }
 
-func (h *healing) write(key string, value []byte) {
+func (h *healTxn) write(key string, value []byte) {
 	h.writes = append(h.writes, platform.Write{Table: h.table, Key: key, Value: value})
 }
 
-// restore adds what it takes for rec to stand in the table.
-func (s *Store) restore(ctx context.Context, h *healing, rec *Record) error {
+// addRecord adds the checks and writes that put rec into the table.
+func (s *Store) addRecord(ctx context.Context, h *healTxn, rec *Record) error {
 	key := rowKey(rec.Stamp.Number)
 	row, version, err := s.get(ctx, key)
 	if err != nil {
@@ -76,10 +76,10 @@
 	}
 	h.check(key, version)
 	h.write(key, encodeRecord(winner))
-	return s.keepCopy(ctx, h, loser)
+	return s.addCopy(ctx, h, loser)
 }
 
-func (s *Store) keepCopy(ctx context.Context, h *healing, loser *Record) error {
+func (s *Store) addCopy(ctx context.Context, h *healTxn, loser *Record) error {
 	key := copyKey(loser.Stamp)
 	row, version, err := s.get(ctx, key)
 	if err != nil || row != nil {
--- a/internal/revision/linearizable_test.go
+++ b/internal/revision/linearizable_test.go
@@ -16,21 +16,23 @@
 	"chervilloom/internal/revision"
 )
 
-// proposed is the input of one acceptance: "make hash the revision after base".
-type proposed struct{ base, hash uint64 }
+// proposalInput is the input of one acceptance: a document with this hash is to
+// follow base.
+type proposalInput struct{ base, hash uint64 }
 
-// answered is what the author was told.
-type answered struct {
+// proposalOutput is the result that the author received.
+type proposalOutput struct {
 	verdict string
-	stamp   revision.Stamp // of the accepted or, after a conflict, of the current revision
+	stamp   revision.Stamp // stamp of the accepted revision or, after a conflict, of the current one
 }
 
-// register is the sequential meaning of a store: the number and hash of the
-// newest revision, changed by compare and set on the base.
-var register = porcupine.NondeterministicModel{
+// registerModel is the sequential specification of a store: a register with the
+// number and hash of the newest revision, changed by compare-and-set on the
+// base.
+var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{revision.Stamp{}} },
 	Step: func(state, input, output any) []any {
-		s, in, out := state.(revision.Stamp), input.(proposed), output.(answered)
+		s, in, out := state.(revision.Stamp), input.(proposalInput), output.(proposalOutput)
 		s.Time = 0
 		next := revision.Stamp{Number: in.base + 1, Hash: in.hash}
 		matches := s.Number == in.base
@@ -56,46 +58,46 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-func answer(rec *revision.Record, err error) answered {
+func outputOf(rec *revision.Record, err error) proposalOutput {
 	var c *revision.Conflict
 	var r *revision.Refused
 	var a *revision.Ambiguous
 	switch {
 	case err == nil:
-		return answered{"accepted", revision.Stamp{Number: rec.Stamp.Number, Hash: rec.Stamp.Hash}}
+		return proposalOutput{"accepted", revision.Stamp{Number: rec.Stamp.Number, Hash: rec.Stamp.Hash}}
 	case errors.As(err, &c):
-		return answered{"conflict", revision.Stamp{Number: c.Current.Number, Hash: c.Current.Hash}}
+		return proposalOutput{"conflict", revision.Stamp{Number: c.Current.Number, Hash: c.Current.Hash}}
 	case errors.As(err, &r):
-		return answered{verdict: "refused"}
+		return proposalOutput{verdict: "refused"}
 	case errors.As(err, &a):
-		return answered{verdict: "ambiguous"}
+		return proposalOutput{verdict: "ambiguous"}
 	}
-	return answered{verdict: fmt.Sprintf("unexpected: %v", err)}
+	return proposalOutput{verdict: fmt.Sprintf("unexpected: %v", err)}
 }
 
-// author proposes documents one after another, each from the revision that it
-// was last told of.
+// author proposes a sequence of documents, each based on the last revision that
+// it received in an answer.
 type author struct {
-	id    int
-	store *revision.Store
-	table *table
-	rand  *rand.Rand
-	tick  *atomic.Int64
+	id           int
+	store        *revision.Store
+	table        *table
+	rand         *rand.Rand
+	logicalClock *atomic.Int64
 }
 
 func (a *author) run(rounds int) []porcupine.Operation {
 	var out []porcupine.Operation
 	var base uint64
 	for i := range rounds {
-		a.fault()
+		a.injectFaults()
 		doc := fmt.Appendf(document(1), "# %d %d\n", a.id, i)
-		in := proposed{base: base, hash: config.Hash(doc)}
-		op := porcupine.Operation{ClientId: a.id, Input: in, Call: a.tick.Add(1)}
-		got := answer(a.store.Accept(context.Background(), revision.Proposal{Base: base, Document: doc, Author: "asha"}, nil))
-		op.Output, op.Return = got, a.tick.Add(1)
+		in := proposalInput{base: base, hash: config.Hash(doc)}
+		op := porcupine.Operation{ClientId: a.id, Input: in, Call: a.logicalClock.Add(1)}
+		got := outputOf(a.store.Accept(context.Background(), revision.Proposal{Base: base, Document: doc, Author: "asha"}, nil))
+		op.Output, op.Return = got, a.logicalClock.Add(1)
 		switch got.verdict {
 		case "ambiguous":
-			op.Return = math.MaxInt64 // may still land
+			op.Return = math.MaxInt64 // the write may still take effect
 		case "accepted", "conflict":
 			base = got.stamp.Number
 		}
@@ -104,14 +106,14 @@
 	return out
 }
 
-// fault makes some of the next requests of any author fail.
-func (a *author) fault() {
-	a.table.set(func() {
+// injectFaults makes some of the next requests of any author fail.
+func (a *author) injectFaults() {
+	a.table.update(func() {
 		switch a.rand.IntN(6) {
 		case 0:
-			a.table.lose++
+			a.table.loseAnswers++
 		case 1:
-			a.table.drop++
+			a.table.delayWrites++
 		case 2:
 			a.table.downAfter = 1 + a.rand.IntN(6)
 		case 3:
@@ -123,9 +125,10 @@
 	}
 }
 
-// Authors propose at the same time, answers are lost, writes land late and the
-// table goes down and comes back. Whatever they are told must fit one order of
-// compare-and-set operations on one register.
+// Tests that concurrent acceptances are linearizable: whatever the authors are
+// answered fits one order of compare-and-set operations on one register, while
+// answers are lost, writes take effect late and the table goes down and comes
+// back.
 func TestAcceptIsLinearizable(t *testing.T) {
 	const histories, authors, rounds = 60, 4, 12
 	for seed := range uint64(histories) {
@@ -135,8 +138,8 @@
 		parts := make([][]porcupine.Operation, authors)
 		for id := range authors {
 			store := revision.NewStore(tab, nil)
-			store.GiveUpAtOnce()
-			a := &author{id: id, store: store, table: tab, tick: &tick, rand: rand.New(rand.NewPCG(seed, uint64(id)))}
+			store.DisableReadBackRetry()
+			a := &author{id: id, store: store, table: tab, logicalClock: &tick, rand: rand.New(rand.NewPCG(seed, uint64(id)))}
 			wg.Go(func() { parts[id] = a.run(rounds) })
 		}
 		wg.Wait()
@@ -144,8 +147,8 @@
 		for _, p := range parts {
 			history = append(history, p...)
 		}
-		if !porcupine.CheckOperations(register.ToModel(), history) {
-			t.Fatalf("seed %d: no order explains what the authors were told: %v", seed, history)
+		if !porcupine.CheckOperations(registerModel.ToModel(), history) {
+			t.Fatalf("seed %d: history is not linearizable: %v", seed, history)
 		}
 	}
 }
--- a/internal/revision/messages.go
+++ b/internal/revision/messages.go
@@ -14,7 +14,7 @@
 	MethodFetch   = "revision.fetch"    // call: FetchRequest -> FetchReply
 )
 
-// Announcement tells the highest revision that a node holds.
+// Announcement carries the highest stamp of a node.
 type Announcement struct {
 	Stamp Stamp `cbor:"1,keyasint"`
 }
@@ -24,17 +24,18 @@
 	Stamp Stamp `cbor:"1,keyasint"`
 }
 
-// FetchReply holds the revision; Record is nil when the node does not have it.
+// FetchReply carries the revision; Record is nil if the node does not have it.
 type FetchReply struct {
 	Record *Record `cbor:"1,keyasint,omitempty"`
 }
 
-// errBadMessage means that a peer of another make or a fault on the way.
-var errBadMessage = errors.New("revision: a message cannot be read; run one version of the program on all nodes")
+// errBadMessage means that a message is corrupt or comes from an incompatible
+// version of the program.
+var errBadMessage = errors.New("revision: cannot decode message; run one version of the program on all nodes")
 
 func encode(v any) []byte {
 	out, err := cbor.Marshal(v)
-	if err != nil { // the messages hold numbers, texts and bytes
+	if err != nil { // unreachable: messages contain only numbers, strings and bytes
 		panic(err)
 	}
 	return out
--- a/internal/revision/record.go
+++ b/internal/revision/record.go
@@ -1,10 +1,11 @@
-// Package revision accepts configuration documents and spreads them.
+// Package revision accepts configuration documents and replicates them to all
+// nodes.
 //
 // A revision is a document with a number. It is accepted by one conditional
-// transaction in the platform's table, believed only after reading it back, and
-// passed on among the nodes. Each node keeps the highest revision that it has
-// seen, so a table that was restored to an older state pulls nobody back: the
-// nodes write what is missing into it again.
+// transaction in the platform's table, confirmed by reading it back, and then
+// passed on between nodes. Each node keeps the highest revision that it has
+// seen, so a table that was restored to an older state reverts no node: the
+// nodes write the missing revisions back into it.
 package revision
 
 import (
@@ -19,13 +20,14 @@
 )
 
 // Stamp identifies a revision and orders all revisions. Two revisions have the
-// same number only when the table lost the first and the second was accepted by
-// nodes that had never seen it. Then the one accepted later wins: it is the
-// operators' latest word. The hash decides between equal times. The order is
-// total, so all nodes come to the same revision whatever they hear first.
+// same number only if the table lost the first and the second was accepted by
+// nodes that had never seen it. Then the one accepted later wins, because it is
+// the operators' most recent decision; the hash decides between equal times.
+// The order is total, so all nodes converge on the same revision regardless of
+// the order of messages.
 type Stamp struct {
 	Number uint64 `cbor:"1,keyasint"`
-	Time   int64  `cbor:"2,keyasint"` // of acceptance, in milliseconds since 1970 by the accepting node's clock
+	Time   int64  `cbor:"2,keyasint"` // time of acceptance by the accepting node's clock, in milliseconds since 1970
 	Hash   uint64 `cbor:"3,keyasint"` // xxHash64 of the document's bytes
 }
 
@@ -40,23 +42,23 @@
 // Record is an accepted revision.
 type Record struct {
 	Stamp    Stamp  `cbor:"1,keyasint"`
-	Document []byte `cbor:"2,keyasint"` // as the author wrote it
+	Document []byte `cbor:"2,keyasint"` // unmodified text submitted by the author
 	Author   string `cbor:"3,keyasint"`
-	Base     uint64 `cbor:"4,keyasint"` // number of the revision that it replaced; 0: the first
+	Base     uint64 `cbor:"4,keyasint"` // number of the revision that it replaced; 0: none, this is the first
 	BaseHash uint64 `cbor:"5,keyasint"` // hash of that revision
-	Attempt  string `cbor:"6,keyasint"` // of the write that accepted it
+	Attempt  string `cbor:"6,keyasint"` // ID of the write that accepted it
 }
 
-// Accepted returns when the revision was accepted.
+// Accepted returns the time of acceptance.
 func (r *Record) Accepted() time.Time { return time.UnixMilli(r.Stamp.Time).UTC() }
 
-// intact reports whether the document is the one that the stamp speaks of.
-func (r *Record) intact() bool { return config.Hash(r.Document) == r.Stamp.Hash }
+// hashMatches reports whether the document has the hash of the stamp.
+func (r *Record) hashMatches() bool { return config.Hash(r.Document) == r.Stamp.Hash }
 
-// headKey is the key of the row that names the highest accepted revision.
+// headKey is the key of the row with the highest accepted revision.
 const headKey = "head"
 
-// numberDigits keeps the rows in the order of their numbers.
+// numberDigits pads numbers so that rows sort numerically.
 const numberDigits = 20
 
 func rowKey(number uint64) string { return fmt.Sprintf("%0*d", numberDigits, number) }
@@ -64,8 +66,8 @@
 // copyKey is the key of a revision that lost its number to another one.
 func copyKey(s Stamp) string { return fmt.Sprintf("%s-%016x", rowKey(s.Number), s.Hash) }
 
-// headRow and recordRow are the rows as JSON. Hashes are hexadecimal, because
-// readers of JSON commonly round large numbers.
+// headRow and recordRow are the JSON form of the rows. Hashes are hexadecimal,
+// because JSON parsers commonly round large numbers.
 type headRow struct {
 	Number uint64    `json:"number"`
 	Hash   string    `json:"hash"`
@@ -101,7 +103,7 @@
 
 func mustJSON(v any) []byte {
 	out, err := json.Marshal(v)
-	if err != nil { // the rows hold texts, numbers and times of this century
+	if err != nil { // unreachable: rows contain only strings, numbers and times of this century
 		panic(err)
 	}
 	return out
@@ -112,18 +114,18 @@
 	return Stamp{Number: h.Number, Time: h.Time.UnixMilli(), Hash: hash}, err
 }
 
-// decodeHead returns the zero stamp for a row that does not exist.
+// decodeHead returns the zero stamp if the row does not exist.
 func decodeHead(row platform.Row) (Stamp, error) {
 	if row.Version == 0 {
 		return Stamp{}, nil
 	}
 	var h headRow
 	if err := json.Unmarshal(row.Value, &h); err != nil {
-		return Stamp{}, damaged(row, err)
+		return Stamp{}, damagedRowError(row, err)
 	}
 	s, err := h.stamp()
 	if err != nil {
-		return Stamp{}, damaged(row, err)
+		return Stamp{}, damagedRowError(row, err)
 	}
 	return s, nil
 }
@@ -131,26 +133,26 @@
 func decodeRecord(row platform.Row) (*Record, error) {
 	var r recordRow
 	if err := json.Unmarshal(row.Value, &r); err != nil {
-		return nil, damaged(row, err)
+		return nil, damagedRowError(row, err)
 	}
 	s, err := r.stamp()
 	if err != nil {
-		return nil, damaged(row, err)
+		return nil, damagedRowError(row, err)
 	}
 	base, err := strconv.ParseUint(r.BaseHash, 16, 64)
 	if err != nil {
-		return nil, damaged(row, err)
+		return nil, damagedRowError(row, err)
 	}
 	rec := &Record{
 		Stamp: s, Document: []byte(r.Document), Author: r.Author,
 		Base: r.Base, BaseHash: base, Attempt: r.Attempt,
 	}
-	if !rec.intact() {
-		return nil, damaged(row, fmt.Errorf("the document does not have the hash %s", r.Hash))
+	if !rec.hashMatches() {
+		return nil, damagedRowError(row, fmt.Errorf("the document does not have the hash %s", r.Hash))
 	}
 	return rec, nil
 }
 
-func damaged(row platform.Row, err error) error {
+func damagedRowError(row platform.Row, err error) error {
 	return fmt.Errorf("row %s/%s is damaged: %w; roll back to a revision that can be read", row.Table, row.Key, err)
 }
--- a/internal/revision/spread.go
+++ b/internal/revision/spread.go
@@ -15,48 +15,54 @@
 )
 
 const (
-	// headReads is how many reads of the head all nodes together may cost the
-	// table in a second.
-	headReads = 20
-	// digestsPerSecond is how many digests a node may receive in a second.
-	digestsPerSecond = 50
-	// jitter spreads intervals by up to this share on both sides.
-	jitter = 0.2
-	// maxAsked bounds how many peers are asked for their highest revision.
-	maxAsked = 16
-	// maxPeersTried bounds how many peers are tried before the table.
+	// maxHeadReadsPerSecond limits the reads of the table's head by all nodes
+	// together.
+	maxHeadReadsPerSecond = 20
+	// maxDigestsPerSecond limits the digests that one node receives per second.
+	maxDigestsPerSecond = 50
+	// jitterRatio is the largest relative deviation of an interval, up or down.
+	jitterRatio = 0.2
+	// maxPeersAsked limits how many peers are asked for their highest revision.
+	maxPeersAsked = 16
+	// maxPeersTried limits the peers tried for a revision before the table is
+	// read.
 	maxPeersTried = 3
-	// callTimeout ends one call of a peer.
+	// callTimeout is the timeout of one call to a peer.
 	callTimeout = time.Second
-	// tableTimeout ends one read of the table.
+	// tableTimeout is the timeout of one read of the table.
 	tableTimeout = 5 * time.Second
-	// healPatience is how many intervals between two looks at the table a node
-	// that lacks revisions leaves to those that hold them.
-	healPatience = 3
-	// joinRetry is the pause between two rounds of asking peers at the start.
-	joinRetry = 100 * time.Millisecond
+	// healDelayPolls is how many poll intervals a node that lacks revisions
+	// waits before it heals the table, so that the nodes that have them go
+	// first.
+	healDelayPolls = 3
+	// joinRetryInterval is the pause between two rounds of asking peers at
+	// startup.
+	joinRetryInterval = 100 * time.Millisecond
 )
 
-// PollInterval returns the time between two reads of the head by one of nodes
-// nodes: least, or as long as keeps all nodes within their budget of reads.
-func PollInterval(least time.Duration, nodes int) time.Duration {
-	return max(least, time.Duration(nodes)*time.Second/headReads)
+// PollInterval returns the interval between two reads of the head by one of the
+// given number of nodes: minInterval, or longer if all nodes together would
+// exceed their read limit.
+func PollInterval(minInterval time.Duration, nodes int) time.Duration {
+	return max(minInterval, time.Duration(nodes)*time.Second/maxHeadReadsPerSecond)
 }
 
-// DigestInterval returns the time between two digests of one of nodes nodes.
-func DigestInterval(least time.Duration, nodes int) time.Duration {
-	return max(least, time.Duration(nodes)*time.Second/digestsPerSecond)
+// DigestInterval returns the interval between two digests sent by one of the
+// given number of nodes: minInterval, or longer if the digests that a node
+// receives would exceed their limit.
+func DigestInterval(minInterval time.Duration, nodes int) time.Duration {
+	return max(minInterval, time.Duration(nodes)*time.Second/maxDigestsPerSecond)
 }
 
-func jittered(d time.Duration, r *rand.Rand) time.Duration {
-	return time.Duration(float64(d) * (1 + jitter*(2*r.Float64()-1)))
+func addJitter(d time.Duration, r *rand.Rand) time.Duration {
+	return time.Duration(float64(d) * (1 + jitterRatio*(2*r.Float64()-1)))
 }
 
-// runJoin asks the peers until what they hold is here or the wait is over. A
-// peer that holds nothing does not count: two nodes that start together know
-// nothing of what was accepted before.
+// runJoin asks the peers until this node has the highest revision they report,
+// or JoinWait expires. The answer of a peer without any revision is ignored:
+// two nodes that start together know nothing of earlier revisions.
 func (k *Keeper) runJoin(ctx context.Context) {
-	defer k.learn(Joined{})
+	defer k.applyEvent(Joined{})
 	if k.opts.JoinWait < 0 {
 		return
 	}
@@ -64,23 +70,23 @@
 	defer cancel()
 	for {
 		k.askPeers(ctx)
-		k.fetchHeard(ctx)
+		k.fetchPending(ctx)
 		state := k.snapshot()
 		if state.PeerHeard && state.Seen == state.Highest() {
 			return
 		}
-		if !clock.Sleep(ctx, joinRetry) {
+		if !clock.Sleep(ctx, joinRetryInterval) {
 			return
 		}
 	}
 }
 
-// askPeers asks up to maxAsked peers for their highest revision and learns the
-// highest of the answers.
+// askPeers asks up to maxPeersAsked peers for their highest revision and
+// applies each answer to the state.
 func (k *Keeper) askPeers(ctx context.Context) {
 	nodes := slices.Clone(k.opts.Nodes())
 	rand.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
-	nodes = nodes[:min(len(nodes), maxAsked)]
+	nodes = nodes[:min(len(nodes), maxPeersAsked)]
 	stamps := make([]Stamp, len(nodes))
 	var g errgroup.Group
 	for i, vm := range nodes {
@@ -92,12 +98,13 @@
 	_ = g.Wait() // the calls return no error
 	for i, stamp := range stamps {
 		if stamp.Number > 0 {
-			k.learn(Heard{From: nodes[i], Stamp: stamp, Answer: true})
+			k.applyEvent(Heard{From: nodes[i], Stamp: stamp, Answer: true})
 		}
 	}
 }
 
-// askHighest returns the zero stamp when the peer does not answer.
+// askHighest returns a peer's highest stamp, or the zero stamp if the peer does
+// not answer.
 func (k *Keeper) askHighest(ctx context.Context, vm fleet.VM) Stamp {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -107,17 +114,17 @@
 	}
 	var a Announcement
 	if err := decode(payload, &a); err != nil {
-		k.opts.Log.Warn("answer dropped", "from", vm, "error", err)
+		k.opts.Log.Warn("cannot decode highest revision of peer; answer dropped", "from", vm, "error", err)
 		return Stamp{}
 	}
 	return a.Stamp
 }
 
-// runPoll looks at the head of the table.
+// runPoll reads the head of the table periodically until ctx ends.
 func (k *Keeper) runPoll(ctx context.Context, r *rand.Rand) {
 	for {
 		k.poll(ctx)
-		if !clock.Sleep(ctx, jittered(PollInterval(k.opts.Poll, 1+len(k.opts.Nodes())), r)) {
+		if !clock.Sleep(ctx, addJitter(PollInterval(k.opts.Poll, 1+len(k.opts.Nodes())), r)) {
 			return
 		}
 	}
@@ -128,54 +135,56 @@
 	defer cancel()
 	head, err := k.store.Head(ctx)
 	if err != nil {
-		k.opts.Log.Debug("head of the revisions cannot be read; the next look tries again", "error", err)
+		k.opts.Log.Debug("cannot read head revision; retrying at next poll", "error", err)
 		return
 	}
-	k.learn(HeadRead{head.Stamp})
+	k.applyEvent(HeadRead{head.Stamp})
 }
 
-// runFetch gets the revisions that were heard of. Until the node has joined,
-// runJoin does, so that it knows when it has them.
+// runFetch fetches the revisions that were announced. Until the node has
+// joined, runJoin fetches instead, because it must know when the fetches are
+// complete.
 func (k *Keeper) runFetch(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-k.joined:
 	}
-	k.fetchHeard(ctx)
+	k.fetchPending(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-k.fetches.Wake():
-			k.fetchHeard(ctx)
+			k.fetchPending(ctx)
 		}
 	}
 }
 
-// fetchHeard tries the sources of the highest stamps, peers first. The rest is
-// dropped: with many peers out of reach a whole round of timeouts would hold up
-// the one source that answers, and the digests tell of the revision again.
-func (k *Keeper) fetchHeard(ctx context.Context) {
-	wishes := k.fetches.Take()
-	slices.SortStableFunc(wishes, func(a, b fetch) int {
+// fetchPending fetches from the sources with the highest stamps, peers first. At
+// most maxPeersTried peers are tried and the rest are dropped: with many
+// unreachable peers, their timeouts would delay the one source that answers.
+// Later digests announce the revision again.
+func (k *Keeper) fetchPending(ctx context.Context) {
+	pending := k.fetches.Take()
+	slices.SortStableFunc(pending, func(a, b pendingFetch) int {
 		return cmp.Or(b.stamp.Compare(a.stamp), cmp.Compare(b.from, a.from))
 	})
 	peers := 0
-	for _, f := range wishes {
+	for _, f := range pending {
 		if f.from != "" {
 			if peers++; peers > maxPeersTried {
 				continue
 			}
 		}
-		k.fetch(ctx, f)
+		k.fetchRevision(ctx, f)
 	}
 }
 
-func (k *Keeper) fetch(ctx context.Context, f fetch) {
+func (k *Keeper) fetchRevision(ctx context.Context, f pendingFetch) {
 	state := k.snapshot()
 	if f.stamp.Compare(state.Highest()) <= 0 {
-		return // another source was quicker
+		return // another source was faster
 	}
 	source, get := "peer", k.fetchPeer
 	if f.from == "" {
@@ -184,21 +193,21 @@
 	rec, err := get(ctx, f)
 	if err != nil {
 		k.metrics.fetches.WithLabelValues(source, "failed").Inc()
-		k.opts.Log.Warn("revision cannot be fetched; the next digest or look at the table tries again",
+		k.opts.Log.Warn("cannot fetch revision; retrying at next digest or poll",
 			"revision", f.stamp.String(), "source", source, "peer", f.from, "error", err)
 		return
 	}
 	k.metrics.fetches.WithLabelValues(source, "done").Inc()
-	k.learn(Got{k.hold(rec)})
+	k.applyEvent(Got{k.parseRecord(rec)})
 }
 
-func (k *Keeper) fetchTable(ctx context.Context, f fetch) (*Record, error) {
+func (k *Keeper) fetchTable(ctx context.Context, f pendingFetch) (*Record, error) {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	return k.store.Get(ctx, f.stamp.Number)
 }
 
-func (k *Keeper) fetchPeer(ctx context.Context, f fetch) (*Record, error) {
+func (k *Keeper) fetchPeer(ctx context.Context, f pendingFetch) (*Record, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	payload, err := k.opts.Peers.Call(ctx, f.from, MethodFetch, encode(FetchRequest{f.stamp}))
@@ -212,17 +221,17 @@
 	if reply.Record == nil {
 		return nil, ErrNoRevision
 	}
-	if reply.Record.Stamp != f.stamp || !reply.Record.intact() {
-		return nil, fmt.Errorf("%w: the record is not revision %s", errBadMessage, f.stamp)
+	if reply.Record.Stamp != f.stamp || !reply.Record.hashMatches() {
+		return nil, fmt.Errorf("%w: the record received is not revision %s", errBadMessage, f.stamp)
 	}
 	return reply.Record, nil
 }
 
-// runAnnounce tells the peers of the highest revision: at once after a change,
-// and from time to time for those that missed it.
+// runAnnounce broadcasts the highest revision: immediately after a change, and
+// periodically for peers that missed the announcement.
 func (k *Keeper) runAnnounce(ctx context.Context, r *rand.Rand) {
 	for {
-		interval := jittered(DigestInterval(k.opts.Digest, 1+len(k.opts.Nodes())), r)
+		interval := addJitter(DigestInterval(k.opts.Digest, 1+len(k.opts.Nodes())), r)
 		timer := time.NewTimer(interval)
 		select {
 		case <-ctx.Done():
@@ -239,31 +248,31 @@
 	}
 }
 
-// runHeal writes into the table what it lost.
+// runHeal writes revisions that the table lost back into it.
 func (k *Keeper) runHeal(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-k.heal:
-			if k.lacksLinks(ctx) {
-				clock.Sleep(ctx, healPatience*k.opts.Poll)
+			if k.isMissingIntermediate(ctx) {
+				clock.Sleep(ctx, healDelayPolls*k.opts.Poll)
 			}
-			k.healOnce(ctx)
+			k.healTable(ctx)
 		}
 	}
 }
 
-// lacksLinks reports whether the table lost revisions that this node does not
-// hold either. A node that started after them knows the highest alone; if it
-// wrote that first, the table's head would be right and nobody would see that
-// the ones between are missing from the history.
-func (k *Keeper) lacksLinks(ctx context.Context) bool {
+// isMissingIntermediate reports whether the table lost revisions that this node
+// does not have either. A node that started after them has only the highest. If
+// it wrote that one first, the table's head would be correct and no node would
+// detect that the revisions in between are missing from the history.
+func (k *Keeper) isMissingIntermediate(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	head, err := k.store.Head(ctx)
 	if err != nil {
-		return false // healing fails as well
+		return false // the heal fails as well
 	}
 	state := k.snapshot()
 	for _, rec := range state.Records() {
@@ -274,33 +283,33 @@
 	return false
 }
 
-func (k *Keeper) healOnce(ctx context.Context) {
+func (k *Keeper) healTable(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	state := k.snapshot()
 	wrote, err := k.store.Heal(ctx, state.Records())
 	if err != nil {
-		k.opts.Log.Warn("table cannot be brought back to the revision in force; the next look at it tries again", "error", err)
+		k.opts.Log.Warn("cannot write lost revisions back to table; retrying at next poll", "error", err)
 		return
 	}
 	if wrote {
 		k.metrics.heals.Inc()
-		k.opts.Log.Warn("table had lost revisions and was given them again", "highest", state.Highest().String())
+		k.opts.Log.Warn("lost revisions written back to table", "highest", state.Highest().String())
 	}
 }
 
-// HandleAnnounce takes a peer's Announcement.
+// HandleAnnounce handles an Announcement from a peer.
 func (k *Keeper) HandleAnnounce(from fleet.Node, payload []byte) {
 	var a Announcement
 	if err := decode(payload, &a); err != nil {
-		k.opts.Log.Warn("announcement dropped", "from", from.String(), "error", err)
+		k.opts.Log.Warn("cannot decode announcement; dropped", "from", from.String(), "error", err)
 		return
 	}
-	k.learn(Heard{From: from.VM, Stamp: a.Stamp})
+	k.applyEvent(Heard{From: from.VM, Stamp: a.Stamp})
 }
 
-// HandleHighest answers a peer's question for the highest revision. A node that
-// has not joined knows too little to be asked.
+// HandleHighest returns this node's highest stamp. A node that has not joined
+// returns the zero stamp, because its revisions may be outdated.
 func (k *Keeper) HandleHighest(_ context.Context, _ fleet.Node, _ []byte) ([]byte, error) {
 	state := k.snapshot()
 	if !state.Joined {
@@ -309,7 +318,8 @@
 	return encode(Announcement{state.Highest()}), nil
 }
 
-// HandleFetch answers a peer's FetchRequest.
+// HandleFetch returns the revision that a FetchRequest names, if this node has
+// it.
 func (k *Keeper) HandleFetch(_ context.Context, _ fleet.Node, payload []byte) ([]byte, error) {
 	var req FetchRequest
 	if err := decode(payload, &req); err != nil {
--- a/internal/revision/store.go
+++ b/internal/revision/store.go
@@ -17,28 +17,28 @@
 //
 //	revisions/head            the highest accepted revision, without its document
 //	revisions/<number>        each accepted revision
-//	revisions/<number>-<hash> a revision that lost its number, see Stamp
+//	revisions/<number>-<hash> a revision that lost its number to another, see Stamp
 //
-// It holds no state and is safe for concurrent use.
+// It has no state and is safe for concurrent use.
 type Store struct {
 	table      platform.Table
 	now        func() time.Time
 	newAttempt func() string
-	pause      func(ctx context.Context, d time.Duration) bool
+	sleep      func(ctx context.Context, d time.Duration) bool
 }
 
-// NewStore returns a store over table. now is the wall clock; nil means
-// time.Now.
+// NewStore returns a store over table. now returns the wall-clock time; nil
+// means time.Now.
 func NewStore(table platform.Table, now func() time.Time) *Store {
 	if now == nil {
 		now = time.Now
 	}
-	return &Store{table: table, now: now, newAttempt: uuid.NewString, pause: clock.Sleep}
+	return &Store{table: table, now: now, newAttempt: uuid.NewString, sleep: clock.Sleep}
 }
 
-// Head is the head row as read.
+// Head is the head row as it was read.
 type Head struct {
-	Stamp   Stamp // zero: no revision was ever accepted
+	Stamp   Stamp // zero if no revision has been accepted
 	version uint64
 	value   []byte
 }
@@ -53,8 +53,8 @@
 	return Head{Stamp: stamp, version: row.Version, value: row.Value}, err
 }
 
-// Get reads the revision with the given number; ErrNoRevision when the table
-// does not hold it.
+// Get returns the revision with the given number, or ErrNoRevision if the table
+// does not contain it.
 func (s *Store) Get(ctx context.Context, number uint64) (*Record, error) {
 	rec, _, err := s.get(ctx, rowKey(number))
 	if err == nil && rec == nil {
@@ -63,7 +63,8 @@
 	return rec, err
 }
 
-// get returns the record and the version of its row; nil when there is no row.
+// get returns the record and the version of its row, or nil if the row does not
+// exist.
 func (s *Store) get(ctx context.Context, key string) (*Record, uint64, error) {
 	row, err := s.table.Get(ctx, platform.TableRevisions, key)
 	if err != nil || row.Version == 0 {
@@ -73,11 +74,11 @@
 	return rec, row.Version, err
 }
 
-// MaxHistory is the most revisions that History returns.
+// MaxHistory is the maximum number of revisions that History returns.
 const MaxHistory = 100
 
-// History returns up to n revisions, the newest first. Revisions that the table
-// does not hold are left out.
+// History returns up to n revisions, newest first. Revisions missing from the
+// table are omitted.
 func (s *Store) History(ctx context.Context, n int) ([]*Record, error) {
 	head, err := s.Head(ctx)
 	if err != nil {
@@ -101,37 +102,39 @@
 	return out, nil
 }
 
-// Proposal is a document that an author wants to be in force.
+// Proposal is a document submitted by an author as the next revision.
 type Proposal struct {
-	Base     uint64 // number of the revision that the author started from; 0: none
-	BaseHash uint64 // its hash; 0: not checked
+	Base     uint64 // number of the revision that the document is based on; 0: none
+	BaseHash uint64 // hash of the base revision; 0: not checked
 	Document []byte
 	Author   string
-	// Above is a number that must not be given: of a revision that was heard of
-	// and can be had neither from a peer nor from the table.
+	// Above is the number of a revision that was announced but is available
+	// neither from a peer nor from the table. The new revision gets a higher
+	// number. 0: none.
 	Above uint64
 }
 
 const (
-	// maxRounds bounds how often one acceptance starts anew after it healed
-	// the table or made sure that a lost write can no longer land.
+	// maxRounds limits how often an acceptance restarts after it healed the
+	// table or fenced off a lost write.
 	maxRounds = 5
-	// acceptTimeout ends the search for what became of a write.
+	// acceptTimeout is the timeout of one acceptance, including reading back
+	// the outcome of its write.
 	acceptTimeout = 20 * time.Second
-	// readBackPause is the pause between two tries to learn what became of a
-	// write.
-	readBackPause = 50 * time.Millisecond
+	// readBackInterval is the pause between two attempts to read back the
+	// outcome of a write.
+	readBackInterval = 50 * time.Millisecond
 )
 
-// errAgain asks for another round.
-var errAgain = errors.New("revision: the table changed, start anew")
+// errRestart requests another round of Accept.
+var errRestart = errors.New("revision: the table changed during the acceptance, restart it")
 
 // Accept makes the proposal the next revision. known are the highest revisions
-// that the caller has seen, in order; what the table lost of them is written
-// again first, so that no number is given twice.
+// that the caller has, in ascending order. Those that the table lost are
+// written back first, so that no number is assigned twice.
 //
-// Errors: yamlcheck.Problems (the document is wrong), *Conflict, *Refused
-// (nothing changed), *Ambiguous (neither is known).
+// Errors: yamlcheck.Problems (invalid document), *Conflict, *Refused (nothing
+// changed), *Ambiguous (the outcome is unknown).
 func (s *Store) Accept(ctx context.Context, p Proposal, known []*Record) (*Record, error) {
 	if _, err := config.Parse("", p.Document); err != nil {
 		return nil, err
@@ -140,27 +143,27 @@
 	defer cancel()
 	at := s.now()
 	for range maxRounds {
-		rec, err := s.round(ctx, p, at, known)
-		if !errors.Is(err, errAgain) {
+		rec, err := s.tryAccept(ctx, p, at, known)
+		if !errors.Is(err, errRestart) {
 			return rec, err
 		}
 	}
 	return nil, &Refused{Reason: "the revision in the table kept changing", Remedy: "nothing changed, try again"}
 }
 
-func (s *Store) round(ctx context.Context, p Proposal, at time.Time, known []*Record) (*Record, error) {
+func (s *Store) tryAccept(ctx context.Context, p Proposal, at time.Time, known []*Record) (*Record, error) {
 	head, err := s.Head(ctx)
 	if err != nil {
-		return nil, platformDown(err)
+		return nil, platformDownError(err)
 	}
-	if highest := last(known); highest != nil && highest.Stamp.Compare(head.Stamp) > 0 {
+	if highest := lastRecord(known); highest != nil && highest.Stamp.Compare(head.Stamp) > 0 {
 		if _, err := s.Heal(ctx, known); err != nil {
-			return nil, platformDown(err)
+			return nil, platformDownError(err)
 		}
-		return nil, errAgain
+		return nil, errRestart
 	}
-	if !p.startsFrom(head.Stamp) {
-		return nil, s.conflict(ctx, p, head.Stamp)
+	if !p.matchesBase(head.Stamp) {
+		return nil, s.conflictError(ctx, p, head.Stamp)
 	}
 	rec := &Record{
 		Stamp:    Stamp{Number: max(head.Stamp.Number, p.Above) + 1, Time: at.UnixMilli(), Hash: config.Hash(p.Document)},
@@ -169,23 +172,24 @@
 	}
 	_, err = s.table.Commit(ctx, rec.transaction(head))
 	if errors.Is(err, platform.ErrDown) {
-		return nil, platformDown(err)
+		return nil, platformDownError(err)
 	}
-	// Whatever the answer was, the row tells: a refusal may follow an own
-	// first write that landed and whose answer was lost on the way.
-	return s.settle(ctx, p, head, rec)
+	// The row decides whatever the answer was: a refusal may follow a first
+	// attempt of the same write that took effect and whose answer was lost.
+	return s.resolveWrite(ctx, p, head, rec)
 }
 
-func (p *Proposal) startsFrom(head Stamp) bool {
+func (p *Proposal) matchesBase(head Stamp) bool {
 	return p.Base == head.Number && (p.BaseHash == 0 || p.BaseHash == head.Hash)
 }
 
 // Retained is how many revisions the table keeps; accepting one more deletes
-// the oldest, because nobody is there to clear a table that grows for years.
+// the oldest.
 const Retained = 1000
 
-// transaction accepts r after head. Both rows are checked: the head against
-// other authors, the new row against a head that was put back alone.
+// transaction returns the transaction that accepts r after head. It checks the
+// head row against concurrent authors, and the new row against a table of which
+// only the head was restored to an older state.
 func (r *Record) transaction(head Head) platform.Txn {
 	const table = platform.TableRevisions
 	txn := platform.Txn{
@@ -206,34 +210,36 @@
 	return txn
 }
 
-// settle reads back what became of the write of rec.
-func (s *Store) settle(ctx context.Context, p Proposal, before Head, rec *Record) (*Record, error) {
+// resolveWrite reads back the outcome of the write of rec, until it is known or
+// ctx ends.
+func (s *Store) resolveWrite(ctx context.Context, p Proposal, before Head, rec *Record) (*Record, error) {
 	for {
-		done, err := s.lookBack(ctx, p, before, rec)
-		if err == nil || errors.Is(err, errAgain) || !unreadable(err) {
+		done, err := s.readBack(ctx, p, before, rec)
+		if err == nil || errors.Is(err, errRestart) || !isOutcomeUnknown(err) {
 			return done, err
 		}
-		if errors.Is(err, errLookAgain) {
+		if errors.Is(err, errReread) {
 			continue
 		}
-		if !s.pause(ctx, readBackPause) {
+		if !s.sleep(ctx, readBackInterval) {
 			return nil, &Ambiguous{Stamp: rec.Stamp, Attempt: rec.Attempt, Cause: err}
 		}
 	}
 }
 
-// unreadable reports whether err leaves open what became of a write.
-func unreadable(err error) bool {
+// isOutcomeUnknown reports whether err leaves open whether the write took
+// effect.
+func isOutcomeUnknown(err error) bool {
 	var conflict *Conflict
 	var refused *Refused
 	return !errors.As(err, &conflict) && !errors.As(err, &refused)
 }
 
-// lookBack reads the head before the row. A write that has not landed when the
-// head is found moved cannot land any more, and one that has is then in its
-// row; read the other way round, a write that lands between the two reads would
-// be told as "not accepted".
-func (s *Store) lookBack(ctx context.Context, p Proposal, before Head, rec *Record) (*Record, error) {
+// readBack reads the head before the row. If the head has changed, a write that
+// has not taken effect by then never can, and one that did is found in its row.
+// In the opposite order, a write that takes effect between the two reads would
+// be reported as not accepted.
+func (s *Store) readBack(ctx context.Context, p Proposal, before Head, rec *Record) (*Record, error) {
 	head, err := s.Head(ctx)
 	if err != nil {
 		return nil, err
@@ -245,23 +251,24 @@
 	case row != nil && row.Attempt == rec.Attempt:
 		return rec, nil
 	case row != nil && head.Stamp.Number < row.Stamp.Number:
-		return nil, s.raise(ctx, head, row)
+		return nil, s.raiseHead(ctx, head, row)
 	case row == nil && head.version == before.version:
-		return nil, s.fenceOff(ctx, head)
-	case p.startsFrom(head.Stamp):
-		return nil, errAgain
+		return nil, s.fenceLateWrite(ctx, head)
+	case p.matchesBase(head.Stamp):
+		return nil, errRestart
 	}
-	return nil, s.conflict(ctx, p, head.Stamp)
+	return nil, s.conflictError(ctx, p, head.Stamp)
 }
 
-// errLookAgain says that the table moved while it was looked at.
-var errLookAgain = errors.New("revision: the table moved while it was read")
+// errReread means that the table changed between two reads.
+var errReread = errors.New("revision: the table changed while it was read")
 
-// fenceOff rewrites the head as it is. A write whose answer was lost may be on
-// its way still; the new version of the head breaks its condition, so that it
-// can no longer land after its author was told "not accepted". When the head
-// moved first, it may have been that very write: its row has to be read again.
-func (s *Store) fenceOff(ctx context.Context, head Head) error {
+// fenceLateWrite rewrites the head unchanged. A write whose answer was lost may
+// still be in flight; the new version of the head breaks its condition, so that
+// it can no longer take effect after its author was told "not accepted". If the
+// head changed first, that may have been this write, so its row must be read
+// again.
+func (s *Store) fenceLateWrite(ctx context.Context, head Head) error {
 	txn := platform.Txn{
 		Attempt: s.newAttempt(),
 		Checks:  []platform.Check{{Table: platform.TableRevisions, Key: headKey, Version: head.version}},
@@ -275,14 +282,15 @@
 	case err != nil:
 		return err
 	case res.Committed:
-		return errAgain
+		return errRestart
 	}
-	return errLookAgain
+	return errReread
 }
 
-// raise repairs a head that stands below an accepted row: a table that was put
-// back in part.
-func (s *Store) raise(ctx context.Context, head Head, row *Record) error {
+// raiseHead repairs a head that is lower than an accepted row, as after a
+// partial restore of the table. It always returns an error: errRestart on
+// success.
+func (s *Store) raiseHead(ctx context.Context, head Head, row *Record) error {
 	top := row
 	for {
 		next, _, err := s.get(ctx, rowKey(top.Stamp.Number+1))
@@ -302,18 +310,19 @@
 	if _, err := s.table.Commit(ctx, txn); err != nil {
 		return err
 	}
-	return errAgain
+	return errRestart
 }
 
-// conflict tells what changed since the author's base.
-func (s *Store) conflict(ctx context.Context, p Proposal, current Stamp) error {
+// conflictError returns a *Conflict with the changes since the author's base,
+// as far as they can be read.
+func (s *Store) conflictError(ctx context.Context, p Proposal, current Stamp) error {
 	c := &Conflict{Base: p.Base, Current: current}
-	now, err := s.document(ctx, current.Number)
+	now, err := s.parseRevision(ctx, current.Number)
 	if err != nil {
-		return c // the changes help, the refusal holds without them
+		return c // the changes are optional detail
 	}
 	c.Author = now.author
-	base, err := s.document(ctx, p.Base)
+	base, err := s.parseRevision(ctx, p.Base)
 	if err != nil {
 		return c
 	}
@@ -321,24 +330,24 @@
 	return c
 }
 
-type authored struct {
+type authoredDocument struct {
 	author   string
 	document *config.Document
 }
 
-func (s *Store) document(ctx context.Context, number uint64) (authored, error) {
+func (s *Store) parseRevision(ctx context.Context, number uint64) (authoredDocument, error) {
 	if number == 0 {
-		return authored{document: &config.Document{}}, nil
+		return authoredDocument{document: &config.Document{}}, nil
 	}
 	rec, err := s.Get(ctx, number)
 	if err != nil {
-		return authored{}, err
+		return authoredDocument{}, err
 	}
 	d, err := config.Parse("", rec.Document)
-	return authored{author: rec.Author, document: d}, err
+	return authoredDocument{author: rec.Author, document: d}, err
 }
 
-func last(records []*Record) *Record {
+func lastRecord(records []*Record) *Record {
 	if len(records) == 0 {
 		return nil
 	}
--- a/internal/revision/wire_test.go
+++ b/internal/revision/wire_test.go
@@ -12,8 +12,9 @@
 	standinplatform "chervilloom/internal/standin/platform"
 )
 
-// wire returns a store over HTTP to a stand-in of the platform.
-func wire(t *testing.T) (*revision.Store, *standinplatform.Platform) {
+// newHTTPStore returns a store connected over HTTP to a stand-in for the
+// platform.
+func newHTTPStore(t *testing.T) (*revision.Store, *standinplatform.Platform) {
 	t.Helper()
 	p := standinplatform.New(standinplatform.Options{})
 	server := httptest.NewServer(p)
@@ -25,10 +26,10 @@
 	return revision.NewStore(client, nil), p
 }
 
-// Over HTTP, answers are lost after the write took effect or before it did, by
-// a platform that remembers attempts or one that does not. Each author is told
-// "accepted" and stands in the line of revisions once.
-func TestLostAnswersOverTheWire(t *testing.T) {
+// Tests that a revision is accepted exactly once over HTTP when answers are
+// lost after or before the write took effect, on a platform that remembers
+// attempts and on one that does not.
+func TestLostAnswersOverHTTP(t *testing.T) {
 	for name, faults := range map[string]standinplatform.Faults{
 		"answer lost":                        {LoseAnswers: 1},
 		"write lost":                         {DropBefore: 1},
@@ -39,16 +40,16 @@
 		"some writes lost, attempts are not": {DropBefore: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is, ctx := is.New(t), testContext(t)
-			s, p := wire(t)
-			_, err := s.Accept(ctx, propose(0, 1), nil)
+			is, ctx := is.New(t), newTestContext(t)
+			s, p := newHTTPStore(t)
+			_, err := s.Accept(ctx, newProposal(0, 1), nil)
 			is.NoErr(err)
 			p.SetFaults(faults)
-			rec, err := s.Accept(ctx, propose(1, 2), nil)
+			rec, err := s.Accept(ctx, newProposal(1, 2), nil)
 			is.NoErr(err)
 			is.Equal(rec.Stamp.Number, uint64(2))
 			p.SetFaults(standinplatform.Faults{})
-			_, err = s.Accept(ctx, propose(2, 3), nil)
+			_, err = s.Accept(ctx, newProposal(2, 3), nil)
 			is.NoErr(err)
 			history, err := s.History(ctx, 10)
 			is.NoErr(err)
@@ -58,31 +59,31 @@
 	}
 }
 
-// The platform refuses everything: the author is told "not accepted".
-func TestAPlatformThatIsDownOverTheWire(t *testing.T) {
-	is, ctx := is.New(t), testContext(t)
-	s, p := wire(t)
+// Tests that the author gets Refused when the platform refuses all requests.
+func TestPlatformDownOverHTTP(t *testing.T) {
+	is, ctx := is.New(t), newTestContext(t)
+	s, p := newHTTPStore(t)
 	p.SetFaults(standinplatform.Faults{Down: standinplatform.DownRefused})
-	_, err := s.Accept(ctx, propose(0, 1), nil)
+	_, err := s.Accept(ctx, newProposal(0, 1), nil)
 	var refused *revision.Refused
 	is.True(errors.As(err, &refused))
 }
 
-// The platform is put back to its backup by its operators. What the writer
-// still knows stands in the table again before the next revision.
-func TestARestoredPlatformOverTheWire(t *testing.T) {
-	is, ctx := is.New(t), testContext(t)
-	s, p := wire(t)
-	one, err := s.Accept(ctx, propose(0, 1), nil)
+// Tests that a writer writes the revisions it knows back into the table, before
+// the next one, when the platform was restored from a backup.
+func TestRestoredPlatformOverHTTP(t *testing.T) {
+	is, ctx := is.New(t), newTestContext(t)
+	s, p := newHTTPStore(t)
+	one, err := s.Accept(ctx, newProposal(0, 1), nil)
 	is.NoErr(err)
 	p.Save()
-	two, err := s.Accept(ctx, propose(1, 2), nil)
+	two, err := s.Accept(ctx, newProposal(1, 2), nil)
 	is.NoErr(err)
 	is.NoErr(p.Restore())
 	head, err := s.Head(ctx)
 	is.NoErr(err)
 	is.Equal(head.Stamp, one.Stamp)
-	three, err := s.Accept(ctx, propose(2, 3), []*revision.Record{one, two})
+	three, err := s.Accept(ctx, newProposal(2, 3), []*revision.Record{one, two})
 	is.NoErr(err)
 	is.Equal(three.Stamp.Number, uint64(3))
 	again, err := s.Get(ctx, 2)
--- a/internal/revision/world_test.go
+++ b/internal/revision/world_test.go
@@ -15,8 +15,9 @@
 	"chervilloom/internal/revision"
 )
 
-// world drives Decide on several nodes and Store on one table, one step at a
-// time, in the order that rapid draws. It runs no goroutine and no clock.
+// world runs Decide on several nodes and Store on one table, one step at a
+// time, in the order drawn by rapid. It uses no goroutines and a simulated
+// clock.
 type world struct {
 	t     *rapid.T
 	table *table
@@ -24,44 +25,44 @@
 	tasks []task
 	clock time.Time
 
-	saved    map[string]platform.Row // the table's backup
-	restored bool                    // the table was put back at least once
-	weight   int                     // of the next document, so that each differs
+	backup   map[string]platform.Row // backup of the table
+	restored bool                    // the table was restored at least once
+	weight   int                     // organisation weight of the next document, makes each document different
 
-	accepted []*revision.Record // told "accepted" to an author
-	refused  map[uint64]bool    // hashes of documents told "not accepted"
-	head     revision.Stamp     // of the table at the last look
-	highest  revision.Stamp     // of all that the table and the nodes hold
+	accepted []*revision.Record // revisions reported as accepted
+	refused  map[uint64]bool    // hashes of documents reported as not accepted
+	head     revision.Stamp     // head of the table when it was last observed
+	highest  revision.Stamp     // highest stamp in the table or in any node's memory
 }
 
-// node is one node: its state is lost when it restarts.
+// node is one simulated node. Its state is lost on restart.
 type node struct {
-	vm       fleet.VM
-	life     int
-	state    revision.State
-	store    *revision.Store
-	skew     time.Duration // of its wall clock
-	island   int           // nodes of the same island reach each other
-	noTable  bool          // cut off from the platform
-	inForce  revision.Stamp
-	reported int
+	vm                 fleet.VM
+	restarts           int
+	state              revision.State
+	store              *revision.Store
+	clockSkew          time.Duration // offset of its wall clock
+	partition          int           // partition; nodes in the same one reach each other
+	isTableUnreachable bool          // cut off from the platform
+	inForce            revision.Stamp
+	reportedClashes    int
 }
 
-// task is something under way: a message or an action that is still to be done.
+// task is a pending message or action.
 type task struct {
-	to   *node
-	life int // a task of an earlier life of its node is void
-	run  func()
+	to       *node
+	restarts int // tasks from before the node's last restart are discarded
+	run      func()
 }
 
 func newWorld(t *rapid.T, nodes int) *world {
 	w := &world{t: t, table: newTable(), refused: map[uint64]bool{}, clock: time.Unix(1_700_000_000, 0)}
-	w.saved = w.table.backup()
+	w.backup = w.table.backup()
 	for i := range nodes {
 		n := &node{vm: fleet.VM(fmt.Sprintf("vm-%d", i))}
-		n.skew = time.Duration(rapid.IntRange(-2000, 2000).Draw(t, "skew")) * time.Millisecond
-		n.store = revision.NewStore(w.table, func() time.Time { return w.clock.Add(n.skew) })
-		n.store.GiveUpAtOnce()
+		n.clockSkew = time.Duration(rapid.IntRange(-2000, 2000).Draw(t, "skew")) * time.Millisecond
+		n.store = revision.NewStore(w.table, func() time.Time { return w.clock.Add(n.clockSkew) })
+		n.store.DisableReadBackRetry()
 		w.nodes = append(w.nodes, n)
 	}
 	return w
@@ -69,34 +70,35 @@
 
 func (w *world) drawNode() *node { return rapid.SampledFrom(w.nodes).Draw(w.t, "node") }
 
-// reach sets whether the table answers while n uses it.
-func (w *world) reach(n *node) (undo func()) {
-	w.table.down = n.noTable
+// setTableReachability makes the table available or unavailable as seen by n,
+// until undo is called.
+func (w *world) setTableReachability(n *node) (undo func()) {
+	w.table.down = n.isTableUnreachable
 	return func() { w.table.down, w.table.downAfter = false, 0 }
 }
 
-// learn lets a node take in an event and queues what follows from it.
-func (w *world) learn(n *node, e revision.Event) {
+// applyEvent applies an event to a node and queues the resulting actions.
+func (w *world) applyEvent(n *node, e revision.Event) {
 	state, actions := revision.Decide(n.state, e)
 	n.state = state
 	for _, a := range actions {
-		w.act(n, a)
+		w.execute(n, a)
 	}
-	w.holds(n.state.Highest())
+	w.raiseHighest(n.state.Highest())
 }
 
 func (w *world) queue(n *node, run func()) {
-	w.tasks = append(w.tasks, task{to: n, life: n.life, run: run})
+	w.tasks = append(w.tasks, task{to: n, restarts: n.restarts, run: run})
 }
 
-func (w *world) act(n *node, a revision.Action) {
+func (w *world) execute(n *node, a revision.Action) {
 	switch a := a.(type) {
 	case revision.Install:
 		if a.Stamp.Compare(n.inForce) <= 0 {
-			w.t.Fatalf("%s: %s in force after %s", n.vm, a.Stamp, n.inForce)
+			w.t.Fatalf("%s: revision %s put in force after %s", n.vm, a.Stamp, n.inForce)
 		}
 		if !n.state.Joined {
-			w.t.Fatalf("%s: %s in force before it has joined", n.vm, a.Stamp)
+			w.t.Fatalf("%s: revision %s put in force before the node has joined", n.vm, a.Stamp)
 		}
 		n.inForce = a.Stamp
 	case revision.Announce:
@@ -108,9 +110,9 @@
 	case revision.HealTable:
 		w.queue(n, func() { w.heal(n) })
 	case revision.Report:
-		n.reported++
+		n.reportedClashes++
 	case revision.Refuse:
-		w.t.Fatalf("%s refused a document that was accepted", n.vm)
+		w.t.Fatalf("%s cannot use a document that was accepted", n.vm)
 	}
 }
 
@@ -122,8 +124,8 @@
 	for _, to := range w.nodes {
 		if to != n {
 			w.queue(to, func() {
-				if to.island == n.island {
-					w.learn(to, revision.Heard{From: n.vm, Stamp: stamp})
+				if to.partition == n.partition {
+					w.applyEvent(to, revision.Heard{From: n.vm, Stamp: stamp})
 				}
 			})
 		}
@@ -134,7 +136,7 @@
 	return w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return n.vm == vm })]
 }
 
-func held(rec *revision.Record) revision.Held {
+func newHeldRecord(rec *revision.Record) revision.Held {
 	d, err := config.Parse("", rec.Document)
 	if err != nil {
 		panic(err)
@@ -144,43 +146,43 @@
 
 func (w *world) fetchPeer(n *node, a revision.FetchPeer) {
 	from := w.node(a.From)
-	if from.island != n.island {
+	if from.partition != n.partition {
 		return
 	}
 	if rec := from.state.Find(a.Stamp); rec != nil {
-		w.learn(n, revision.Got{Held: held(rec)})
+		w.applyEvent(n, revision.Got{Held: newHeldRecord(rec)})
 	}
 }
 
 func (w *world) fetchTable(n *node, stamp revision.Stamp) {
-	defer w.reach(n)()
+	defer w.setTableReachability(n)()
 	if rec, err := n.store.Get(context.Background(), stamp.Number); err == nil {
-		w.learn(n, revision.Got{Held: held(rec)})
+		w.applyEvent(n, revision.Got{Held: newHeldRecord(rec)})
 	}
 }
 
 func (w *world) poll(n *node) {
-	defer w.reach(n)()
+	defer w.setTableReachability(n)()
 	if head, err := n.store.Head(context.Background()); err == nil {
-		w.learn(n, revision.HeadRead{Stamp: head.Stamp})
+		w.applyEvent(n, revision.HeadRead{Stamp: head.Stamp})
 	}
 }
 
 func (w *world) heal(n *node) {
-	defer w.reach(n)()
-	_, _ = n.store.Heal(context.Background(), n.state.Records()) // a failed one is tried again at the next look
+	defer w.setTableReachability(n)()
+	_, _ = n.store.Heal(context.Background(), n.state.Records()) // a failed heal is retried after the next poll
 	w.table.down = false
-	w.look()
+	w.observeTable()
 }
 
-// ask lets a node ask the peers that it reaches and fetch what they hold.
-func (w *world) ask(n *node) {
+// askPeers asks the reachable peers for their highest revision and fetches it.
+func (w *world) askPeers(n *node) {
 	for _, peer := range w.nodes {
 		stamp := peer.state.Highest()
-		if peer == n || peer.island != n.island || !peer.state.Joined || stamp.Number == 0 {
+		if peer == n || peer.partition != n.partition || !peer.state.Joined || stamp.Number == 0 {
 			continue
 		}
-		w.learn(n, revision.Heard{From: peer.vm, Stamp: stamp, Answer: true})
+		w.applyEvent(n, revision.Heard{From: peer.vm, Stamp: stamp, Answer: true})
 		if stamp.Compare(n.state.Highest()) > 0 {
 			w.fetchPeer(n, revision.FetchPeer{From: peer.vm, Stamp: stamp})
 		}
@@ -188,8 +190,8 @@
 }
 
 func (w *world) join(n *node) {
-	w.ask(n)
-	w.learn(n, revision.Joined{})
+	w.askPeers(n)
+	w.applyEvent(n, revision.Joined{})
 }
 
 // accept proposes a new document at a node, as Keeper does.
@@ -200,8 +202,8 @@
 	w.weight++
 	p := revision.Proposal{Base: base, Document: document(w.weight%1000 + 1), Author: string(n.vm)}
 	p.Document = fmt.Appendf(p.Document, "# %d\n", w.weight)
-	w.ask(n)
-	defer w.reach(n)()
+	w.askPeers(n)
+	defer w.setTableReachability(n)()
 	if n.state.Seen.Compare(n.state.Highest()) > 0 {
 		head, err := n.store.Head(context.Background())
 		if err != nil {
@@ -215,24 +217,24 @@
 		}
 	}
 	rec, err := n.store.Accept(context.Background(), p, n.state.Records())
-	w.told(n, p, rec, err)
+	w.recordOutcome(n, p, rec, err)
 }
 
-// told notes what the author was told.
-func (w *world) told(n *node, p revision.Proposal, rec *revision.Record, err error) {
+// recordOutcome records the result that the author of p received.
+func (w *world) recordOutcome(n *node, p revision.Proposal, rec *revision.Record, err error) {
 	var conflict *revision.Conflict
 	var refused *revision.Refused
 	var ambiguous *revision.Ambiguous
 	switch {
 	case err == nil:
 		w.accepted = append(w.accepted, rec)
-		w.learn(n, revision.Got{Held: held(rec)})
+		w.applyEvent(n, revision.Got{Held: newHeldRecord(rec)})
 		if n.inForce != rec.Stamp {
-			w.t.Fatalf("%s accepted %s and has %s in force", n.vm, rec.Stamp, n.inForce)
+			w.t.Fatalf("%s accepted revision %s but has %s in force", n.vm, rec.Stamp, n.inForce)
 		}
 	case errors.As(err, &conflict):
 		w.refused[config.Hash(p.Document)] = true
-		w.learn(n, revision.HeadRead{Stamp: conflict.Current})
+		w.applyEvent(n, revision.HeadRead{Stamp: conflict.Current})
 	case errors.As(err, &refused):
 		w.refused[config.Hash(p.Document)] = true
 	case errors.As(err, &ambiguous):
@@ -240,67 +242,70 @@
 		w.t.Fatalf("unexpected error: %v", err)
 	}
 	w.table.down = false
-	w.look()
+	w.observeTable()
 }
 
-// look notes what the table holds.
-func (w *world) look() {
+// observeTable records the head of the table and checks that it has not
+// decreased.
+func (w *world) observeTable() {
 	head, err := w.nodes[0].store.Head(context.Background())
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	if head.Stamp.Compare(w.head) < 0 {
-		w.t.Fatalf("the table went from %s down to %s", w.head, head.Stamp)
+		w.t.Fatalf("head of the table decreased from %s to %s", w.head, head.Stamp)
 	}
 	w.head = head.Stamp
-	w.holds(head.Stamp)
+	w.raiseHighest(head.Stamp)
 }
 
-func (w *world) holds(s revision.Stamp) {
+func (w *world) raiseHighest(s revision.Stamp) {
 	if s.Compare(w.highest) > 0 {
 		w.highest = s
 	}
 }
 
-// forget finds the highest revision anew after copies were lost.
-func (w *world) forget() {
+// recomputeHighest recomputes the highest stamp after copies were lost.
+func (w *world) recomputeHighest() {
 	w.highest = revision.Stamp{}
 	for _, n := range w.nodes {
-		w.holds(n.state.Highest())
+		w.raiseHighest(n.state.Highest())
 	}
-	w.look()
+	w.observeTable()
 }
 
 func (w *world) restart(n *node) {
-	n.life++
+	n.restarts++
 	n.state, n.inForce = revision.State{}, revision.Stamp{}
-	w.forget()
+	w.recomputeHighest()
 }
 
-// restore puts the table back to its backup. Writes under way end with it.
-func (w *world) restore() {
-	w.table.restore(w.saved)
+// restoreTable restores the table from its backup. Writes in flight are
+// dropped.
+func (w *world) restoreTable() {
+	w.table.restore(w.backup)
 	w.table.inFlight = nil
 	w.restored, w.head = true, revision.Stamp{}
-	w.forget()
+	w.recomputeHighest()
 }
 
-// runTask does the i-th task.
+// runTask removes the i-th task and runs it, unless its node has restarted
+// since.
 func (w *world) runTask(i int) {
 	k := w.tasks[i]
 	w.tasks = slices.Delete(w.tasks, i, i+1)
-	if k.life == k.to.life {
+	if k.restarts == k.to.restarts {
 		k.run()
 	}
 }
 
-// settle mends all links and lets everything under way end.
-func (w *world) settle() {
-	w.table.lose, w.table.drop, w.table.beforeCommit = 0, 0, nil
+// converge restores all connections and runs all pending tasks.
+func (w *world) converge() {
+	w.table.loseAnswers, w.table.delayWrites, w.table.beforeCommit = 0, 0, nil
 	w.table.deliver()
-	w.look()
+	w.observeTable()
 	for _, n := range w.nodes {
-		n.island, n.noTable = 0, false
+		n.partition, n.isTableUnreachable = 0, false
 		w.join(n)
 	}
 	const rounds = 4
