--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -7,11 +7,11 @@
 	"chervilloom/internal/config"
 )
 
-// sizes are the numbers of organisations that the documents of the benchmarks
-// have, beside one model and one group for every five of them.
-var sizes = []int{10, 200}
+// organisationCounts are the sizes of the benchmark documents, which also have
+// one model and one group per five organisations.
+var organisationCounts = []int{10, 200}
 
-func documentOf(organisations int) *config.Document {
+func newDocument(organisations int) *config.Document {
 	d := &config.Document{Version: 1, Objective: config.Objective{DowntimeWeight: 1, StrandingWeight: 1}}
 	for i := range organisations {
 		d.Organisations = append(d.Organisations, config.Organisation{
@@ -30,7 +30,7 @@
 	return d
 }
 
-func text(b *testing.B, d *config.Document) []byte {
+func marshal(b *testing.B, d *config.Document) []byte {
 	b.Helper()
 	out, err := config.Marshal(d)
 	if err != nil {
@@ -40,9 +40,9 @@
 }
 
 func BenchmarkParse(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range organisationCounts {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
-			data := text(b, documentOf(n))
+			data := marshal(b, newDocument(n))
 			b.SetBytes(int64(len(data)))
 			b.ReportAllocs()
 			for b.Loop() {
@@ -55,15 +55,15 @@
 }
 
 func BenchmarkDiff(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range organisationCounts {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
-			before, after := documentOf(n), documentOf(n)
+			before, after := newDocument(n), newDocument(n)
 			after.Organisations[n/2].Weight++
 			after.Models = after.Models[:len(after.Models)-1]
 			b.ReportAllocs()
 			for b.Loop() {
 				if len(config.Diff(before, after)) != 2 {
-					b.Fatal("not the two changes")
+					b.Fatal("want two changes")
 				}
 			}
 		})
@@ -75,7 +75,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if s.Repeatable("POST", "/receipts/7") {
-			b.Fatal("a receipt is not repeatable")
+			b.Fatal("want a receipt to be not repeatable")
 		}
 	}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -12,7 +12,7 @@
 	"chervilloom/internal/yamlcheck"
 )
 
-// The limits of a document.
+// Limits of the values in a document.
 const (
 	CurrentVersion      = 1
 	MaxGroupVMs         = 64
@@ -35,44 +35,44 @@
 	notRepeatableRemedy = "write \"METHOD /path\", such as \"POST /receipts\""
 )
 
-// The routing policies; the first is the default.
-var routings = []string{"weighted", "random", "round-robin", "least-reported", "two-choices"}
+// Routing policies; the first is the default.
+var routingPolicies = []string{"weighted", "random", "round-robin", "least-reported", "two-choices"}
 
-// methods that NotRepeatable may name. GET and HEAD may always be repeated.
-var methods = []string{"POST", "PUT", "PATCH", "DELETE"}
+// Methods that NotRepeatable may list. GET and HEAD may always be repeated.
+var notRepeatableMethods = []string{"POST", "PUT", "PATCH", "DELETE"}
 
-// pathPattern keeps the paths of calls free of queries, fragments, escapes and
-// white space: they are compared with the decoded path of a call.
+// pathPattern excludes queries, fragments, escapes and white space, because the
+// paths are compared with the decoded path of a call.
 var pathPattern = regexp.MustCompile(`^/[A-Za-z0-9/._~!$&'()*+,;=:@-]*$`)
 
-// checker adds the checks of the configuration document.
+// checker validates a configuration document.
 type checker struct{ *yamlcheck.Checker }
 
-func (c checker) document(d *Document) {
+func (c checker) checkDocument(d *Document) {
 	if d.Version != CurrentVersion {
 		c.Addf("version", fmt.Sprintf("write \"version: %d\"", CurrentVersion), "version %d is not known", d.Version)
 	}
-	c.organisations(d.Organisations)
-	c.models(d.Models)
-	c.groups(d)
-	c.services(d.Services)
-	c.objective(&d.Objective)
-	c.fenceChecked(d.FenceChecked)
-	c.policy(&d.Policy)
+	c.checkOrganisations(d.Organisations)
+	c.checkModels(d.Models)
+	c.checkGroups(d)
+	c.checkServices(d.Services)
+	c.checkObjective(&d.Objective)
+	c.checkFenceChecked(d.FenceChecked)
+	c.checkPolicy(&d.Policy)
 }
 
-func (c checker) organisations(list []Organisation) {
+func (c checker) checkOrganisations(list []Organisation) {
 	names, keys, total := uniqueNames{}, map[string]string{}, 0
 	for i, o := range list {
 		path := yamlcheck.Index("organisations", i)
-		c.name(path, o.Name, "organisation", names)
-		c.keyHashes(path+".key_hashes", o, keys)
+		c.checkName(path, o.Name, "organisation", names)
+		c.checkKeyHashes(path+".key_hashes", o, keys)
 		if o.Weight < 1 || o.Weight > MaxWeight {
 			c.Addf(path+".weight", fmt.Sprintf("write a whole number from 1 to %d", MaxWeight), "the weight %d is out of range", o.Weight)
 		}
 		total += max(0, min(o.Weight, MaxTotalWeight))
-		c.rate(path+".rate", o.Rate)
-		c.rate(path+".lookups", o.Lookups)
+		c.checkRate(path+".rate", o.Rate)
+		c.checkRate(path+".lookups", o.Lookups)
 		if o.Priority < 0 || o.Priority > maxPriority {
 			c.Addf(path+".priority", fmt.Sprintf("write a whole number from 0 to %d", maxPriority), "the priority %d is out of range", o.Priority)
 		}
@@ -82,7 +82,7 @@
 	}
 }
 
-func (c checker) keyHashes(path string, o Organisation, owner map[string]string) {
+func (c checker) checkKeyHashes(path string, o Organisation, owner map[string]string) {
 	if len(o.KeyHashes) == 0 {
 		c.Addf(path, "write at least one hexadecimal SHA-256 of a caller key", "the organisation has no key")
 	}
@@ -109,42 +109,42 @@
 	return err == nil
 }
 
-func (c checker) rate(path string, rate float64) {
+func (c checker) checkRate(path string, rate float64) {
 	if !(rate >= 0) || math.IsInf(rate, 0) {
 		c.Addf(path, "write a number of requests a second, or leave it out for no cap", "the rate %v is out of range", rate)
 	}
 }
 
-func (c checker) models(list []Model) {
+func (c checker) checkModels(list []Model) {
 	names := uniqueNames{}
 	for i, m := range list {
 		path := yamlcheck.Index("models", i)
-		c.name(path, m.Name, "model", names)
+		c.checkName(path, m.Name, "model", names)
 		if len(m.Versions) == 0 {
 			c.Addf(path+".versions", "write at least one version", "the model has no version")
 		}
-		c.nameList(path+".versions", m.Versions, "version")
-		c.nameList(path+".adapters", m.Adapters, "adapter")
+		c.checkNameList(path+".versions", m.Versions, "version")
+		c.checkNameList(path+".adapters", m.Adapters, "adapter")
 		if len(m.Versions) > 0 && !slices.Contains(m.Versions, m.Current) {
 			c.Addf(path+".current", "write one of "+strings.Join(m.Versions, ", "), "the current version %q is not among the versions", m.Current)
 		}
 	}
 }
 
-func (c checker) groups(d *Document) {
+func (c checker) checkGroups(d *Document) {
 	names := uniqueNames{}
 	for i := range d.Groups {
 		path := yamlcheck.Index("groups", i)
 		g := &d.Groups[i]
-		c.name(path, g.Name, "group", names)
-		c.groupModel(path, d, g)
-		c.groupSize(path, g)
-		c.nameList(path+".zones", g.Zones, "availability zone")
+		c.checkName(path, g.Name, "group", names)
+		c.checkGroupModel(path, d, g)
+		c.checkGroupSize(path, g)
+		c.checkNameList(path+".zones", g.Zones, "availability zone")
 	}
 }
 
-func (c checker) groupModel(path string, d *Document, g *GroupSpec) {
-	c.nameList(path+".adapters", g.Adapters, "adapter")
+func (c checker) checkGroupModel(path string, d *Document, g *GroupSpec) {
+	c.checkNameList(path+".adapters", g.Adapters, "adapter")
 	m := d.Model(g.Model)
 	if m == nil {
 		c.Addf(path+".model", "write the name of a model of this document", "no model is named %q", g.Model)
@@ -160,7 +160,7 @@
 	}
 }
 
-func (c checker) groupSize(path string, g *GroupSpec) {
+func (c checker) checkGroupSize(path string, g *GroupSpec) {
 	if g.VMs < 1 || g.VMs > MaxGroupVMs {
 		c.Addf(path+".vms", fmt.Sprintf("write a whole number from 1 to %d", MaxGroupVMs), "a replica of %d VMs is impossible", g.VMs)
 	}
@@ -176,19 +176,19 @@
 	}
 }
 
-func (c checker) services(list []Service) {
+func (c checker) checkServices(list []Service) {
 	names := uniqueNames{}
 	for i, s := range list {
 		path := yamlcheck.Index("services", i)
-		c.name(path, s.Name, "service", names)
-		c.notRepeatable(path+".not_repeatable", s.NotRepeatable)
+		c.checkName(path, s.Name, "service", names)
+		c.checkNotRepeatable(path+".not_repeatable", s.NotRepeatable)
 		if s.Timeout < 0 || time.Duration(s.Timeout) > maxServiceTimeout {
 			c.Addf(path+".timeout", "write a duration up to "+maxServiceTimeout.String(), "%s is out of range", time.Duration(s.Timeout))
 		}
 	}
 }
 
-func (c checker) notRepeatable(path string, list []string) {
+func (c checker) checkNotRepeatable(path string, list []string) {
 	seen := map[string]bool{}
 	for i, entry := range list {
 		at := yamlcheck.Index(path, i)
@@ -198,8 +198,8 @@
 			c.Addf(at, notRepeatableRemedy, "%q is not a method and a path", entry)
 		case method == "GET" || method == "HEAD":
 			c.Addf(at, "leave it out, or let the service take it by POST", "%s may always be repeated", method)
-		case !slices.Contains(methods, method):
-			c.Addf(at, "write one of "+strings.Join(methods, ", ")+" before the path", "the method %q is not known", method)
+		case !slices.Contains(notRepeatableMethods, method):
+			c.Addf(at, "write one of "+strings.Join(notRepeatableMethods, ", ")+" before the path", "the method %q is not known", method)
 		case seen[entry]:
 			c.Addf(at, "leave one of them out", "%q stands there twice", entry)
 		}
@@ -207,35 +207,35 @@
 	}
 }
 
-func (c checker) objective(o *Objective) {
-	c.objectiveWeight("objective.downtime_weight", o.DowntimeWeight)
-	c.objectiveWeight("objective.stranding_weight", o.StrandingWeight)
+func (c checker) checkObjective(o *Objective) {
+	c.checkObjectiveWeight("objective.downtime_weight", o.DowntimeWeight)
+	c.checkObjectiveWeight("objective.stranding_weight", o.StrandingWeight)
 	if o.DowntimeWeight == 0 && o.StrandingWeight == 0 {
 		c.Addf("objective", "write a weight above 0 for downtime, for stranding or for both", "both weights are 0: no decision could be weighed")
 	}
 }
 
-func (c checker) objectiveWeight(path string, w float64) {
+func (c checker) checkObjectiveWeight(path string, w float64) {
 	if !(w >= 0) || math.IsInf(w, 0) {
 		c.Addf(path, "write a number of 0 or more", "the weight %v is out of range", w)
 	}
 }
 
-func (c checker) fenceChecked(list []string) {
+func (c checker) checkFenceChecked(list []string) {
 	for i, vm := range list {
 		if vm != allVMs && !validName(vm) {
 			c.Addf(yamlcheck.Index("fence_checked", i), "write the id of a VM, or \"*\" alone for all", "%q cannot be the id of a VM", vm)
 		}
 	}
-	c.uniqueList("fence_checked", list, "VM")
+	c.checkUnique("fence_checked", list, "VM")
 	if len(list) > 1 && slices.Contains(list, allVMs) {
 		c.Addf("fence_checked", "write either \"*\" alone or the VMs by name", "\"*\" stands beside other VMs")
 	}
 }
 
-func (c checker) policy(p *Policy) {
-	if p.Routing != "" && !slices.Contains(routings, p.Routing) {
-		c.Addf("policy.routing", "write one of "+strings.Join(routings, ", "), "the routing %q is not known", p.Routing)
+func (c checker) checkPolicy(p *Policy) {
+	if p.Routing != "" && !slices.Contains(routingPolicies, p.Routing) {
+		c.Addf("policy.routing", "write one of "+strings.Join(routingPolicies, ", "), "the routing %q is not known", p.Routing)
 	}
 	if !(p.RetryBudget >= 0 && p.RetryBudget <= maxRetryBudget) {
 		c.Addf("policy.retry_budget", "write retries per first try, from 0 to 1, such as 0.1", "the budget %v is out of range", p.RetryBudget)
@@ -243,12 +243,12 @@
 	if p.QueueLimit < 0 || p.QueueLimit > maxQueueLimit {
 		c.Addf("policy.queue_limit", fmt.Sprintf("write a whole number from 1 to %d", maxQueueLimit), "the limit %d is out of range", p.QueueLimit)
 	}
-	c.durationOrUnset("policy.probe_fresh", p.ProbeFresh, minProbeFresh, maxProbeFresh)
-	c.durationOrUnset("policy.lease", p.Lease, minLease, maxLease)
-	c.durationOrUnset("policy.key_retention", p.KeyRetention, minKeyRetention, maxKeyRetention)
+	c.checkOptionalDuration("policy.probe_fresh", p.ProbeFresh, minProbeFresh, maxProbeFresh)
+	c.checkOptionalDuration("policy.lease", p.Lease, minLease, maxLease)
+	c.checkOptionalDuration("policy.key_retention", p.KeyRetention, minKeyRetention, maxKeyRetention)
 }
 
-func (c checker) durationOrUnset(path string, d Duration, least, most time.Duration) {
+func (c checker) checkOptionalDuration(path string, d Duration, least, most time.Duration) {
 	if d == 0 {
 		return
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"chervilloom/internal/config"
 )
 
-func load(t testing.TB, path string) []byte {
+func readFile(t testing.TB, path string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -18,9 +18,9 @@
 	return data
 }
 
-func TestAValidDocumentSurvivesWritingAndReading(t *testing.T) {
+func TestValidDocumentSurvivesRoundTrip(t *testing.T) {
 	is := is.New(t)
-	d, err := config.Parse("full.yaml", load(t, "testdata/valid/full.yaml"))
+	d, err := config.Parse("full.yaml", readFile(t, "testdata/valid/full.yaml"))
 	is.NoErr(err)
 	out, err := config.Marshal(d)
 	is.NoErr(err)
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Op says how a value changed.
+// Op is the kind of a Change.
 type Op string
 
-// The ways a value changes.
+// Kinds of changes.
 const (
 	Added   Op = "added"
 	Removed Op = "removed"
@@ -22,12 +22,12 @@
 // Change is one difference between two documents.
 type Change struct {
 	Op   Op     `json:"op"`
-	Path string `json:"path"` // such as "organisations[clinic].weight"; list elements go by name
+	Path string `json:"path"` // such as "organisations[clinic].weight"; list elements are identified by name
 	Old  string `json:"old,omitempty"`
 	New  string `json:"new,omitempty"`
 }
 
-// String returns the change on one line.
+// String returns the change in one line.
 func (c Change) String() string {
 	switch c.Op {
 	case Added:
@@ -38,9 +38,9 @@
 	return fmt.Sprintf("%s: %s -> %s", c.Path, c.Old, c.New)
 }
 
-// Diff returns what changes from a to b in the order of the document's fields.
-// Elements of lists are matched by name, elements of lists of text by value; a
-// mere change of order is a change too. A nil document counts as empty.
+// Diff returns the changes from a to b in the order of the document's fields.
+// Elements of lists are matched by name, strings in lists by value; a different
+// order alone is also a change. A nil document counts as empty.
 func Diff(a, b *Document) []Change {
 	if a == nil {
 		a = &Document{}
@@ -49,7 +49,7 @@
 		b = &Document{}
 	}
 	d := &differ{}
-	d.structs("", reflect.ValueOf(*a), reflect.ValueOf(*b))
+	d.diffStructs("", reflect.ValueOf(*a), reflect.ValueOf(*b))
 	return d.changes
 }
 
@@ -59,55 +59,55 @@
 	d.changes = append(d.changes, Change{Op: op, Path: path, Old: before, New: after})
 }
 
-func (d *differ) structs(path string, a, b reflect.Value) {
+func (d *differ) diffStructs(path string, a, b reflect.Value) {
 	for i := range a.NumField() {
 		key, _, _ := strings.Cut(a.Type().Field(i).Tag.Get("yaml"), ",")
 		if path != "" {
 			key = path + "." + key
 		}
-		d.values(key, a.Field(i), b.Field(i))
+		d.diffValues(key, a.Field(i), b.Field(i))
 	}
 }
 
-func (d *differ) values(path string, a, b reflect.Value) {
+func (d *differ) diffValues(path string, a, b reflect.Value) {
 	switch {
 	case a.Kind() == reflect.Struct:
-		d.structs(path, a, b)
+		d.diffStructs(path, a, b)
 	case a.Kind() == reflect.Slice && a.Type().Elem().Kind() == reflect.Struct:
-		d.named(path, a, b)
+		d.diffNamedElements(path, a, b)
 	case a.Kind() == reflect.Slice:
-		d.texts(path, a.Interface().([]string), b.Interface().([]string))
+		d.diffStrings(path, a.Interface().([]string), b.Interface().([]string))
 	case !a.Equal(b):
-		d.add(Changed, path, show(a), show(b))
+		d.add(Changed, path, formatValue(a), formatValue(b))
 	}
 }
 
-// named compares lists of structs that have a Name.
-func (d *differ) named(path string, a, b reflect.Value) {
-	old, next := index(a), index(b)
+// diffNamedElements compares lists of structs that have a Name field.
+func (d *differ) diffNamedElements(path string, a, b reflect.Value) {
+	old, next := indexByName(a), indexByName(b)
 	for _, name := range old.names {
 		at := fmt.Sprintf("%s[%s]", path, name)
 		if v, ok := next.value[name]; ok {
-			d.structs(at, old.value[name], v)
+			d.diffStructs(at, old.value[name], v)
 		} else {
-			d.add(Removed, at, show(old.value[name]), "")
+			d.add(Removed, at, formatValue(old.value[name]), "")
 		}
 	}
 	for _, name := range next.names {
 		if _, ok := old.value[name]; !ok {
-			d.add(Added, fmt.Sprintf("%s[%s]", path, name), "", show(next.value[name]))
+			d.add(Added, fmt.Sprintf("%s[%s]", path, name), "", formatValue(next.value[name]))
 		}
 	}
-	d.order(path, old.names, next.names)
+	d.diffOrder(path, old.names, next.names)
 }
 
-type elements struct {
+type namedElements struct {
 	names []string
 	value map[string]reflect.Value
 }
 
-func index(list reflect.Value) elements {
-	e := elements{value: make(map[string]reflect.Value, list.Len())}
+func indexByName(list reflect.Value) namedElements {
+	e := namedElements{value: make(map[string]reflect.Value, list.Len())}
 	for i := range list.Len() {
 		name := list.Index(i).FieldByName("Name").String()
 		e.names = append(e.names, name)
@@ -116,7 +116,7 @@
 	return e
 }
 
-func (d *differ) texts(path string, a, b []string) {
+func (d *differ) diffStrings(path string, a, b []string) {
 	for _, s := range a {
 		if !slices.Contains(b, s) {
 			d.add(Removed, path, s, "")
@@ -127,18 +127,19 @@
 			d.add(Added, path, "", s)
 		}
 	}
-	d.order(path, a, b)
+	d.diffOrder(path, a, b)
 }
 
-// order reports that the elements which both lists hold stand in another order.
-func (d *differ) order(path string, a, b []string) {
-	before, after := common(a, b), common(b, a)
+// diffOrder adds a change if the elements common to both lists are in a different
+// order.
+func (d *differ) diffOrder(path string, a, b []string) {
+	before, after := intersect(a, b), intersect(b, a)
 	if !slices.Equal(before, after) {
 		d.add(Changed, path, strings.Join(before, ", "), strings.Join(after, ", "))
 	}
 }
 
-func common(list, other []string) []string {
+func intersect(list, other []string) []string {
 	in := make(map[string]bool, len(other))
 	for _, s := range other {
 		in[s] = true
@@ -152,8 +153,8 @@
 	return out
 }
 
-// show returns a value as compact JSON, without the quotes of plain text.
-func show(v reflect.Value) string {
+// formatValue returns a value as compact JSON, strings without quotes.
+func formatValue(v reflect.Value) string {
 	if v.Kind() == reflect.String {
 		return v.String()
 	}
@@ -161,7 +162,7 @@
 		return time.Duration(d).String()
 	}
 	out, err := json.Marshal(v.Interface())
-	if err != nil { // a number that JSON cannot write, in a document that was not checked
+	if err != nil { // NaN or infinity in a document that was not validated
 		return fmt.Sprint(v.Interface())
 	}
 	return string(out)
--- a/internal/config/diff_test.go
+++ b/internal/config/diff_test.go
@@ -28,20 +28,20 @@
 		want   []string
 	}{
 		{"nothing", func(*config.Document) {}, nil},
-		{"a value", func(d *config.Document) { d.Organisations[1].Weight = 200 }, []string{"organisations[clubs].weight: 100 -> 200"}},
-		{"a duration", func(d *config.Document) { d.Policy.Lease = config.Duration(time.Second) }, []string{"policy.lease: 6s -> 1s"}},
-		{"a key is replaced", func(d *config.Document) { d.Organisations[0].KeyHashes = []string{"k1", "k9"} },
+		{"changed value", func(d *config.Document) { d.Organisations[1].Weight = 200 }, []string{"organisations[clubs].weight: 100 -> 200"}},
+		{"changed duration", func(d *config.Document) { d.Policy.Lease = config.Duration(time.Second) }, []string{"policy.lease: 6s -> 1s"}},
+		{"replaced key", func(d *config.Document) { d.Organisations[0].KeyHashes = []string{"k1", "k9"} },
 			[]string{"organisations[licensing].key_hashes: removed k2", "organisations[licensing].key_hashes: added k9"}},
-		{"an element is left out", func(d *config.Document) { d.Organisations = d.Organisations[:1] },
+		{"removed element", func(d *config.Document) { d.Organisations = d.Organisations[:1] },
 			[]string{`organisations[clubs]: removed {"name":"clubs","key_hashes":["k3"],"weight":100}`}},
-		{"an element is new", func(d *config.Document) { d.Services = []config.Service{{Name: "receipts"}} },
+		{"added element", func(d *config.Document) { d.Services = []config.Service{{Name: "receipts"}} },
 			[]string{`services[receipts]: added {"name":"receipts"}`}},
-		{"a rename", func(d *config.Document) { d.Models[0].Name = "writer" },
+		{"renamed element", func(d *config.Document) { d.Models[0].Name = "writer" },
 			[]string{`models[reader]: removed {"name":"reader","current":"v1","versions":["v1","v2"]}`, `models[writer]: added {"name":"writer","current":"v1","versions":["v1","v2"]}`}},
-		{"another order", func(d *config.Document) {
+		{"different order", func(d *config.Document) {
 			d.Organisations[0], d.Organisations[1] = d.Organisations[1], d.Organisations[0]
 		}, []string{"organisations: licensing, clubs -> clubs, licensing"}},
-		{"two parts", func(d *config.Document) { d.Models[0].Current, d.Objective.StrandingWeight = "v2", 3 },
+		{"changes in two sections", func(d *config.Document) { d.Models[0].Current, d.Objective.StrandingWeight = "v2", 3 },
 			[]string{"models[reader].current: v1 -> v2", "objective.stranding_weight: 0 -> 3"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestDiffOfNoDocument(t *testing.T) {
+func TestDiffOfNilDocument(t *testing.T) {
 	is := is.New(t)
 	d := &config.Document{Version: 1}
 	is.Equal(len(config.Diff(nil, nil)), 0)
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -9,8 +9,8 @@
 	"chervilloom/internal/config"
 )
 
-// FuzzParse checks that no text makes the parser panic, and that a document
-// that was read is the same after it was written and read again.
+// FuzzParse checks that no input makes the parser panic, and that a valid
+// document is unchanged after marshalling and parsing.
 func FuzzParse(f *testing.F) {
 	for _, pattern := range []string{"testdata/valid/*.yaml", "testdata/wrong/*.yaml"} {
 		paths, err := filepath.Glob(pattern)
@@ -32,18 +32,18 @@
 		}
 		out, err := config.Marshal(d)
 		if err != nil {
-			t.Fatalf("cannot be written: %v", err)
+			t.Fatalf("cannot marshal document: %v", err)
 		}
 		again, err := config.Parse("again.yaml", out)
 		if err != nil {
-			t.Fatalf("cannot be read again: %v\n%s", err, out)
+			t.Fatalf("cannot parse marshalled document: %v\n%s", err, out)
 		}
 		if changes := config.Diff(d, again); len(changes) > 0 {
-			t.Fatalf("changed by writing and reading: %v\n%s", changes, out)
+			t.Fatalf("document changed by marshalling and parsing: %v\n%s", changes, out)
 		}
 		twice, err := config.Marshal(again)
 		if err != nil || !reflect.DeepEqual(twice, out) {
-			t.Fatalf("written differently the second time: %v\n%s\n%s", err, out, twice)
+			t.Fatalf("marshalling is not deterministic: %v\n%s\n%s", err, out, twice)
 		}
 	})
 }
--- a/internal/config/hostile_test.go
+++ b/internal/config/hostile_test.go
@@ -9,9 +9,9 @@
 	"chervilloom/internal/config"
 )
 
-// Names and paths that YAML takes for something else unless they are quoted
-// are the same after writing and reading.
-func TestTextsThatLookLikeSomethingElseSurvive(t *testing.T) {
+// Tests that names and paths which YAML parses as another type unless they are
+// quoted are unchanged after marshalling and parsing.
+func TestAmbiguousScalarsSurviveRoundTrip(t *testing.T) {
 	for _, s := range []string{
 		"1e5", "0x1f", "0o7", "1_000", "1.10", "1.", "007", "true", "True", "yes", "off", "null", "NULL", "n", "y", "2024-11-01", "nan", "inf", "0b1", "1e", "a.", "a-", "a_",
 	} {
@@ -35,9 +35,9 @@
 	}
 }
 
-// Texts that could not be written back as they are, or that no name, VM or path
-// has, are refused.
-func TestTextsThatNothingIsNamed(t *testing.T) {
+// Tests that strings which cannot be marshalled unchanged, or are not valid as
+// the name of a model, a VM or in a path, are rejected.
+func TestInvalidNamesAreRejected(t *testing.T) {
 	for _, s := range []string{
 		"", " ", " a", "a ", "a b", "a\tb", "a\nb", "\n", "\u0085", "\u2028", "\ufeff", "\x00", "\x07", "é", "日本", ".nan", ".inf", "? a", "-", "---", "~", "a+b", "a@b", "a/b", "a:b", "#a", "\xff",
 	} {
@@ -57,9 +57,10 @@
 	}
 }
 
-// Shapes that the parser of the library takes minutes for are refused before it
-// sees them; one such document would hold the node that is asked to accept it.
-func TestDeepNestingIsRefused(t *testing.T) {
+// Tests that documents for which the YAML library needs minutes are rejected
+// before they reach it. One such document would block the node that is asked to
+// accept it.
+func TestExpensiveDocumentsAreRejected(t *testing.T) {
 	const depth = 1 << 19
 	for name, text := range map[string]string{
 		"flow lists":    strings.Repeat("[", depth),
@@ -68,7 +69,7 @@
 		"keys":          strings.Repeat("? ", depth/2),
 		"tags":          strings.Repeat("!a ", depth/3),
 		"anchors":       strings.Repeat("&a ", depth/3),
-		"indent":        indented(1000),
+		"indent":        nestedMappings(1000),
 		"empty keys":    strings.Repeat("a:\n", depth/3),
 		"empty items":   strings.Repeat("-\n", depth/2),
 		"empty flow":    "[" + strings.Repeat(",", depth),
@@ -82,7 +83,7 @@
 	}
 }
 
-func indented(levels int) string {
+func nestedMappings(levels int) string {
 	var b strings.Builder
 	for i := range levels {
 		b.WriteString(strings.Repeat(" ", i) + "a:\n")
--- a/internal/config/names.go
+++ b/internal/config/names.go
@@ -6,19 +6,19 @@
 	"chervilloom/internal/yamlcheck"
 )
 
-// namePattern keeps names printable, and free of the signs that separate them
-// in "model+adapter@version", in table keys and in paths.
+// namePattern allows printable names without the separators of
+// "model+adapter@version", table keys and paths.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
 const nameRemedy = "write up to 64 letters, digits, \".\", \"_\" or \"-\", beginning with a letter or digit"
 
 func validName(s string) bool { return len(s) <= MaxNameLength && namePattern.MatchString(s) }
 
-// uniqueNames holds the names of one list and the index that each was seen at.
+// uniqueNames maps the names seen in one list to their index.
 type uniqueNames map[string]int
 
-// name checks the name of the list element at path.
-func (c checker) name(path, name, what string, seen uniqueNames) {
+// checkName validates the name of the list element at path.
+func (c checker) checkName(path, name, what string, seen uniqueNames) {
 	at := path + ".name"
 	if name == "" {
 		c.Addf(at, nameRemedy, "the %s has no name", what)
@@ -33,17 +33,17 @@
 	seen[name] = len(seen)
 }
 
-// nameList checks a list of names.
-func (c checker) nameList(path string, list []string, what string) {
+// checkNameList validates a list of names.
+func (c checker) checkNameList(path string, list []string, what string) {
 	for i, s := range list {
 		if !validName(s) {
 			c.Addf(yamlcheck.Index(path, i), nameRemedy, "the %s name %q is not allowed", what, s)
 		}
 	}
-	c.uniqueList(path, list, what)
+	c.checkUnique(path, list, what)
 }
 
-func (c checker) uniqueList(path string, list []string, what string) {
+func (c checker) checkUnique(path string, list []string, what string) {
 	seen := make(map[string]bool, len(list))
 	for i, s := range list {
 		if seen[s] {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -7,29 +7,30 @@
 	"chervilloom/internal/yamlcheck"
 )
 
-// Parse reads and checks a configuration document. name stands for the file in
-// the problems. The error is yamlcheck.Problems: every fault with its line.
+// Parse decodes and validates a configuration document. name is the file name
+// used in problems. The error is yamlcheck.Problems, with the line of every
+// problem.
 func Parse(name string, data []byte) (*Document, error) {
 	d := &Document{}
 	source, problems := yamlcheck.Decode(name, data, d)
 	c := checker{yamlcheck.NewChecker(source, problems)}
-	c.document(d)
+	c.checkDocument(d)
 	if err := c.Problems().Err(); err != nil {
 		return nil, err
 	}
 	return d, nil
 }
 
-// Validate checks a document that was not read from text. The error is
+// Validate checks a document that was not parsed from text. The error is
 // yamlcheck.Problems without lines.
 func (d *Document) Validate() error {
 	c := checker{yamlcheck.NewChecker(nil, nil)}
-	c.document(d)
+	c.checkDocument(d)
 	return c.Problems().Err()
 }
 
-// Marshal writes the document as YAML. Two documents that are equal give the
-// same bytes: the canonical form.
+// Marshal returns the canonical YAML form of the document: equal documents give
+// equal bytes.
 func Marshal(d *Document) ([]byte, error) { return yaml.Marshal(d) }
 
 // Hash returns the xxHash64 of a document's bytes.
--- a/internal/config/schema_test.go
+++ b/internal/config/schema_test.go
@@ -16,17 +16,18 @@
 	"chervilloom/internal/config"
 )
 
-// schemaFile is embedded by the package.
+// schemaFile is the schema that the package embeds.
 const schemaFile = "schema.json"
 
-// updating reports whether golden files are to be rewritten; the flag is
-// goldie's.
-func updating() bool {
+// isUpdating reports whether golden files are to be rewritten, as requested by
+// goldie's -update flag.
+func isUpdating() bool {
 	f := flag.Lookup("update")
 	return f != nil && f.Value.String() == "true"
 }
 
-// generateSchema derives the schema from the types and their comments.
+// generateSchema returns the schema generated from the types and their
+// comments.
 func generateSchema() ([]byte, error) {
 	r := &jsonschema.Reflector{
 		FieldNameTag:               "yaml",
@@ -46,21 +47,21 @@
 	return append(out, '\n'), err
 }
 
-func TestTheSchemaIsTheOneOfTheTypes(t *testing.T) {
+func TestSchemaMatchesTypes(t *testing.T) {
 	is := is.New(t)
 	want, err := generateSchema()
 	is.NoErr(err)
-	if updating() {
+	if isUpdating() {
 		is.NoErr(os.WriteFile(schemaFile, want, 0o644))
 	}
 	have, err := os.ReadFile(schemaFile)
 	is.NoErr(err)
 	if !bytes.Equal(have, want) {
-		t.Fatal("schema.json is not the schema of the types; run go test ./internal/config -update and read what changed")
+		t.Fatal("schema.json does not match the types; run go test ./internal/config -update and review the changes")
 	}
 }
 
-// property is one property of the schema at its place in a document.
+// property is one property of the schema and its path in a document.
 type property struct {
 	path     []any // keys and indexes from the root
 	required bool
@@ -69,7 +70,7 @@
 
 func (p property) String() string { return fmt.Sprint(p.path) }
 
-// properties walks the schema along the values of a full document.
+// properties returns the properties of the schema that are present in doc.
 func properties(t *testing.T, root *jsonschema.Schema, at *jsonschema.Schema, path []any, doc any) []property {
 	t.Helper()
 	if name, ok := strings.CutPrefix(at.Ref, "#/$defs/"); ok {
@@ -99,10 +100,10 @@
 	return out
 }
 
-// fullDocument returns the example that writes every key, as JSON values.
+// fullDocument returns an example that contains every key, as decoded JSON.
 func fullDocument(t *testing.T) map[string]any {
 	t.Helper()
-	d, err := config.Parse("full.yaml", load(t, "testdata/valid/full.yaml"))
+	d, err := config.Parse("full.yaml", readFile(t, "testdata/valid/full.yaml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,9 +118,9 @@
 	return out
 }
 
-// with returns a full document in which edit has changed the mapping that holds
-// the property.
-func with(t *testing.T, p property, edit func(holder map[string]any, key string)) []byte {
+// editedDocument returns a full document after edit has changed the mapping
+// that contains the property.
+func editedDocument(t *testing.T, p property, edit func(holder map[string]any, key string)) []byte {
 	t.Helper()
 	root := fullDocument(t)
 	var at any = root
@@ -139,14 +140,15 @@
 	return text
 }
 
-// referenced holds the properties without which another part of the full
-// document is left hanging, though the schema does not require them.
+// referenced contains the properties that other parts of the full document
+// refer to, though the schema does not require them. Without them the document
+// is invalid.
 var referenced = map[string]bool{"[models]": true, "[models 0 adapters]": true}
 
-// TestTheSchemaAndTheParserAgree checks on a document with every key that a
-// property is required by both or by none, and that the bounds and choices of
-// the schema are those of the parser.
-func TestTheSchemaAndTheParserAgree(t *testing.T) {
+// TestSchemaAgreesWithParser checks on a document with every key that the
+// schema and the parser require the same properties, and that the bounds and
+// enum values of the schema are those of the parser.
+func TestSchemaAgreesWithParser(t *testing.T) {
 	var root jsonschema.Schema
 	if err := json.Unmarshal(config.Schema, &root); err != nil {
 		t.Fatal(err)
@@ -156,7 +158,7 @@
 		t.Fatalf("only %d properties found", len(list))
 	}
 	accepts := func(p property, edit func(map[string]any, string)) bool {
-		_, err := config.Parse("edited.yaml", with(t, p, edit))
+		_, err := config.Parse("edited.yaml", editedDocument(t, p, edit))
 		return err == nil
 	}
 	for _, p := range list {
@@ -171,7 +173,7 @@
 				least, err := p.schema.Minimum.Int64()
 				is.NoErr(err)
 				is.True(!set(least - 1))
-				if p.path[len(p.path)-1] != "max" { // "min" of the full document is above it
+				if p.path[len(p.path)-1] != "max" { // "min" in the full document is larger
 					is.True(set(least))
 				}
 			}
--- a/internal/config/wrong_test.go
+++ b/internal/config/wrong_test.go
@@ -12,20 +12,20 @@
 	"chervilloom/internal/yamlcheck"
 )
 
-// TestWrongDocuments compares the problems of each wrong document, with lines
-// and remedies, to its golden file. Rewrite them with "go test -update" and
-// read what changed.
-func TestWrongDocuments(t *testing.T) {
+// TestInvalidDocuments compares the problems of each invalid document, with
+// lines and remedies, to its golden file. Run "go test -update" to rewrite the
+// golden files and review the changes.
+func TestInvalidDocuments(t *testing.T) {
 	paths, err := filepath.Glob("testdata/wrong/*.yaml")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("no documents: %v", err)
+		t.Fatalf("no test documents found: %v", err)
 	}
 	golden := goldie.New(t, goldie.WithFixtureDir("testdata/wrong"), goldie.WithNameSuffix(".golden"))
 	for _, path := range paths {
 		name := strings.TrimSuffix(filepath.Base(path), ".yaml")
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := config.Parse(filepath.Base(path), load(t, path))
+			_, err := config.Parse(filepath.Base(path), readFile(t, path))
 			problems, ok := err.(yamlcheck.Problems)
 			is.True(ok)
 			for _, p := range problems {
