--- a/internal/yamlcheck/decode.go
+++ b/internal/yamlcheck/decode.go
@@ -17,21 +17,21 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// MaxSize is the largest document that Decode reads, in bytes.
+// MaxSize is the maximum size of a document in bytes.
 const MaxSize = 1 << 20
 
-// Decode reads the one YAML (or JSON) document in data into out, a pointer to
-// a struct whose fields carry yaml tags. It reports every key that out does
-// not know, every key written twice and every value of the wrong type; the
-// other values are set all the same, so that a Checker can judge them too.
+// Decode decodes the single YAML or JSON document in data into out, a pointer
+// to a struct whose fields have yaml tags. It reports every unknown key, every
+// duplicate key and every value of the wrong type. The other values are set
+// nevertheless, so that a Checker can validate them as well.
 //
-// The library's own strict decoder ends at the first fault; so the text is
-// parsed by the library and the values are set here.
+// The library's own strict decoder stops at the first error. Therefore the
+// library only parses the text, and the values are set here.
 func Decode(name string, data []byte, out any) (*Source, Problems) {
 	d := &decoder{source: newSource(name)}
 	d.source.positions[""] = Position{Line: 1, Column: 1}
 	if root := d.parse(data); root != nil {
-		d.value("", root, reflect.ValueOf(out).Elem())
+		d.decodeValue("", root, reflect.ValueOf(out).Elem())
 	}
 	return d.source, d.problems.Sorted()
 }
@@ -41,29 +41,30 @@
 	problems Problems
 }
 
-// parse returns the root of the only document in data, nil after a problem.
+// parse returns the root of the only document in data, or nil after it has
+// reported a problem.
 func (d *decoder) parse(data []byte) ast.Node {
 	if len(data) > MaxSize {
-		d.add("", Position{1, 1}, fmt.Sprintf("write at most %d bytes", MaxSize), "the document has %d bytes", len(data))
+		d.addProblem("", Position{1, 1}, fmt.Sprintf("write at most %d bytes", MaxSize), "the document has %d bytes", len(data))
 		return nil
 	}
-	// Documents go through JSON and CBOR, which replace or refuse such bytes: what
-	// comes back would not be what was checked.
+	// Documents are stored as JSON and CBOR, which replace or reject such
+	// bytes, so that a document read back would differ from the validated one.
 	if at, ok := invalidUTF8(data); !ok {
-		d.add("", at, "save the file as UTF-8", "a byte that is not UTF-8")
+		d.addProblem("", at, "save the file as UTF-8", "a byte that is not UTF-8")
 		return nil
 	}
 	tokens := lexer.Tokenize(string(data))
-	var sh shape
+	var sh structureCounter
 	for _, tk := range tokens {
-		if message, remedy := sh.fault(tk); message != "" {
-			d.add("", Position{tk.Position.Line, tk.Position.Column}, remedy, "%s", message)
+		if message, remedy := sh.exceededLimit(tk); message != "" {
+			d.addProblem("", Position{tk.Position.Line, tk.Position.Column}, remedy, "%s", message)
 			return nil
 		}
 	}
 	file, err := parser.Parse(tokens, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
-		d.syntax(err)
+		d.addSyntaxError(err)
 		return nil
 	}
 	var bodies []ast.Node
@@ -76,15 +77,15 @@
 	case 1:
 		return bodies[0]
 	case 0:
-		d.add("", Position{1, 1}, "write at least the required keys", "the document is empty")
+		d.addProblem("", Position{1, 1}, "write at least the required keys", "the document is empty")
 	default:
-		d.add("", place(bodies[1]), "write one document and no \"---\" after it", "the file holds more than one document")
+		d.addProblem("", nodePosition(bodies[1]), "write one document and no \"---\" after it", "the file holds more than one document")
 	}
 	return nil
 }
 
-// invalidUTF8 returns the place of the first byte that is not UTF-8; ok when
-// there is none.
+// invalidUTF8 returns the position of the first byte that is not valid UTF-8;
+// ok is true if there is none.
 func invalidUTF8(data []byte) (at Position, ok bool) {
 	at = Position{1, 1}
 	for len(data) > 0 {
@@ -101,7 +102,7 @@
 	return at, true
 }
 
-func (d *decoder) syntax(err error) {
+func (d *decoder) addSyntaxError(err error) {
 	at, message := Position{1, 1}, err.Error()
 	var se *yaml.SyntaxError
 	if errors.As(err, &se) {
@@ -110,11 +111,12 @@
 			at = Position{se.Token.Position.Line, se.Token.Position.Column}
 		}
 	}
-	d.add("", at, "write valid YAML", "not valid YAML: %s", message)
+	d.addProblem("", at, "write valid YAML", "not valid YAML: %s", message)
 }
 
-// add reports a fault and keeps the checks of content off the value.
-func (d *decoder) add(path string, at Position, remedy, format string, args ...any) {
+// addProblem reports a problem and marks the value as broken, which excludes it from
+// the checks of a Checker.
+func (d *decoder) addProblem(path string, at Position, remedy, format string, args ...any) {
 	d.source.broken[path] = true
 	d.problems = append(d.problems, Problem{
 		File: d.source.name, Line: at.Line, Column: at.Column,
@@ -122,9 +124,10 @@
 	})
 }
 
-// place returns where a node begins. The token of a block mapping is its first
-// colon, so the first key tells more.
-func place(n ast.Node) Position {
+// nodePosition returns the position at which a node begins. The token of a
+// block mapping is its first colon, so the position of its first key is used
+// instead.
+func nodePosition(n ast.Node) Position {
 	if m, ok := n.(*ast.MappingNode); ok && !m.IsFlowStyle && len(m.Values) > 0 {
 		n = m.Values[0].Key
 	}
@@ -135,53 +138,54 @@
 	return Position{p.Line, p.Column}
 }
 
-// value sets v from n.
-func (d *decoder) value(path string, n ast.Node, v reflect.Value) {
-	at := place(n)
+// decodeValue sets v from n, or reports a problem.
+func (d *decoder) decodeValue(path string, n ast.Node, v reflect.Value) {
+	at := nodePosition(n)
 	if at.Line == 0 {
 		at = d.source.At(path)
 	}
 	d.source.positions[path] = at
 	switch n.(type) {
 	case *ast.CommentGroupNode:
-		d.add(path, at, "write the value", "there is only a comment")
+		d.addProblem(path, at, "write the value", "there is only a comment")
 		return
 	case *ast.AnchorNode, *ast.AliasNode, *ast.TagNode, *ast.MergeKeyNode:
-		d.add(path, at, "write the value itself", "anchors, aliases and tags are not read")
+		d.addProblem(path, at, "write the value itself", "anchors, aliases and tags are not read")
 		return
 	case *ast.NullNode:
-		d.add(path, at, "write a value or leave the key out", "the value is missing")
+		d.addProblem(path, at, "write a value or leave the key out", "the value is missing")
 		return
 	}
 	if u, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
-		d.text(path, n, at, u)
+		d.decodeText(path, n, at, u)
 		return
 	}
 	switch v.Kind() {
 	case reflect.Struct:
-		d.mapping(path, n, at, v)
+		d.decodeMapping(path, n, at, v)
 	case reflect.Slice:
-		d.sequence(path, n, at, v)
+		d.decodeSequence(path, n, at, v)
 	default:
-		d.scalar(path, n, at, v)
+		d.decodeScalar(path, n, at, v)
 	}
 }
 
-func (d *decoder) text(path string, n ast.Node, at Position, u encoding.TextUnmarshaler) {
+func (d *decoder) decodeText(path string, n ast.Node, at Position, u encoding.TextUnmarshaler) {
 	s, ok := stringOf(n)
 	if !ok {
-		d.add(path, at, "write text such as "+example(u), "%s where text is expected", kindOf(n))
+		d.addProblem(path, at, "write text such as "+exampleOf(u), "%s where text is expected", kindOf(n))
 		return
 	}
 	if err := u.UnmarshalText([]byte(s)); err != nil {
-		d.add(path, at, "write text such as "+example(u), "%q cannot be read: %v", s, err)
+		d.addProblem(path, at, "write text such as "+exampleOf(u), "%q cannot be read: %v", s, err)
 	}
 }
 
-// Exampler is implemented by text types that can show what they read.
+// Exampler is implemented by text types that provide an example of their
+// format.
 type Exampler interface{ Example() string }
 
-func example(u encoding.TextUnmarshaler) string {
+func exampleOf(u encoding.TextUnmarshaler) string {
 	switch e := u.(type) {
 	case Exampler:
 		return e.Example()
@@ -193,112 +197,112 @@
 	panic("yamlcheck: no example for " + reflect.TypeOf(u).String())
 }
 
-func (d *decoder) mapping(path string, n ast.Node, at Position, v reflect.Value) {
+func (d *decoder) decodeMapping(path string, n ast.Node, at Position, v reflect.Value) {
 	m, ok := n.(*ast.MappingNode)
 	if !ok {
-		d.add(path, at, "write keys and values: "+listKeys(keysOf(v.Type())), "%s where a mapping is expected", kindOf(n))
+		d.addProblem(path, at, "write keys and values: "+listKeys(keysOf(v.Type())), "%s where a mapping is expected", kindOf(n))
 		return
 	}
 	o := object{path: path, value: v, keys: keysOf(v.Type()), written: make(map[string]Position, len(m.Values))}
 	for _, pair := range m.Values {
-		d.pair(&o, pair)
+		d.decodePair(&o, pair)
 	}
-	for _, key := range o.meant {
+	for _, key := range o.suggested {
 		if _, ok := o.written[key]; !ok {
 			d.source.broken[Key(path, key)] = true
 		}
 	}
 }
 
-// object is a mapping while its keys are read.
+// object is the state of decoding one mapping.
 type object struct {
 	path    string
-	value   reflect.Value       // the struct
-	keys    []string            // of its fields; empty for a field without one
-	written map[string]Position // by key
-	// meant are the keys that were probably meant by unknown ones. One that
-	// is not written besides counts as broken, not as missing.
-	meant []string
+	value   reflect.Value       // destination struct
+	keys    []string            // keys of the fields by index; empty for a field without one
+	written map[string]Position // position of each key that is present
+	// suggested are the keys suggested instead of unknown ones. If such a key
+	// is absent, its value counts as broken and not as missing.
+	suggested []string
 }
 
-func (d *decoder) pair(o *object, pair *ast.MappingValueNode) {
-	at := place(pair.Key)
+func (d *decoder) decodePair(o *object, pair *ast.MappingValueNode) {
+	at := nodePosition(pair.Key)
 	key, ok := stringOf(pair.Key)
 	if !ok {
-		d.add(Key(o.path, "?"), at, "write one of "+listKeys(o.keys), "a key that is not text")
+		d.addProblem(Key(o.path, "?"), at, "write one of "+listKeys(o.keys), "a key that is not text")
 		return
 	}
 	path := Key(o.path, key)
 	if first, twice := o.written[key]; twice {
-		d.add(path, at, "leave one of them out", "the key was written before, at line %d", first.Line)
+		d.addProblem(path, at, "leave one of them out", "the key was written before, at line %d", first.Line)
 		return
 	}
 	field := slices.Index(o.keys, key)
 	if field < 0 || key == "" {
 		remedy := "write one of " + listKeys(o.keys) + " instead or leave it out"
-		if meant := nearest(key, o.keys); meant != "" {
+		if meant := nearestKey(key, o.keys); meant != "" {
 			remedy = "write \"" + meant + "\" instead"
-			o.meant = append(o.meant, meant)
+			o.suggested = append(o.suggested, meant)
 		}
-		d.add(path, at, remedy, "unknown key %q", key)
+		d.addProblem(path, at, remedy, "unknown key %q", key)
 		return
 	}
 	o.written[key] = at
 	d.source.positions[path] = at
-	d.value(path, pair.Value, o.value.Field(field))
+	d.decodeValue(path, pair.Value, o.value.Field(field))
 }
 
-func (d *decoder) sequence(path string, n ast.Node, at Position, v reflect.Value) {
+func (d *decoder) decodeSequence(path string, n ast.Node, at Position, v reflect.Value) {
 	s, ok := n.(*ast.SequenceNode)
 	if !ok {
-		d.add(path, at, "write a list, each element on a line that starts with \"- \"", "%s where a list is expected", kindOf(n))
+		d.addProblem(path, at, "write a list, each element on a line that starts with \"- \"", "%s where a list is expected", kindOf(n))
 		return
 	}
 	out := reflect.MakeSlice(v.Type(), len(s.Values), len(s.Values))
 	for i, e := range s.Values {
-		d.value(Index(path, i), e, out.Index(i))
+		d.decodeValue(Index(path, i), e, out.Index(i))
 	}
 	v.Set(out)
 }
 
-func (d *decoder) scalar(path string, n ast.Node, at Position, v reflect.Value) {
+func (d *decoder) decodeScalar(path string, n ast.Node, at Position, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.String:
 		s, ok := stringOf(n)
 		if !ok {
-			d.add(path, at, "write text, in quotes when it looks like a number", "%s where text is expected", kindOf(n))
+			d.addProblem(path, at, "write text, in quotes when it looks like a number", "%s where text is expected", kindOf(n))
 			return
 		}
 		v.SetString(s)
 	case reflect.Bool:
 		b, ok := n.(*ast.BoolNode)
 		if !ok {
-			d.add(path, at, "write true or false", "%s where true or false is expected", kindOf(n))
+			d.addProblem(path, at, "write true or false", "%s where true or false is expected", kindOf(n))
 			return
 		}
 		v.SetBool(b.Value)
 	case reflect.Int, reflect.Int64:
 		i, ok := intOf(n)
 		if !ok || v.OverflowInt(i) {
-			d.add(path, at, "write a whole number", "%s where a whole number is expected", kindOf(n))
+			d.addProblem(path, at, "write a whole number", "%s where a whole number is expected", kindOf(n))
 			return
 		}
 		v.SetInt(i)
 	case reflect.Float64:
 		f, ok := floatOf(n)
 		if !ok {
-			d.add(path, at, "write a number", "%s where a number is expected", kindOf(n))
+			d.addProblem(path, at, "write a number", "%s where a number is expected", kindOf(n))
 			return
 		}
 		v.SetFloat(f)
 	default:
-		// A field of another kind is a fault of the program that the first
-		// test of its document shows.
+		// A field of an unsupported kind is a programming error, which the
+		// first test that decodes such a document detects.
 		panic("yamlcheck: no rule for " + v.Type().String())
 	}
 }
 
-// stringOf returns the text of a scalar that YAML takes for text.
+// stringOf returns the value of a scalar that YAML parses as a string.
 func stringOf(n ast.Node) (string, bool) {
 	switch s := n.(type) {
 	case *ast.StringNode:
@@ -331,7 +335,7 @@
 	return float64(i), ok
 }
 
-// kindOf says in words what the author wrote.
+// kindOf describes the kind of value in the document, for problem messages.
 func kindOf(n ast.Node) string {
 	switch x := n.(type) {
 	case *ast.MappingNode, *ast.MappingValueNode:
@@ -350,7 +354,8 @@
 	return "something else"
 }
 
-// keyOf returns the key of a field, empty when it is not part of the document.
+// keyOf returns the key of a field, or "" if the field is not part of the
+// document.
 func keyOf(f reflect.StructField) string {
 	key, _, _ := strings.Cut(f.Tag.Get("yaml"), ",")
 	if key == "-" {
@@ -359,7 +364,7 @@
 	return key
 }
 
-// keysOf returns the keys of the struct's fields by their index.
+// keysOf returns the keys of the struct's fields, indexed by field.
 func keysOf(t reflect.Type) []string {
 	keys := make([]string, t.NumField())
 	for i := range keys {
--- a/internal/yamlcheck/limits.go
+++ b/internal/yamlcheck/limits.go
@@ -6,34 +6,36 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// The limits of a document's shape. The parser's time grows with the square of
-// the depth, of the empty values and of the tags: half a megabyte of "[" or of
-// empty keys holds it for minutes.
+// Limits of a document's structure. The parser's run time grows with the square
+// of the depth, of the number of empty values and of the number of tags: half a
+// megabyte of "[" or of empty keys occupies it for minutes.
 const (
 	maxDepth = 32
-	maxItems = 20_000 // keys and elements of lists together
-	maxTags  = 100    // anchors, aliases and tags together; none is read
+	maxItems = 20_000 // total of keys and list elements
+	maxTags  = 100    // total of anchors, aliases and tags, which are all rejected anyway
 )
 
-// shape counts what the parser is slow at, token by token.
-type shape struct {
-	line, inLine int // "- " and "? " on one line open a level each
-	flow         int
-	items, tags  int
+// structureCounter counts, token by token, the constructs that make the parser
+// slow.
+type structureCounter struct {
+	line, lineDepth int // each "- " and "? " on one line opens a level
+	flowDepth       int
+	items, tags     int
 }
 
-// fault returns what is wrong once tk is counted, empty when nothing is.
-func (s *shape) fault(tk *token.Token) (message, remedy string) {
+// exceededLimit counts tk and returns the problem if a limit is exceeded, or
+// empty strings.
+func (s *structureCounter) exceededLimit(tk *token.Token) (message, remedy string) {
 	if tk.Position.Line != s.line {
-		s.line, s.inLine = tk.Position.Line, 0
+		s.line, s.lineDepth = tk.Position.Line, 0
 	}
 	switch tk.Type {
 	case token.SequenceStartType, token.MappingStartType:
-		s.flow++
+		s.flowDepth++
 	case token.SequenceEndType, token.MappingEndType:
-		s.flow--
+		s.flowDepth--
 	case token.SequenceEntryType, token.MappingKeyType:
-		s.inLine++
+		s.lineDepth++
 		s.items++
 	case token.MappingValueType, token.CollectEntryType:
 		s.items++
@@ -41,7 +43,7 @@
 		s.tags++
 	}
 	switch {
-	case s.flow > maxDepth || s.inLine > maxDepth:
+	case s.flowDepth > maxDepth || s.lineDepth > maxDepth:
 		return "lists and mappings are nested too deeply", fmt.Sprintf("write at most %d levels", maxDepth)
 	case s.items > maxItems:
 		return "there are too many keys and list elements", fmt.Sprintf("write at most %d", maxItems)
--- a/internal/yamlcheck/problem.go
+++ b/internal/yamlcheck/problem.go
@@ -1,5 +1,5 @@
-// Package yamlcheck decodes YAML documents strictly and reports every fault of
-// a document at once, each with its place and its remedy.
+// Package yamlcheck decodes YAML documents strictly and reports all errors of a
+// document at once, each with its position and a remedy.
 package yamlcheck
 
 import (
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// Problem is one fault of a document.
+// Problem is one error in a document.
 type Problem struct {
-	File    string `json:"file,omitempty"`   // name of the document; empty when it did not come from a file
+	File    string `json:"file,omitempty"`   // file name of the document; empty if it was not read from a file
 	Line    int    `json:"line,omitempty"`   // from 1; 0: not known
 	Column  int    `json:"column,omitempty"` // from 1; 0: not known
 	Path    string `json:"path,omitempty"`   // such as "organisations[0].weight"; empty: the whole document
@@ -20,7 +20,7 @@
 }
 
 // Error returns "file:line:column: path: message; remedy", without the parts
-// that are not known.
+// that are empty.
 func (p *Problem) Error() string {
 	var b strings.Builder
 	if p.File != "" {
@@ -45,7 +45,7 @@
 	return b.String()
 }
 
-// Problems are the faults of one document in the order of their lines.
+// Problems are all errors of one document and implement error.
 type Problems []Problem
 
 // Error returns one line for each problem.
@@ -57,7 +57,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns ps as an error, nil when there is none.
+// Err returns ps as an error, or nil if ps is empty.
 func (ps Problems) Err() error {
 	if len(ps) == 0 {
 		return nil
@@ -65,7 +65,7 @@
 	return ps
 }
 
-// Sorted returns the problems by line, column and path.
+// Sorted returns a copy of the problems ordered by line, column and path.
 func (ps Problems) Sorted() Problems {
 	out := slices.Clone(ps)
 	slices.SortStableFunc(out, func(a, b Problem) int {
--- a/internal/yamlcheck/source.go
+++ b/internal/yamlcheck/source.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// Position is a place in a document, counted from 1.
+// Position is a line and column in a document, counted from 1.
 type Position struct{ Line, Column int }
 
-// Source remembers where each value of a decoded document stands, and which
-// values could not be decoded.
+// Source contains the position of each value of a decoded document, and the
+// values that could not be decoded.
 type Source struct {
 	name      string
 	positions map[string]Position
@@ -20,20 +20,20 @@
 	return &Source{name: name, positions: make(map[string]Position), broken: make(map[string]bool)}
 }
 
-// unusable reports whether the value at path, or one around it, could not be
-// decoded.
-func (s *Source) unusable(path string) bool {
+// isUnusable reports whether the value at path, or a value that contains it,
+// could not be decoded.
+func (s *Source) isUnusable(path string) bool {
 	for path != "" {
 		if s.broken[path] {
 			return true
 		}
-		path = parent(path)
+		path = parentPath(path)
 	}
 	return s.broken[""]
 }
 
-// At returns the place of the value at path. A value that was not written has
-// the place of the nearest value around it.
+// At returns the position of the value at path. The position of an absent value
+// is that of the innermost value around it.
 func (s *Source) At(path string) Position {
 	for {
 		if at, ok := s.positions[path]; ok {
@@ -42,12 +42,12 @@
 		if path == "" {
 			return Position{}
 		}
-		path = parent(path)
+		path = parentPath(path)
 	}
 }
 
-// parent returns the path of the value that holds the one at path.
-func parent(path string) string {
+// parentPath returns the path of the value that contains the one at path.
+func parentPath(path string) string {
 	cut := strings.LastIndexAny(path, ".[")
 	if cut < 0 {
 		return ""
@@ -66,25 +66,26 @@
 // Index returns the path of element i of the sequence at path.
 func Index(path string, i int) string { return fmt.Sprintf("%s[%d]", path, i) }
 
-// Checker collects the faults that a decoded document still has. A fault of a
-// value that could not be decoded is left out: the value is not what the author
+// Checker collects the problems of a decoded document. Problems of values that
+// could not be decoded are omitted, because such a value is not what the author
 // wrote.
 type Checker struct {
 	source   *Source
 	problems Problems
 }
 
-// NewChecker returns a checker that starts with the problems of decoding.
-// source is nil for a document that was not decoded from text.
+// NewChecker returns a checker with the problems found in decoding. source is
+// nil for a document that was not decoded from text.
 func NewChecker(source *Source, decoding Problems) *Checker {
 	return &Checker{source: source, problems: decoding}
 }
 
-// Addf reports that the value at path is wrong and says what to write instead.
+// Addf reports a problem with the value at path. remedy is what to write
+// instead.
 func (c *Checker) Addf(path, remedy, format string, args ...any) {
 	p := Problem{Path: path, Message: fmt.Sprintf(format, args...), Remedy: remedy}
 	if c.source != nil {
-		if c.source.unusable(path) {
+		if c.source.isUnusable(path) {
 			return
 		}
 		if _, written := c.source.positions[path]; !written {
@@ -96,5 +97,5 @@
 	c.problems = append(c.problems, p)
 }
 
-// Problems returns all faults by line.
+// Problems returns all problems ordered by position.
 func (c *Checker) Problems() Problems { return c.problems.Sorted() }
--- a/internal/yamlcheck/suggest.go
+++ b/internal/yamlcheck/suggest.go
@@ -2,12 +2,13 @@
 
 import "strings"
 
-// maxTypos is the number of changed letters up to which a key is taken for a
-// mistyped one.
+// maxTypos is the maximum edit distance at which an unknown key is considered a
+// misspelling of a known one.
 const maxTypos = 2
 
-// nearest returns the known key that was probably meant, empty when none is near.
-func nearest(key string, known []string) string {
+// nearestKey returns the known key with the smallest edit distance to key, or
+// "" if none is within maxTypos.
+func nearestKey(key string, known []string) string {
 	best, least := "", maxTypos+1
 	for _, k := range known {
 		if d := distance(strings.ToLower(key), k); k != "" && d < least {
--- a/internal/yamlcheck/yamlcheck_test.go
+++ b/internal/yamlcheck/yamlcheck_test.go
@@ -20,7 +20,7 @@
 	Inner []inner  `yaml:"inner"`
 }
 
-const text = `# a comment
+const testDocument = `# a comment
 on: true
 texts:
   - one
@@ -31,10 +31,10 @@
   - {name: second, count: 9223372036854775808, share: 1}
 `
 
-func TestDecodeTellsEveryFaultAndSetsTheRest(t *testing.T) {
+func TestDecodeReportsAllProblemsAndSetsValidValues(t *testing.T) {
 	is := is.New(t)
 	var out outer
-	source, problems := yamlcheck.Decode("f.yaml", []byte(text), &out)
+	source, problems := yamlcheck.Decode("f.yaml", []byte(testDocument), &out)
 	is.Equal(len(problems), 3)
 	is.Equal(problems[0].Error(), `f.yaml:5:5: texts[1]: the number 2 where text is expected; write text, in quotes when it looks like a number`)
 	is.Equal(problems[1].Error(), `f.yaml:8:12: inner[0].count: the number 1.5 where a whole number is expected; write a whole number`)
@@ -46,10 +46,10 @@
 	is.Equal(source.At("inner[0].share"), source.At("inner[0]")) // not written
 }
 
-func TestCheckerLeavesOutWhatCouldNotBeDecoded(t *testing.T) {
+func TestCheckerOmitsUndecodedValues(t *testing.T) {
 	is := is.New(t)
 	var out outer
-	source, problems := yamlcheck.Decode("f.yaml", []byte(text), &out)
+	source, problems := yamlcheck.Decode("f.yaml", []byte(testDocument), &out)
 	c := yamlcheck.NewChecker(source, problems)
 	c.Addf("inner[0].count", "write 1 or more", "count 0 is too low")
 	c.Addf("inner[0].share", "write 1 or more", "share 0 is too low")
@@ -58,7 +58,7 @@
 	is.Equal(got[1].Error(), "f.yaml:7:5: inner[0].share: share 0 is too low (not written); write 1 or more")
 }
 
-func TestProblemsWithoutAFile(t *testing.T) {
+func TestProblemsWithoutFile(t *testing.T) {
 	is := is.New(t)
 	c := yamlcheck.NewChecker(nil, nil)
 	is.NoErr(c.Problems().Err())
