--- a/internal/settings/bytesize.go
+++ b/internal/settings/bytesize.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// ByteSize is a number of bytes, written as "4MiB", "512KiB" or "100B".
+// ByteSize is a size in bytes, written as "4MiB", "512KiB" or "100B".
 type ByteSize int64
 
 var byteUnits = []struct {
@@ -15,13 +15,13 @@
 	bytes  int64
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
-// Example returns a size as settings write it.
+// Example returns a size in the format of settings files.
 func (ByteSize) Example() string { return "4MiB" }
 
-// errByteSize says what a size looks like.
+// errByteSize describes the format of a size.
 var errByteSize = errors.New("not a whole number above 0 with the unit B, KiB, MiB or GiB")
 
-// UnmarshalText reads a whole number and its unit.
+// UnmarshalText parses a whole number followed by a unit.
 func (s *ByteSize) UnmarshalText(b []byte) error {
 	text := string(b)
 	for _, u := range byteUnits {
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -13,42 +13,42 @@
 	"chervilloom/internal/yamlcheck"
 )
 
-// checker adds the checks of settings to those of any document.
+// checker validates settings.
 type checker struct {
 	*yamlcheck.Checker
-	readable func(path string) error
-}
-
-func (s *Settings) check(base *yamlcheck.Checker, readable func(string) error) {
-	c := checker{base, readable}
-	c.required("vm", string(s.VM))
-	c.required("availability_zone", string(s.Zone))
-	c.ip(s.IP)
-	c.address("listen.caller", s.Listen.Caller)
-	c.address("listen.operator", s.Listen.Operator)
-	c.address("listen.peer", s.Listen.Peer)
-	c.url("platform.url", s.Platform.URL)
-	c.seeds(s.Seeds)
-	c.peer(&s.Peer)
-	c.tls("caller_tls", s.CallerTLS)
-	c.tls("operator_tls", s.OperatorTLS)
-	c.operators(s.Operators)
-	c.trace(&s.Trace)
-	c.oneOf("log.level", s.Log.Level, "debug", "info", "warn", "error")
-	c.oneOf("log.format", s.Log.Format, LogText, LogJSON)
-	c.timing(&s.Timing)
+	checkFileReadable func(path string) error
+}
+
+func (s *Settings) validate(base *yamlcheck.Checker, checkFileReadable func(string) error) {
+	c := checker{base, checkFileReadable}
+	c.checkNotEmpty("vm", string(s.VM))
+	c.checkNotEmpty("availability_zone", string(s.Zone))
+	c.checkIP(s.IP)
+	c.checkAddress("listen.caller", s.Listen.Caller)
+	c.checkAddress("listen.operator", s.Listen.Operator)
+	c.checkAddress("listen.peer", s.Listen.Peer)
+	c.checkURL("platform.url", s.Platform.URL)
+	c.checkSeeds(s.Seeds)
+	c.checkPeer(&s.Peer)
+	c.checkTLS("caller_tls", s.CallerTLS)
+	c.checkTLS("operator_tls", s.OperatorTLS)
+	c.checkOperators(s.Operators)
+	c.checkTrace(&s.Trace)
+	c.checkOneOf("log.level", s.Log.Level, "debug", "info", "warn", "error")
+	c.checkOneOf("log.format", s.Log.Format, LogText, LogJSON)
+	c.checkTiming(&s.Timing)
 	if s.BodyLimit > MaxBodyLimit {
-		c.Addf("body_limit", "write a size up to 64MiB", "nodes do not pass on bodies of %d bytes", s.BodyLimit)
+		c.Addf("body_limit", "write a size up to 64MiB", "the limit of %d bytes is above the maximum that nodes forward to each other", s.BodyLimit)
 	}
 }
 
-func (c checker) required(path, value string) {
+func (c checker) checkNotEmpty(path, value string) {
 	if value == "" {
 		c.Addf(path, "write "+path, "must not be empty")
 	}
 }
 
-func (c checker) ip(ip netip.Addr) {
+func (c checker) checkIP(ip netip.Addr) {
 	switch {
 	case !ip.IsValid():
 		c.Addf("ip", "write the node's address by number, such as 10.0.0.1", "must not be empty")
@@ -57,13 +57,13 @@
 	}
 }
 
-func (c checker) address(path string, a netip.AddrPort) {
+func (c checker) checkAddress(path string, a netip.AddrPort) {
 	if !a.IsValid() {
 		c.Addf(path, "write ip:port, such as 10.0.0.1:8080; port 0 lets the kernel choose", "must not be empty")
 	}
 }
 
-func (c checker) url(path, value string) {
+func (c checker) checkURL(path, value string) {
 	const remedy = "write http://ip:port, such as http://10.0.0.1:9000"
 	if value == "" {
 		c.Addf(path, remedy, "must not be empty")
@@ -83,7 +83,7 @@
 	}
 }
 
-func (c checker) seeds(seeds []netip.AddrPort) {
+func (c checker) checkSeeds(seeds []netip.AddrPort) {
 	for i, s := range seeds {
 		if !s.IsValid() || s.Port() == 0 {
 			c.Addf(yamlcheck.Index("seeds", i), "write the ip:port of a peer, such as 10.0.0.2:7946", "%q is not the address of a peer", s)
@@ -91,71 +91,71 @@
 	}
 }
 
-func (c checker) peer(p *Peer) {
+func (c checker) checkPeer(p *Peer) {
 	const choice = "write exactly one of peer.secret_file and peer.secret"
 	switch {
 	case p.Secret == "" && p.SecretFile == "":
-		// Certificates do not stand for it: tickets and operators' sessions are
-		// authenticated by the secret as well.
+		// Certificates do not replace the secret, which also authenticates
+		// tickets and operators' sessions.
 		c.Addf("peer", choice, "the deployment's secret is missing")
 	case p.Secret != "" && p.SecretFile != "":
 		c.Addf("peer", choice, "the deployment's secret is given twice")
 	}
 	if p.Secret != "" {
 		if err := checkSecret(p.Secret); err != nil {
-			c.Addf("peer.secret", fmt.Sprintf("write at least %d random characters", minSecret), "the secret is too short")
+			c.Addf("peer.secret", fmt.Sprintf("write at least %d random characters", minSecretLength), "the secret is too short")
 		}
 	}
-	c.file("peer.secret_file", p.SecretFile)
+	c.checkOptionalFile("peer.secret_file", p.SecretFile)
 	if p.Advertise.IsValid() && p.Advertise.Port() == 0 {
-		c.Addf("peer.advertise", "write the ip:port that other nodes reach this one at, or leave it out", "port 0 reaches nobody")
+		c.Addf("peer.advertise", "write the ip:port that other nodes reach this one at, or leave it out", "port 0 is not reachable")
 	}
 	if p.CertFile != "" || p.KeyFile != "" || p.CAFile != "" {
-		c.requiredFile("peer.cert_file", p.CertFile)
-		c.requiredFile("peer.key_file", p.KeyFile)
-		c.requiredFile("peer.ca_file", p.CAFile)
+		c.checkRequiredFile("peer.cert_file", p.CertFile)
+		c.checkRequiredFile("peer.key_file", p.KeyFile)
+		c.checkRequiredFile("peer.ca_file", p.CAFile)
 	}
 }
 
-func (c checker) requiredFile(path, name string) {
-	c.required(path, name)
-	c.file(path, name)
+func (c checker) checkRequiredFile(path, name string) {
+	c.checkNotEmpty(path, name)
+	c.checkOptionalFile(path, name)
 }
 
-func (c checker) file(path, name string) {
+func (c checker) checkOptionalFile(path, name string) {
 	if name == "" {
 		return
 	}
-	if err := c.readable(name); err != nil {
+	if err := c.checkFileReadable(name); err != nil {
 		c.Addf(path, "write the path of a file that the node may read", "%v", err)
 	}
 }
 
-func (c checker) tls(path string, t TLS) {
+func (c checker) checkTLS(path string, t TLS) {
 	if t.CertFile == "" && t.KeyFile == "" {
 		return
 	}
-	c.requiredFile(path+".cert_file", t.CertFile)
-	c.requiredFile(path+".key_file", t.KeyFile)
+	c.checkRequiredFile(path+".cert_file", t.CertFile)
+	c.checkRequiredFile(path+".key_file", t.KeyFile)
 }
 
-func (c checker) operators(operators []Operator) {
+func (c checker) checkOperators(operators []Operator) {
 	names := make(map[string]bool, len(operators))
 	for i, o := range operators {
 		path := yamlcheck.Index("operators", i)
-		c.required(path+".name", o.Name)
+		c.checkNotEmpty(path+".name", o.Name)
 		if names[o.Name] && o.Name != "" {
-			c.Addf(path+".name", "write another name or leave one out", "the operator %q stands there twice", o.Name)
+			c.Addf(path+".name", "write another name or leave one out", "the operator name %q is used twice", o.Name)
 		}
 		names[o.Name] = true
 		if !config.IsKeyHash(o.TokenHash) {
-			c.Addf(path+".token_hash", "write the hexadecimal SHA-256 of the token, 64 digits", "%q is not a SHA-256 hash", shorten(o.TokenHash))
+			c.Addf(path+".token_hash", "write the hexadecimal SHA-256 of the token, 64 digits", "%q is not a SHA-256 hash", redact(o.TokenHash))
 		}
 	}
 }
 
-// shorten cuts what may be a secret that was put in the place of its hash.
-func shorten(s string) string {
+// redact truncates a value that may be a secret entered instead of its hash.
+func redact(s string) string {
 	const shown = 4
 	if _, err := hex.DecodeString(s); err != nil && len(s) > shown {
 		return s[:shown] + "..."
@@ -163,10 +163,10 @@
 	return s
 }
 
-func (c checker) trace(t *Trace) {
-	c.oneOf("trace.exporter", t.Exporter, TraceNone, TraceStdout, TraceOTLP)
+func (c checker) checkTrace(t *Trace) {
+	c.checkOneOf("trace.exporter", t.Exporter, TraceNone, TraceStdout, TraceOTLP)
 	if t.Exporter == TraceOTLP {
-		c.url("trace.endpoint", t.Endpoint)
+		c.checkURL("trace.endpoint", t.Endpoint)
 	} else if t.Endpoint != "" {
 		c.Addf("trace.endpoint", "write \"exporter: otlp\" or leave the endpoint out", "the exporter %q has no endpoint", t.Exporter)
 	}
@@ -175,21 +175,21 @@
 	}
 }
 
-func (c checker) oneOf(path, value string, allowed ...string) {
+func (c checker) checkOneOf(path, value string, allowed ...string) {
 	if !slices.Contains(allowed, value) {
 		c.Addf(path, "write one of "+strings.Join(allowed, ", "), "%q is not known", value)
 	}
 }
 
-func (c checker) timing(t *Timing) {
-	c.between("timing.drain_notice", t.DrainNotice, 0, 5*time.Minute)
-	c.between("timing.header_timeout", t.HeaderTimeout, 100*time.Millisecond, 5*time.Minute)
-	c.between("timing.idle_timeout", t.IdleTimeout, time.Second, time.Hour)
-	c.between("timing.platform_timeout", t.PlatformTimeout, 50*time.Millisecond, time.Minute)
-	c.between("timing.revision_poll", t.RevisionPoll, 100*time.Millisecond, 10*time.Minute)
+func (c checker) checkTiming(t *Timing) {
+	c.checkRange("timing.drain_notice", t.DrainNotice, 0, 5*time.Minute)
+	c.checkRange("timing.header_timeout", t.HeaderTimeout, 100*time.Millisecond, 5*time.Minute)
+	c.checkRange("timing.idle_timeout", t.IdleTimeout, time.Second, time.Hour)
+	c.checkRange("timing.platform_timeout", t.PlatformTimeout, 50*time.Millisecond, time.Minute)
+	c.checkRange("timing.revision_poll", t.RevisionPoll, 100*time.Millisecond, 10*time.Minute)
 }
 
-func (c checker) between(path string, d config.Duration, least, most time.Duration) {
+func (c checker) checkRange(path string, d config.Duration, least, most time.Duration) {
 	if v := time.Duration(d); v < least || v > most {
 		c.Addf(path, fmt.Sprintf("write a duration from %s to %s", least, most), "%s is out of range", v)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,7 @@
-// Package settings reads a node's own static settings: who it is, where it
-// listens, how it reaches the platform and its peers. They are read once, at
-// the start; what operators change while the system runs is in package config.
+// Package settings reads the static settings of a node: its identity, its
+// listeners, and how to reach the platform and its peers. They are read once at
+// startup; the configuration that operators change at run time is in package
+// config.
 package settings
 
 import (
@@ -20,10 +21,10 @@
 type Settings struct {
 	VM          fleet.VM               `yaml:"vm"`
 	Zone        fleet.AvailabilityZone `yaml:"availability_zone"`
-	IP          netip.Addr             `yaml:"ip"` // that peers and the platform know the node by
+	IP          netip.Addr             `yaml:"ip"` // address of the node for peers and the platform
 	Listen      Listen                 `yaml:"listen"`
 	Platform    Platform               `yaml:"platform"`
-	Seeds       []netip.AddrPort       `yaml:"seeds"` // peer addresses to try when the platform is down; optional
+	Seeds       []netip.AddrPort       `yaml:"seeds"` // peer addresses to use when the platform is down; optional
 	Peer        Peer                   `yaml:"peer"`
 	CallerTLS   TLS                    `yaml:"caller_tls"`   // optional: plain HTTP without it
 	OperatorTLS TLS                    `yaml:"operator_tls"` // optional: plain HTTP without it
@@ -34,102 +35,107 @@
 	Timing      Timing                 `yaml:"timing"`
 }
 
-// Listen holds the addresses the node listens on. Port 0 lets the kernel choose.
+// Listen contains the addresses of the listeners. With port 0 the kernel
+// chooses the port.
 type Listen struct {
 	Caller   netip.AddrPort `yaml:"caller"`   // TCP, HTTP
-	Operator netip.AddrPort `yaml:"operator"` // TCP, HTTP: console, operators' calls, metrics
+	Operator netip.AddrPort `yaml:"operator"` // TCP, HTTP: console, operator API, metrics
 	Peer     netip.AddrPort `yaml:"peer"`     // UDP, QUIC
 }
 
-// Platform says where the platform's service is.
+// Platform locates the platform's service.
 type Platform struct {
-	URL string `yaml:"url"` // http or https, host by IP number
+	URL string `yaml:"url"` // http or https, with an IP address as host
 }
 
-// Peer holds what the nodes know each other by: one secret of the deployment,
-// from which their identities are derived unless certificate files are given.
-// The secret authenticates tickets and operators' sessions in any case.
+// Peer contains the credentials that nodes use among each other: one secret per
+// deployment, from which their identities are derived unless certificate files
+// are given. The secret also authenticates tickets and operators' sessions in
+// either case.
 type Peer struct {
 	Secret     string `yaml:"secret"`
 	SecretFile string `yaml:"secret_file"`
 	CertFile   string `yaml:"cert_file"`
 	KeyFile    string `yaml:"key_file"`
 	CAFile     string `yaml:"ca_file"`
-	// Advertise is where the other nodes reach the peer listener, when that is
-	// not the address it listens on, as behind a translation of addresses.
+	// Advertise is the address of the peer listener for other nodes, if it
+	// differs from the address that it listens on, as behind NAT.
 	Advertise netip.AddrPort `yaml:"advertise"`
 }
 
-// TLS names the certificate of a listener; empty files mean plain HTTP.
+// TLS contains the certificate of a listener; empty files mean plain HTTP.
 type TLS struct {
 	CertFile string `yaml:"cert_file"`
 	KeyFile  string `yaml:"key_file"`
 }
 
-// Enabled reports whether the listener speaks TLS.
+// Enabled reports whether the listener uses TLS.
 func (t TLS) Enabled() bool { return t.CertFile != "" }
 
-// Operator may use the console and the operators' calls.
+// Operator is a user of the console and the operator API.
 type Operator struct {
 	Name      string `yaml:"name"`
 	TokenHash string `yaml:"token_hash"` // hex SHA-256 of the bearer token
 }
 
-// The trace exporters.
+// Trace exporters.
 const (
 	TraceNone   = "none"
 	TraceStdout = "stdout"
 	TraceOTLP   = "otlp"
 )
 
-// Trace says where spans go.
+// Trace configures the export of spans.
 type Trace struct {
 	Exporter string  `yaml:"exporter"` // none (default), stdout, otlp
 	Endpoint string  `yaml:"endpoint"` // http URL of the collector; otlp only
 	Sample   float64 `yaml:"sample"`   // share of requests traced, above 0 to 1; default 1
 }
 
-// The log formats.
+// Log formats.
 const (
 	LogText = "text"
 	LogJSON = "json"
 )
 
-// Log says how the node logs.
+// Log configures the logging of the node.
 type Log struct {
 	Level  string `yaml:"level"`  // debug, info (default), warn, error
 	Format string `yaml:"format"` // text (default), json
 }
 
-// SlogLevel returns the level for log/slog.
+// SlogLevel returns the level as a slog.Level.
 func (l Log) SlogLevel() slog.Level {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(l.Level)); err != nil {
-		return slog.LevelInfo // checked by Parse
+		return slog.LevelInfo // unreachable after Parse
 	}
 	return level
 }
 
-// Timing holds the durations of the node; a zero one stands for its default.
+// Timing contains the intervals and timeouts of the node. Zero values mean the
+// defaults.
 type Timing struct {
 	// DrainNotice is how long readiness fails before the listener closes, so
-	// that the balancer has taken the node out by then; default 3s.
+	// that the load balancer has removed the node by then; default 3s.
 	DrainNotice config.Duration `yaml:"drain_notice"`
-	// HeaderTimeout is how long a caller may take to send its headers; default 10s.
+	// HeaderTimeout is the timeout for reading a caller's headers; default 10s.
 	HeaderTimeout config.Duration `yaml:"header_timeout"`
-	// IdleTimeout is how long an idle caller connection is kept; default 2m.
+	// IdleTimeout is how long an idle caller connection is kept open; default
+	// 2m.
 	IdleTimeout config.Duration `yaml:"idle_timeout"`
-	// PlatformTimeout ends one call to the platform; default 2s.
+	// PlatformTimeout is the timeout of one call to the platform; default 2s.
 	PlatformTimeout config.Duration `yaml:"platform_timeout"`
-	// RevisionPoll is the shortest time between two looks at the newest
+	// RevisionPoll is the minimum interval between two reads of the newest
 	// revision in the table; default 5s.
 	RevisionPoll config.Duration `yaml:"revision_poll"`
 }
 
-// MaxBodyLimit is the largest body that nodes pass on to each other.
+// MaxBodyLimit is the maximum size of a body that nodes forward to each other,
+// in bytes.
 const MaxBodyLimit = 64 << 20
 
-// The defaults.
+// Default values.
 const (
 	DefaultBodyLimit       = 4 << 20
 	DefaultDrainNotice     = 3 * time.Second
@@ -139,36 +145,37 @@
 	DefaultRevisionPoll    = 5 * time.Second
 )
 
-// Load reads and checks the settings in the file at path, and that the files
-// they name can be read. The error is yamlcheck.Problems unless the file
-// itself cannot be read.
+// Load reads and validates the settings file at path and checks that the files
+// named in it are readable. The error is yamlcheck.Problems, unless the
+// settings file itself cannot be read.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("settings cannot be read: %w; name a readable file", err)
+		return nil, fmt.Errorf("cannot read settings: %w; name a readable file", err)
 	}
-	return parse(path, data, fileReadable)
+	return parse(path, data, checkFileReadable)
 }
 
-// Parse checks settings. name stands for the file in the problems. The error
-// is yamlcheck.Problems. Files that the settings name are not looked at.
+// Parse decodes and validates settings. name is the file name used in problems.
+// The error is yamlcheck.Problems. The files named in the settings are not
+// opened.
 func Parse(name string, data []byte) (*Settings, error) {
 	return parse(name, data, func(string) error { return nil })
 }
 
-func parse(name string, data []byte, readable func(string) error) (*Settings, error) {
+func parse(name string, data []byte, checkFileReadable func(string) error) (*Settings, error) {
 	s := &Settings{}
 	source, problems := yamlcheck.Decode(name, data, s)
 	c := yamlcheck.NewChecker(source, problems)
 	s.setDefaults()
-	s.check(c, readable)
+	s.validate(c, checkFileReadable)
 	if err := c.Problems().Err(); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-func fileReadable(path string) error {
+func checkFileReadable(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
@@ -197,14 +204,14 @@
 	}
 }
 
-// PeerSecret returns the deployment's secret. White space around it is no part
-// of it.
+// PeerSecret returns the deployment's secret without leading and trailing white
+// space.
 func (s *Settings) PeerSecret() ([]byte, error) {
 	secret := s.Peer.Secret
 	if s.Peer.SecretFile != "" {
 		data, err := os.ReadFile(s.Peer.SecretFile)
 		if err != nil {
-			return nil, fmt.Errorf("the peer secret cannot be read: %w; name a readable file in peer.secret_file", err)
+			return nil, fmt.Errorf("cannot read the peer secret: %w; name a readable file in peer.secret_file", err)
 		}
 		secret = string(data)
 		if err := checkSecret(secret); err != nil {
@@ -214,13 +221,13 @@
 	return []byte(strings.TrimSpace(secret)), nil
 }
 
-// minSecret is the fewest bytes a secret may have: 32 random hexadecimal
-// digits are 128 bits.
-const minSecret = 32
+// minSecretLength is the minimum length of a secret in bytes: 32 random
+// hexadecimal digits have 128 bits.
+const minSecretLength = 32
 
 func checkSecret(secret string) error {
-	if n := len(strings.TrimSpace(secret)); n < minSecret {
-		return fmt.Errorf("the secret has %d characters; write at least %d random ones", n, minSecret)
+	if n := len(strings.TrimSpace(secret)); n < minSecretLength {
+		return fmt.Errorf("the secret has %d characters; write at least %d random ones", n, minSecretLength)
 	}
 	return nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,7 +14,7 @@
 	"chervilloom/internal/yamlcheck"
 )
 
-const good = `
+const validSettings = `
 vm: entry-1
 availability_zone: baneshwor
 ip: 10.0.0.1
@@ -30,7 +30,7 @@
 
 func TestDefaults(t *testing.T) {
 	is := is.New(t)
-	s, err := settings.Parse("node.yaml", []byte(good))
+	s, err := settings.Parse("node.yaml", []byte(validSettings))
 	is.NoErr(err)
 	is.Equal(time.Duration(s.Timing.DrainNotice), 3*time.Second)
 	is.Equal(s.BodyLimit, settings.ByteSize(4<<20))
@@ -41,7 +41,7 @@
 	is.Equal(len(secret), 32)
 }
 
-func TestEveryFaultIsToldAtOnce(t *testing.T) {
+func TestAllProblemsAreReportedTogether(t *testing.T) {
 	is := is.New(t)
 	_, err := settings.Parse("node.yaml", []byte("vm: entry-1\nipp: 10.0.0.1\nbody_limit: 4\nlisten: {caller: localhost:80}\n"))
 	problems, ok := err.(yamlcheck.Problems)
@@ -54,20 +54,20 @@
 	}
 	is.Equal(lines["ipp"], 2)
 	is.Equal(remedies["ipp"], `write "ip" instead`)
-	is.Equal(lines["ip"], 0) // told once, as the key that was meant
+	is.Equal(lines["ip"], 0) // reported only once, as the unknown key
 	is.Equal(lines["body_limit"], 3)
 	is.Equal(lines["listen.caller"], 4)
 	for _, missing := range []string{"availability_zone", "listen.operator", "listen.peer", "platform.url", "peer"} {
-		_, told := lines[missing]
-		is.True(told)
+		_, reported := lines[missing]
+		is.True(reported)
 	}
 }
 
-func TestLoadLooksAtTheFilesNamed(t *testing.T) {
+func TestLoadChecksReferencedFiles(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	path := filepath.Join(dir, "node.yaml")
-	text := good[:len(good)-len("  secret: 0123456789abcdef0123456789abcdef\n")] + "  secret_file: " + filepath.Join(dir, "missing") + "\n"
+	text := validSettings[:len(validSettings)-len("  secret: 0123456789abcdef0123456789abcdef\n")] + "  secret_file: " + filepath.Join(dir, "missing") + "\n"
 	is.NoErr(os.WriteFile(path, []byte(text), 0o600))
 	_, err := settings.Load(path)
 	problems, ok := err.(yamlcheck.Problems)
@@ -76,9 +76,9 @@
 	is.Equal(problems[0].Path, "peer.secret_file")
 }
 
-// One file with a fault of each kind; rewrite the golden file with
-// "go test -update" and read what changed.
-func TestWrongSettings(t *testing.T) {
+// Tests the problems of a file with one error of each kind against the golden
+// file. Run "go test -update" to rewrite it and review the changes.
+func TestInvalidSettings(t *testing.T) {
 	is := is.New(t)
 	data, err := os.ReadFile("testdata/wrong.yaml")
 	is.NoErr(err)
@@ -87,14 +87,15 @@
 	goldie.New(t, goldie.WithNameSuffix(".golden")).Assert(t, "wrong", []byte(err.Error()+"\n"))
 }
 
-// A node that took longer bodies than nodes pass on to each other would serve
-// some and refuse others, by where their endpoint is.
-func TestBodyLimitFitsBetweenNodes(t *testing.T) {
+// Tests that the body limit is at most the maximum that nodes forward to each
+// other. With a higher limit a node would serve some longer requests and refuse
+// others, depending on where their endpoint is.
+func TestBodyLimitMatchesPeerLimit(t *testing.T) {
 	is := is.New(t)
 	is.Equal(settings.MaxBodyLimit, peer.MaxBodyBytes)
-	_, err := settings.Parse("node.yaml", []byte(good+"body_limit: 64MiB\n"))
+	_, err := settings.Parse("node.yaml", []byte(validSettings+"body_limit: 64MiB\n"))
 	is.NoErr(err)
-	_, err = settings.Parse("node.yaml", []byte(good+"body_limit: 65MiB\n"))
+	_, err = settings.Parse("node.yaml", []byte(validSettings+"body_limit: 65MiB\n"))
 	problems, ok := err.(yamlcheck.Problems)
 	is.True(ok)
 	is.Equal(len(problems), 1)
