--- a/internal/identify/decide.go
+++ b/internal/identify/decide.go
@@ -13,7 +13,7 @@
 	"chervilloom/internal/request"
 )
 
-// Paths of the callers' interface that identify tells apart.
+// Paths of the caller API.
 const (
 	PathChat        = "/v1/chat/completions"
 	PathCompletions = "/v1/completions"
@@ -21,7 +21,7 @@
 	PathServices    = "/services/"
 )
 
-// Facts are what a request is judged by.
+// Facts contains the inputs of Identify other than the request.
 type Facts struct {
 	Config       *config.Document
 	Keys         Keys
@@ -29,8 +29,9 @@
 	ModelTimeout time.Duration
 }
 
-// Identify fills in req from its method, path, header and body, or tells why
-// it is refused. Every refusal is "not run".
+// Identify sets the fields of req that follow from its method, path, header and
+// body. If the request is refused, it returns an error with the outcome "not
+// run".
 func Identify(req *request.Request, f Facts) *outcome.Error {
 	org, err := authorise(req.Header, f.Keys)
 	if err != nil {
@@ -42,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	if err := markIdempotent(req); err != nil {
+	if err := applyIdempotentHeader(req); err != nil {
 		return err
 	}
 	if err := setDeadline(req, timeout, f.Now); err != nil {
@@ -52,8 +53,8 @@
 	return nil
 }
 
-// classify sets what the path and the body say, and returns the time to answer
-// when the caller names none.
+// classify sets the fields of req that follow from its path and body, and
+// returns the timeout of a request without a deadline.
 func classify(req *request.Request, f Facts) (time.Duration, *outcome.Error) {
 	path, _, _ := strings.Cut(req.Path, "?")
 	switch {
@@ -69,9 +70,10 @@
 		"use "+PathChat+", "+PathCompletions+" or "+PathServices+"{name}/")
 }
 
-// markIdempotent lets a caller mark a request as not repeatable. The other way
-// is not open: what the operator says may run at most once stays so.
-func markIdempotent(req *request.Request) *outcome.Error {
+// applyIdempotentHeader lets a caller mark a request as not repeatable. The
+// opposite is not possible: a call that the operator has configured as at most
+// once stays so.
+func applyIdempotentHeader(req *request.Request) *outcome.Error {
 	switch v := req.Header.Get(HeaderIdempotent); v {
 	case "", "true":
 		return nil
@@ -104,8 +106,8 @@
 	return nil
 }
 
-// stripHeaders removes what no later filter needs: an endpoint has no use for
-// a caller's key and must not see it.
+// stripHeaders removes headers that no later filter needs. In particular, an
+// endpoint must not see a caller's key.
 func stripHeaders(req *request.Request) {
 	req.Header.Del("Authorization")
 	req.Header.Del(HeaderDeadline)
--- a/internal/identify/identify.go
+++ b/internal/identify/identify.go
@@ -1,7 +1,7 @@
-// Package identify tells what a request is: whose it is, which lane it takes,
-// whether it may run more than once, by when it must be answered and what it
-// asks for. All of it follows from the request, the configuration document and
-// the time; the filter only fetches those three.
+// Package identify determines the properties of a request: its organisation,
+// its class, whether it may run more than once, its deadline and its target.
+// They depend only on the request, the configuration document and the time,
+// which the filter provides.
 package identify
 
 import (
@@ -25,30 +25,30 @@
 	"chervilloom/internal/view"
 )
 
-// Header names that callers send.
+// Headers of requests.
 const (
-	HeaderDeadline   = "Chervilloom-Deadline-Ms" // milliseconds that the caller still waits
-	HeaderIdempotent = "Chervilloom-Idempotent"  // "false": the request runs at most once
-	HeaderResume     = "Last-Event-Id"           // where to resume a stream
+	HeaderDeadline   = "Chervilloom-Deadline-Ms" // remaining time that the caller waits, in milliseconds
+	HeaderIdempotent = "Chervilloom-Idempotent"  // "false": the request may run at most once
+	HeaderResume     = "Last-Event-Id"           // event after which a stream is resumed
 )
 
-// The default and longest times to answer.
+// Default and maximum timeouts of requests.
 const (
 	DefaultModelTimeout   = 2 * time.Minute
 	DefaultServiceTimeout = 5 * time.Second
 	MaxTimeout            = 30 * time.Minute
 )
 
-// Options are what the filter needs. Explain may be nil.
+// Options configures an Identifier. Explain may be nil.
 type Options struct {
 	View         view.Source
 	Clock        clock.Clock
 	Explain      explain.Recorder
-	ModelTimeout time.Duration // of a model call without a deadline; 0: DefaultModelTimeout
+	ModelTimeout time.Duration // timeout of a model call without a deadline; 0: DefaultModelTimeout
 }
 
-// Identifier is the filter's adapter: it keeps the table of keys of the newest
-// configuration revision.
+// Identifier is the filter that identifies requests. It caches the key table of
+// the newest configuration document.
 type Identifier struct {
 	opt    Options
 	keys   atomic.Pointer[keyTable]
@@ -63,12 +63,13 @@
 	return &Identifier{opt: opt, tracer: otel.Tracer("chervilloom/identify")}
 }
 
-// Filter fills in the request and hands it on, or refuses it "not run".
+// Filter returns a handler that identifies the request and passes it to next,
+// or finishes it with the outcome "not run".
 func (i *Identifier) Filter(next filter.Handler) filter.Handler {
 	return filter.Func(func(ctx context.Context, req *request.Request, w answer.Writer) {
 		ctx, span := i.tracer.Start(ctx, "identify")
 		err := i.identify(req)
-		i.note(req, span, err)
+		i.recordDecision(req, span, err)
 		span.End()
 		if err != nil {
 			w.Finish(answer.End{Error: err})
@@ -81,32 +82,32 @@
 func (i *Identifier) identify(req *request.Request) *outcome.Error {
 	snap := i.opt.View.Snapshot()
 	if snap.Config == nil {
-		return noConfiguration()
+		return noConfigurationError()
 	}
 	return Identify(req, Facts{
 		Config:       snap.Config,
-		Keys:         i.table(snap),
+		Keys:         i.currentKeys(snap),
 		Now:          i.opt.Clock.Now(),
 		ModelTimeout: i.opt.ModelTimeout,
 	})
 }
 
-// Organisation returns whose key the header carries.
+// Organisation returns the organisation whose key the header contains.
 func (i *Identifier) Organisation(h http.Header) (fleet.Organisation, *outcome.Error) {
 	snap := i.opt.View.Snapshot()
 	if snap.Config == nil {
-		return "", noConfiguration()
+		return "", noConfigurationError()
 	}
-	org, err := authorise(h, i.table(snap))
+	org, err := authorise(h, i.currentKeys(snap))
 	if err != nil {
 		return "", err
 	}
 	return fleet.Organisation(org.Name), nil
 }
 
-// table returns the keys of the snapshot's document. Two goroutines that both
-// find the table old both build the new one; either serves.
-func (i *Identifier) table(snap *view.Snapshot) Keys {
+// currentKeys returns the keys of the snapshot's document. Two goroutines may
+// rebuild an outdated table concurrently; both results are equal.
+func (i *Identifier) currentKeys(snap *view.Snapshot) Keys {
 	t := i.keys.Load()
 	if t == nil || t.doc != snap.Config {
 		t = newKeyTable(snap.Config)
@@ -115,13 +116,13 @@
 	return t.keys
 }
 
-func noConfiguration() *outcome.Error {
+func noConfigurationError() *outcome.Error {
 	return outcome.New(outcome.NoCapacity, outcome.NotRun,
 		"this node knows no configuration yet",
 		"send the request again, if possible to another node").After(time.Second)
 }
 
-func (i *Identifier) note(req *request.Request, span trace.Span, err *outcome.Error) {
+func (i *Identifier) recordDecision(req *request.Request, span trace.Span, err *outcome.Error) {
 	if span.IsRecording() {
 		span.SetAttributes(
 			attribute.String("request.id", req.ID),
@@ -137,12 +138,12 @@
 	if err != nil {
 		st.Decision, st.Reason = "refused "+string(err.Kind), err.Message
 	} else {
-		st.Reason = describe(req)
+		st.Reason = formatRequest(req)
 	}
 	i.opt.Explain.Note(st)
 }
 
-func describe(req *request.Request) string {
+func formatRequest(req *request.Request) string {
 	var b strings.Builder
 	b.WriteString(string(req.Organisation) + " " + string(req.Class) + " ")
 	if req.Class == request.ClassModel {
--- a/internal/identify/identify_test.go
+++ b/internal/identify/identify_test.go
@@ -22,17 +22,17 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const goodKey = "a key"
+const validKey = "a key"
 
 func hashOf(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-func document() *config.Document {
+func newDocument() *config.Document {
 	return &config.Document{
 		Organisations: []config.Organisation{
-			{Name: "sagarmatha", KeyHashes: []string{hashOf(goodKey), "not a hash"}, Priority: 7},
+			{Name: "sagarmatha", KeyHashes: []string{hashOf(validKey), "not a hash"}, Priority: 7},
 			{Name: "lapwise", KeyHashes: []string{hashOf("another")}},
 		},
 		Models: []config.Model{
@@ -48,28 +48,28 @@
 
 const now = clock.Instant(1e12)
 
-func facts() Facts {
-	doc := document()
+func newFacts() Facts {
+	doc := newDocument()
 	return Facts{Config: doc, Keys: NewKeys(doc), Now: now, ModelTimeout: time.Minute}
 }
 
 func newRequest(method, path, body string) *request.Request {
 	return &request.Request{
 		ID: "r", Arrived: now, Method: method, Path: path, Body: []byte(body),
-		Header: http.Header{"Authorization": {"Bearer " + goodKey}},
+		Header: http.Header{"Authorization": {"Bearer " + validKey}},
 	}
 }
 
-const prompt = `"messages":[{"role":"user","content":"hello"}]`
+const promptJSON = `"messages":[{"role":"user","content":"hello"}]`
 
-func chat(model, more string) *request.Request {
-	return newRequest("POST", PathChat, fmt.Sprintf(`{"model":%q,%s%s}`, model, prompt, more))
+func newChatRequest(model, more string) *request.Request {
+	return newRequest("POST", PathChat, fmt.Sprintf(`{"model":%q,%s%s}`, model, promptJSON, more))
 }
 
 func TestIdentifyModelCall(t *testing.T) {
 	is := is.New(t)
-	req := chat("renewals+kathmandu@v1", `,"max_tokens":12,"stream":true`)
-	is.True(Identify(req, facts()) == nil)
+	req := newChatRequest("renewals+kathmandu@v1", `,"max_tokens":12,"stream":true`)
+	is.True(Identify(req, newFacts()) == nil)
 	is.Equal(req.Organisation, fleet.Organisation("sagarmatha"))
 	is.Equal(req.Priority, 7)
 	is.Equal(req.Class, request.ClassModel)
@@ -79,7 +79,7 @@
 	is.Equal(req.MaxTokens, 12)
 	is.True(req.PromptTokens > 0)
 	is.Equal(req.Deadline, now.Add(time.Minute))
-	is.Equal(req.Header.Get("Authorization"), "") // the key goes no further
+	is.Equal(req.Header.Get("Authorization"), "") // the key is not passed on
 }
 
 func TestIdentifyRefuses(t *testing.T) {
@@ -91,51 +91,51 @@
 		name string
 		req  *request.Request
 		kind outcome.Kind
-		says string // part of message or remedy
+		says string // substring of message or remedy
 	}{
-		{"no key", header(chat("plain", ""), "Authorization", ""), outcome.Unauthorised, "Authorization"},
-		{"another scheme", header(chat("plain", ""), "Authorization", "Basic "+goodKey), outcome.Unauthorised, "Authorization"},
-		{"unknown key", header(chat("plain", ""), "Authorization", "Bearer x"), outcome.Unauthorised, "check the key"},
-		{"the hash as key", header(chat("plain", ""), "Authorization", "Bearer "+hashOf(goodKey)), outcome.Unauthorised, "check the key"},
-		{"unknown model", chat("none", ""), outcome.UnknownModel, "renewals, plain"},
-		{"unknown adapter", chat("renewals+x", ""), outcome.UnknownModel, "kathmandu"},
-		{"no adapters", chat("plain+x", ""), outcome.UnknownModel, "without an adapter"},
-		{"unknown version", chat("renewals@v9", ""), outcome.UnknownModel, "v1, v2"},
-		{"no model", newRequest("POST", PathChat, "{"+prompt+"}"), outcome.UnknownModel, "renewals"},
+		{"no key", header(newChatRequest("plain", ""), "Authorization", ""), outcome.Unauthorised, "Authorization"},
+		{"another scheme", header(newChatRequest("plain", ""), "Authorization", "Basic "+validKey), outcome.Unauthorised, "Authorization"},
+		{"unknown key", header(newChatRequest("plain", ""), "Authorization", "Bearer x"), outcome.Unauthorised, "check the key"},
+		{"the hash as key", header(newChatRequest("plain", ""), "Authorization", "Bearer "+hashOf(validKey)), outcome.Unauthorised, "check the key"},
+		{"unknown model", newChatRequest("none", ""), outcome.UnknownModel, "renewals, plain"},
+		{"unknown adapter", newChatRequest("renewals+x", ""), outcome.UnknownModel, "kathmandu"},
+		{"no adapters", newChatRequest("plain+x", ""), outcome.UnknownModel, "without an adapter"},
+		{"unknown version", newChatRequest("renewals@v9", ""), outcome.UnknownModel, "v1, v2"},
+		{"no model", newRequest("POST", PathChat, "{"+promptJSON+"}"), outcome.UnknownModel, "renewals"},
 		{"malformed", newRequest("POST", PathChat, "{\n\"model\": renewals}"), outcome.BadRequest, "line 2 column 10"},
 		{"cut short", newRequest("POST", PathChat, `{"model":"plain"`), outcome.BadRequest, "line 1 column 16"},
 		{"not UTF-8 junk", newRequest("POST", PathChat, "\x00\xff"), outcome.BadRequest, "line 1 column 1"},
 		{"empty", newRequest("POST", PathChat, ""), outcome.BadRequest, "JSON"},
-		{"two documents", newRequest("POST", PathChat, `{"model":"plain",`+prompt+`}{}`), outcome.BadRequest, "line 1"},
-		{"wrong type", newRequest("POST", PathChat, `{"model":7,`+prompt+`}`), outcome.BadRequest, `"model"`},
+		{"two documents", newRequest("POST", PathChat, `{"model":"plain",`+promptJSON+`}{}`), outcome.BadRequest, "line 1"},
+		{"wrong type", newRequest("POST", PathChat, `{"model":7,`+promptJSON+`}`), outcome.BadRequest, `"model"`},
 		{"no prompt", newRequest("POST", PathChat, `{"model":"plain"}`), outcome.BadRequest, "messages"},
-		{"negative bound", chat("plain", `,"max_tokens":-1`), outcome.BadRequest, "max_tokens"},
+		{"negative bound", newChatRequest("plain", `,"max_tokens":-1`), outcome.BadRequest, "max_tokens"},
 		{"unknown service", newRequest("GET", "/services/none/x", ""), outcome.UnknownService, "counter"},
 		{"no service", newRequest("GET", "/services/", ""), outcome.UnknownService, "counter"},
 		{"no path", newRequest("GET", "/v2/chat", ""), outcome.BadRequest, PathChat},
-		{"expired", header(chat("plain", ""), HeaderDeadline, "0"), outcome.DeadlineExceeded, "more time"},
-		{"negative deadline", header(chat("plain", ""), HeaderDeadline, "-5"), outcome.DeadlineExceeded, "more time"},
-		{"no deadline", header(chat("plain", ""), HeaderDeadline, "soon"), outcome.BadRequest, HeaderDeadline},
-		{"bad mark", header(chat("plain", ""), HeaderIdempotent, "maybe"), outcome.BadRequest, HeaderIdempotent},
+		{"expired", header(newChatRequest("plain", ""), HeaderDeadline, "0"), outcome.DeadlineExceeded, "more time"},
+		{"negative deadline", header(newChatRequest("plain", ""), HeaderDeadline, "-5"), outcome.DeadlineExceeded, "more time"},
+		{"no deadline", header(newChatRequest("plain", ""), HeaderDeadline, "soon"), outcome.BadRequest, HeaderDeadline},
+		{"bad mark", header(newChatRequest("plain", ""), HeaderIdempotent, "maybe"), outcome.BadRequest, HeaderIdempotent},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			err := Identify(tc.req, facts())
+			err := Identify(tc.req, newFacts())
 			is.True(err != nil)
 			is.Equal(err.Kind, tc.kind)
 			is.Equal(err.Outcome, outcome.NotRun)
 			if !strings.Contains(err.Message+" "+err.Remedy, tc.says) {
-				t.Fatalf("%q; %q does not say %q", err.Message, err.Remedy, tc.says)
+				t.Fatalf("%q; %q does not contain %q", err.Message, err.Remedy, tc.says)
 			}
 		})
 	}
 }
 
-// A clerk's software sends a receipt under a path that a server reads as
-// /receipts but that does not begin with it byte by byte. Taken for repeatable,
-// it could be sent twice and issue two receipts.
-func TestNotRepeatableInAnySpelling(t *testing.T) {
+// Tests that a path which a server interprets as /receipts is not repeatable,
+// although it does not begin with /receipts byte by byte. If it were, the
+// request could be sent twice and issue two receipts.
+func TestNotRepeatableForEquivalentPaths(t *testing.T) {
 	cases := []struct {
 		method, path string
 		class        request.Class
@@ -149,14 +149,14 @@
 		{"POST", "/%72eceipts", request.ClassCall},
 		{"POST", "/Receipts", request.ClassCall},
 		{"post", "/receipts", request.ClassCall},
-		{"POST", "/%zz", request.ClassCall}, // cannot be read: not taken for repeatable
+		{"POST", "/%zz", request.ClassCall}, // cannot be parsed: not considered repeatable
 		{"PUT", "/laps/3", request.ClassCall},
-		{"PUT", "/laps", request.ClassCall}, // the rule is "/Laps/"; servers take both
+		{"PUT", "/laps", request.ClassCall}, // the entry is "/Laps/"; servers accept both
 		{"POST", "/receipts;v=2", request.ClassCall},
 		{"POST", "/receipts.json", request.ClassCall},
 		{"POST", "/receiptsheet", request.ClassLookup},
 		{"GET", "/next", request.ClassCall},
-		{"HEAD", "/next", request.ClassCall}, // most servers run GET's handler
+		{"HEAD", "/next", request.ClassCall}, // most servers run the handler of GET
 		{"POST", "/search", request.ClassLookup},
 		{"PUT", "/receipts", request.ClassLookup},
 		{"GET", "/receipts", request.ClassLookup},
@@ -167,7 +167,7 @@
 		t.Run(tc.method+" "+tc.path, func(t *testing.T) {
 			is := is.New(t)
 			req := newRequest(tc.method, "/services/counter"+tc.path, "")
-			is.True(Identify(req, facts()) == nil)
+			is.True(Identify(req, newFacts()) == nil)
 			is.Equal(req.Class, tc.class)
 			is.Equal(req.Idempotent, tc.class == request.ClassLookup)
 			is.Equal(req.Deadline, now.Add(3*time.Second))
@@ -176,15 +176,15 @@
 	}
 }
 
-func TestCallerMarksRequest(t *testing.T) {
+func TestIdempotentHeader(t *testing.T) {
 	cases := []struct {
 		name, mark string
 		req        *request.Request
 		idempotent bool
 		class      request.Class
 	}{
-		{"model call", "", chat("plain", ""), true, request.ClassModel},
-		{"marked model call", "false", chat("plain", ""), false, request.ClassModel},
+		{"model call", "", newChatRequest("plain", ""), true, request.ClassModel},
+		{"marked model call", "false", newChatRequest("plain", ""), false, request.ClassModel},
 		{"marked lookup", "false", newRequest("GET", "/services/counter/x", ""), false, request.ClassCall},
 		{"operator's rule stays", "true", newRequest("POST", "/services/counter/receipts", ""), false, request.ClassCall},
 	}
@@ -192,7 +192,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			tc.req.Header.Set(HeaderIdempotent, tc.mark)
-			is.True(Identify(tc.req, facts()) == nil)
+			is.True(Identify(tc.req, newFacts()) == nil)
 			is.Equal(tc.req.Idempotent, tc.idempotent)
 			is.Equal(tc.req.Class, tc.class)
 		})
@@ -201,95 +201,96 @@
 
 func TestDeadline(t *testing.T) {
 	is := is.New(t)
-	req := chat("plain", "")
+	req := newChatRequest("plain", "")
 	req.Header.Set(HeaderDeadline, "1500")
-	is.True(Identify(req, facts()) == nil)
+	is.True(Identify(req, newFacts()) == nil)
 	is.Equal(req.Deadline, now.Add(1500*time.Millisecond))
 
-	req = chat("plain", "")
+	req = newChatRequest("plain", "")
 	req.Header.Set(HeaderDeadline, "9223372036854775807")
-	is.True(Identify(req, facts()) == nil)
+	is.True(Identify(req, newFacts()) == nil)
 	is.Equal(req.Deadline, now.Add(MaxTimeout))
 
-	// The time that reading the body took counts.
-	late := facts()
+	// The time for reading the body counts against the deadline.
+	late := newFacts()
 	late.Now = now.Add(2 * time.Minute)
-	is.Equal(Identify(chat("plain", ""), late).Kind, outcome.DeadlineExceeded)
+	is.Equal(Identify(newChatRequest("plain", ""), late).Kind, outcome.DeadlineExceeded)
 }
 
-func TestContentMayBeParts(t *testing.T) {
+func TestContentAsListOfParts(t *testing.T) {
 	is := is.New(t)
-	a := chat("plain", "")
+	a := newChatRequest("plain", "")
 	b := newRequest("POST", PathChat, `{"model":"plain","messages":[{"role":"user","content":[{"type":"text","text":"hel"},"lo",{"type":"image_url"}]}]}`)
-	is.True(Identify(a, facts()) == nil)
-	is.True(Identify(b, facts()) == nil)
+	is.True(Identify(a, newFacts()) == nil)
+	is.True(Identify(b, newFacts()) == nil)
 	is.Equal(a.Prefix, b.Prefix)
 	is.Equal(a.PromptTokens, b.PromptTokens)
 }
 
-func TestTokensAreEstimatedByScript(t *testing.T) {
+func TestEstimateTokensByScript(t *testing.T) {
 	is := is.New(t)
 	is.Equal(estimateTokens([]string{"user", strings.Repeat("a", 400)}), 105)
 	is.Equal(estimateTokens([]string{strings.Repeat("न", 300)}), 202)
 }
 
-func TestSharedPromptSharesPrefixes(t *testing.T) {
+func TestCommonPromptGivesSamePrefixes(t *testing.T) {
 	is := is.New(t)
 	long := strings.Repeat("route knowledge ", 200)
 	a := newRequest("POST", PathCompletions, fmt.Sprintf(`{"model":"plain","prompt":%q}`, long+"a"))
 	b := newRequest("POST", PathCompletions, fmt.Sprintf(`{"model":"plain","prompt":%q}`, long+"b"))
-	is.True(Identify(a, facts()) == nil)
-	is.True(Identify(b, facts()) == nil)
+	is.True(Identify(a, newFacts()) == nil)
+	is.True(Identify(b, newFacts()) == nil)
 	n := len(a.Prefix)
 	is.True(n > 10)
-	is.Equal(a.Prefix, b.Prefix) // they differ after the last boundary only
+	is.Equal(a.Prefix, b.Prefix) // they differ only after the last boundary
 }
 
-func TestResumeNeedsNoBody(t *testing.T) {
+func TestResumeWithoutBody(t *testing.T) {
 	is := is.New(t)
 	req := newRequest("GET", PathStreams+"x", "")
 	req.ResumeID = "x"
-	is.True(Identify(req, facts()) == nil)
+	is.True(Identify(req, newFacts()) == nil)
 	is.Equal(req.Class, request.ClassModel)
 	is.True(req.Stream)
 }
 
-// A scorer's phone follows a service's own events, loses its connection, and
-// sends the id of the last event as browsers do. The id is the service's: taken
-// for one of a model's stream, the call would be refused, and a receipt sent
-// with such a header would go past the memory of its key.
-func TestEventIDOfAServiceIsTheServices(t *testing.T) {
+// Tests that a Last-Event-Id header of a service call is passed on to the
+// service, as a browser sends it when it reconnects to a service's event
+// stream. If it were treated as the ID of a model's stream, the call would be
+// refused, and a receipt with such a header would bypass the check of its
+// idempotency key.
+func TestServiceEventIDIsPassedOn(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
 		is := is.New(t)
 		req := newRequest(method, "/services/counter/receipts", "")
 		req.Header.Set("Last-Event-Id", "17")
 		req.ResumeID = "17"
-		is.True(Identify(req, facts()) == nil)
+		is.True(Identify(req, newFacts()) == nil)
 		is.Equal(req.ResumeID, "")
 		is.Equal(req.Header.Get("Last-Event-Id"), "17")
 		is.Equal(req.Idempotent, method == "GET")
 	}
 }
 
-// changingView is a view.Source whose snapshot is replaced.
+// changingView is a view.Source with a replaceable snapshot.
 type changingView struct{ snap *view.Snapshot }
 
 func (v *changingView) Snapshot() *view.Snapshot { return v.snap }
 
-// An operator takes a key away and adds another. The revision that says so
-// decides from then on, whatever was remembered of the last one.
-func TestKeysFollowTheRevision(t *testing.T) {
+// Tests that a new configuration revision which removes a key and adds another
+// takes effect immediately, although the keys of the previous one are cached.
+func TestKeysAreUpdatedWithRevision(t *testing.T) {
 	is := is.New(t)
 	v := &changingView{snap: &view.Snapshot{}}
 	id := New(Options{View: v, Clock: clock.NewManual(now)})
-	h := http.Header{"Authorization": {"Bearer " + goodKey}}
+	h := http.Header{"Authorization": {"Bearer " + validKey}}
 	_, err := id.Organisation(h)
 	is.Equal(err.Kind, outcome.NoCapacity) // no configuration yet
-	v.snap = &view.Snapshot{Revision: 1, Config: document()}
+	v.snap = &view.Snapshot{Revision: 1, Config: newDocument()}
 	org, err := id.Organisation(h)
 	is.True(err == nil)
 	is.Equal(org, fleet.Organisation("sagarmatha"))
-	doc := document()
+	doc := newDocument()
 	doc.Organisations[0].KeyHashes = []string{hashOf("new key")}
 	v.snap = &view.Snapshot{Revision: 2, Config: doc}
 	_, err = id.Organisation(h)
@@ -297,7 +298,7 @@
 }
 
 func BenchmarkIdentify(b *testing.B) {
-	f := facts()
+	f := newFacts()
 	body := func(n int) string {
 		return fmt.Sprintf(`{"model":"renewals","stream":true,"messages":[{"role":"user","content":%q}]}`, strings.Repeat("renewal ", n/8))
 	}
--- a/internal/identify/keys.go
+++ b/internal/identify/keys.go
@@ -10,10 +10,10 @@
 	"chervilloom/internal/outcome"
 )
 
-// Keys finds the organisation of a key by the key's SHA-256.
+// Keys maps the SHA-256 of a key to its organisation.
 type Keys map[[sha256.Size]byte]*config.Organisation
 
-// keyTable is the Keys of one configuration document.
+// keyTable contains the Keys of one configuration document.
 type keyTable struct {
 	doc  *config.Document
 	keys Keys
@@ -23,8 +23,8 @@
 	return &keyTable{doc: doc, keys: NewKeys(doc)}
 }
 
-// NewKeys returns the keys of the document. A hash that is not one is left
-// out: no key has it.
+// NewKeys returns the keys of the document. Invalid hashes are omitted, because
+// no key matches them.
 func NewKeys(doc *config.Document) Keys {
 	keys := make(Keys)
 	for i := range doc.Organisations {
@@ -39,17 +39,18 @@
 	return keys
 }
 
-const bearer = "Bearer "
+const bearerPrefix = "Bearer "
 
-// authorise looks the key's hash up. The time of the lookup depends on the
-// hash alone, from which nothing can be told of other keys.
+// authorise returns the organisation whose key the header contains. The
+// duration of the lookup depends only on the hash of the presented key, which
+// reveals nothing about other keys.
 func authorise(h http.Header, keys Keys) (*config.Organisation, *outcome.Error) {
 	v := h.Get("Authorization")
-	if len(v) <= len(bearer) || !strings.EqualFold(v[:len(bearer)], bearer) {
+	if len(v) <= len(bearerPrefix) || !strings.EqualFold(v[:len(bearerPrefix)], bearerPrefix) {
 		return nil, refuse(outcome.Unauthorised, "the request carries no key",
 			`send the organisation's key in the header "Authorization: Bearer KEY"`)
 	}
-	org := keys[sha256.Sum256([]byte(v[len(bearer):]))]
+	org := keys[sha256.Sum256([]byte(v[len(bearerPrefix):]))]
 	if org == nil {
 		return nil, refuse(outcome.Unauthorised, "the key is not known",
 			"check the key; a new one is in force seconds after the configuration was accepted")
--- a/internal/identify/model.go
+++ b/internal/identify/model.go
@@ -16,7 +16,8 @@
 	"chervilloom/internal/request"
 )
 
-// modelBody is the usual completion request, as far as it decides anything.
+// modelBody contains the fields of a completion request that this package
+// evaluates.
 type modelBody struct {
 	Model               string    `json:"model"`
 	Messages            []message `json:"messages"`
@@ -31,19 +32,20 @@
 	Content text   `json:"content"`
 }
 
-// text is a string, or a list of parts of which those with a text count.
+// text is a string, or the concatenation of the text parts of a list.
 type text string
 
-// UnmarshalJSON reads a string, null, or a list of strings and text parts.
+// UnmarshalJSON decodes a string, null, or a list of strings and text parts.
 func (t *text) UnmarshalJSON(b []byte) error {
 	if len(b) > 0 && b[0] == '[' {
-		return t.parts(b)
+		return t.unmarshalParts(b)
 	}
 	return unquote(b, (*string)(t))
 }
 
-// unquote reads a JSON string that the decoder has found well-formed. A prompt
-// without escapes, which most are, needs no second decoding.
+// unquote decodes a JSON string that the decoder has found well-formed. A
+// string without escapes, as most prompts are, is copied without decoding it
+// again.
 func unquote(b []byte, s *string) error {
 	if len(b) >= 2 && b[0] == '"' && bytes.IndexByte(b, '\\') < 0 && utf8.Valid(b) {
 		*s = string(b[1 : len(b)-1])
@@ -52,14 +54,14 @@
 	return json.Unmarshal(b, s)
 }
 
-func (t *text) parts(b []byte) error {
+func (t *text) unmarshalParts(b []byte) error {
 	var list []json.RawMessage
 	if err := json.Unmarshal(b, &list); err != nil {
 		return err
 	}
 	var all strings.Builder
 	for _, raw := range list {
-		s, err := part(raw)
+		s, err := unmarshalPart(raw)
 		if err != nil {
 			return err
 		}
@@ -69,7 +71,7 @@
 	return nil
 }
 
-func part(raw json.RawMessage) (string, error) {
+func unmarshalPart(raw json.RawMessage) (string, error) {
 	if raw[0] == '{' {
 		var p struct {
 			Text string `json:"text"`
@@ -85,9 +87,9 @@
 func identifyModel(req *request.Request, doc *config.Document) *outcome.Error {
 	var b modelBody
 	if err := json.Unmarshal(req.Body, &b); err != nil {
-		return malformed(req.Body, err)
+		return malformedBodyError(req.Body, err)
 	}
-	t, oerr := target(b.Model, doc)
+	t, oerr := resolveTarget(b.Model, doc)
 	if oerr != nil {
 		return oerr
 	}
@@ -105,7 +107,8 @@
 	return nil
 }
 
-// fields returns the fields of the prompt in order, as engines hash them.
+// fields returns the fields of the prompt in the order in which engines hash
+// them.
 func (b *modelBody) fields() []string {
 	out := make([]string, 0, 2*len(b.Messages)+1)
 	for _, m := range b.Messages {
@@ -117,57 +120,58 @@
 	return out
 }
 
-// malformed tells where the body cannot be read.
-func malformed(body []byte, err error) *outcome.Error {
+// malformedBodyError returns an error with the position at which the body
+// cannot be decoded.
+func malformedBodyError(body []byte, err error) *outcome.Error {
 	remedy := "send the usual completion request as JSON"
 	var syntax *json.SyntaxError
 	var typ *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &syntax):
 		return refuse(outcome.BadRequest,
-			fmt.Sprintf("the body is not JSON: %s %s", position(body, syntax.Offset), syntax), remedy)
+			fmt.Sprintf("the body is not JSON: %s %s", formatPosition(body, syntax.Offset), syntax), remedy)
 	case errors.As(err, &typ):
 		return refuse(outcome.BadRequest,
-			fmt.Sprintf("the body does not fit: %s field %q holds a %s", position(body, typ.Offset), typ.Field, typ.Value), remedy)
+			fmt.Sprintf("the body does not fit: %s field %q holds a %s", formatPosition(body, typ.Offset), typ.Field, typ.Value), remedy)
 	}
 	return refuse(outcome.BadRequest, "the body does not fit: "+err.Error(), remedy)
 }
 
-func position(body []byte, offset int64) string {
+func formatPosition(body []byte, offset int64) string {
 	before := body[:min(int(offset), len(body))]
 	line := 1 + bytes.Count(before, []byte{'\n'})
 	column := len(before) - 1 - bytes.LastIndexByte(before, '\n')
 	return fmt.Sprintf("line %d column %d:", line, max(column, 1))
 }
 
-// ParseTarget reads "model[+adapter][@version]".
+// ParseTarget parses "model[+adapter][@version]".
 func ParseTarget(s string) fleet.Target {
 	rest, version, _ := strings.Cut(s, "@")
 	model, adapter, _ := strings.Cut(rest, "+")
 	return fleet.Target{Model: model, Adapter: adapter, Version: version}
 }
 
-func target(s string, doc *config.Document) (fleet.Target, *outcome.Error) {
+func resolveTarget(s string, doc *config.Document) (fleet.Target, *outcome.Error) {
 	t := ParseTarget(s)
 	m := doc.Model(t.Model)
 	if m == nil {
 		return t, refuse(outcome.UnknownModel, fmt.Sprintf("no model %.80q is configured", t.Model),
-			"ask for one of: "+names(doc.Models, func(m config.Model) string { return m.Name }))
+			"ask for one of: "+joinNames(doc.Models, func(m config.Model) string { return m.Name }))
 	}
 	if t.Adapter != "" && !slices.Contains(m.Adapters, t.Adapter) {
 		return t, refuse(outcome.UnknownModel, fmt.Sprintf("model %q has no adapter %.80q", m.Name, t.Adapter),
-			choose(m.Adapters, "ask for the model without an adapter"))
+			alternativesRemedy(m.Adapters, "ask for the model without an adapter"))
 	}
 	if t.Version != "" && t.Version != m.Current && !slices.Contains(m.Versions, t.Version) {
 		return t, refuse(outcome.UnknownModel, fmt.Sprintf("model %q has no version %.80q", m.Name, t.Version),
-			choose(m.Versions, "leave the version out"))
+			alternativesRemedy(m.Versions, "leave the version out"))
 	}
 	return t, nil
 }
 
-func choose(list []string, none string) string {
+func alternativesRemedy(list []string, none string) string {
 	if len(list) == 0 {
 		return none
 	}
-	return "ask for one of: " + names(list, func(s string) string { return s })
+	return "ask for one of: " + joinNames(list, func(s string) string { return s })
 }
--- a/internal/identify/service.go
+++ b/internal/identify/service.go
@@ -10,7 +10,8 @@
 	"chervilloom/internal/request"
 )
 
-// identifyService reads "/services/{name}/rest?query".
+// identifyService identifies a request to "/services/{name}/rest?query" and
+// returns its timeout.
 func identifyService(req *request.Request, doc *config.Document) (time.Duration, *outcome.Error) {
 	rest := strings.TrimPrefix(req.Path, PathServices)
 	name, _, _ := strings.Cut(rest, "?")
@@ -18,11 +19,11 @@
 	svc := doc.Service(name)
 	if svc == nil {
 		return 0, refuse(outcome.UnknownService, fmt.Sprintf("no service %.80q is configured", name),
-			"ask for one of: "+names(doc.Services, func(s config.Service) string { return s.Name }))
+			"ask for one of: "+joinNames(doc.Services, func(s config.Service) string { return s.Name }))
 	}
 	req.Service = name
-	req.ResumeID = "" // the id of a service's own event: its header goes on to the service
-	req.Path = absolute(strings.TrimPrefix(rest, name))
+	req.ResumeID = "" // event ID of the service itself, which receives the header unchanged
+	req.Path = ensureLeadingSlash(strings.TrimPrefix(rest, name))
 	req.Idempotent = svc.Repeatable(req.Method, req.Path)
 	req.Class = request.ClassCall
 	if req.Idempotent {
@@ -31,17 +32,17 @@
 	return svc.Timeout.Or(DefaultServiceTimeout), nil
 }
 
-func absolute(p string) string {
+func ensureLeadingSlash(p string) string {
 	if !strings.HasPrefix(p, "/") {
 		return "/" + p
 	}
 	return p
 }
 
-// maxNames bounds the list of names in a remedy.
+// maxNames limits the names listed in a remedy.
 const maxNames = 20
 
-func names[T any](items []T, name func(T) string) string {
+func joinNames[T any](items []T, name func(T) string) string {
 	var out []string
 	for i := range items {
 		if i == maxNames {
--- a/internal/identify/tokens.go
+++ b/internal/identify/tokens.go
@@ -2,30 +2,30 @@
 
 import "unicode/utf8"
 
-// Estimates of a token's length, and of what a field of a prompt costs beside
-// its text.
+// Estimated length of a token, and estimated tokens per prompt field in
+// addition to its text.
 const (
-	asciiPerToken  = 4.0 // characters
-	otherPerToken  = 1.5 // characters of other scripts
-	tokensPerField = 2
+	asciiCharsPerToken = 4.0 // characters
+	otherCharsPerToken = 1.5 // non-ASCII characters
+	tokensPerField     = 2
 )
 
-// estimateTokens estimates the tokens of a prompt's fields.
+// estimateTokens estimates the number of tokens of a prompt's fields.
 func estimateTokens(fields []string) int {
 	ascii, other := 0, 0
 	for _, f := range fields {
 		n := utf8.RuneCountInString(f)
 		a := n
 		if n != len(f) {
-			a = asciiOf(f)
+			a = countASCII(f)
 		}
 		ascii += a
 		other += n - a
 	}
-	return int(float64(ascii)/asciiPerToken+float64(other)/otherPerToken) + len(fields)*tokensPerField
+	return int(float64(ascii)/asciiCharsPerToken+float64(other)/otherCharsPerToken) + len(fields)*tokensPerField
 }
 
-func asciiOf(s string) int {
+func countASCII(s string) int {
 	n := 0
 	for i := range len(s) {
 		if s[i] < utf8.RuneSelf {
