--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,8 +1,8 @@
-// Package discovery learns where the other nodes are. Entry VMs are replaced at
-// any time with new addresses, so addresses come from three sources: the rows
-// that nodes write to the platform's table, the platform's list of VMs, and the
-// members that peers tell of. The settings' seeds only serve a node that starts
-// while the platform is down.
+// Package discovery maintains the addresses of the other nodes. Entry VMs may
+// be replaced at any time and get new addresses, so addresses come from three
+// sources: the rows that nodes write to the platform's table, the platform's
+// list of VMs, and the members reported by peers. The seeds in the settings are
+// used only by a node that starts while the platform is down.
 package discovery
 
 import (
@@ -21,15 +21,16 @@
 )
 
 const (
-	// defaultLeast is the time between two looks at the table of a small fleet.
-	defaultLeast = 2 * time.Second
-	// leaveTime bounds the deletion of the node's own row.
-	leaveTime = 2 * time.Second
-	// readsPerSecond bounds the looks of all nodes together.
-	readsPerSecond = 50
+	// defaultMinInterval is the interval between two reads of the table in a
+	// small fleet.
+	defaultMinInterval = 2 * time.Second
+	// leaveTimeout is the timeout for deleting the node's own row.
+	leaveTimeout = 2 * time.Second
+	// maxReadsPerSecond limits the table reads of all nodes together.
+	maxReadsPerSecond = 50
 )
 
-// Row is what a node writes about itself, under its VM in the table of nodes.
+// Row is a node's entry in the table of nodes, with its VM as key.
 type Row struct {
 	Incarnation fleet.Incarnation      `json:"incarnation"`
 	Zone        fleet.AvailabilityZone `json:"zone"`
@@ -38,60 +39,62 @@
 	Operator    string                 `json:"operator"` // ip:port of the operator listener
 }
 
-// Table is the part of the platform's table that discovery needs.
+// Table is the subset of the platform's table operations that discovery uses.
 type Table interface {
 	Get(ctx context.Context, table, key string) (platform.Row, error)
 	List(ctx context.Context, table, prefix string) ([]platform.Row, error)
 	Commit(ctx context.Context, txn platform.Txn) (platform.Result, error)
 }
 
-// Options are what a Directory needs.
+// Options configures a Directory.
 type Options struct {
 	Self  fleet.VM
 	Row   Row
 	Table Table
 	Log   *slog.Logger
-	// Found is told of all peers known after each look that changed them.
+	// Found is called with all known peers whenever they have changed.
 	Found func([]peer.Peer)
-	// Owns reports whether this node has the duty of the subject (SweepSubject).
+	// Owns reports whether this node owns the duty of the subject
+	// (SweepSubject).
 	Owns func(subject string) bool
-	// Alive reports whether membership believes the VM's node to be alive or
+	// Alive reports whether membership considers the VM's node alive or
 	// suspect.
 	Alive func(fleet.VM) bool
 	Clock clock.Clock
-	Least time.Duration // between two looks of a small fleet; default 2s
+	Least time.Duration // interval between two reads of the table in a small fleet; default 2s
 }
 
-// SweepSubject names the duty of deleting the rows of nodes that are gone.
+// SweepSubject is the subject of the duty of deleting the rows of departed
+// nodes.
 const SweepSubject = "discovery/sweep"
 
-// Directory keeps the addresses of the other nodes.
+// Directory contains the addresses of the other nodes.
 type Directory struct {
 	opt Options
 
-	mu     sync.Mutex
-	rows   map[fleet.VM]Row
-	listed map[fleet.VM]fleet.Record
-	told   []peer.Peer
+	mu        sync.Mutex
+	rows      map[fleet.VM]Row
+	listed    map[fleet.VM]fleet.Record
+	lastFound []peer.Peer
 
-	// touched by Run alone
-	registered bool
-	gone       map[fleet.VM]clock.Instant // since when a row's node is neither alive nor listed
+	// accessed only by Run
+	registered    bool
+	departedSince map[fleet.VM]clock.Instant // time since which a row's node is neither alive nor listed
 }
 
-// New returns a directory that knows nobody.
+// New returns an empty directory.
 func New(opt Options) *Directory {
 	if opt.Least == 0 {
-		opt.Least = defaultLeast
+		opt.Least = defaultMinInterval
 	}
-	return &Directory{opt: opt, rows: map[fleet.VM]Row{}, listed: map[fleet.VM]fleet.Record{}, gone: map[fleet.VM]clock.Instant{}}
+	return &Directory{opt: opt, rows: map[fleet.VM]Row{}, listed: map[fleet.VM]fleet.Record{}, departedSince: map[fleet.VM]clock.Instant{}}
 }
 
-// Run writes the node's own row and reads the others' until ctx ends, then
-// deletes its own.
+// Run registers the node's own row and reads the others periodically until ctx
+// ends, then deletes its own row.
 func (d *Directory) Run(ctx context.Context) error {
 	for {
-		d.look(ctx)
+		d.refresh(ctx)
 		if !clock.Sleep(ctx, d.interval()) {
 			break
 		}
@@ -100,44 +103,44 @@
 	return nil
 }
 
-// interval grows with the number of nodes, so that all of them together stay
-// within readsPerSecond.
+// interval returns the time until the next read of the table. It grows with the
+// number of nodes, so that all of them together stay within maxReadsPerSecond.
 func (d *Directory) interval() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	shared := time.Duration(len(d.rows)+1) * time.Second / readsPerSecond
+	shared := time.Duration(len(d.rows)+1) * time.Second / maxReadsPerSecond
 	return max(d.opt.Least, shared)
 }
 
-func (d *Directory) look(ctx context.Context) {
+func (d *Directory) refresh(ctx context.Context) {
 	if !d.registered {
 		d.registered = d.register(ctx)
 	}
 	rows, err := d.opt.Table.List(ctx, platform.TableNodes, "")
 	if err != nil {
-		return // the addresses known stay known
+		return // the known addresses are kept
 	}
-	known, own := parse(rows, d.opt.Self)
-	// A restored table may have lost the row, and a late write of an earlier
-	// life of this VM may have replaced it.
+	known, own := parseRows(rows, d.opt.Self)
+	// A restored table may have lost the row, or a late write of an earlier
+	// incarnation of this VM may have replaced it.
 	if own != d.opt.Row {
 		d.registered = false
 	}
 	d.mu.Lock()
 	d.rows = known
 	d.mu.Unlock()
-	d.tell()
+	d.notifyFound()
 	if d.opt.Owns(SweepSubject) {
 		d.sweep(ctx, rows)
 	}
 }
 
-func parse(rows []platform.Row, self fleet.VM) (others map[fleet.VM]Row, own Row) {
+func parseRows(rows []platform.Row, self fleet.VM) (others map[fleet.VM]Row, own Row) {
 	others = make(map[fleet.VM]Row, len(rows))
 	for _, r := range rows {
 		var row Row
 		if json.Unmarshal(r.Value, &row) != nil {
-			continue // written by a newer program; the list of VMs still tells the address
+			continue // written by a newer version of the program; the list of VMs still provides the address
 		}
 		if fleet.VM(r.Key) == self {
 			own = row
@@ -148,7 +151,7 @@
 	return others, own
 }
 
-// Listed takes the platform's list of VMs.
+// Listed updates the directory with the platform's list of VMs.
 func (d *Directory) Listed(records []fleet.Record) {
 	listed := map[fleet.VM]fleet.Record{}
 	for _, r := range records {
@@ -159,10 +162,10 @@
 	d.mu.Lock()
 	d.listed = listed
 	d.mu.Unlock()
-	d.tell()
+	d.notifyFound()
 }
 
-// Row returns what the node of the VM wrote about itself.
+// Row returns the row of the VM's node.
 func (d *Directory) Row(vm fleet.VM) (Row, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -170,20 +173,19 @@
 	return r, ok
 }
 
-// tell reports the peers when they changed. A node's own row goes before the
-// platform's list, which lags.
-func (d *Directory) tell() {
+// notifyFound calls Found if the peers have changed.
+func (d *Directory) notifyFound() {
 	d.mu.Lock()
-	peers := merge(d.rows, d.listed)
-	changed := !slices.Equal(peers, d.told)
-	d.told = peers
+	peers := mergePeers(d.rows, d.listed)
+	changed := !slices.Equal(peers, d.lastFound)
+	d.lastFound = peers
 	d.mu.Unlock()
 	if changed {
 		d.opt.Found(peers)
 	}
 }
 
-func merge(rows map[fleet.VM]Row, listed map[fleet.VM]fleet.Record) []peer.Peer {
+func mergePeers(rows map[fleet.VM]Row, listed map[fleet.VM]fleet.Record) []peer.Peer {
 	var peers []peer.Peer
 	for vm, r := range rows {
 		peers = append(peers, peer.Peer{VM: vm, Zone: r.Zone, Addr: r.Peer})
@@ -197,15 +199,16 @@
 	return peers
 }
 
-// register writes the node's row over whatever stands there: a VM runs one
-// node at a time, and the row of an earlier life is of no use.
+// register writes the node's row and reports whether it succeeded. It
+// overwrites an existing row: a VM runs only one node at a time, so the row is
+// of an earlier incarnation.
 func (d *Directory) register(ctx context.Context) bool {
 	old, err := d.opt.Table.Get(ctx, platform.TableNodes, string(d.opt.Self))
 	if err != nil {
 		return false
 	}
 	value, err := json.Marshal(d.opt.Row)
-	if err != nil { // every field is a string or a number
+	if err != nil { // unreachable: every field is a string or a number
 		panic(err)
 	}
 	res, err := d.opt.Table.Commit(ctx, platform.Txn{
@@ -213,15 +216,16 @@
 		Writes: []platform.Write{{Table: platform.TableNodes, Key: string(d.opt.Self), Value: value}},
 	})
 	if err != nil {
-		d.opt.Log.Warn("the node's address could not be written to the platform's table; it is tried again", "error", err)
+		d.opt.Log.Warn("cannot write node address to platform table; retrying at next read", "error", err)
 		return false
 	}
 	return res.Committed
 }
 
-// leave deletes the node's row, unless a later life of the VM has written it.
+// leave deletes the node's row, unless a later incarnation on this VM has
+// replaced it.
 func (d *Directory) leave() {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveTime)
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	row, err := d.opt.Table.Get(ctx, platform.TableNodes, string(d.opt.Self))
 	if err != nil || row.Version == 0 {
@@ -236,6 +240,6 @@
 		Writes: []platform.Write{{Table: platform.TableNodes, Key: row.Key, Delete: true}},
 	})
 	if err != nil {
-		d.opt.Log.Warn("the node's row stays in the table; it does no harm", "error", err)
+		d.opt.Log.Warn("cannot delete own node row; the remaining row is harmless", "error", err)
 	}
 }
--- a/internal/discovery/sweep.go
+++ b/internal/discovery/sweep.go
@@ -10,40 +10,41 @@
 )
 
 const (
-	// goneFor is how long a node must be neither alive nor listed before its
-	// row is deleted. It outlasts a cut between availability zones: a node
-	// beyond one looks the same, and its peers find it by its row when the cut
-	// heals.
-	goneFor = 30 * time.Minute
-	// sweepBatch bounds the rows deleted after one look.
-	sweepBatch = 16
+	// departedTimeout is how long a node must be neither alive nor listed
+	// before its row is deleted. It is longer than a partition between
+	// availability zones: nodes on the other side look departed too, and their
+	// peers need the rows to find them when the partition heals.
+	departedTimeout = 30 * time.Minute
+	// maxSweptRows limits the rows deleted after one read.
+	maxSweptRows = 16
 )
 
-// sweep deletes the rows of nodes that are gone for long. Entry VMs are replaced
-// under new names, so that without it the table of nodes would grow for ever,
-// and every node would go on dialling the addresses of the dead.
+// sweep deletes the rows of nodes that departed long ago. Entry VMs are
+// replaced under new names, so otherwise the table of nodes would grow without
+// bound and every node would keep dialling the addresses of departed ones.
 func (d *Directory) sweep(ctx context.Context, rows []platform.Row) {
 	now := d.opt.Clock.Now()
-	stale := d.stale(rows, now)
-	for _, r := range stale[:min(len(stale), sweepBatch)] {
+	stale := d.staleRows(rows, now)
+	for _, r := range stale[:min(len(stale), maxSweptRows)] {
 		_, err := d.opt.Table.Commit(ctx, platform.Txn{
-			// A node that came back has written its row anew.
+			// The check fails if the node has returned and written its row
+			// again.
 			Checks: []platform.Check{{Table: platform.TableNodes, Key: r.Key, Version: r.Version}},
 			Writes: []platform.Write{{Table: platform.TableNodes, Key: r.Key, Delete: true}},
 		})
 		if err != nil {
-			return // the next look tries again
+			return // retried after the next read
 		}
-		d.opt.Log.Info("row of a node that is gone was deleted", "node", r.Key)
+		d.opt.Log.Info("deleted row of departed node", "node", r.Key)
 	}
 }
 
-// stale returns the rows whose nodes have been gone for goneFor, and remembers
-// since when the others are.
-func (d *Directory) stale(rows []platform.Row, now clock.Instant) []platform.Row {
+// staleRows returns the rows whose nodes have been departed for
+// departedTimeout, and records since when the other departed nodes are.
+func (d *Directory) staleRows(rows []platform.Row, now clock.Instant) []platform.Row {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	gone := make(map[fleet.VM]clock.Instant)
+	departedSince := make(map[fleet.VM]clock.Instant)
 	var out []platform.Row
 	for _, r := range rows {
 		vm := fleet.VM(r.Key)
@@ -51,15 +52,15 @@
 		if vm == d.opt.Self || listed || d.opt.Alive(vm) {
 			continue
 		}
-		since, known := d.gone[vm]
+		since, known := d.departedSince[vm]
 		if !known {
 			since = now
 		}
-		gone[vm] = since
-		if now.Sub(since) >= goneFor {
+		departedSince[vm] = since
+		if now.Sub(since) >= departedTimeout {
 			out = append(out, r)
 		}
 	}
-	d.gone = gone
+	d.departedSince = departedSince
 	return out
 }
