--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -20,43 +20,44 @@
 	"chervilloom/internal/fleet"
 )
 
-// Defaults of the client.
+// Limits and defaults of the client.
 const (
-	defaultTimeout  = time.Second
-	dialTimeout     = time.Second
-	idleConnTimeout = 30 * time.Second
-	idleConns       = 2 // control calls to one endpoint hardly overlap
-	maxAnswerBytes  = 4 << 20
+	defaultTimeout          = time.Second
+	dialTimeout             = time.Second
+	idleConnTimeout         = 30 * time.Second
+	maxIdleConnsPerEndpoint = 2 // control calls to one endpoint rarely overlap
+	maxResponseBytes        = 4 << 20
 )
 
-// ErrOtherLife means that the order was meant for another boot of the endpoint:
-// what the caller knows of the endpoint is out of date.
+// ErrOtherLife means that the order was meant for another boot of the endpoint,
+// so the caller's information about the endpoint is outdated.
 var ErrOtherLife = errors.New("engine: the order was meant for another boot; probe the endpoint again")
 
-// StaleFenceError tells that the engine has seen a newer fence than the order's:
-// the sender's claim on the VM is no longer the newest.
+// StaleFenceError means that the engine has received a newer fence than that of
+// the order, so the sender's claim on the VM is outdated.
 type StaleFenceError struct {
 	Sent  fleet.Fence
-	State fleet.EngineState // what the engine reports; Fence is the newest it saw
+	State fleet.EngineState // state reported by the engine; Fence is the newest that it has received
 }
 
 // Error implements error.
 func (e *StaleFenceError) Error() string {
-	return fmt.Sprintf("engine %s: refused an order with fence %d, it has seen %d; read the claim again before the next order",
+	return fmt.Sprintf("engine %s: order with fence %d refused, newest fence is %d; read the claim again before the next order",
 		e.State.VM, e.Sent, e.State.Fence)
 }
 
-// Option changes how a Client works.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithTimeout bounds one call on top of the caller's context; the default is 1 s.
+// WithTimeout sets the timeout of one call, in addition to the deadline of the
+// caller's context; the default is 1 s.
 func WithTimeout(d time.Duration) Option { return func(c *Client) { c.timeout = d } }
 
-// WithRegisterer has the client's metrics registered.
+// WithRegisterer sets the registry for the client's metrics.
 func WithRegisterer(r prometheus.Registerer) Option { return func(c *Client) { c.registerer = r } }
 
-// Client makes the control calls to engine VMs. State, LoadReport and Leave are
-// served by plain services too. It is safe for concurrent use.
+// Client sends control calls to engine VMs. Plain services also implement
+// State, LoadReport and Leave. It is safe for concurrent use.
 type Client struct {
 	http       *http.Client
 	transport  *http.Transport
@@ -70,7 +71,7 @@
 func NewClient(opts ...Option) *Client {
 	tr := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost: idleConns,
+		MaxIdleConnsPerHost: maxIdleConnsPerEndpoint,
 		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
@@ -93,30 +94,31 @@
 	return c
 }
 
-// noRedirect has a redirect told as a StatusError. Followed, it would turn an
-// order into a GET, and the answer to that into "the order was taken".
+// noRedirect makes the client return a redirect as a StatusError. Following it
+// would turn an order into a GET request, whose response would be interpreted
+// as an accepted order.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Close closes the idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// State asks the endpoint at addr (ip:port) what it is.
+// State returns the state of the endpoint at addr (ip:port).
 func (c *Client) State(ctx context.Context, addr string) (fleet.EngineState, error) {
 	var s fleet.EngineState
 	err := c.call(ctx, "state", http.MethodGet, addr, "/state", nil, &s)
 	return s, err
 }
 
-// LoadReport asks for the endpoint's load report.
+// LoadReport returns the load report of the endpoint.
 func (c *Client) LoadReport(ctx context.Context, addr string) (fleet.Load, error) {
 	var l fleet.Load
 	err := c.call(ctx, "load", http.MethodGet, addr, "/load", nil, &l)
 	return l, err
 }
 
-// Order sends an order. The errors are *StaleFenceError, ErrOtherLife, or that
-// of a call without a usable answer: the engine may then have taken the order
-// or not, and sending the same order again does no harm.
+// Order sends an order. It returns *StaleFenceError, ErrOtherLife or the error
+// of a call without a usable response. In the last case the engine may have
+// executed the order or not; sending the same order again is safe.
 func (c *Client) Order(ctx context.Context, addr string, o Order) (OrderResult, error) {
 	var res OrderResult
 	err := c.call(ctx, "order", http.MethodPost, addr, "/orders", o, &res)
@@ -126,7 +128,7 @@
 	}
 	switch status.Status {
 	case http.StatusConflict:
-		// The state in the body is of use but not needed for the verdict.
+		// The state in the body is optional.
 		_ = json.Unmarshal(status.Body, &res)
 		return res, &StaleFenceError{Sent: o.Fence, State: res.State}
 	case http.StatusGone:
@@ -137,7 +139,7 @@
 	}
 }
 
-// CacheEvents returns the cache events with a sequence number above after.
+// CacheEvents returns the cache events with sequence numbers above after.
 func (c *Client) CacheEvents(ctx context.Context, addr string, after uint64) ([]CacheEvent, error) {
 	var events []CacheEvent
 	path := "/cache/events?after=" + strconv.FormatUint(after, 10)
@@ -145,22 +147,23 @@
 	return events, err
 }
 
-// Leave tells the endpoint to take no new request.
+// Leave makes the endpoint accept no new requests.
 func (c *Client) Leave(ctx context.Context, addr string) error {
 	return c.call(ctx, "leave", http.MethodPost, addr, "/leave", nil, nil)
 }
 
-// ExportKV has the engine write cached prefixes to an object of the platform.
+// ExportKV makes the engine write cached prefixes to an object of the platform.
 func (c *Client) ExportKV(ctx context.Context, addr string, m KVMove) error {
 	return c.call(ctx, "kv_export", http.MethodPost, addr, "/kv/export", m, nil)
 }
 
-// ImportKV has the engine read cached prefixes from an object of the platform.
+// ImportKV makes the engine read cached prefixes from an object of the
+// platform.
 func (c *Client) ImportKV(ctx context.Context, addr string, m KVMove) error {
 	return c.call(ctx, "kv_import", http.MethodPost, addr, "/kv/import", m, nil)
 }
 
-// StatusError is an answer with a status other than success.
+// StatusError is a response with a status other than 2xx.
 type StatusError struct {
 	Call   string
 	Addr   string
@@ -170,14 +173,14 @@
 
 // Error implements error.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("engine at %s: %s was answered %d: %.200s", e.Addr, e.Call, e.Status, e.Body)
+	return fmt.Sprintf("engine at %s: %s returned status %d: %.200s", e.Addr, e.Call, e.Status, e.Body)
 }
 
-// call makes one control call; in and out may be nil.
+// call sends one control call and counts its result; in and out may be nil.
 func (c *Client) call(ctx context.Context, name, method, addr, path string, in, out any) error {
 	ctx, span := c.tracer.Start(ctx, "engine."+name, trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
-	err := c.exchange(ctx, name, method, addr, path, in, out)
+	err := c.roundTrip(ctx, name, method, addr, path, in, out)
 	result := "ok"
 	if err != nil {
 		result = "error"
@@ -187,7 +190,7 @@
 	return err
 }
 
-func (c *Client) exchange(ctx context.Context, name, method, addr, path string, in, out any) error {
+func (c *Client) roundTrip(ctx context.Context, name, method, addr, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	req, err := newRequest(ctx, method, "http://"+addr+path, in)
@@ -199,7 +202,7 @@
 		return fmt.Errorf("engine at %s: %s: %w", addr, name, err)
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return fmt.Errorf("engine at %s: answer to %s: %w", addr, name, err)
 	}
@@ -215,8 +218,8 @@
 	return nil
 }
 
-// newRequest makes a request whose body cannot be rewound: the Transport then
-// does not send it again by itself when a reused connection breaks.
+// newRequest returns a request whose body cannot be rewound, so that the
+// Transport does not resend it when a reused connection breaks.
 func newRequest(ctx context.Context, method, url string, in any) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil || in == nil {
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -18,8 +18,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// answered serves every request with h and returns a client and the address.
-func answered(t *testing.T, h http.HandlerFunc, opts ...engine.Option) (*engine.Client, string) {
+// newTestClient serves every request with h and returns a client and the
+// server's address.
+func newTestClient(t *testing.T, h http.HandlerFunc, opts ...engine.Option) (*engine.Client, string) {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	c := engine.NewClient(opts...)
@@ -31,11 +32,11 @@
 	return c, srv.Listener.Addr().String()
 }
 
-// An answer that is no success is told with its status; one that is not of the
-// protocol is an error and not an empty state.
-func TestAnswersThatAreOfNoUse(t *testing.T) {
+// Tests that a response with an error status is returned as a StatusError, and
+// that a malformed body is an error and not an empty state.
+func TestUnusableResponses(t *testing.T) {
 	is := is.New(t)
-	c, addr := answered(t, func(w http.ResponseWriter, r *http.Request) {
+	c, addr := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/load" {
 			http.Error(w, "not now", http.StatusTeapot)
 			return
@@ -51,22 +52,22 @@
 	is.True(strings.Contains(err.Error(), addr))
 }
 
-// An endpoint that never answers costs its caller the timeout and no more.
-func TestSilentEndpoint(t *testing.T) {
+// Tests that a call to an endpoint that never responds fails after the timeout.
+func TestUnresponsiveEndpointTimesOut(t *testing.T) {
 	is := is.New(t)
-	c, addr := answered(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+	c, addr := newTestClient(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 		engine.WithTimeout(20*time.Millisecond))
 	_, err := c.State(t.Context(), addr)
 	is.True(errors.Is(err, context.DeadlineExceeded))
 }
 
-// The engine takes an order that came over a reused connection and dies before
-// it answers. The Transport must not send the order again by itself: the caller
-// decides that after looking at the engine's state.
-func TestOrdersAreNotRepeatedByTheTransport(t *testing.T) {
+// Tests that the Transport does not resend an order when the engine received it
+// over a reused connection and failed before it responded. Only the caller may
+// resend it, after reading the engine's state.
+func TestTransportDoesNotResendOrders(t *testing.T) {
 	is := is.New(t)
 	var orders atomic.Int32
-	c, addr := answered(t, func(w http.ResponseWriter, r *http.Request) {
+	c, addr := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			orders.Add(1)
 			panic(http.ErrAbortHandler)
@@ -80,12 +81,12 @@
 	is.Equal(orders.Load(), int32(1))
 }
 
-// An order meets a server that sends it elsewhere: by the usual rules it would
-// become a GET, and the answer to that would read as "the order was taken".
+// Tests that a redirect of an order is not followed. By default it would become
+// a GET request, whose response would be interpreted as an accepted order.
 func TestOrdersAreNotRedirected(t *testing.T) {
 	is := is.New(t)
 	var followed atomic.Int32
-	c, addr := answered(t, func(w http.ResponseWriter, r *http.Request) {
+	c, addr := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/elsewhere" {
 			followed.Add(1)
 			_, _ = w.Write([]byte(`{}`))
@@ -100,9 +101,9 @@
 	is.Equal(followed.Load(), int32(0))
 }
 
-// The hashes of a prompt start with those of any prompt that it extends, and
-// differ by model and by adapter.
-func TestPrefixesGrow(t *testing.T) {
+// Tests that the hashes of a prompt begin with those of every prompt that it
+// extends, and differ by model and by adapter.
+func TestPrefixesOfExtendedPrompt(t *testing.T) {
 	is := is.New(t)
 	long := strings.Repeat("0123456789abcdef", 150_000) // beyond the last boundary
 	all := engine.Prefixes("m", "", []string{"user", long})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,17 +1,17 @@
-// Package engine speaks to the model engines on the endpoint VMs. The wire
-// format here is the one that the stand-in serves; another deployment's engines
-// are met by another client of the same shape.
+// Package engine is the client of the model engines on the endpoint VMs. It
+// implements the wire format of the stand-in; engines of other deployments need
+// a client with the same methods.
 //
 //	GET  /state                     fleet.EngineState
-//	GET  /load                      fleet.Load (lags)
-//	POST /orders                    Order -> OrderResult; 409 when the fence is
-//	                                old, 410 when meant for another life
+//	GET  /load                      fleet.Load (delayed)
+//	POST /orders                    Order -> OrderResult; 409 if the fence is
+//	                                outdated, 410 if meant for another boot
 //	POST /v1/chat/completions       ChatRequest -> server-sent events or ChatAnswer
-//	GET  /v1/streams/{id}?from=N    the events of a stream from offset N on
+//	GET  /v1/streams/{id}?from=N    events of a stream, starting at offset N
 //	DELETE /v1/streams/{id}         cancels the stream
-//	GET  /cache/events?after=SEQ    []CacheEvent (late, with gaps)
+//	GET  /cache/events?after=SEQ    []CacheEvent (delayed, with gaps)
 //	POST /kv/export, /kv/import     KVMove
-//	POST /leave                     the endpoint takes no new request from now on
+//	POST /leave                     the endpoint accepts no new requests afterwards
 package engine
 
 import (
@@ -20,63 +20,67 @@
 	"chervilloom/internal/fleet"
 )
 
-// Header names between nodes and engines.
+// Headers used between nodes and engines.
 const (
-	// HeaderGeneration carries "group/generation" with a call. The engine
-	// refuses with 412 when it is in another group or generation: the call
-	// did not run. The answer carries the same header; the node compares.
+	// HeaderGeneration contains "group/generation" in calls. The engine
+	// responds with 412, without running the call, if it is in another group or
+	// generation. The response has the same header, which the node compares.
 	HeaderGeneration = "Engine-Generation"
-	// HeaderBoot carries the boot id of the life that answers.
+	// HeaderBoot contains the boot ID of the engine process that responds.
 	HeaderBoot = "Engine-Boot"
-	// HeaderStream carries the stream id, which the node chooses.
+	// HeaderStream contains the stream ID, which the node assigns.
 	HeaderStream = "Engine-Stream"
-	// HeaderPriority carries the request's priority.
+	// HeaderPriority contains the priority of the request.
 	HeaderPriority = "Engine-Priority"
-	// HeaderNotRun is "true" on a refusal that promises that nothing ran
-	// (412 wrong generation, 503 draining or full).
+	// HeaderNotRun is "true" in a refusal that guarantees that nothing ran (412
+	// wrong generation, 503 draining or full).
 	HeaderNotRun = "Engine-Not-Run"
-	// HeaderRateLimit is in the answers of an endpoint in need, also of a plain
-	// service: the requests a second, a decimal number, that it takes from all
-	// nodes together for as long as it says so.
+	// HeaderRateLimit is set in the responses of an overloaded endpoint,
+	// including plain services: the number of requests per second, as a
+	// decimal, that it accepts from all nodes together while it sends the
+	// header.
 	HeaderRateLimit = "Engine-Rate-Limit"
-	// HeaderRetryAfter is in the answers of an endpoint that turns a request away: the seconds,
-	// with decimals, for which it wants nothing from this node.
+	// HeaderRetryAfter is set when an endpoint refuses a request: the number of
+	// seconds, possibly fractional, during which this node should send it no
+	// requests.
 	HeaderRetryAfter = "Retry-After"
-	// HeaderLeaving is "1" in the answers of an endpoint that leaves, also of a plain
-	// service: nothing new is sent there in this life.
+	// HeaderLeaving is "1" in the responses of an endpoint that is leaving,
+	// including plain services: no new requests are sent to it until it
+	// restarts.
 	HeaderLeaving = "Engine-Leaving"
 )
 
-// GenerationTag returns the value of HeaderGeneration for a group's generation.
+// GenerationTag returns the value of HeaderGeneration for a generation of a
+// group.
 func GenerationTag(id fleet.GroupID, g fleet.Generation) string {
 	return fmt.Sprintf("%s/%d", id, g)
 }
 
-// Verb is what an order asks for.
+// Verb is the operation that an order requests.
 type Verb string
 
-// The verbs.
+// Verbs of orders.
 const (
-	VerbJoin  Verb = "join"  // take the place described, load model and adapters
-	VerbLeave Verb = "leave" // be in no group, free the memory
+	VerbJoin  Verb = "join"  // join the group at the given rank and load the model and adapters
+	VerbLeave Verb = "leave" // leave the group and free the memory
 )
 
-// Order tells one engine VM its place. Orders are level-triggered: the same
-// order may be sent again at any time without harm.
+// Order assigns one engine VM its place in a group. Orders are idempotent: the
+// same order may be sent again at any time.
 type Order struct {
 	Verb       Verb             `json:"verb"`
 	Fence      fleet.Fence      `json:"fence"`
-	Boot       fleet.BootID     `json:"boot"` // the life the order is meant for; another life refuses
+	Boot       fleet.BootID     `json:"boot"` // boot ID that the order is meant for; an engine with another one refuses it
 	Group      fleet.GroupID    `json:"group"`
 	Generation fleet.Generation `json:"generation"`
 	Rank       int              `json:"rank"`
 	Model      string           `json:"model"`
 	Version    string           `json:"version"`
 	Adapters   []string         `json:"adapters,omitempty"`
-	Peers      []string         `json:"peers,omitempty"` // addresses of all members in rank order
+	Peers      []string         `json:"peers,omitempty"` // addresses of all members, ordered by rank
 }
 
-// OrderResult is the engine's state after the order.
+// OrderResult is the engine's state after an order.
 type OrderResult struct {
 	Accepted bool              `json:"accepted"`
 	State    fleet.EngineState `json:"state"`
@@ -88,8 +92,8 @@
 	Content string `json:"content"`
 }
 
-// ChatRequest is the usual chat completion request, as far as the system reads
-// it. The body goes to the engine as the caller sent it.
+// ChatRequest contains the fields of a chat completion request that the system
+// evaluates. The engine receives the caller's body unmodified.
 type ChatRequest struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
@@ -97,11 +101,11 @@
 	Stream    bool      `json:"stream,omitempty"`
 }
 
-// ChatChunk is the data of one server-sent event. The event's id is
-// "<stream>:<n>", with the tokens numbered from 0. After the last token, one
-// more event with the next n has an empty Delta, FinishReason set and Usage,
-// whose CompletionTokens is the number of tokens of the whole answer; then
-// "data: [DONE]" ends the stream.
+// ChatChunk is the data of one server-sent event. The event ID is
+// "<stream>:<n>", where n numbers the tokens from 0. After the last token, one
+// more event with the next n has an empty Delta, FinishReason and Usage, whose
+// CompletionTokens is the total number of tokens of the answer. Then "data:
+// [DONE]" ends the stream.
 type ChatChunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -110,7 +114,7 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// ChatAnswer is the body of an answer that is not streamed.
+// ChatAnswer is the body of a response that is not streamed.
 type ChatAnswer struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -119,7 +123,7 @@
 	Usage   Usage    `json:"usage"`
 }
 
-// Choice is the one choice of a chunk or an answer.
+// Choice is the single choice of a chunk or an answer.
 type Choice struct {
 	Index        int      `json:"index"`
 	Delta        *Message `json:"delta,omitempty"`
@@ -127,26 +131,28 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// Usage counts tokens.
+// Usage contains the token counts of an answer.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
-	CachedTokens     int `json:"cached_tokens"` // prompt tokens served from the prefix cache
+	CachedTokens     int `json:"cached_tokens"` // prompt tokens found in the prefix cache
 }
 
-// CacheEvent tells that a prefix entered or left an engine's cache.
+// CacheEvent reports that a prefix was added to or evicted from an engine's
+// cache.
 type CacheEvent struct {
-	Sequence uint64 `json:"sequence"` // grows by one; a jump is a gap
-	Prefix   uint64 `json:"prefix"`   // hash as in request.Request.Prefix
+	Sequence uint64 `json:"sequence"` // increases by one; a larger step is a gap
+	Prefix   uint64 `json:"prefix"`   // hash of the prefix, as in request.Request.Prefix
 	Evicted  bool   `json:"evicted"`
 }
 
-// KVMove names cached prefixes to export to or import from an object.
+// KVMove lists cached prefixes to export to or import from an object.
 type KVMove struct {
 	Object   string   `json:"object"`
 	Prefixes []uint64 `json:"prefixes"`
-	// Generation is the GenerationTag of the place that the move is meant for.
-	// An engine that checks it refuses with 412 in any other place: KV cache of
-	// other weights gives wrong answers. Empty: unchecked.
+	// Generation is the GenerationTag of the group and generation that the
+	// transfer is meant for. An engine that checks it refuses with 412 in any
+	// other: KV cache entries of different weights produce wrong answers.
+	// Empty: unchecked.
 	Generation string `json:"generation,omitempty"`
 }
--- a/internal/engine/prefix.go
+++ b/internal/engine/prefix.go
@@ -4,31 +4,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The boundaries at which a prompt's prefix is hashed: every PrefixBlock bytes
-// of text for the first fineBlocks, from there at blocks that double in length.
+// Boundaries at which the prefixes of a prompt are hashed: every PrefixBlock
+// bytes of text for the first fineBlocks, then after blocks that double in
+// length.
 const (
 	PrefixBlock = 256
-	MaxPrefixes = 44 // reaches 8 KiB + 2 MiB
+	MaxPrefixes = 44 // covers 8 KiB + 2 MiB
 	fineBlocks  = 32
-	// separator keeps fields apart; it counts for no block.
+	// separator separates fields; it does not count towards block lengths.
 	separator = "\x00"
 )
 
-// Prefixes returns the hashes of a prompt's growing prefixes, shortest first,
-// as engines name them in cache events. The model and the adapter are part of
-// each hash, since the cached state differs between adapters. The fields are
-// those of the prompt in order: each message's role and content. Text after the
-// last boundary is not hashed.
+// Prefixes returns the hashes of a prompt's prefixes, shortest first, as
+// engines use them in cache events. Each hash includes the model and the
+// adapter, because the cached state differs between adapters. fields are the
+// fields of the prompt in order: each message's role and content. Text after
+// the last boundary is not hashed.
 func Prefixes(model, adapter string, fields []string) []uint64 {
-	p := prefixes{d: xxhash.New(), block: PrefixBlock, room: PrefixBlock}
+	p := prefixHasher{digest: xxhash.New(), blockSize: PrefixBlock, remaining: PrefixBlock}
 	p.write(model + separator + adapter + separator)
 	for _, f := range fields {
-		p.field(f)
+		p.writeField(f)
 	}
 	return p.hashes
 }
 
-// PromptFields returns the fields of a chat prompt.
+// PromptFields returns the fields of a chat prompt for Prefixes.
 func PromptFields(messages []Message) []string {
 	fields := make([]string, 0, 2*len(messages))
 	for _, m := range messages {
@@ -37,7 +38,8 @@
 	return fields
 }
 
-// PrefixBytes returns the bytes of text that the first n hashes cover.
+// PrefixBytes returns the number of bytes of text that the first n hashes
+// cover.
 func PrefixBytes(n int) int {
 	total, block := 0, PrefixBlock
 	for i := range n {
@@ -49,35 +51,35 @@
 	return total
 }
 
-type prefixes struct {
-	d      *xxhash.Digest
-	block  int // bytes between this boundary and the next
-	room   int // bytes up to the next boundary
-	hashes []uint64
+type prefixHasher struct {
+	digest    *xxhash.Digest
+	blockSize int // length of the current block in bytes
+	remaining int // bytes left until the next boundary
+	hashes    []uint64
 }
 
-func (p *prefixes) write(s string) { _, _ = p.d.WriteString(s) } // never fails
+func (p *prefixHasher) write(s string) { _, _ = p.digest.WriteString(s) } // never fails
 
-func (p *prefixes) field(s string) {
+func (p *prefixHasher) writeField(s string) {
 	if s == "" {
 		return
 	}
 	for len(s) > 0 && len(p.hashes) < MaxPrefixes {
-		n := min(len(s), p.room)
+		n := min(len(s), p.remaining)
 		p.write(s[:n])
 		s = s[n:]
-		p.room -= n
-		if p.room == 0 {
-			p.boundary()
+		p.remaining -= n
+		if p.remaining == 0 {
+			p.addHash()
 		}
 	}
 	p.write(separator)
 }
 
-func (p *prefixes) boundary() {
-	p.hashes = append(p.hashes, p.d.Sum64())
+func (p *prefixHasher) addHash() {
+	p.hashes = append(p.hashes, p.digest.Sum64())
 	if len(p.hashes) >= fineBlocks {
-		p.block *= 2
+		p.blockSize *= 2
 	}
-	p.room = p.block
+	p.remaining = p.blockSize
 }
