--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -92,7 +92,7 @@
 			c.Addf(at, "write the hexadecimal SHA-256 of the key, 64 digits in lower case", "not a SHA-256 hash (%d characters)", len(h))
 			continue
 		}
-		if first, taken := owner[h]; taken {
+		if first, isDuplicate := owner[h]; isDuplicate {
 			c.Addf(at, "leave it out in one place", "the key belongs to organisation %q already", first)
 			continue
 		}
@@ -248,11 +248,11 @@
 	c.checkOptionalDuration("policy.key_retention", p.KeyRetention, minKeyRetention, maxKeyRetention)
 }
 
-func (c checker) checkOptionalDuration(path string, d Duration, least, most time.Duration) {
+func (c checker) checkOptionalDuration(path string, d Duration, minimum, maximum time.Duration) {
 	if d == 0 {
 		return
 	}
-	if v := time.Duration(d); v < least || v > most {
-		c.Addf(path, fmt.Sprintf("write a duration from %s to %s", least, most), "%s is out of range", v)
+	if v := time.Duration(d); v < minimum || v > maximum {
+		c.Addf(path, fmt.Sprintf("write a duration from %s to %s", minimum, maximum), "%s is out of range", v)
 	}
 }
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -130,8 +130,8 @@
 	d.diffOrder(path, a, b)
 }
 
-// diffOrder adds a change if the elements common to both lists are in a different
-// order.
+// diffOrder adds a change if the elements common to both lists are in a
+// different order.
 func (d *differ) diffOrder(path string, a, b []string) {
 	before, after := intersect(a, b), intersect(b, a)
 	if !slices.Equal(before, after) {
--- a/internal/config/names.go
+++ b/internal/config/names.go
@@ -18,36 +18,36 @@
 type uniqueNames map[string]int
 
 // checkName validates the name of the list element at path.
-func (c checker) checkName(path, name, what string, seen uniqueNames) {
+func (c checker) checkName(path, name, kind string, seen uniqueNames) {
 	at := path + ".name"
 	if name == "" {
-		c.Addf(at, nameRemedy, "the %s has no name", what)
+		c.Addf(at, nameRemedy, "the %s has no name", kind)
 		return
 	}
 	if !validName(name) {
-		c.Addf(at, nameRemedy, "the %s name %q is not allowed", what, name)
+		c.Addf(at, nameRemedy, "the %s name %q is not allowed", kind, name)
 	}
-	if _, twice := seen[name]; twice {
-		c.Addf(at, "write another name or leave one of them out", "the %s %q stands there twice", what, name)
+	if _, isDuplicate := seen[name]; isDuplicate {
+		c.Addf(at, "write another name or leave one of them out", "the %s %q stands there twice", kind, name)
 	}
 	seen[name] = len(seen)
 }
 
 // checkNameList validates a list of names.
-func (c checker) checkNameList(path string, list []string, what string) {
+func (c checker) checkNameList(path string, list []string, kind string) {
 	for i, s := range list {
 		if !validName(s) {
-			c.Addf(yamlcheck.Index(path, i), nameRemedy, "the %s name %q is not allowed", what, s)
+			c.Addf(yamlcheck.Index(path, i), nameRemedy, "the %s name %q is not allowed", kind, s)
 		}
 	}
-	c.checkUnique(path, list, what)
+	c.checkUnique(path, list, kind)
 }
 
-func (c checker) checkUnique(path string, list []string, what string) {
+func (c checker) checkUnique(path string, list []string, kind string) {
 	seen := make(map[string]bool, len(list))
 	for i, s := range list {
 		if seen[s] {
-			c.Addf(yamlcheck.Index(path, i), "leave one of them out", "the %s %q stands there twice", what, s)
+			c.Addf(yamlcheck.Index(path, i), "leave one of them out", "the %s %q stands there twice", kind, s)
 		}
 		seen[s] = true
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -103,9 +103,9 @@
 
 // ChatChunk is the data of one server-sent event. The event ID is
 // "<stream>:<n>", where n numbers the tokens from 0. After the last token, one
-// more event with the next n has an empty Delta, FinishReason and Usage, whose
-// CompletionTokens is the total number of tokens of the answer. Then "data:
-// [DONE]" ends the stream.
+// more event with the next n has an empty Delta and sets FinishReason and
+// Usage, whose CompletionTokens is the total number of tokens of the answer.
+// Then "data: [DONE]" ends the stream.
 type ChatChunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
--- a/internal/engine/prefix.go
+++ b/internal/engine/prefix.go
@@ -5,12 +5,12 @@
 )
 
 // Boundaries at which the prefixes of a prompt are hashed: every PrefixBlock
-// bytes of text for the first fineBlocks, then after blocks that double in
+// bytes of text for the first uniformBlocks, then after blocks that double in
 // length.
 const (
-	PrefixBlock = 256
-	MaxPrefixes = 44 // covers 8 KiB + 2 MiB
-	fineBlocks  = 32
+	PrefixBlock   = 256
+	MaxPrefixes   = 44 // covers 8 KiB + 2 MiB
+	uniformBlocks = 32
 	// separator separates fields; it does not count towards block lengths.
 	separator = "\x00"
 )
@@ -44,7 +44,7 @@
 	total, block := 0, PrefixBlock
 	for i := range n {
 		total += block
-		if i+1 >= fineBlocks {
+		if i+1 >= uniformBlocks {
 			block *= 2
 		}
 	}
@@ -78,7 +78,7 @@
 
 func (p *prefixHasher) addHash() {
 	p.hashes = append(p.hashes, p.digest.Sum64())
-	if len(p.hashes) >= fineBlocks {
+	if len(p.hashes) >= uniformBlocks {
 		p.blockSize *= 2
 	}
 	p.remaining = p.blockSize
--- a/internal/identify/tokens.go
+++ b/internal/identify/tokens.go
@@ -5,7 +5,7 @@
 // Estimated length of a token, and estimated tokens per prompt field in
 // addition to its text.
 const (
-	asciiCharsPerToken = 4.0 // characters
+	asciiCharsPerToken = 4.0
 	otherCharsPerToken = 1.5 // non-ASCII characters
 	tokensPerField     = 2
 )
--- a/internal/revision/fake_test.go
+++ b/internal/revision/fake_test.go
@@ -35,8 +35,9 @@
 	// downAfter is the number of further requests after which the table goes
 	// down; 0: never.
 	downAfter int
-	// delayWrites is how many of the next transactions have no effect and are answered
-	// with ErrAmbiguous; they stay in flight and may be delivered later.
+	// delayWrites is how many of the next transactions have no effect and are
+	// answered with ErrAmbiguous; they stay in flight and may be delivered
+	// later.
 	delayWrites int
 	inFlight    []platform.Txn
 	// deliverAfter is the number of further reads after which the transactions in
--- a/internal/revision/spread.go
+++ b/internal/revision/spread.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// fetchPending fetches from the sources with the highest stamps, peers first. At
-// most maxPeersTried peers are tried and the rest are dropped: with many
+// fetchPending fetches from the sources with the highest stamps, peers first.
+// At most maxPeersTried peers are tried and the rest are dropped: with many
 // unreachable peers, their timeouts would delay the one source that answers.
 // Later digests announce the revision again.
 func (k *Keeper) fetchPending(ctx context.Context) {
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -189,8 +189,8 @@
 	c.checkRange("timing.revision_poll", t.RevisionPoll, 100*time.Millisecond, 10*time.Minute)
 }
 
-func (c checker) checkRange(path string, d config.Duration, least, most time.Duration) {
-	if v := time.Duration(d); v < least || v > most {
-		c.Addf(path, fmt.Sprintf("write a duration from %s to %s", least, most), "%s is out of range", v)
+func (c checker) checkRange(path string, d config.Duration, minimum, maximum time.Duration) {
+	if v := time.Duration(d); v < minimum || v > maximum {
+		c.Addf(path, fmt.Sprintf("write a duration from %s to %s", minimum, maximum), "%s is out of range", v)
 	}
 }
--- a/internal/yamlcheck/decode.go
+++ b/internal/yamlcheck/decode.go
@@ -55,9 +55,9 @@
 		return nil
 	}
 	tokens := lexer.Tokenize(string(data))
-	var sh structureCounter
+	var counter structureCounter
 	for _, tk := range tokens {
-		if message, remedy := sh.exceededLimit(tk); message != "" {
+		if message, remedy := counter.exceededLimit(tk); message != "" {
 			d.addProblem("", Position{tk.Position.Line, tk.Position.Column}, remedy, "%s", message)
 			return nil
 		}
@@ -114,8 +114,8 @@
 	d.addProblem("", at, "write valid YAML", "not valid YAML: %s", message)
 }
 
-// addProblem reports a problem and marks the value as broken, which excludes it from
-// the checks of a Checker.
+// addProblem reports a problem and marks the value as broken, which excludes it
+// from the checks of a Checker.
 func (d *decoder) addProblem(path string, at Position, remedy, format string, args ...any) {
 	d.source.broken[path] = true
 	d.problems = append(d.problems, Problem{
@@ -233,7 +233,7 @@
 		return
 	}
 	path := Key(o.path, key)
-	if first, twice := o.written[key]; twice {
+	if first, isDuplicate := o.written[key]; isDuplicate {
 		d.addProblem(path, at, "leave one of them out", "the key was written before, at line %d", first.Line)
 		return
 	}
--- a/internal/yamlcheck/suggest.go
+++ b/internal/yamlcheck/suggest.go
@@ -9,10 +9,10 @@
 // nearestKey returns the known key with the smallest edit distance to key, or
 // "" if none is within maxTypos.
 func nearestKey(key string, known []string) string {
-	best, least := "", maxTypos+1
+	best, bestDistance := "", maxTypos+1
 	for _, k := range known {
-		if d := distance(strings.ToLower(key), k); k != "" && d < least {
-			best, least = k, d
+		if d := distance(strings.ToLower(key), k); k != "" && d < bestDistance {
+			best, bestDistance = k, d
 		}
 	}
 	return best
