--- a/internal/config/names.go
+++ b/internal/config/names.go
@@ -6,48 +6,48 @@
 	"chervilloom/internal/yamlcheck"
 )
 
-// namePattern keeps names printable, and free of the signs that separate them
-// in "model+adapter@version", in table keys and in paths.
+// namePattern allows printable names without the separators of
+// "model+adapter@version", table keys and paths.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
 const nameRemedy = "write up to 64 letters, digits, \".\", \"_\" or \"-\", beginning with a letter or digit"
 
 func validName(s string) bool { return len(s) <= MaxNameLength && namePattern.MatchString(s) }
 
-// uniqueNames holds the names of one list and the index that each was seen at.
+// uniqueNames maps the names seen in one list to their index.
 type uniqueNames map[string]int
 
-// name checks the name of the list element at path.
-func (c checker) name(path, name, what string, seen uniqueNames) {
+// checkName validates the name of the list element at path.
+func (c checker) checkName(path, name, kind string, seen uniqueNames) {
 	at := path + ".name"
 	if name == "" {
-		c.Addf(at, nameRemedy, "the %s has no name", what)
+		c.Addf(at, nameRemedy, "the %s has no name", kind)
 		return
 	}
 	if !validName(name) {
-		c.Addf(at, nameRemedy, "the %s name %q is not allowed", what, name)
+		c.Addf(at, nameRemedy, "the %s name %q is not allowed", kind, name)
 	}
-	if _, twice := seen[name]; twice {
-		c.Addf(at, "write another name or leave one of them out", "the %s %q stands there twice", what, name)
+	if _, isDuplicate := seen[name]; isDuplicate {
+		c.Addf(at, "write another name or leave one of them out", "the %s %q stands there twice", kind, name)
 	}
 	seen[name] = len(seen)
 }
 
-// nameList checks a list of names.
-func (c checker) nameList(path string, list []string, what string) {
+// checkNameList validates a list of names.
+func (c checker) checkNameList(path string, list []string, kind string) {
 	for i, s := range list {
 		if !validName(s) {
-			c.Addf(yamlcheck.Index(path, i), nameRemedy, "the %s name %q is not allowed", what, s)
+			c.Addf(yamlcheck.Index(path, i), nameRemedy, "the %s name %q is not allowed", kind, s)
 		}
 	}
-	c.uniqueList(path, list, what)
+	c.checkUnique(path, list, kind)
 }
 
-func (c checker) uniqueList(path string, list []string, what string) {
+func (c checker) checkUnique(path string, list []string, kind string) {
 	seen := make(map[string]bool, len(list))
 	for i, s := range list {
 		if seen[s] {
-			c.Addf(yamlcheck.Index(path, i), "leave one of them out", "the %s %q stands there twice", what, s)
+			c.Addf(yamlcheck.Index(path, i), "leave one of them out", "the %s %q stands there twice", kind, s)
 		}
 		seen[s] = true
 	}
