--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,7 +1,7 @@
-// Package accept is the callers' HTTP interface: it reads a bounded request,
-// hands it to the request path and writes the answer back as HTTP or as
-// server-sent events, so that no HTTP client can take a cut answer for a whole
-// one.
+// Package accept implements the callers' HTTP interface. It reads a request of
+// bounded size, passes it to the request path and writes the answer as HTTP or
+// as server-sent events. A truncated answer always differs from a complete one
+// for an HTTP client.
 package accept
 
 import (
@@ -35,56 +35,56 @@
 
 // Header names between callers and the system.
 const (
-	HeaderRequest = "Chervilloom-Request" // id of the request, in every answer
-	HeaderTicket  = once.TicketHeader
-	HeaderKey     = "Idempotency-Key"
-	HeaderResume  = identify.HeaderResume
-	headerCallers = "X-Request-Id"
+	HeaderRequest         = "Chervilloom-Request" // request ID, set on every answer
+	HeaderTicket          = once.TicketHeader
+	HeaderKey             = "Idempotency-Key"
+	HeaderResume          = identify.HeaderResume
+	headerCallerRequestID = "X-Request-Id"
 )
 
-// The defaults of Options.
+// Defaults for Options.
 const (
 	DefaultBodyLimit    = 4 << 20
 	DefaultAnswerBuffer = 8 << 20
 	DefaultBodyTimeout  = time.Minute
 )
 
-// Options are what the server needs. Tickets, Authorise, Ready and Registerer
-// may be nil; zero bounds stand for the defaults.
+// Options configures a Server. Tickets, Authorise, Ready and Registerer may be
+// nil; zero limits select the defaults.
 type Options struct {
 	Handler    filter.Handler
 	View       view.Source
 	Clock      clock.Clock
 	Log        *slog.Logger
 	Registerer prometheus.Registerer
-	BodyLimit  int64 // bytes of a request's body
-	// BodyTimeout is how long a caller may take to send a body.
+	BodyLimit  int64 // maximum size of a request body in bytes
+	// BodyTimeout limits the time for reading a request body.
 	BodyTimeout time.Duration
-	// AnswerBuffer is how many bytes of an answer are held back until it is
-	// whole; what is longer is sent as it comes.
+	// AnswerBuffer is the number of bytes of an answer that are buffered until
+	// the answer is complete. A longer answer is sent unbuffered.
 	AnswerBuffer int
-	// Ready reports whether the node may get requests, and why not.
+	// Ready reports whether the node can serve requests, and the reason if not.
 	Ready func() (bool, string)
-	// Tickets answers POST /tickets.
+	// Tickets serves POST /tickets.
 	Tickets http.Handler
-	// Authorise tells whose key a header carries. It is asked before a body is
-	// read, and for the paths that do not go through Handler.
+	// Authorise returns the organisation of the key in the headers. It is called
+	// before a body is read, and for paths that bypass Handler.
 	Authorise func(http.Header) (fleet.Organisation, *outcome.Error)
-	// Notice is how long Drain goes on accepting requests, so that balancers
-	// can see that the node is not ready.
+	// Notice is how long Drain keeps accepting requests, so that load balancers
+	// notice the failing readiness check.
 	Notice time.Duration
 }
 
 // Server is the callers' http.Handler.
 type Server struct {
-	opt     Options
-	mux     *http.ServeMux
-	flight  flight
-	metrics *metrics
-	tracer  trace.Tracer
+	opt      Options
+	mux      *http.ServeMux
+	inFlight inFlightCounter
+	metrics  *metrics
+	tracer   trace.Tracer
 }
 
-// New returns a server.
+// New returns a server with its routes and metrics registered.
 func New(opt Options) *Server {
 	if opt.BodyLimit == 0 {
 		opt.BodyLimit = DefaultBodyLimit
@@ -109,104 +109,104 @@
 func (s *Server) routes() {
 	s.mux.HandleFunc("GET /healthz", s.healthz)
 	s.mux.HandleFunc("GET /readyz", s.readyz)
-	s.mux.HandleFunc("GET /v1/models", s.counted(s.models))
-	s.mux.HandleFunc("POST /tickets", s.counted(s.tickets))
-	s.mux.HandleFunc("POST "+identify.PathChat, s.counted(s.call))
-	s.mux.HandleFunc("POST "+identify.PathCompletions, s.counted(s.call))
-	s.mux.HandleFunc("GET "+identify.PathStreams+"{id}", s.counted(s.call))
-	s.mux.HandleFunc("/", s.counted(s.unknown))
+	s.mux.HandleFunc("GET /v1/models", s.trackRequest(s.serveModels))
+	s.mux.HandleFunc("POST /tickets", s.trackRequest(s.serveTickets))
+	s.mux.HandleFunc("POST "+identify.PathChat, s.trackRequest(s.serveCall))
+	s.mux.HandleFunc("POST "+identify.PathCompletions, s.trackRequest(s.serveCall))
+	s.mux.HandleFunc("GET "+identify.PathStreams+"{id}", s.trackRequest(s.serveCall))
+	s.mux.HandleFunc("/", s.trackRequest(s.refuseUnknownPath))
 }
 
-// ServeHTTP serves one request. Services get their path as the caller wrote
-// it: http.ServeMux would answer "//" and ".." with a redirect, which turns a
-// POST into a GET at some clients.
+// ServeHTTP serves one request. Service paths bypass http.ServeMux, which would
+// redirect "//" and ".."; some clients follow a redirected POST with a GET.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.boundBody(w, r)
+	s.setBodyDeadline(w, r)
 	if strings.HasPrefix(r.URL.Path, identify.PathServices) {
-		s.counted(s.call)(w, r)
+		s.trackRequest(s.serveCall)(w, r)
 		return
 	}
 	s.mux.ServeHTTP(w, r)
 }
 
-// boundBody bounds the time that a body may take, also one that no handler
-// reads: net/http reads what is left of it before it answers, and would wait
-// without end for a caller that sends nothing more. It lifts the deadline by
-// itself at the body's end, when it begins to wait for the caller to leave.
-func (s *Server) boundBody(w http.ResponseWriter, r *http.Request) {
+// setBodyDeadline sets a read deadline for the body, even if no handler reads
+// it: net/http drains the rest of a body before it answers and would wait forever
+// for a caller that stops sending. net/http clears the deadline at the end of
+// the body, when it starts to watch for the caller's disconnect.
+func (s *Server) setBodyDeadline(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength != 0 {
 		http.NewResponseController(w).SetReadDeadline(time.Now().Add(s.opt.BodyTimeout))
 	}
 }
 
-// counted gives the request its id, refuses it when the node takes no more,
-// and otherwise counts it as in flight.
-func (s *Server) counted(h func(http.ResponseWriter, *http.Request, string)) http.HandlerFunc {
+// trackRequest assigns the request ID, refuses the request if the node has
+// stopped accepting, and otherwise counts it as in flight while h runs.
+func (s *Server) trackRequest(h func(http.ResponseWriter, *http.Request, string)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := uuid.NewString()
 		w.Header().Set(HeaderRequest, id)
-		if s.flight.enter() == phaseClosed {
-			s.closing(w.Header())
-			s.refuseTry(w, r, shuttingDown(), id)
+		if s.inFlight.enter() == phaseClosed {
+			s.setConnectionClose(w.Header())
+			s.refuseAttempt(w, r, shuttingDownError(), id)
 			return
 		}
-		defer s.flight.leave()
-		s.closing(w.Header())
+		defer s.inFlight.leave()
+		s.setConnectionClose(w.Header())
 		s.metrics.inFlight.Inc()
 		defer s.metrics.inFlight.Dec()
 		h(w, r, id)
 	}
 }
 
-// closing has the connection closed after the answer while the node shuts
-// down: the caller's next request goes to another connection, and so to
-// another node, instead of racing this one's end.
-func (s *Server) closing(h http.Header) {
-	if s.flight.phase() != phaseOpen {
+// setConnectionClose closes the connection after the answer while the node shuts
+// down. The caller's next request then opens a connection to another node
+// instead of racing with this node's shutdown.
+func (s *Server) setConnectionClose(h http.Header) {
+	if s.inFlight.currentPhase() != phaseOpen {
 		h.Set("Connection", "close")
 	}
 }
 
-func shuttingDown() *outcome.Error {
+func shuttingDownError() *outcome.Error {
 	return outcome.New(outcome.ShuttingDown, outcome.NotRun, "this node is shutting down",
 		"send the request again on a new connection").After(time.Second)
 }
 
-// call takes a request through the path.
-func (s *Server) call(w http.ResponseWriter, r *http.Request, id string) {
+// serveCall reads the body and runs the request through the request path.
+func (s *Server) serveCall(w http.ResponseWriter, r *http.Request, id string) {
 	arrived := s.opt.Clock.Now()
-	ctx, span := s.span(r, id)
+	ctx, span := s.startSpan(r, id)
 	defer span.End()
-	if err := s.admitBody(w, r); err != nil {
-		s.refuseTry(w, r, err, id)
+	if err := s.authoriseBeforeBody(w, r); err != nil {
+		s.refuseAttempt(w, r, err, id)
 		return
 	}
 	body, err := s.readBody(w, r)
 	if err != nil {
-		s.refuseTry(w, r, err, id)
+		s.refuseAttempt(w, r, err, id)
 		return
 	}
 	req := newRequest(ctx, r, id, arrived, body)
-	if theirs := r.Header.Get(headerCallers); theirs != "" {
+	if callerRequestID := r.Header.Get(headerCallerRequestID); callerRequestID != "" {
 		s.opt.Log.LogAttrs(ctx, slog.LevelInfo, "caller's request id",
-			slog.String("id", id), slog.String("theirs", clip(theirs)))
+			slog.String("id", id), slog.String("theirs", truncateForLog(callerRequestID)))
 	}
-	out := newWriter(w, r, req, s.opt.AnswerBuffer, s.closing)
+	out := newWriter(w, r, req, s.opt.AnswerBuffer, s.setConnectionClose)
 	s.runPath(ctx, req, out)
-	if out.cut {
+	if out.truncated {
 		s.metrics.aborted.Inc()
-		// The status is out: only a broken connection keeps the caller's HTTP
-		// library from taking the part for the whole.
+		// The status has been sent. Only an aborted connection shows the
+		// caller's HTTP library that the answer is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// runPath makes sure that the answer is finished, also when a filter panics or
-// forgets to: the caller would otherwise see an empty success.
+// runPath calls the handler and finishes the answer if a filter panics or
+// returns without finishing it. The caller would otherwise receive an empty
+// success.
 func (s *Server) runPath(ctx context.Context, req *request.Request, w *writer) {
 	defer func() {
 		if p := recover(); p != nil {
-			s.opt.Log.ErrorContext(ctx, "the request path panicked", "id", req.ID, "panic", p, "stack", string(debug.Stack()))
+			s.opt.Log.ErrorContext(ctx, "panic in the request path", "id", req.ID, "panic", p, "stack", string(debug.Stack()))
 		}
 		if !w.finished {
 			w.Finish(answer.End{})
@@ -215,7 +215,7 @@
 	s.opt.Handler.Serve(ctx, req, w)
 }
 
-func (s *Server) span(r *http.Request, id string) (context.Context, trace.Span) {
+func (s *Server) startSpan(r *http.Request, id string) (context.Context, trace.Span) {
 	ctx := propagation.TraceContext{}.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := s.tracer.Start(ctx, "accept", trace.WithSpanKind(trace.SpanKindServer))
 	if span.IsRecording() {
@@ -224,12 +224,12 @@
 	return ctx, span
 }
 
-// admitBody refuses a caller without a known key before the body is read. The
-// bodies that strangers send slowly over many connections would otherwise fill
-// the memory until callers with keys are cut off; of those who have a key, the
-// limits of their organisation come next. The read deadline keeps net/http,
-// which reads what is left of a body before it answers, from waiting for it.
-func (s *Server) admitBody(w http.ResponseWriter, r *http.Request) *outcome.Error {
+// authoriseBeforeBody refuses a caller without a known key before the body is
+// read. Otherwise slow bodies from unauthorised callers on many connections
+// could exhaust the memory and displace authorised callers; those are bounded
+// by their organisation's limits. The expired read deadline keeps net/http from
+// waiting for the rest of the body, which it drains before it answers.
+func (s *Server) authoriseBeforeBody(w http.ResponseWriter, r *http.Request) *outcome.Error {
 	if s.opt.Authorise == nil {
 		return nil
 	}
@@ -241,22 +241,22 @@
 	return err
 }
 
-// readBody reads the whole body: nothing is sent anywhere before the request
-// is complete, so a caller that fails half-way is "not run".
+// readBody reads the whole body. Nothing is forwarded before the request is
+// complete, so a request whose body ends early has the outcome "not run".
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *outcome.Error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.opt.BodyLimit))
 	if err != nil {
-		return nil, s.badBody(w, err)
+		return nil, s.bodyError(w, err)
 	}
 	return body, nil
 }
 
-func (s *Server) badBody(w http.ResponseWriter, err error) *outcome.Error {
+func (s *Server) bodyError(w http.ResponseWriter, err error) *outcome.Error {
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
 		return outcome.New(outcome.TooLarge, outcome.NotRun,
-			"the body is longer than "+bytesText(s.opt.BodyLimit), "send less, or have the operator raise the bound")
+			"the body is longer than "+formatBytes(s.opt.BodyLimit), "send less, or have the operator raise the bound")
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		w.Header().Set("Connection", "close")
 		return outcome.New(outcome.BadRequest, outcome.NotRun,
@@ -282,9 +282,10 @@
 	return req
 }
 
-// refuseTry refuses a call before its key or ticket was looked up: "not-run" of
-// this try would be false of the call when an earlier try may have run.
-func (s *Server) refuseTry(w http.ResponseWriter, r *http.Request, err *outcome.Error, id string) {
+// refuseAttempt refuses a call whose key or ticket has not been looked up. An
+// earlier attempt of the call may have run, so once.Refusal replaces the outcome
+// "not-run", which holds for this attempt only.
+func (s *Server) refuseAttempt(w http.ResponseWriter, r *http.Request, err *outcome.Error, id string) {
 	try := &request.Request{Header: r.Header, Key: r.Header.Get(HeaderKey), Ticket: r.Header.Get(HeaderTicket)}
 	s.refuse(w, r, once.Refusal(try, err), id)
 }
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -36,8 +36,8 @@
 	return &view.Snapshot{Config: &config.Document{Models: []config.Model{{Name: "renewals", Current: "v1"}}}}
 }
 
-// serve starts a server whose path is h.
-func serve(t *testing.T, h filter.Func, change func(*Options)) (*Server, string) {
+// startServer starts a server with h as its handler.
+func startServer(t *testing.T, h filter.Func, change func(*Options)) (*Server, string) {
 	t.Helper()
 	opt := Options{Handler: h, View: emptyView{}, Clock: clock.Boot{}, BodyLimit: 1000, AnswerBuffer: 1000}
 	if change != nil {
@@ -70,7 +70,7 @@
 	return resp
 }
 
-func told(t *testing.T, body io.Reader) outcome.Body {
+func decodeErrorBody(t *testing.T, body io.Reader) outcome.Body {
 	t.Helper()
 	var b outcome.Body
 	if err := json.NewDecoder(body).Decode(&b); err != nil {
@@ -79,7 +79,7 @@
 	return b
 }
 
-// echo answers with what the request holds.
+// echo answers with the request's method, path and body.
 func echo(_ context.Context, req *request.Request, w answer.Writer) {
 	w.Start(answer.Head{Status: 200, Header: http.Header{"Content-Type": {"text/plain"}}})
 	w.Frame(answer.Frame{Data: []byte(req.Method + " " + req.Path + " ")})
@@ -89,10 +89,10 @@
 
 const chatPath = "/v1/chat/completions"
 
-func TestRequestIsTakenAsItCame(t *testing.T) {
+func TestRequestReachesHandlerUnchanged(t *testing.T) {
 	is := is.New(t)
 	var got *request.Request
-	_, url := serve(t, func(ctx context.Context, req *request.Request, w answer.Writer) {
+	_, url := startServer(t, func(ctx context.Context, req *request.Request, w answer.Writer) {
 		got = req
 		echo(ctx, req, w)
 	}, nil)
@@ -112,16 +112,16 @@
 func TestOversizedBodyIsNotRun(t *testing.T) {
 	is := is.New(t)
 	ran := false
-	_, url := serve(t, func(ctx context.Context, req *request.Request, w answer.Writer) {
+	_, url := startServer(t, func(ctx context.Context, req *request.Request, w answer.Writer) {
 		ran = true
 		echo(ctx, req, w)
 	}, nil)
-	// With and without a length announced.
+	// With and without a Content-Length.
 	for _, body := range []io.Reader{strings.NewReader(strings.Repeat("x", 1001)), io.LimitReader(zeros{}, 5000)} {
 		resp := do(t, "POST", url+chatPath, body)
 		is.Equal(resp.StatusCode, http.StatusRequestEntityTooLarge)
 		is.Equal(resp.Header.Get(outcome.Header), "not-run")
-		is.Equal(told(t, resp.Body).Error.Type, outcome.TooLarge)
+		is.Equal(decodeErrorBody(t, resp.Body).Error.Type, outcome.TooLarge)
 	}
 	is.True(!ran)
 }
@@ -130,12 +130,12 @@
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-// A clerk's connection breaks in the middle of the request. The half must not
-// go anywhere: an endpoint could take it for the whole.
-func TestHalfABodyGoesNowhere(t *testing.T) {
+// The caller's connection breaks in the middle of the body. The incomplete body
+// must not be forwarded: an endpoint could process it as a complete request.
+func TestIncompleteBodyIsNotForwarded(t *testing.T) {
 	is := is.New(t)
 	ran := make(chan struct{}, 1)
-	s, url := serve(t, func(ctx context.Context, req *request.Request, w answer.Writer) {
+	s, url := startServer(t, func(ctx context.Context, req *request.Request, w answer.Writer) {
 		ran <- struct{}{}
 		echo(ctx, req, w)
 	}, nil)
@@ -151,7 +151,7 @@
 	is.Equal(len(ran), 0)
 }
 
-func stream(end answer.End, n int) filter.Func {
+func newStreamHandler(end answer.End, n int) filter.Func {
 	return func(_ context.Context, _ *request.Request, w answer.Writer) {
 		w.Start(answer.Head{Status: 200, Stream: true})
 		for i := range n {
@@ -163,7 +163,7 @@
 
 func TestWholeStreamEndsWithDone(t *testing.T) {
 	is := is.New(t)
-	_, url := serve(t, stream(answer.End{Whole: true}, 2), nil)
+	_, url := startServer(t, newStreamHandler(answer.End{Whole: true}, 2), nil)
 	resp := do(t, "POST", url+chatPath, nil)
 	body, err := io.ReadAll(resp.Body)
 	is.NoErr(err)
@@ -172,27 +172,27 @@
 	is.Equal(resp.Trailer.Get(outcome.Header), "ran")
 }
 
-// A driver reads a summary on a phone; the endpoint dies in the middle. The
-// events end with an error, there is no [DONE], and the connection breaks, so
-// that a client that knows neither still does not take the part for the whole.
-func TestCutStreamLooksCut(t *testing.T) {
+// The endpoint fails in the middle of a stream. The stream ends with an error
+// event and without [DONE], and the connection is aborted, so that a client that
+// checks neither event still detects the truncation.
+func TestTruncatedStreamEndsWithErrorAndAbort(t *testing.T) {
 	is := is.New(t)
 	cut := outcome.New(outcome.AnswerCut, outcome.Ran, "cut", "ask anew")
-	_, url := serve(t, stream(answer.End{Error: cut}, 2), nil)
+	_, url := startServer(t, newStreamHandler(answer.End{Error: cut}, 2), nil)
 	resp := do(t, "POST", url+chatPath, nil)
 	body, err := io.ReadAll(resp.Body)
 	is.True(errors.Is(err, io.ErrUnexpectedEOF))
 	is.True(!bytes.Contains(body, []byte("[DONE]")))
 	_, data, ok := strings.Cut(string(body), "event: error\ndata: ")
 	is.True(ok)
-	b := told(t, strings.NewReader(data))
+	b := decodeErrorBody(t, strings.NewReader(data))
 	is.Equal(b.Error.Outcome, outcome.Ran)
 	is.Equal(b.Error.RequestID, resp.Header.Get(HeaderRequest))
 }
 
-// An answer that is not streamed is cut. Within the buffer nothing has been
-// sent and a status tells it; beyond the buffer the connection breaks.
-func TestCutBody(t *testing.T) {
+// A non-streamed answer is truncated. While it fits in the buffer, the status
+// reports the failure; beyond the buffer the connection is aborted.
+func TestTruncatedBody(t *testing.T) {
 	cut := outcome.New(outcome.AnswerCut, outcome.Ran, "cut", "ask").After(1500 * time.Millisecond)
 	answerOf := func(n int) filter.Func {
 		return func(_ context.Context, _ *request.Request, w answer.Writer) {
@@ -203,23 +203,23 @@
 	}
 	t.Run("short", func(t *testing.T) {
 		is := is.New(t)
-		_, url := serve(t, answerOf(1000), nil)
+		_, url := startServer(t, answerOf(1000), nil)
 		resp := do(t, "POST", url+chatPath, nil)
 		is.Equal(resp.StatusCode, http.StatusBadGateway)
 		is.Equal(resp.Header.Get(outcome.Header), "ran")
 		is.Equal(resp.Header.Get("Retry-After"), "2")
-		is.Equal(told(t, resp.Body).Error.Type, outcome.AnswerCut)
+		is.Equal(decodeErrorBody(t, resp.Body).Error.Type, outcome.AnswerCut)
 	})
 	t.Run("long", func(t *testing.T) {
 		is := is.New(t)
-		_, url := serve(t, answerOf(1001), nil)
+		_, url := startServer(t, answerOf(1001), nil)
 		resp := do(t, "POST", url+chatPath, nil)
 		_, err := io.ReadAll(resp.Body)
 		is.True(errors.Is(err, io.ErrUnexpectedEOF))
 	})
 	t.Run("long, HTTP/1.0", func(t *testing.T) {
 		is := is.New(t)
-		_, url := serve(t, answerOf(1001), nil)
+		_, url := startServer(t, answerOf(1001), nil)
 		c, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
 		is.NoErr(err)
 		defer c.Close()
@@ -231,9 +231,9 @@
 	})
 }
 
-func TestLongWholeBodyTellsInTrailer(t *testing.T) {
+func TestUnbufferedBodyHasOutcomeTrailer(t *testing.T) {
 	is := is.New(t)
-	_, url := serve(t, func(_ context.Context, _ *request.Request, w answer.Writer) {
+	_, url := startServer(t, func(_ context.Context, _ *request.Request, w answer.Writer) {
 		w.Start(answer.Head{Status: 200})
 		for range 5 {
 			w.Frame(answer.Frame{Data: bytes.Repeat([]byte("x"), 400)})
@@ -251,7 +251,7 @@
 	for _, status := range []int{200, 204, 304} {
 		for _, method := range []string{"GET", "HEAD"} {
 			is := is.New(t)
-			_, url := serve(t, func(_ context.Context, _ *request.Request, w answer.Writer) {
+			_, url := startServer(t, func(_ context.Context, _ *request.Request, w answer.Writer) {
 				h := http.Header{"X-Seen": {"yes"}}
 				if method == "HEAD" {
 					h.Set("Content-Length", "77")
@@ -270,10 +270,10 @@
 	}
 }
 
-func TestOtherPaths(t *testing.T) {
+func TestHealthTicketsAndModels(t *testing.T) {
 	is := is.New(t)
 	ready := true
-	s, url := serve(t, echo, func(o *Options) {
+	s, url := startServer(t, echo, func(o *Options) {
 		o.Ready = func() (bool, string) { return ready, "because" }
 		o.Tickets = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ticket") })
 		o.Authorise = func(h http.Header) (fleet.Organisation, *outcome.Error) {
@@ -296,15 +296,15 @@
 	is.Equal(text(do(t, "POST", url+"/tickets", nil)), "ticket")
 	is.Equal(do(t, "GET", url+"/v1/models", nil).StatusCode, 401)
 	is.True(strings.Contains(text(do(t, "GET", url+"/v1/models", nil, "Authorization", "x")), `"renewals"`))
-	is.Equal(told(t, do(t, "GET", url+"/nowhere", nil).Body).Error.Type, outcome.BadRequest)
+	is.Equal(decodeErrorBody(t, do(t, "GET", url+"/nowhere", nil).Body).Error.Type, outcome.BadRequest)
 	is.Equal(do(t, "DELETE", url+chatPath, nil).StatusCode, 400)
 	is.Equal(s.InFlight(), 0)
 }
 
-func TestStreamIsAskedForByID(t *testing.T) {
+func TestStreamResumeID(t *testing.T) {
 	is := is.New(t)
 	var resumed []string
-	_, url := serve(t, func(ctx context.Context, req *request.Request, w answer.Writer) {
+	_, url := startServer(t, func(ctx context.Context, req *request.Request, w answer.Writer) {
 		resumed = append(resumed, req.ResumeID)
 		echo(ctx, req, w)
 	}, nil)
@@ -314,12 +314,12 @@
 	is.Equal(resumed, []string{"e1.g%2E1.3.s:4", "e1.g.3.s:5", "e1.g.3.s:6"})
 }
 
-// A fault of the node ends a request in the middle, by a panic or without an
-// end. The caller must not be left with an answer that looks whole.
-func TestPathThatDoesNotFinish(t *testing.T) {
+// The handler panics or returns without finishing the answer. The caller must
+// receive an internal error and not an answer that looks complete.
+func TestUnfinishedAnswerIsInternalError(t *testing.T) {
 	for _, panics := range []bool{false, true} {
 		is := is.New(t)
-		s, url := serve(t, func(_ context.Context, _ *request.Request, w answer.Writer) {
+		s, url := startServer(t, func(_ context.Context, _ *request.Request, w answer.Writer) {
 			w.Start(answer.Head{Status: 200})
 			w.Frame(answer.Frame{Data: []byte("part")})
 			if panics {
@@ -329,7 +329,7 @@
 		resp := do(t, "POST", url+chatPath, nil)
 		is.Equal(resp.StatusCode, 500)
 		is.Equal(resp.Header.Get(outcome.Header), "unknown")
-		is.Equal(told(t, resp.Body).Error.Type, outcome.Internal)
+		is.Equal(decodeErrorBody(t, resp.Body).Error.Type, outcome.Internal)
 		is.Equal(s.InFlight(), 0)
 	}
 }
--- a/internal/accept/bench_test.go
+++ b/internal/accept/bench_test.go
@@ -11,9 +11,9 @@
 	"chervilloom/internal/engine"
 )
 
-// endpoint answers calls at once, and model calls with the given number of
-// tokens.
-func endpoint(tokens int) http.HandlerFunc {
+// newEndpointHandler answers service calls immediately and model calls with a
+// stream of the given number of tokens.
+func newEndpointHandler(tokens int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/v1/chat/completions" {
 			io.WriteString(w, "ok")
@@ -31,8 +31,8 @@
 	}
 }
 
-// bareHop is a server that passes requests on and decides nothing.
-func bareHop(b *testing.B, addr string) *httptest.Server {
+// startPlainProxy starts a reverse proxy that forwards every request to addr.
+func startPlainProxy(b *testing.B, addr string) *httptest.Server {
 	tr := &http.Transport{MaxIdleConnsPerHost: 128}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		out, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+addr+r.URL.RequestURI(), r.Body)
@@ -58,10 +58,9 @@
 	return srv
 }
 
-// BenchmarkPath compares the whole path on loopback with a hop that decides
-// nothing.
+// BenchmarkPath compares the whole request path on loopback with a plain proxy.
 func BenchmarkPath(b *testing.B) {
-	ep := httptest.NewServer(endpoint(100))
+	ep := httptest.NewServer(newEndpointHandler(100))
 	defer ep.Close()
 	addr := ep.Listener.Addr().String()
 	chat := `{"model":"renewals","stream":true,"messages":[{"role":"user","content":"` + strings.Repeat("renewal ", 128) + `"}]}`
@@ -71,12 +70,12 @@
 		{"stream of 100", "POST", "/v1/chat/completions", chat},
 	}
 	for _, c := range cases {
-		b.Run(c.name+"/bare hop", func(b *testing.B) { drive(b, bareHop(b, addr).URL, c.method, c.path, c.body) })
-		b.Run(c.name+"/path", func(b *testing.B) { drive(b, path(b, addr).URL, c.method, c.path, c.body) })
+		b.Run(c.name+"/bare hop", func(b *testing.B) { benchmarkRequests(b, startPlainProxy(b, addr).URL, c.method, c.path, c.body) })
+		b.Run(c.name+"/path", func(b *testing.B) { benchmarkRequests(b, startPath(b, addr).URL, c.method, c.path, c.body) })
 	}
 }
 
-func drive(b *testing.B, url, method, path, body string) {
+func benchmarkRequests(b *testing.B, url, method, path, body string) {
 	b.ReportAllocs()
 	tr := &http.Transport{MaxIdleConnsPerHost: 128}
 	defer tr.CloseIdleConnections()
--- a/internal/accept/drain.go
+++ b/internal/accept/drain.go
@@ -6,86 +6,86 @@
 	"time"
 )
 
-// phase is how far a graceful shutdown has come.
+// phase is the progress of a graceful shutdown.
 type phase int
 
 const (
 	phaseOpen   phase = iota
-	phaseNotice       // not ready, requests are still taken
-	phaseClosed       // requests are refused "not run"
+	phaseNotice       // not ready, requests are still accepted
+	phaseClosed       // requests are refused with the outcome "not run"
 )
 
-// flight counts the requests in progress. The phase and the count change under
-// one lock: a request that entered before the close is waited for, one that
-// comes after it is refused, and none falls between.
-type flight struct {
-	mu    sync.Mutex
-	at    phase
-	count int
-	empty chan struct{} // closed when the last request leaves after the close
+// inFlightCounter counts the requests in progress. One lock guards the phase and
+// the count: a request is either counted before the close and waited for, or
+// refused after it.
+type inFlightCounter struct {
+	mu      sync.Mutex
+	current phase
+	count   int
+	drained chan struct{} // closed when phaseClosed is reached and count is zero
 }
 
-// enter counts a request in, unless the phase is phaseClosed.
-func (f *flight) enter() phase {
+// enter adds a request unless the phase is phaseClosed. It returns the phase.
+func (f *inFlightCounter) enter() phase {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.at != phaseClosed {
+	if f.current != phaseClosed {
 		f.count++
 	}
-	return f.at
+	return f.current
 }
 
-func (f *flight) leave() {
+func (f *inFlightCounter) leave() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.count--
-	f.signal()
+	f.signalIfDrained()
 }
 
-func (f *flight) phase() phase {
+func (f *inFlightCounter) currentPhase() phase {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.at
+	return f.current
 }
 
-// move sets the phase, which only goes forward.
-func (f *flight) move(to phase) {
+// advance sets the phase; a move back to an earlier phase is ignored.
+func (f *inFlightCounter) advance(to phase) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if to > f.at {
-		f.at = to
+	if to > f.current {
+		f.current = to
 	}
-	if f.empty == nil {
-		f.empty = make(chan struct{})
+	if f.drained == nil {
+		f.drained = make(chan struct{})
 	}
-	f.signal()
+	f.signalIfDrained()
 }
 
-func (f *flight) signal() {
-	if f.at != phaseClosed || f.count > 0 {
+func (f *inFlightCounter) signalIfDrained() {
+	if f.current != phaseClosed || f.count > 0 {
 		return
 	}
 	select {
-	case <-f.empty:
+	case <-f.drained:
 	default:
-		close(f.empty)
+		close(f.drained)
 	}
 }
 
-// Drain fails readiness, goes on taking requests for Options.Notice, then
-// refuses new ones and waits for those in progress. It returns ctx's error
-// when some are still in progress as ctx ends.
+// Drain fails the readiness check, accepts requests for Options.Notice more,
+// then refuses new ones and waits for those in progress. It returns ctx.Err()
+// if requests are still in progress when ctx ends.
 func (s *Server) Drain(ctx context.Context) error {
-	s.flight.move(phaseNotice)
+	s.inFlight.advance(phaseNotice)
 	notice := time.NewTimer(s.opt.Notice)
 	defer notice.Stop()
 	select {
 	case <-notice.C:
 	case <-ctx.Done():
 	}
-	s.flight.move(phaseClosed)
+	s.inFlight.advance(phaseClosed)
 	select {
-	case <-s.flight.empty:
+	case <-s.inFlight.drained:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -94,7 +94,7 @@
 
 // InFlight returns the number of requests in progress.
 func (s *Server) InFlight() int {
-	s.flight.mu.Lock()
-	defer s.flight.mu.Unlock()
-	return s.flight.count
+	s.inFlight.mu.Lock()
+	defer s.inFlight.mu.Unlock()
+	return s.inFlight.count
 }
--- a/internal/accept/drain_test.go
+++ b/internal/accept/drain_test.go
@@ -15,34 +15,34 @@
 	"chervilloom/internal/testkit"
 )
 
-// held is a path whose answers wait until they are let go.
-type held struct {
-	began chan string
-	let   chan struct{}
+// blockedHandler answers each request after a receive from release.
+type blockedHandler struct {
+	started chan string
+	release chan struct{}
 }
 
-func (h *held) Serve(ctx context.Context, req *request.Request, w answer.Writer) {
-	h.began <- req.Path
-	<-h.let
+func (h *blockedHandler) Serve(ctx context.Context, req *request.Request, w answer.Writer) {
+	h.started <- req.Path
+	<-h.release
 	echo(ctx, req, w)
 }
 
-// A node is told to stop while a clerk waits for a receipt. First the node
-// fails its readiness, so that the balancer sends no more; requests that still
-// come are answered, on connections that then close. After that new requests
-// are refused "not run", and the clerk gets the receipt before the node ends.
-func TestDrainCutsNothing(t *testing.T) {
+// A node shuts down while a request is in progress. First its readiness check
+// fails, so that the load balancer stops sending; requests that still arrive are
+// answered and their connections closed. Then new requests are refused with the
+// outcome "not run", and the request in progress is finished before Drain returns.
+func TestDrainFinishesRequestsInProgress(t *testing.T) {
 	is := is.New(t)
-	h := &held{began: make(chan string, 4), let: make(chan struct{}, 4)}
+	h := &blockedHandler{started: make(chan string, 4), release: make(chan struct{}, 4)}
 	notice := 300 * time.Millisecond
-	s, url := serve(t, h.Serve, func(o *Options) { o.Notice = notice })
-	defer close(h.let)
+	s, url := startServer(t, h.Serve, func(o *Options) { o.Notice = notice })
+	defer close(h.release)
 	answers := make(chan *http.Response, 4)
 	ask := func(path string) {
 		go func() { answers <- do(t, "POST", url+"/services/counter"+path, nil) }()
 	}
 	ask("/early")
-	is.Equal(<-h.began, "/services/counter/early")
+	is.Equal(<-h.started, "/services/counter/early")
 
 	drained := make(chan error, 1)
 	go func() { drained <- s.Drain(context.Background()) }()
@@ -50,8 +50,8 @@
 
 	ask("/late")
 	select {
-	case <-h.began: // within the notice
-	case resp := <-answers: // the machine was slow and the notice over
+	case <-h.started: // within the notice period
+	case resp := <-answers: // the machine was slow and the notice period had ended
 		answers <- resp
 	}
 	testkit.Eventually(t, "new requests are refused", func() bool {
@@ -66,12 +66,12 @@
 	})
 	is.True(s.InFlight() > 0)
 	is.Equal(len(drained), 0)
-	h.let <- struct{}{}
-	h.let <- struct{}{}
+	h.release <- struct{}{}
+	h.release <- struct{}{}
 	is.NoErr(<-drained)
 	for range 2 {
 		resp := <-answers
-		is.True(resp.Close) // the answers given while draining close their connections
+		is.True(resp.Close) // answers during a drain close their connections
 		body, err := io.ReadAll(resp.Body)
 		is.NoErr(err)
 		is.True(len(body) > 0)
@@ -79,22 +79,22 @@
 	is.Equal(s.InFlight(), 0)
 }
 
-func TestDrainTellsWhatIsLeft(t *testing.T) {
+func TestDrainReturnsContextError(t *testing.T) {
 	is := is.New(t)
-	h := &held{began: make(chan string, 1), let: make(chan struct{}, 1)}
-	s, url := serve(t, h.Serve, nil)
-	defer close(h.let)
+	h := &blockedHandler{started: make(chan string, 1), release: make(chan struct{}, 1)}
+	s, url := startServer(t, h.Serve, nil)
+	defer close(h.release)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		do(t, "POST", url+chatPath, nil)
 	}()
-	<-h.began
+	<-h.started
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	is.Equal(s.Drain(ctx), context.Canceled)
 	is.Equal(s.InFlight(), 1)
-	h.let <- struct{}{}
+	h.release <- struct{}{}
 	<-done
 	is.NoErr(s.Drain(context.Background()))
 }
--- a/internal/accept/other.go
+++ b/internal/accept/other.go
@@ -15,7 +15,7 @@
 	fmt.Fprintln(w, "ok")
 }
 
-// readyz tells balancers whether to send requests here.
+// readyz is the readiness check for load balancers.
 func (s *Server) readyz(w http.ResponseWriter, _ *http.Request) {
 	ok, reason := s.Ready()
 	if !ok {
@@ -25,9 +25,9 @@
 	fmt.Fprintln(w, reason)
 }
 
-// Ready reports whether the node may get new requests, and why not.
+// Ready reports whether the node accepts new requests, and the reason if not.
 func (s *Server) Ready() (bool, string) {
-	if s.flight.phase() != phaseOpen {
+	if s.inFlight.currentPhase() != phaseOpen {
 		return false, "shutting down"
 	}
 	if s.opt.Ready == nil {
@@ -36,7 +36,7 @@
 	return s.opt.Ready()
 }
 
-// modelList is the usual list of models.
+// modelList is the response to GET /v1/models in the OpenAI format.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
@@ -50,7 +50,7 @@
 	Adapters []string `json:"adapters"`
 }
 
-func (s *Server) models(w http.ResponseWriter, r *http.Request, id string) {
+func (s *Server) serveModels(w http.ResponseWriter, r *http.Request, id string) {
 	if s.opt.Authorise != nil {
 		if _, err := s.opt.Authorise(r.Header); err != nil {
 			s.refuse(w, r, err, id)
@@ -69,31 +69,31 @@
 	json.NewEncoder(w).Encode(list)
 }
 
-func (s *Server) tickets(w http.ResponseWriter, r *http.Request, id string) {
+func (s *Server) serveTickets(w http.ResponseWriter, r *http.Request, id string) {
 	if s.opt.Tickets == nil {
-		s.unknown(w, r, id)
+		s.refuseUnknownPath(w, r, id)
 		return
 	}
 	s.opt.Tickets.ServeHTTP(w, r)
 }
 
-func (s *Server) unknown(w http.ResponseWriter, r *http.Request, id string) {
+func (s *Server) refuseUnknownPath(w http.ResponseWriter, r *http.Request, id string) {
 	s.refuse(w, r, outcome.New(outcome.BadRequest, outcome.NotRun,
 		fmt.Sprintf("nothing is served at %s %.100q", r.Method, r.URL.Path),
 		"use POST "+identify.PathChat+", POST "+identify.PathCompletions+", GET /v1/models or "+identify.PathServices+"{name}/"), id)
 }
 
-// clipBytes bounds what is taken from a caller into the log.
-const clipBytes = 128
+// maxLoggedBytes bounds the length of a caller-supplied string in the log.
+const maxLoggedBytes = 128
 
-func clip(s string) string {
-	if len(s) > clipBytes {
-		return s[:clipBytes]
+func truncateForLog(s string) string {
+	if len(s) > maxLoggedBytes {
+		return s[:maxLoggedBytes]
 	}
 	return s
 }
 
-func bytesText(n int64) string { return fmt.Sprintf("%d bytes", n) }
+func formatBytes(n int64) string { return fmt.Sprintf("%d bytes", n) }
 
 type metrics struct {
 	inFlight prometheus.Gauge
--- a/internal/accept/path_test.go
+++ b/internal/accept/path_test.go
@@ -41,7 +41,7 @@
 
 func (v fixedView) Snapshot() *view.Snapshot { return v.snap }
 
-// firstRouter picks the first group or endpoint that was not tried.
+// firstRouter picks the first group or endpoint, and refuses every retry.
 type firstRouter struct{}
 
 func (firstRouter) Pick(req *request.Request, snap *view.Snapshot, _ clock.Instant, tried []route.Tried) (route.Choice, *outcome.Error) {
@@ -57,10 +57,10 @@
 func (firstRouter) Begin(route.Choice)             {}
 func (firstRouter) End(route.Choice, route.Result) {}
 
-type freeRetry struct{}
+type unlimitedRetry struct{}
 
-func (freeRetry) First(request.Class)                       {}
-func (freeRetry) Allow(request.Class) (bool, time.Duration) { return true, 0 }
+func (unlimitedRetry) First(request.Class)                       {}
+func (unlimitedRetry) Allow(request.Class) (bool, time.Duration) { return true, 0 }
 
 func testDocument() *config.Document {
 	sum := sha256.Sum256([]byte(testKey))
@@ -71,11 +71,11 @@
 	}
 }
 
-// path returns a whole path in front of the endpoint at addr.
-func path(t testing.TB, addr string) *httptest.Server { return pathTo(t, addr, "b1") }
+// startPath starts the whole request path in front of the endpoint at addr.
+func startPath(t testing.TB, addr string) *httptest.Server { return startPathWithBoot(t, addr, "b1") }
 
-// pathTo is path with the boot id of the engine at addr.
-func pathTo(t testing.TB, addr string, boot fleet.BootID) *httptest.Server {
+// startPathWithBoot is startPath for an engine with the given boot ID.
+func startPathWithBoot(t testing.TB, addr string, boot fleet.BootID) *httptest.Server {
 	snap := &view.Snapshot{
 		Revision: 1, Config: testDocument(), Zone: "baneshwor",
 		VMs: []view.VM{{Record: fleet.Record{VM: "s1", Addr: addr, Service: "counter"}}},
@@ -87,7 +87,7 @@
 	}
 	v := fixedView{snap}
 	clk := clock.Boot{}
-	d := dispatch.New(dispatch.Options{View: v, Clock: clk, Router: firstRouter{}, Retry: freeRetry{}, DialTimeout: testkit.Patience})
+	d := dispatch.New(dispatch.Options{View: v, Clock: clk, Router: firstRouter{}, Retry: unlimitedRetry{}, DialTimeout: testkit.Patience})
 	t.Cleanup(d.Close)
 	acc := account.New(account.Options{Clock: clk})
 	id := identify.New(identify.Options{View: v, Clock: clk})
@@ -112,14 +112,14 @@
 	return resp
 }
 
-func TestWholePathAnswersServiceCall(t *testing.T) {
+func TestPathAnswersServiceCall(t *testing.T) {
 	is := is.New(t)
 	ep := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		is.Equal(r.Header.Get("Authorization"), "")
 		io.WriteString(w, "receipt "+r.URL.RequestURI())
 	}))
 	defer ep.Close()
-	srv := path(t, ep.Listener.Addr().String())
+	srv := startPath(t, ep.Listener.Addr().String())
 	resp := send(t, "POST", srv.URL+"/services/counter/receipts?n=7", "{}")
 	body, err := io.ReadAll(resp.Body)
 	is.NoErr(err)
@@ -128,7 +128,7 @@
 	is.True(resp.Header.Get(accept.HeaderRequest) != "")
 }
 
-func TestWholePathStreams(t *testing.T) {
+func TestPathStreamsModelAnswer(t *testing.T) {
 	is := is.New(t)
 	ep := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(engine.HeaderGeneration, r.Header.Get(engine.HeaderGeneration))
@@ -141,7 +141,7 @@
 		fmt.Fprintf(w, "id: %s:3\ndata: {\"choices\":[{\"finish_reason\":\"stop\"}],\"usage\":{\"completion_tokens\":3}}\n\ndata: [DONE]\n\n", id)
 	}))
 	defer ep.Close()
-	srv := path(t, ep.Listener.Addr().String())
+	srv := startPath(t, ep.Listener.Addr().String())
 	resp := send(t, "POST", srv.URL+"/v1/chat/completions",
 		`{"model":"renewals","stream":true,"messages":[{"role":"user","content":"hello"}]}`)
 	body, err := io.ReadAll(resp.Body)
@@ -151,9 +151,9 @@
 	is.Equal(resp.Trailer.Get(outcome.Header), "ran")
 }
 
-// Two hundred clerks stream at once over HTTP while the engine's connections
-// break after a few tokens. Each reads the own answer, whole and in order.
-func TestConcurrentCallersGetTheirOwnAnswers(t *testing.T) {
+// 200 callers stream concurrently while the engine's connections break after a
+// few tokens. Each caller must receive its own answer, complete and in order.
+func TestConcurrentStreamsStaySeparate(t *testing.T) {
 	is := is.New(t)
 	const callers, tokens = 200, 30
 	e := standin.New(standin.Options{VM: "e1", Slots: callers, TokensPerSecond: 3000, LoadTime: standin.Immediately})
@@ -167,7 +167,7 @@
 		Model: "renewals", Version: "v1", Peers: []string{addr}})
 	is.True(ok)
 	e.SetFaults(standin.Faults{CutStreams: 2 * callers, CutAfter: 4})
-	srv := pathTo(t, addr, e.State().Boot)
+	srv := startPathWithBoot(t, addr, e.State().Boot)
 	var wg sync.WaitGroup
 	for i := range callers {
 		body := fmt.Sprintf(`{"model":"renewals","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"clerk %d"}]}`, tokens, i)
@@ -181,7 +181,7 @@
 	wg.Wait()
 }
 
-// readTokens makes a model call and returns its tokens.
+// readTokens makes a streamed model call and returns the tokens of the answer.
 func readTokens(url, body string) ([]string, error) {
 	r, err := http.NewRequest("POST", url+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -216,9 +216,9 @@
 	}
 }
 
-// A driver closes the browser in the middle of a stream: the path must learn
-// of it, or the engine goes on for nobody.
-func TestPathLearnsThatTheCallerLeft(t *testing.T) {
+// A caller disconnects in the middle of a stream. The request to the engine must
+// be cancelled, or the engine keeps generating tokens that nobody reads.
+func TestCallerDisconnectCancelsEndpointRequest(t *testing.T) {
 	is := is.New(t)
 	left := make(chan struct{})
 	ep := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -232,7 +232,7 @@
 		close(left)
 	}))
 	defer ep.Close()
-	srv := path(t, ep.Listener.Addr().String())
+	srv := startPath(t, ep.Listener.Addr().String())
 	ctx, cancel := context.WithCancel(context.Background())
 	r, err := http.NewRequestWithContext(ctx, "POST", srv.URL+"/v1/chat/completions",
 		strings.NewReader(`{"model":"renewals","stream":true,"messages":[{"role":"user","content":"x"}]}`))
@@ -247,9 +247,9 @@
 	<-left
 }
 
-// A scorer follows a timing service's own feed of events. Each crossing must
-// come through when it happens, not when the feed ends.
-func TestServiceFeedIsNotHeldBack(t *testing.T) {
+// A caller reads a service's own server-sent events. Each event must be
+// forwarded when it is sent, not when the stream ends.
+func TestServiceEventStreamIsFlushed(t *testing.T) {
 	is := is.New(t)
 	more := make(chan struct{})
 	ep := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -261,7 +261,7 @@
 		}
 	}))
 	defer ep.Close()
-	srv := path(t, ep.Listener.Addr().String())
+	srv := startPath(t, ep.Listener.Addr().String())
 	resp := send(t, "GET", srv.URL+"/services/counter/crossings", "")
 	got := make([]byte, len("data: crossing 0\n\n"))
 	for i := range 2 {
@@ -272,13 +272,13 @@
 	}
 	rest, err := io.ReadAll(resp.Body)
 	is.NoErr(err)
-	is.Equal(string(rest), "") // the feed's own form: nothing is added
+	is.Equal(string(rest), "") // nothing is added to the service's own format
 	is.Equal(resp.Trailer.Get(outcome.Header), "ran")
 }
 
-func TestWholePathRefusesUnknownModel(t *testing.T) {
+func TestPathRefusesUnknownModel(t *testing.T) {
 	is := is.New(t)
-	srv := path(t, "127.0.0.1:1")
+	srv := startPath(t, "127.0.0.1:1")
 	resp := send(t, "POST", srv.URL+"/v1/chat/completions", `{"model":"none","messages":[{"role":"user","content":"x"}]}`)
 	body, _ := io.ReadAll(resp.Body)
 	is.Equal(resp.StatusCode, 404)
--- a/internal/accept/refuse_test.go
+++ b/internal/accept/refuse_test.go
@@ -18,11 +18,11 @@
 	"chervilloom/internal/request"
 )
 
-// A clerk repeats a receipt under its key after the first answer was lost, and
-// the repeat meets a node that shuts down, or is refused for its body. This
-// try did not run, but the first one may have: told "not-run", the clerk would
-// send it under a new key and issue two receipts.
-func TestRefusedRepeatIsNotToldNotRun(t *testing.T) {
+// A caller repeats a call with its idempotency key after the first answer was
+// lost. The repeat is refused because the node shuts down or the body is too
+// long. The first attempt may have run: with the outcome "not-run" the caller
+// would repeat the call with a new key, and it would run twice.
+func TestRefusedRepeatHasUnknownOutcome(t *testing.T) {
 	long := strings.Repeat("x", 2000)
 	cases := []struct {
 		name, body string
@@ -40,64 +40,64 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			s, url := serve(t, echo, nil)
+			s, url := startServer(t, echo, nil)
 			if tc.closed {
 				is.NoErr(s.Drain(context.Background()))
 			}
 			resp := do(t, "POST", url+"/services/counter/receipts", strings.NewReader(tc.body), tc.header...)
 			is.True(resp.StatusCode >= 400)
 			is.Equal(resp.Header.Get(outcome.Header), string(tc.want))
-			is.Equal(told(t, resp.Body).Error.Outcome, tc.want)
+			is.Equal(decodeErrorBody(t, resp.Body).Error.Outcome, tc.want)
 		})
 	}
 }
 
-// Somebody without a key opens many connections and sends long bodies slowly.
-// Each is refused by its header alone: read first, the bodies of strangers
-// would fill the node's memory and callers with keys would be cut off.
-func TestStrangersBodyIsNotRead(t *testing.T) {
+// An unauthorised client opens many connections and sends long bodies slowly.
+// Each request is refused before its body is read: the bodies would otherwise
+// exhaust the node's memory, and authorised callers would be disconnected.
+func TestUnauthorisedBodyIsNotRead(t *testing.T) {
 	is := is.New(t)
 	served := false
-	_, url := serve(t, func(context.Context, *request.Request, answer.Writer) { served = true }, func(o *Options) {
+	_, url := startServer(t, func(context.Context, *request.Request, answer.Writer) { served = true }, func(o *Options) {
 		o.Authorise = func(http.Header) (fleet.Organisation, *outcome.Error) {
 			return "", outcome.New(outcome.Unauthorised, outcome.NotRun, "the key is not known", "check the key")
 		}
 	})
-	endless, end := io.Pipe() // gives nothing until the answer has come
+	endless, end := io.Pipe() // blocks until the answer has been received
 	defer end.Close()
 	resp := do(t, "POST", url+chatPath, io.MultiReader(bytes.NewReader([]byte("{")), endless))
 	is.Equal(resp.StatusCode, http.StatusUnauthorized)
-	is.True(resp.Close) // what is left of the body is not waited for
-	is.Equal(told(t, resp.Body).Error.Type, outcome.Unauthorised)
+	is.True(resp.Close) // the server does not wait for the rest of the body
+	is.Equal(decodeErrorBody(t, resp.Body).Error.Type, outcome.Unauthorised)
 	is.True(!served)
 }
 
-// The path ends an answer with a status that HTTP has no answer for, as an
-// endpoint's "000" would be. net/http panics on it; the caller must be told of
-// a failure and not be given an empty success.
-func TestImpossibleStatusIsNoSuccess(t *testing.T) {
+// The request path starts an answer with a status that is invalid in HTTP, such
+// as an endpoint's "000". net/http panics on it; the caller must receive an
+// internal error and not an empty success.
+func TestInvalidStatusIsInternalError(t *testing.T) {
 	for _, status := range []int{0, 99, 101, 103, 1000} {
 		for _, stream := range []bool{false, true} {
 			is := is.New(t)
-			_, url := serve(t, func(_ context.Context, _ *request.Request, w answer.Writer) {
+			_, url := startServer(t, func(_ context.Context, _ *request.Request, w answer.Writer) {
 				w.Start(answer.Head{Status: status, Stream: stream, Header: http.Header{"Content-Encoding": {"gzip"}}})
 				w.Finish(answer.End{Whole: true})
 			}, nil)
 			resp := do(t, "GET", url+"/services/counter/x", nil)
 			is.Equal(resp.StatusCode, http.StatusInternalServerError)
 			is.Equal(resp.Header.Get(outcome.Header), string(outcome.Unknown))
-			is.Equal(told(t, resp.Body).Error.Type, outcome.Internal)
+			is.Equal(decodeErrorBody(t, resp.Body).Error.Type, outcome.Internal)
 		}
 	}
 }
 
-// An engine's event holds line ends within its JSON. A reader of server-sent
-// events takes a carriage return for a line's end as well: the rest of the
-// event would be a field it does not know, and be lost without notice.
-func TestLineEndsWithinAnEventLoseNothing(t *testing.T) {
+// An engine's event contains line breaks within its JSON. Readers of server-sent
+// events also end a line at a carriage return, so the rest of the event would be
+// an unknown field and be dropped silently.
+func TestLineBreaksInEventData(t *testing.T) {
 	for _, data := range []string{"{\n\"a\":1}", "{\r\"a\":1}", "{\r\n\"a\":1}"} {
 		is := is.New(t)
-		_, url := serve(t, func(_ context.Context, _ *request.Request, w answer.Writer) {
+		_, url := startServer(t, func(_ context.Context, _ *request.Request, w answer.Writer) {
 			w.Start(answer.Head{Status: 200, Stream: true})
 			w.Frame(answer.Frame{ID: "s:0", Data: []byte(data)})
 			w.Finish(answer.End{Whole: true})
@@ -112,39 +112,39 @@
 	}
 }
 
-// Somebody begins a body and sends nothing more. The request is refused after a
-// while as "not run", wherever it goes: the body's memory, a connection, and the
-// place among the requests in progress, for which a shutdown waits, would
-// otherwise be held for ever.
-func TestBodyThatNeverEndsIsGivenUp(t *testing.T) {
+// A client starts a body and stops sending. On every path the request is refused
+// as "not run" after the body timeout. Otherwise it would occupy memory and a
+// connection forever, and a shutdown would wait for it among the requests in
+// progress.
+func TestBodyTimeout(t *testing.T) {
 	for _, path := range []string{"/services/counter/receipts", "/tickets", "/nowhere"} {
 		is := is.New(t)
-		s, url := serve(t, echo, func(o *Options) { o.BodyTimeout = 20 * time.Millisecond })
+		s, url := startServer(t, echo, func(o *Options) { o.BodyTimeout = 20 * time.Millisecond })
 		endless, end := io.Pipe()
 		resp := do(t, "POST", url+path, io.MultiReader(strings.NewReader("{"), endless))
 		is.Equal(resp.StatusCode, http.StatusBadRequest)
 		is.True(resp.Close)
-		body := told(t, resp.Body)
+		body := decodeErrorBody(t, resp.Body)
 		is.Equal(body.Error.Outcome, outcome.NotRun)
 		is.Equal(strings.Contains(body.Error.Message, "20ms"), strings.HasPrefix(path, "/services/"))
-		is.NoErr(s.Drain(context.Background())) // waits for nothing
+		is.NoErr(s.Drain(context.Background())) // no request is left in progress
 		end.Close()
 	}
 }
 
-// The time for a body ends with the body: an answer may take longer.
+// The body timeout applies to reading the body only; the answer may take longer.
 func TestBodyTimeoutDoesNotCutTheAnswer(t *testing.T) {
 	is := is.New(t)
 	const timeout = 50 * time.Millisecond
-	_, url := serve(t, func(ctx context.Context, req *request.Request, w answer.Writer) {
+	_, url := startServer(t, func(ctx context.Context, req *request.Request, w answer.Writer) {
 		select {
-		case <-ctx.Done(): // what a read that fails would end
+		case <-ctx.Done(): // an expired read deadline would cancel ctx
 		case <-time.After(4 * timeout):
 		}
 		is.NoErr(ctx.Err())
 		echo(ctx, req, w)
 	}, func(o *Options) { o.BodyTimeout = timeout })
-	for range 2 { // the second comes over the same connection
+	for range 2 { // the second request reuses the connection
 		resp := do(t, "POST", url+"/services/counter/x", strings.NewReader("body"))
 		body, err := io.ReadAll(resp.Body)
 		is.NoErr(err)
