--- a/internal/node/configure.go
+++ b/internal/node/configure.go
@@ -11,7 +11,7 @@
 	"chervilloom/internal/yamlcheck"
 )
 
-// historyLength is how many revisions the history shows.
+// historyLength is the number of revisions that History returns.
 const historyLength = 50
 
 // Config returns the configuration in force on this node.
@@ -21,20 +21,20 @@
 	if number == 0 {
 		return v
 	}
-	// The revision in force is in memory: no platform is asked.
+	// The revision in force is in memory; Get does not call the platform.
 	if rec, err := n.config.Get(context.Background(), number); err == nil {
 		v.Document = string(rec.Document)
 	}
 	return v
 }
 
-// Apply asks to accept a document.
+// Apply tries to accept a document as the revision after req.Base.
 func (n *Node) Apply(ctx context.Context, req operator.ApplyRequest, author string) operator.ApplyResult {
 	rec, err := n.config.Accept(ctx, req.Base, []byte(req.Document), author)
 	return applyResult(rec, err)
 }
 
-// ConfigAt returns the revision with the number from memory or the table.
+// ConfigAt returns the revision with the given number from memory or the table.
 func (n *Node) ConfigAt(ctx context.Context, number uint64) (operator.ConfigView, error) {
 	rec, err := n.config.Get(ctx, number)
 	if err != nil {
@@ -45,7 +45,8 @@
 	}, nil
 }
 
-// RollBack accepts the document of an old revision as the one after base.
+// RollBack tries to accept the document of revision to as the revision after
+// base.
 func (n *Node) RollBack(ctx context.Context, base, to uint64, author string) operator.ApplyResult {
 	rec, err := n.config.RollBack(ctx, base, to, author)
 	return applyResult(rec, err)
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -16,52 +16,53 @@
 	"chervilloom/internal/view"
 )
 
-// defaultLease is the term of the duty leases.
-const defaultLease = 6 * time.Second
+// defaultLeaseTerm is the term of the duty leases if the policy sets none.
+const defaultLeaseTerm = 6 * time.Second
 
 func (n *Node) buildControl() {
 	n.buildConfig()
 	n.prober = probe.New(probe.Settings{}, n.engines, n.view, n.view, n.clock, seed(), n.reg)
-	duty := group.Duty(n.set.Zone)
+	duty := group.Duty(n.settings.Zone)
 	n.leases = &lease.Manager{
-		Duty: duty, Self: n.self, Params: lease.DefaultParams(defaultLease),
+		Duty: duty, Self: n.self, Params: lease.DefaultParams(defaultLeaseTerm),
 		Table: n.platform, Clock: n.clock, Log: n.log,
-		Term: func() time.Duration { return n.policy().Lease.Or(defaultLease) },
+		Term: func() time.Duration { return n.policy().Lease.Or(defaultLeaseTerm) },
 		Rank: func() int { return lease.Position(duty, n.self.VM, probe.ZoneNodes(n.view.Snapshot())) },
 	}
 	n.capacity = capacity.NewTracker(capacity.Options{
-		Zone: n.set.Zone, Clock: n.clock, Objects: n.platform, Log: n.log, Explain: n.explained, Registerer: n.reg,
+		Zone: n.settings.Zone, Clock: n.clock, Objects: n.platform, Log: n.log, Explain: n.explainStore, Registerer: n.reg,
 	})
 	n.groups = group.New(group.Deps{
-		Zone: n.set.Zone, Table: n.platform, Orders: n.engines, Lease: n.leases,
-		View: n.view, Sink: n.view, Clock: n.clock, Explain: n.explained, Log: n.log, Registry: n.reg,
+		Zone: n.settings.Zone, Table: n.platform, Orders: n.engines, Lease: n.leases,
+		View: n.view, Sink: n.view, Clock: n.clock, Explain: n.explainStore, Log: n.log, Registry: n.reg,
 		Targets: n.capacity.Targets,
 	})
-	n.buildMoves()
+	n.buildMover()
 	n.buildGossip()
 }
 
-func (n *Node) buildMoves() {
-	n.uses = kv.NewUses(n.clock)
-	n.movers = engine.NewClient(engine.WithTimeout(kv.DefaultCosts().Within))
-	n.moves = kv.New(kv.Options{
-		View: n.view, Held: n.holdsGroups, Engines: n.movers, Objects: n.platform, Uses: n.uses,
-		Clock: n.clock, Explain: n.explained, Log: n.log, Registerer: n.reg,
+func (n *Node) buildMover() {
+	n.prefixUses = kv.NewUses(n.clock)
+	n.moveEngines = engine.NewClient(engine.WithTimeout(kv.DefaultCosts().Within))
+	n.mover = kv.New(kv.Options{
+		View: n.view, Held: n.holdsGroupLease, Engines: n.moveEngines, Objects: n.platform, Uses: n.prefixUses,
+		Clock: n.clock, Explain: n.explainStore, Log: n.log, Registerer: n.reg,
 	})
 }
 
-// holdsGroups reports whether this node has the duty of the zone's groups now.
-func (n *Node) holdsGroups() bool {
+// holdsGroupLease reports whether this node holds the lease of the zone's group
+// duty now.
+func (n *Node) holdsGroupLease() bool {
 	_, held := n.leases.Held(n.clock.Now())
 	return held
 }
 
-// buildGossip joins the view to those of the other nodes. It needs the lease:
-// its holder tells of the groups' rows.
+// buildGossip connects the view to those of the other nodes. It needs the lease,
+// because the lease holder publishes the groups' rows.
 func (n *Node) buildGossip() {
 	n.gossip = view.NewGossip(view.GossipOptions{
 		View: n.view, Clock: n.clock, Send: n.mesh, First: membership.TopK, Log: n.log, Registry: n.reg,
-		Holds: n.holdsGroups,
+		Holds: n.holdsGroupLease,
 	})
 	n.mesh.Subscribe(view.TopicZone, n.gossip.HandleZone)
 	n.mesh.Subscribe(view.TopicRemote, n.gossip.HandleRemote)
@@ -72,7 +73,7 @@
 func (n *Node) buildConfig() {
 	n.config = revision.NewKeeper(revision.Options{
 		Table: n.platform, Peers: n.mesh, Nodes: n.liveNodes,
-		Poll: time.Duration(n.set.Timing.RevisionPoll), Seed: seed(), Log: n.log, Metrics: n.reg,
+		Poll: time.Duration(n.settings.Timing.RevisionPoll), Seed: seed(), Log: n.log, Metrics: n.reg,
 	})
 	n.mesh.Subscribe(revision.TopicAnnounce, n.config.HandleAnnounce)
 	n.mesh.HandleCall(revision.MethodHighest, n.config.HandleHighest)
@@ -81,7 +82,8 @@
 	n.mesh.HandleCall(methodAlive, n.handleAlive)
 }
 
-// policy returns the policy in force, zero while no revision is known.
+// policy returns the policy in force, or the zero policy while no revision is
+// known.
 func (n *Node) policy() config.Policy {
 	if doc := n.view.Snapshot().Config; doc != nil {
 		return doc.Policy
--- a/internal/node/eject.go
+++ b/internal/node/eject.go
@@ -15,62 +15,63 @@
 )
 
 const (
-	// candidatesEvery is how often the ejector learns who there is.
-	candidatesEvery = time.Second
-	// ejectedPasses bounds how many ejected destinations one decision passes
-	// over; the ejector's cap keeps their number below a third.
-	ejectedPasses = 8
+	// candidateInterval is the interval at which the ejector's candidates are
+	// updated.
+	candidateInterval = time.Second
+	// maxEjectedSkips bounds the ejected destinations that one decision skips.
+	// The ejector's cap keeps the ejected share below a third.
+	maxEjectedSkips = 8
 )
 
-// ejecting passes over destinations that fail more than their peers. A group
-// whose members answer probes may still fail its requests; without this it
-// would go on getting its part of them.
-type ejecting struct {
+// ejectingRouter is a router that skips destinations which fail more often than
+// their peers. A group can fail its requests although its members answer probes,
+// and would otherwise keep receiving its share of requests.
+type ejectingRouter struct {
 	*route.Router
 	ejector *retry.Ejector
-	uses    *kv.Uses // counts the prefixes that each group is sent
+	uses    *kv.Uses // counts the prompt prefixes sent to each group
 }
 
-// Pick chooses a destination and counts the prefixes that it is sent.
-func (e ejecting) Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.Tried) (route.Choice, *outcome.Error) {
-	c, err := e.choose(req, snap, now, tried)
+// Pick chooses a destination and counts the request's prefix for a group.
+func (e ejectingRouter) Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.Tried) (route.Choice, *outcome.Error) {
+	c, err := e.pickUsable(req, snap, now, tried)
 	if err == nil && c.Kind == route.ToGroup {
 		e.uses.Note(c.Group.ID, req.Prefix)
 	}
 	return c, err
 }
 
-// choose asks the router again without the ejected destination it chose. When
-// nothing else is left the first choice stands: an ejected destination is
-// better than none.
-func (e ejecting) choose(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.Tried) (route.Choice, *outcome.Error) {
+// pickUsable repeats the router's choice without the ejected destinations. If no
+// other destination is left, it returns the first choice, since an ejected
+// destination is better than none.
+func (e ejectingRouter) pickUsable(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.Tried) (route.Choice, *outcome.Error) {
 	first, err := e.Router.Pick(req, snap, now, tried)
-	if err != nil || e.ejector.Usable(destination(first)) {
+	if err != nil || e.ejector.Usable(destinationID(first)) {
 		return first, err
 	}
-	passed := append(slices.Clone(tried), exclusion(first))
-	for range ejectedPasses {
-		next, err := e.Router.Pick(req, snap, now, passed)
+	excluded := append(slices.Clone(tried), exclusion(first))
+	for range maxEjectedSkips {
+		next, err := e.Router.Pick(req, snap, now, excluded)
 		if err != nil {
 			return first, nil
 		}
-		if e.ejector.Usable(destination(next)) {
+		if e.ejector.Usable(destinationID(next)) {
 			return next, nil
 		}
-		passed = append(passed, exclusion(next))
+		excluded = append(excluded, exclusion(next))
 	}
 	return first, nil
 }
 
-// End tells the ejector how the request ended as well.
-func (e ejecting) End(c route.Choice, r route.Result) {
+// End reports the result of the request to the router and the ejector.
+func (e ejectingRouter) End(c route.Choice, r route.Result) {
 	e.Router.End(c, r)
 	if r.OK || r.Failed {
-		e.ejector.Report(destination(c), r.Failed)
+		e.ejector.Report(destinationID(c), r.Failed)
 	}
 }
 
-func destination(c route.Choice) retry.ID {
+func destinationID(c route.Choice) retry.ID {
 	switch c.Kind {
 	case route.ToGroup:
 		return retry.ID(c.Group.ID)
@@ -90,10 +91,11 @@
 	return route.Tried{Node: c.Node}
 }
 
-// followCandidates tells the ejector who there is, and the budget its ratio.
-func (n *Node) followCandidates(ctx context.Context) error {
-	clock.Every(ctx, candidatesEvery, func() {
-		n.ejector.SetCandidates(candidates(n.view.Snapshot()))
+// updateCandidates passes the current destinations to the ejector and the
+// policy's ratio to the retry budget until ctx ends.
+func (n *Node) updateCandidates(ctx context.Context) error {
+	clock.Every(ctx, candidateInterval, func() {
+		n.ejector.SetCandidates(candidateIDs(n.view.Snapshot()))
 		if ratio := n.policy().RetryBudget; ratio > 0 {
 			n.retries.SetRatio(ratio)
 		}
@@ -101,7 +103,7 @@
 	return nil
 }
 
-func candidates(snap *view.Snapshot) []retry.ID {
+func candidateIDs(snap *view.Snapshot) []retry.ID {
 	var ids []retry.ID
 	for i := range snap.Groups {
 		ids = append(ids, retry.ID(snap.Groups[i].ID))
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -15,31 +15,32 @@
 
 const (
 	methodExplain = "explain"
-	// explainWait bounds the wait for the other nodes' memories.
-	explainWait = 2 * time.Second
-	// explainAtOnce bounds how many nodes are asked at the same time.
-	explainAtOnce = 32
+	// explainTimeout bounds the wait for the other nodes' steps.
+	explainTimeout = 2 * time.Second
+	// explainConcurrency is the maximum number of concurrent calls to nodes.
+	explainConcurrency = 32
 )
 
-// handleExplain answers another node's question for the steps of a subject.
+// handleExplain returns this node's recorded steps of a subject to another node.
 func (n *Node) handleExplain(_ context.Context, _ fleet.Node, subject []byte) ([]byte, error) {
-	return json.Marshal(n.explained.Steps(string(subject)))
+	return json.Marshal(n.explainStore.Steps(string(subject)))
 }
 
-// Explain collects what all nodes remember of the subject. A node that does not
-// answer is named, so that a gap is not taken for silence.
+// Explain collects the recorded steps of the subject from all nodes. Nodes that
+// do not answer are listed in Unreached, so that missing steps are not mistaken
+// for no steps.
 func (n *Node) Explain(ctx context.Context, subject string) operator.Explanation {
-	ctx, cancel := context.WithTimeout(ctx, explainWait)
+	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
-	e := operator.Explanation{Subject: subject, Steps: n.explained.Steps(subject)}
+	e := operator.Explanation{Subject: subject, Steps: n.explainStore.Steps(subject)}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, explainAtOnce)
+	slots := make(chan struct{}, explainConcurrency)
 	for _, vm := range n.liveNodes() {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			steps, err := n.askSteps(ctx, vm, subject)
+			steps, err := n.fetchSteps(ctx, vm, subject)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -55,7 +56,7 @@
 	return e
 }
 
-func (n *Node) askSteps(ctx context.Context, vm fleet.VM, subject string) ([]explain.Step, error) {
+func (n *Node) fetchSteps(ctx context.Context, vm fleet.VM, subject string) ([]explain.Step, error) {
 	reply, err := n.mesh.Call(ctx, vm, methodExplain, []byte(subject))
 	if err != nil {
 		return nil, err
--- a/internal/node/leaving.go
+++ b/internal/node/leaving.go
@@ -10,8 +10,10 @@
 	"chervilloom/internal/view"
 )
 
-// Drain has an endpoint take no new request. The endpoint itself is told, so
-// that every node learns it from its next probe; this node knows at once.
+// Drain stops new requests to an endpoint. It orders the endpoint to leave, so
+// that every node learns it from the next probe, and marks it as leaving on this
+// node immediately. It returns an error if the endpoint is unknown or does not
+// answer.
 func (n *Node) Drain(ctx context.Context, req operator.DrainRequest, by string) error {
 	vm := findVM(n.view.Snapshot(), req)
 	if vm == nil {
@@ -19,7 +21,7 @@
 	}
 	reason := "operator " + by
 	n.view.Put(view.MarkLeaving{VM: req.VM, Boot: vm.Probe.State.Boot, Reason: reason})
-	n.explained.Note(explain.Step{Subject: string(req.VM), Stage: "drain", Decision: "leaving", Reason: reason})
+	n.explainStore.Note(explain.Step{Subject: string(req.VM), Stage: "drain", Decision: "leaving", Reason: reason})
 	if err := n.engines.Leave(ctx, vm.Record.Addr); err != nil {
 		return merry.Errorf("only this node knows that %s is leaving, the endpoint did not answer; order it again: %w", req.VM, err)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts the filters and the duties of one entry node together. It
-// decides nothing itself.
+// Package node assembles the request path and the background duties of an entry
+// node. It contains no decision logic of its own.
 package node
 
 import (
@@ -42,11 +42,11 @@
 )
 
 const (
-	explainSubjects = 20000 // subjects whose decisions a node remembers
-	explainSteps    = 32    // of each
+	explainSubjects = 20000 // subjects whose decisions a node keeps
+	explainSteps    = 32    // steps kept per subject
 )
 
-// Options are what a node needs besides its settings.
+// Options configures a node.
 type Options struct {
 	Settings *settings.Settings
 	Log      *slog.Logger
@@ -54,40 +54,40 @@
 	Clock    clock.Clock
 }
 
-// Addrs are the addresses that a node is bound to, ip:port.
+// Addrs contains the addresses that a node listens on, as ip:port.
 type Addrs struct {
 	Caller   string
 	Operator string
 	Peer     string
 }
 
-// Node is one entry node.
+// Node is an entry node: its listeners, request path and background duties.
 type Node struct {
-	set   *settings.Settings
-	self  fleet.Node
-	clock clock.Clock
-	log   *slog.Logger
-	reg   *prometheus.Registry
-
-	platform  *platform.Client
-	engines   *engine.Client
-	mesh      *peer.Mesh
-	members   *membership.Service
-	replaced  chan fleet.Node
-	directory *discovery.Directory
-	view      *view.Merger
-	lists     *view.ListPoller
-	gossip    *view.Gossip
-	usage     *usage.Tracker
-	prober    *probe.Prober
-	leases    *lease.Manager
-	groups    *group.Reconciler
-	capacity  *capacity.Tracker
-	uses      *kv.Uses
-	moves     *kv.Mover
-	movers    *engine.Client // for moves, which take longer than other calls
-	config    *revision.Keeper
-	explained *explain.Store
+	settings *settings.Settings
+	self     fleet.Node
+	clock    clock.Clock
+	log      *slog.Logger
+	reg      *prometheus.Registry
+
+	platform     *platform.Client
+	engines      *engine.Client
+	mesh         *peer.Mesh
+	members      *membership.Service
+	replacement  chan fleet.Node
+	directory    *discovery.Directory
+	view         *view.Merger
+	listPoller   *view.ListPoller
+	gossip       *view.Gossip
+	usage        *usage.Tracker
+	prober       *probe.Prober
+	leases       *lease.Manager
+	groups       *group.Reconciler
+	capacity     *capacity.Tracker
+	prefixUses   *kv.Uses
+	mover        *kv.Mover
+	moveEngines  *engine.Client // client for KV moves, with their longer timeout
+	config       *revision.Keeper
+	explainStore *explain.Store
 
 	once       *once.Keeper
 	admit      *admit.Admitter
@@ -97,23 +97,24 @@
 	dispatcher *dispatch.Dispatcher
 	quarantine *quarantine.Guard
 	pressure   *backpressure.Guard
-	// quarantined holds the rows of the requests that the quarantine refuses.
-	quarantined *quarantine.Rows
-	accept      *accept.Server
+	// quarantineRows stores the requests that the quarantine refuses in the table.
+	quarantineRows *quarantine.Rows
+	accept         *accept.Server
 
 	caller, operator net.Listener
 }
 
-// New binds the node's listeners and builds its parts; Run starts them.
+// New opens the node's listeners and builds its parts; Run starts them. It
+// returns an error if a listener cannot be opened or a part cannot be built.
 func New(o Options) (*Node, error) {
 	n := &Node{
-		set: o.Settings, clock: o.Clock, log: o.Log, reg: o.Registry,
-		replaced: make(chan fleet.Node, 1),
-		// Wall time only has to grow from one start of this VM's process to
-		// the next; a process starts at most once in a nanosecond.
+		settings: o.Settings, clock: o.Clock, log: o.Log, reg: o.Registry,
+		replacement: make(chan fleet.Node, 1),
+		// The incarnation must grow with every start of this VM's process.
+		// Wall time in nanoseconds suffices, since two starts never share one.
 		self: fleet.Node{VM: o.Settings.VM, Incarnation: fleet.Incarnation(time.Now().UnixNano())},
 	}
-	n.explained = explain.NewStore(n.self.String(), explainSubjects, explainSteps)
+	n.explainStore = explain.NewStore(n.self.String(), explainSubjects, explainSteps)
 	if err := n.listen(); err != nil {
 		return nil, err
 	}
@@ -124,10 +125,10 @@
 }
 
 func (n *Node) listen() (err error) {
-	if n.caller, err = listen(n.set.Listen.Caller.String(), n.set.CallerTLS); err != nil {
+	if n.caller, err = listen(n.settings.Listen.Caller.String(), n.settings.CallerTLS); err != nil {
 		return merry.Errorf("caller listener: %w", err)
 	}
-	if n.operator, err = listen(n.set.Listen.Operator.String(), n.set.OperatorTLS); err != nil {
+	if n.operator, err = listen(n.settings.Listen.Operator.String(), n.settings.OperatorTLS); err != nil {
 		return errors.Join(merry.Errorf("operator listener: %w", err), n.caller.Close())
 	}
 	return nil
@@ -154,11 +155,11 @@
 }
 
 func (n *Node) build() error {
-	n.platform = platform.NewClient(n.set.Platform.URL,
+	n.platform = platform.NewClient(n.settings.Platform.URL,
 		platform.WithLogger(n.log), platform.WithRegisterer(n.reg),
-		platform.WithTryTimeout(time.Duration(n.set.Timing.PlatformTimeout)))
+		platform.WithTryTimeout(time.Duration(n.settings.Timing.PlatformTimeout)))
 	n.engines = engine.NewClient(engine.WithRegisterer(n.reg))
-	n.view = view.NewMerger(n.self, n.set.Zone, n.clock)
+	n.view = view.NewMerger(n.self, n.settings.Zone, n.clock)
 	if err := n.buildPeers(); err != nil {
 		return err
 	}
@@ -166,7 +167,7 @@
 	return n.buildPath()
 }
 
-// Addrs returns the bound addresses.
+// Addrs returns the addresses that the node listens on.
 func (n *Node) Addrs() Addrs {
 	return Addrs{n.caller.Addr().String(), n.operator.Addr().String(), n.mesh.Addr()}
 }
@@ -174,10 +175,10 @@
 // Self returns the node's VM and incarnation.
 func (n *Node) Self() fleet.Node { return n.self }
 
-// seed returns a fresh seed for random choices that need no secrecy.
+// seed returns a random seed for choices that are not security-sensitive.
 func seed() uint64 { return rand.Uint64() }
 
-// Ready reports whether the node may get requests, and why not.
+// Ready reports whether the node accepts requests, and the reason if not.
 func (n *Node) Ready() (bool, string) { return n.accept.Ready() }
 
 var _ operator.Fleet = (*Node)(nil)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -21,17 +21,17 @@
 		return err
 	}
 	n.mesh, err = peer.New(peer.Options{
-		Self: n.self, Zone: n.set.Zone, Listen: n.set.Listen.Peer.String(), Identity: id,
+		Self: n.self, Zone: n.settings.Zone, Listen: n.settings.Listen.Peer.String(), Identity: id,
 		Clock: n.clock, Log: n.log, Registerer: n.reg,
 	})
 	if err != nil {
 		return err
 	}
 	rng := rand.New(rand.NewPCG(seed(), seed()))
-	state := membership.New(n.self, n.set.Zone, n.peerAddr(), membership.Defaults(), rng)
+	state := membership.New(n.self, n.settings.Zone, n.peerAddr(), membership.Defaults(), rng)
 	n.members, err = membership.NewService(membership.Options{
 		State: state, Mesh: n.mesh, Clock: n.clock, Log: n.log, Registerer: n.reg,
-		OnPause: n.paused, OnReplaced: n.replacedBy,
+		OnPause: n.handlePause, OnReplaced: n.handleReplaced,
 	})
 	if err != nil {
 		return err
@@ -41,9 +41,9 @@
 	return nil
 }
 
-// peerAddr returns where the other nodes reach this one.
+// peerAddr returns the address at which other nodes reach this one.
 func (n *Node) peerAddr() string {
-	if a := n.set.Peer.Advertise; a.IsValid() {
+	if a := n.settings.Peer.Advertise; a.IsValid() {
 		return a.String()
 	}
 	return n.mesh.Addr()
@@ -52,10 +52,10 @@
 // identity reads the node's certificate from the files that the settings name,
 // or makes one from the deployment's secret.
 func (n *Node) identity() (peer.Identity, error) {
-	if p := n.set.Peer; p.CertFile != "" {
+	if p := n.settings.Peer; p.CertFile != "" {
 		return peer.IdentityFromFiles(p.CertFile, p.KeyFile, p.CAFile)
 	}
-	secret, err := n.set.PeerSecret()
+	secret, err := n.settings.PeerSecret()
 	if err != nil {
 		return peer.Identity{}, err
 	}
@@ -66,41 +66,42 @@
 	n.directory = discovery.New(discovery.Options{
 		Self: n.self.VM,
 		Row: discovery.Row{
-			Incarnation: n.self.Incarnation, Zone: n.set.Zone, Peer: n.peerAddr(),
+			Incarnation: n.self.Incarnation, Zone: n.settings.Zone, Peer: n.peerAddr(),
 			Caller: n.caller.Addr().String(), Operator: n.operator.Addr().String(),
 		},
-		Table: n.platform, Log: n.log, Found: n.found,
-		Owns: n.owns, Alive: n.alive, Clock: n.clock,
+		Table: n.platform, Log: n.log, Found: n.setDiscovered,
+		Owns: n.isOwner, Alive: n.isAlive, Clock: n.clock,
 	})
-	n.lists = &view.ListPoller{
-		List: listed{n.platform, n.directory}, Clock: n.clock, View: n.view, Log: n.log,
+	n.listPoller = &view.ListPoller{
+		List: recordingLister{n.platform, n.directory}, Clock: n.clock, View: n.view, Log: n.log,
 	}
-	n.found(nil)
+	n.setDiscovered(nil)
 }
 
-// found passes the addresses of possible members on, the settings' seeds among
-// them. A seed has no VM name until it answers.
-func (n *Node) found(peers []peer.Peer) {
+// setDiscovered passes the addresses of possible members, including the seeds of
+// the settings, to the mesh and the membership. A seed has no VM name until it
+// answers.
+func (n *Node) setDiscovered(peers []peer.Peer) {
 	n.mesh.SetPeers(peers)
 	var seeds []membership.Seed
 	for _, p := range peers {
 		seeds = append(seeds, membership.Seed{VM: p.VM, Zone: p.Zone, Addr: p.Addr})
 	}
-	for _, s := range n.set.Seeds {
+	for _, s := range n.settings.Seeds {
 		seeds = append(seeds, membership.Seed{Addr: s.String()})
 	}
 	if !n.members.SetSeeds(seeds) {
-		n.log.Warn("the list of nodes was dropped; the next look brings it again")
+		n.log.Warn("seed list dropped; the next discovery sweep sends it again")
 	}
 }
 
-// listed hands each list of VMs to discovery as well.
-type listed struct {
+// recordingLister passes each list of VMs to discovery as well.
+type recordingLister struct {
 	list      view.Lister
 	directory *discovery.Directory
 }
 
-func (l listed) VMs(ctx context.Context) ([]fleet.Record, error) {
+func (l recordingLister) VMs(ctx context.Context) ([]fleet.Record, error) {
 	records, err := l.list.VMs(ctx)
 	if err == nil {
 		l.directory.Listed(records)
@@ -108,28 +109,28 @@
 	return records, err
 }
 
-// paused tells operators that the process did not run for a while. Leases and
-// claims that lapsed meanwhile are seen as lapsed by CLOCK_BOOTTIME.
-func (n *Node) paused(gap time.Duration) {
-	n.log.Warn("this process did not run for a while; look at the VM's host when it happens again", "gap", gap)
+// handlePause logs that the process did not run for gap. Leases and claims that
+// expired meanwhile are seen as expired, because CLOCK_BOOTTIME keeps counting.
+func (n *Node) handlePause(gap time.Duration) {
+	n.log.Warn("this process was paused; check the VM's host if this recurs", "gap", gap)
 }
 
-// replacedBy has the node stop: another process with this VM's name is a member,
-// and two lives of one VM would answer for the same tickets and leases.
-func (n *Node) replacedBy(by fleet.Node) {
+// handleReplaced stops the node because another process with this VM's name is a
+// member. Two processes of one VM would answer for the same tickets and leases.
+func (n *Node) handleReplaced(by fleet.Node) {
 	select {
-	case n.replaced <- by:
-	default: // it is stopping already
+	case n.replacement <- by:
+	default: // already stopping
 	}
 }
 
-func (n *Node) watchReplaced(ctx context.Context) error {
+func (n *Node) waitForReplacement(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return nil
-	case by := <-n.replaced:
-		return merry.Errorf("a later process of this VM is a member, %s; run one process for each VM", by)
+	case by := <-n.replacement:
+		return merry.Errorf("a later process of this VM has joined as %s; run one process per VM", by)
 	}
 }
 
-func (n *Node) alive(vm fleet.VM) bool { return slices.Contains(n.liveNodes(), vm) }
+func (n *Node) isAlive(vm fleet.VM) bool { return slices.Contains(n.liveNodes(), vm) }
--- a/internal/node/pressure.go
+++ b/internal/node/pressure.go
@@ -15,22 +15,23 @@
 
 const (
 	topicPressure = "pressure"
-	// pressureSweep is the pause between two looks which nodes and endpoints there are.
-	pressureSweep = time.Second
+	// pressureSweepInterval is the interval at which the guard drops nodes and
+	// endpoints that are no longer known.
+	pressureSweepInterval = time.Second
 )
 
 func (n *Node) buildPressure() {
 	n.pressure = backpressure.New(backpressure.Options{
 		Node: string(n.self.VM), Clock: n.clock, Log: n.log, Registerer: n.reg,
-		Order: n.pressureOrder, Leaves: n.endpointLeaves,
+		Order: n.pressureNodeOrder, Leaves: n.markEndpointLeaving,
 		Announce: func(m backpressure.Notice) { n.broadcast(topicPressure, m) },
 	})
 	subscribe(n, topicPressure, n.pressure.Hear)
 }
 
-// pressureOrder returns the nodes in rendezvous order for an endpoint, those of its zone
-// first: only they send there.
-func (n *Node) pressureOrder(id backpressure.ID) []string {
+// pressureNodeOrder returns the nodes in rendezvous order for an endpoint. The
+// nodes of the endpoint's zone come first, because only they send to it.
+func (n *Node) pressureNodeOrder(id backpressure.ID) []string {
 	snap := n.view.Snapshot()
 	zone := snap.Zone
 	vm, _, _ := strings.Cut(string(id), "@")
@@ -47,7 +48,7 @@
 		}
 		far = append(far, vm)
 	}
-	add(n.self.VM, n.set.Zone)
+	add(n.self.VM, n.settings.Zone)
 	for _, other := range snap.Nodes {
 		if other.State == view.NodeAlive && other.VM != n.self.VM {
 			add(other.VM, other.Zone)
@@ -62,14 +63,15 @@
 	return out
 }
 
-// runPressure keeps the guard's view of nodes and endpoints until ctx ends.
+// runPressure updates the guard's view of nodes and endpoints until ctx ends.
 func (n *Node) runPressure(ctx context.Context) error {
-	clock.Every(ctx, pressureSweep, func() { n.pressure.Sweep(n.knownLife) })
+	clock.Every(ctx, pressureSweepInterval, func() { n.pressure.Sweep(n.isCurrentBoot) })
 	return nil
 }
 
-// knownLife reports whether that life of an endpoint is the one that is known now.
-func (n *Node) knownLife(id backpressure.ID) bool {
+// isCurrentBoot reports whether id names the boot of an endpoint that its load
+// report or last probe shows.
+func (n *Node) isCurrentBoot(id backpressure.ID) bool {
 	vm, life, _ := strings.Cut(string(id), "@")
 	boot := fleet.BootID(life)
 	return slices.ContainsFunc(n.view.Snapshot().VMs, func(v view.VM) bool {
@@ -77,8 +79,9 @@
 	})
 }
 
-// endpointLeaves has all nodes know that a life of an endpoint leaves.
-func (n *Node) endpointLeaves(id backpressure.ID) {
+// markEndpointLeaving marks the boot of an endpoint as leaving in the view, from
+// which all nodes learn it.
+func (n *Node) markEndpointLeaving(id backpressure.ID) {
 	vm, boot, _ := strings.Cut(string(id), "@")
 	n.view.Put(view.MarkLeaving{VM: fleet.VM(vm), Boot: fleet.BootID(boot), Reason: "said in an answer"})
 }
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -13,65 +13,67 @@
 
 const (
 	topicQuarantine = "quarantine"
-	// talliers is how many nodes hear of each endpoint that ends: one may be dead for the
-	// seconds that membership takes, another on the far side of a cut.
-	talliers = 3
-	// tallyTick is the pause between two tellings of what ended. The bound on runs after
-	// the third end begins seconds later.
-	tallyTick = 100 * time.Millisecond
-	// keptEvery is the pause between two readings of the requests that are kept, for a
-	// node that missed the word: 370 nodes make 12 reads a second of the table's thousands.
-	keptEvery = 30 * time.Second
+	// tallyReplicas is the number of nodes that receive each end of an endpoint. One of
+	// them may be dead but not yet detected, another unreachable through a partition.
+	tallyReplicas = 3
+	// tallyInterval is the interval at which ends are sent. The limit on runs after the
+	// third end applies only seconds later.
+	tallyInterval = 100 * time.Millisecond
+	// quarantineReadInterval is the interval at which a node reads the stored quarantine,
+	// in case it missed a message. 370 nodes make 12 reads a second; the table serves
+	// thousands.
+	quarantineReadInterval = 30 * time.Second
 )
 
 func (n *Node) buildQuarantine() {
-	n.quarantined = &quarantine.Rows{Get: n.platform.Get, Commit: n.platform.Commit, Table: platform.TableQuarantine, Log: n.log}
+	n.quarantineRows = &quarantine.Rows{Get: n.platform.Get, Commit: n.platform.Commit, Table: platform.TableQuarantine, Log: n.log}
 	n.quarantine = (&quarantine.Guard{
 		Node: string(n.self.VM), Clock: n.clock, Log: n.log,
-		Tell: n.tellTalliers, Announce: func(m quarantine.Message) { n.broadcast(topicQuarantine, m) },
-		Keep: func(v quarantine.Verdict) { go n.keepQuarantined(v) },
-		Drop: func(fp quarantine.Fingerprint) { go n.quarantined.Drop(context.Background(), fp) },
-		Try:  n.quarantined.Try,
+		Tell: n.sendToTallyNodes, Announce: func(m quarantine.Message) { n.broadcast(topicQuarantine, m) },
+		Keep: func(v quarantine.Verdict) { go n.storeQuarantined(v) },
+		Drop: func(fp quarantine.Fingerprint) { go n.quarantineRows.Drop(context.Background(), fp) },
+		Try:  n.quarantineRows.Try,
 	}).Init(n.reg)
 	subscribe(n, topicQuarantine, n.quarantine.Hear)
 }
 
-// tellTalliers tells a few nodes, the same from everywhere.
-func (n *Node) tellTalliers(m quarantine.Message) {
+// sendToTallyNodes sends a message to the tally nodes, which rendezvous hashing makes
+// the same for all senders.
+func (n *Node) sendToTallyNodes(m quarantine.Message) {
 	raw, err := json.Marshal(m)
 	if err != nil {
-		n.log.Error("quarantine not told", "error", err)
+		n.log.Error("quarantine message not encoded", "error", err)
 		return
 	}
-	for _, vm := range membership.TopK(topicQuarantine, append(n.liveNodes(), n.self.VM), talliers) {
+	for _, vm := range membership.TopK(topicQuarantine, append(n.liveNodes(), n.self.VM), tallyReplicas) {
 		if vm == n.self.VM {
 			continue
 		}
 		if err := n.mesh.Send(vm, topicQuarantine, raw); err != nil {
-			n.log.Error("quarantine not told", "to", vm, "error", err)
+			n.log.Error("quarantine message not sent", "to", vm, "error", err)
 		}
 	}
 }
 
-// keepQuarantined writes the request's row, unless one stands that says as much.
-func (n *Node) keepQuarantined(v quarantine.Verdict) {
+// storeQuarantined writes the request's row unless an equivalent row exists.
+func (n *Node) storeQuarantined(v quarantine.Verdict) {
 	ctx := context.Background()
-	row, err := n.platform.Get(ctx, platform.TableQuarantine, n.quarantined.Key(v.Fingerprint))
+	row, err := n.platform.Get(ctx, platform.TableQuarantine, n.quarantineRows.Key(v.Fingerprint))
 	if err != nil {
 		n.log.Info("quarantined request is not kept; the nodes that know it refuse it", "fingerprint", v.Fingerprint, "err", err)
 		return
 	}
-	n.quarantined.Keep(ctx, v, row, n.quarantine.Knows)
+	n.quarantineRows.Keep(ctx, v, row, n.quarantine.Knows)
 }
 
-// runQuarantine tells and judges until ctx ends, and reads what is kept: at the start, for
-// all nodes may have ended, and now and then.
+// runQuarantine sends and evaluates ends until ctx ends. It reads the stored quarantine
+// at the start, because all nodes may have restarted, and then periodically.
 func (n *Node) runQuarantine(ctx context.Context) error {
-	read := clock.Instant(0)
-	clock.Every(ctx, tallyTick, func() {
+	lastRead := clock.Instant(0)
+	clock.Every(ctx, tallyInterval, func() {
 		n.quarantine.Tick()
-		if now := n.clock.Now(); read == 0 || now.Sub(read) > keptEvery {
-			read = now
+		if now := n.clock.Now(); lastRead == 0 || now.Sub(lastRead) > quarantineReadInterval {
+			lastRead = now
 			go n.readQuarantined(ctx)
 		}
 	})
@@ -81,16 +83,16 @@
 func (n *Node) readQuarantined(ctx context.Context) {
 	rows, err := n.platform.List(ctx, platform.TableQuarantine, "")
 	if err != nil {
-		n.log.Info("quarantined requests not read; the other nodes tell new ones", "error", err)
+		n.log.Info("quarantined requests not read; new ones still arrive from the other nodes", "error", err)
 		return
 	}
-	n.quarantine.TakeKept(n.quarantined.Read(rows))
-	if !n.owns(topicQuarantine) {
+	n.quarantine.TakeKept(n.quarantineRows.Read(rows))
+	if !n.isOwner(topicQuarantine) {
 		return
 	}
 	for _, b := range n.quarantine.Banned() {
 		if b.Over() {
-			n.quarantined.Drop(ctx, b.Fingerprint)
+			n.quarantineRows.Drop(ctx, b.Fingerprint)
 		}
 	}
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -15,35 +15,36 @@
 )
 
 const (
-	// drainLimit bounds a graceful end. It is longer than the longest deadline
-	// of a request, so that no answer in progress is cut by it.
-	drainLimit = 35 * time.Minute
-	// maxHeader bounds the headers of a request in bytes. Strangers' connections
-	// may hold that much each before a key was looked at.
-	maxHeader = 64 << 10
-	// flushTime bounds the wait for the table to take the outcomes of keyed
-	// calls that were answered last.
-	flushTime = 5 * time.Second
-	// leaveTime bounds the words of farewell to the other nodes.
-	leaveTime = 2 * time.Second
-	// leaveLinger lets the farewell reach the links before they are closed.
-	leaveLinger = 100 * time.Millisecond
+	// drainTimeout bounds a graceful shutdown. It exceeds the longest request
+	// deadline, so that it truncates no answer in progress.
+	drainTimeout = 35 * time.Minute
+	// maxHeaderBytes bounds the headers of a request. Each connection can use
+	// this much memory before its key is checked.
+	maxHeaderBytes = 64 << 10
+	// flushTimeout bounds the writes of the last keyed calls' outcomes to the
+	// table.
+	flushTimeout = 5 * time.Second
+	// leaveTimeout bounds the sending of the leave message to the other nodes.
+	leaveTimeout = 2 * time.Second
+	// leaveFlushDelay lets the links send the leave message before they close.
+	leaveFlushDelay = 100 * time.Millisecond
 )
 
-// Run serves until ctx ends, then ends gracefully: duties go to other nodes
-// first, then the balancer is given time to look elsewhere, then every request
-// in progress is finished. It returns nil when nothing was cut.
+// Run serves until ctx ends or a part of the node fails, then shuts down
+// gracefully. It hands duties over to other nodes, gives the load balancer time
+// to notice the failing readiness check, and finishes every request in progress.
+// It returns nil if ctx ended and no request was cut off.
 func (n *Node) Run(ctx context.Context) error {
 	a := n.Addrs()
 	n.log.Info("listening", "caller", a.Caller, "operator", a.Operator, "peer", a.Peer,
 		"incarnation", n.self.Incarnation)
-	failed := make(chan error, 1)
-	background, leases, duties := newStage(failed), newStage(failed), newStage(failed)
+	failures := make(chan error, 1)
+	background, leases, duties := newStage(failures), newStage(failures), newStage(failures)
 	n.startBackground(background)
 	leases.start("leases", n.leases.Run)
 	duties.start("groups", n.groups.Run)
 	duties.start("demand", n.capacity.Run)
-	duties.start("KV moves", n.moves.Run)
+	duties.start("KV moves", n.mover.Run)
 	callers := n.serve(background, "callers", n.accept, n.caller)
 	operators := n.serve(background, "operators", n.operatorHandler(), n.operator)
 
@@ -51,7 +52,7 @@
 	select {
 	case <-ctx.Done():
 		n.log.Info("stopping: finishing the requests in progress")
-	case err = <-failed:
+	case err = <-failures:
 		n.log.Error("stopping after a failure", "error", err, "stack", merry.Stacktrace(err))
 	}
 	duties.stop()
@@ -67,62 +68,64 @@
 func (n *Node) startBackground(s *stage) {
 	s.start("peer links", n.mesh.Run)
 	s.start("membership", n.members.Run)
-	s.start("one process for the VM", n.watchReplaced)
+	s.start("duplicate process check", n.waitForReplacement)
 	s.start("view", n.view.Run)
-	s.start("list of VMs", n.lists.Run)
+	s.start("list of VMs", n.listPoller.Run)
 	s.start("discovery", n.directory.Run)
 	s.start("probes", n.prober.Run)
 	s.start("digests", n.gossip.Run)
-	s.start("shared limits", forever(n.usage.Run))
+	s.start("shared limits", withoutError(n.usage.Run))
 	s.start("configuration", n.config.Run)
-	s.start("configuration to view", n.passConfig)
-	s.start("keys", forever(n.once.Run))
-	s.start("candidates", n.followCandidates)
-	s.start("admission", forever(n.admit.Run))
+	s.start("configuration updates of the view", n.publishConfig)
+	s.start("keys", withoutError(n.once.Run))
+	s.start("candidates", n.updateCandidates)
+	s.start("admission", withoutError(n.admit.Run))
 	s.start("cancels", n.dispatcher.Run)
 	s.start("quarantine", n.runQuarantine)
 	s.start("backpressure", n.runPressure)
 }
 
-// serve answers HTTP at the listener until the returned server is closed.
+// serve starts an HTTP server on the listener in stage s and returns it. The
+// server runs until it is closed.
 func (n *Node) serve(s *stage, name string, h http.Handler, l net.Listener) *http.Server {
 	srv := &http.Server{
 		Handler:           h,
-		MaxHeaderBytes:    maxHeader,
-		ReadHeaderTimeout: time.Duration(n.set.Timing.HeaderTimeout),
-		IdleTimeout:       time.Duration(n.set.Timing.IdleTimeout),
+		MaxHeaderBytes:    maxHeaderBytes,
+		ReadHeaderTimeout: time.Duration(n.settings.Timing.HeaderTimeout),
+		IdleTimeout:       time.Duration(n.settings.Timing.IdleTimeout),
 		ErrorLog:          slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 	}
 	s.start(name, func(ctx context.Context) error {
 		err := srv.Serve(l)
 		if errors.Is(err, http.ErrServerClosed) {
-			<-ctx.Done() // closed by the graceful end, which stops the stage later
+			<-ctx.Done() // closed by the graceful shutdown, which stops the stage later
 		}
 		return err
 	})
 	return srv
 }
 
-// drain finishes what is in progress. The order matters: a relayed hop of
-// another node may still run when this node's own callers are done, and the
-// links must be open until the last of them has its whole answer.
+// drain finishes the requests in progress and leaves the membership. The order
+// matters: requests relayed from other nodes may still run after this node's own
+// callers are done, and the links must stay open until the last of them has its
+// complete answer.
 func (n *Node) drain(callers *http.Server) error {
-	ctx, cancel := context.WithTimeout(context.Background(), drainLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
-	n.announce(true)
+	n.announceState(true)
 	err := n.accept.Drain(ctx)
 	err = errors.Join(err, n.mesh.Drain(ctx), callers.Shutdown(ctx))
-	flush, cancelFlush := context.WithTimeout(ctx, flushTime)
+	flush, cancelFlush := context.WithTimeout(ctx, flushTimeout)
 	defer cancelFlush()
 	if left := n.once.Flush(flush); left > 0 {
 		n.log.Warn("outcomes of keyed calls were not written; their repeats get \"unknown\"", "calls", left)
 	}
-	leave, done := context.WithTimeout(context.Background(), leaveTime)
+	leave, done := context.WithTimeout(context.Background(), leaveTimeout)
 	defer done()
 	if lerr := n.members.Leave(leave); lerr != nil {
-		n.log.Warn("the other nodes were not told; they will find this node dead", "error", lerr)
+		n.log.Warn("leave message not sent; the other nodes will detect this node as dead", "error", lerr)
 	}
-	time.Sleep(leaveLinger)
+	time.Sleep(leaveFlushDelay)
 	return err
 }
 
@@ -130,27 +133,27 @@
 	n.dispatcher.Close()
 	n.quarantine.Close()
 	n.engines.Close()
-	n.movers.Close()
+	n.moveEngines.Close()
 	n.platform.Close()
 }
 
-// announce tells the other nodes the revision in force here and whether this
-// node is draining.
-func (n *Node) announce(draining bool) {
+// announceState sends the other nodes the revision in force on this node and
+// whether it is draining.
+func (n *Node) announceState(draining bool) {
 	number, _, _ := n.config.Current()
 	if !n.members.Announce(number, draining, nil) {
-		n.log.Warn("the other nodes were not told of the new state; the next change tells them")
+		n.log.Warn("node state not announced; the next change announces it")
 	}
 }
 
-// passConfig puts each revision that comes into force into the view.
-func (n *Node) passConfig(ctx context.Context) error {
+// publishConfig puts each revision into the view when it comes into force.
+func (n *Node) publishConfig(ctx context.Context) error {
 	changed := n.config.Subscribe()
 	for {
 		number, doc, _ := n.config.Current()
 		if number > 0 {
 			n.view.Put(view.Configured{Revision: number, Document: doc})
-			n.announce(false)
+			n.announceState(false)
 		}
 		select {
 		case <-ctx.Done():
@@ -160,7 +163,7 @@
 	}
 }
 
-// liveNodes returns the other nodes that are not known to be dead.
+// liveNodes returns the other nodes that are alive or suspected dead.
 func (n *Node) liveNodes() []fleet.VM {
 	var vms []fleet.VM
 	for _, m := range n.view.Snapshot().Nodes {
--- a/internal/node/stage.go
+++ b/internal/node/stage.go
@@ -8,25 +8,25 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// stage is a set of goroutines that are stopped together. The stages of a node
-// are stopped one after the other, so that what a later stage needs is still
-// there while an earlier one finishes.
+// stage is a set of goroutines that are stopped together. A node stops its
+// stages one after the other, so that a stage still has the services it depends
+// on while it finishes.
 type stage struct {
-	ctx    context.Context
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
-	failed chan<- error
+	ctx      context.Context
+	cancel   context.CancelFunc
+	wg       sync.WaitGroup
+	failures chan<- error
 }
 
-// newStage returns an empty stage that reports the first failures to failed.
-// It outlives the context that asks the node to stop.
-func newStage(failed chan<- error) *stage {
+// newStage returns an empty stage that reports its first failure to failures.
+// Its context is independent of the one that asks the node to stop.
+func newStage(failures chan<- error) *stage {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &stage{ctx: ctx, cancel: cancel, failed: failed}
+	return &stage{ctx: ctx, cancel: cancel, failures: failures}
 }
 
-// start runs f until the stage is stopped. An end before that is a failure of
-// the node: a duty that nobody does any more is noticed by nobody.
+// start runs f until the stage is stopped. If f returns earlier, the node fails:
+// a background task that ended would otherwise go unnoticed.
 func (s *stage) start(name string, f func(context.Context) error) {
 	s.wg.Add(1)
 	go func() {
@@ -36,11 +36,11 @@
 			return
 		}
 		if err == nil {
-			err = errors.New("it ended by itself")
+			err = errors.New("stopped unexpectedly without an error")
 		}
 		select {
-		case s.failed <- merry.Errorf("node: %s: %w", name, err):
-		default: // the node stops for an earlier failure already
+		case s.failures <- merry.Errorf("node: %s: %w", name, err):
+		default: // the node is already stopping for an earlier failure
 		}
 	}()
 }
@@ -51,8 +51,8 @@
 	s.wg.Wait()
 }
 
-// forever makes a duty without an error of its own fit for start.
-func forever(f func(context.Context)) func(context.Context) error {
+// withoutError adapts a function without an error result for start.
+func withoutError(f func(context.Context)) func(context.Context) error {
 	return func(ctx context.Context) error {
 		f(ctx)
 		return nil
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// platformSilent is how long the platform may be silent before status
-	// calls it unreachable. It is polled every second or so.
-	platformSilent = 5 * time.Second
-	never          = time.Duration(-1)
+	// platformSilenceTimeout is the age of the platform's last answer at which
+	// the status reports it as unreachable. It is polled about once a second.
+	platformSilenceTimeout = 5 * time.Second
+	never                  = time.Duration(-1)
 )
 
 func (n *Node) operatorHandler() http.Handler {
 	var tokens []operator.Token
-	for _, o := range n.set.Operators {
+	for _, o := range n.settings.Operators {
 		tokens = append(tokens, operator.Token{Name: o.Name, Hash: o.TokenHash})
 	}
 	auth := operator.NewAuthenticator(tokens)
@@ -30,22 +30,23 @@
 	})
 }
 
-// consoleSecret is shared by all nodes where the peers share a secret, so that
-// an operator's session holds at each of them.
+// consoleSecret returns the peer secret, so that all nodes accept an operator's
+// console session. Without one it returns nil and sessions are valid at this
+// node only.
 func (n *Node) consoleSecret() []byte {
-	secret, err := n.set.PeerSecret()
+	secret, err := n.settings.PeerSecret()
 	if err != nil {
-		n.log.Warn("console sessions hold at this node only", "error", err)
+		n.log.Warn("console sessions are valid at this node only", "error", err)
 	}
 	return secret
 }
 
-// Status returns what this node believes of the fleet.
+// Status returns this node's view of the fleet.
 func (n *Node) Status() operator.Status {
 	snap, now := n.view.Snapshot(), n.clock.Now()
 	ready, why := n.Ready()
 	s := operator.Status{
-		Node: n.self.String(), Zone: string(n.set.Zone), Ready: ready, NotReady: why,
+		Node: n.self.String(), Zone: string(n.settings.Zone), Ready: ready, NotReady: why,
 		Revision: snap.Revision, ViewAge: now.Sub(snap.At),
 		Platform: platformStatus(snap, now),
 		Nodes:    nodeStatus(snap, now),
@@ -57,7 +58,7 @@
 	return s
 }
 
-func ago(now, then clock.Instant) time.Duration {
+func ageSince(now, then clock.Instant) time.Duration {
 	if then == 0 {
 		return never
 	}
@@ -65,8 +66,8 @@
 }
 
 func platformStatus(snap *view.Snapshot, now clock.Instant) operator.PlatformStatus {
-	seen := ago(now, snap.PlatformSeen)
-	return operator.PlatformStatus{Reachable: seen != never && seen < platformSilent, LastSeen: seen}
+	seen := ageSince(now, snap.PlatformSeen)
+	return operator.PlatformStatus{Reachable: seen != never && seen < platformSilenceTimeout, LastSeen: seen}
 }
 
 func nodeStatus(snap *view.Snapshot, now clock.Instant) []operator.NodeStatus {
@@ -74,7 +75,7 @@
 	for _, m := range snap.Nodes {
 		out = append(out, operator.NodeStatus{
 			Node: m.Node.String(), Zone: string(m.Zone), State: string(m.State),
-			Heard: ago(now, m.Heard), Revision: m.Revision, Draining: m.Draining,
+			Heard: ageSince(now, m.Heard), Revision: m.Revision, Draining: m.Draining,
 		})
 	}
 	return out
@@ -88,7 +89,7 @@
 			Group: string(g.ID), Generation: uint64(g.Generation), Phase: string(g.Phase),
 			Zone: string(g.Zone), Domain: string(g.Domain), Model: g.Model + "@" + g.Version,
 			Whole: g.Whole, Reason: g.Reason, Running: g.Load.Running, Waiting: g.Load.Waiting,
-			LoadAge: ago(now, g.LoadAt),
+			LoadAge: ageSince(now, g.LoadAt),
 		}
 		for _, m := range g.Members {
 			st.VMs = append(st.VMs, string(m.VM))
@@ -106,7 +107,7 @@
 		vm := &snap.VMs[i]
 		st := operator.EndpointStatus{
 			VM: string(vm.Record.VM), Kind: string(vm.Record.Kind), Zone: string(vm.Record.Zone),
-			Domain: string(vm.Record.Domain), State: endpointState(snap, vm), SeenAgo: ago(now, vm.Probe.Answered),
+			Domain: string(vm.Record.Domain), State: endpointState(snap, vm), SeenAgo: ageSince(now, vm.Probe.Answered),
 		}
 		if vm.Claim != nil {
 			st.Group = string(vm.Claim.Group)
