--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -1,6 +1,6 @@
-// Package account keeps the books of the request path: one log line for each
-// request, metrics by class and outcome, and the time each filter took. No
-// prompt, answer or key is written anywhere.
+// Package account records the requests of the request path: one log line per
+// request, metrics by class and outcome, and the duration of each filter. It
+// never records a prompt, an answer or a key.
 package account
 
 import (
@@ -19,7 +19,7 @@
 	"chervilloom/internal/request"
 )
 
-// Options are what the account needs. Explain and Registerer may be nil.
+// Options configures an Account. Log, Explain and Registerer may be nil.
 type Options struct {
 	Clock      clock.Clock
 	Log        *slog.Logger
@@ -27,13 +27,13 @@
 	Explain    explain.Recorder
 }
 
-// Account is the filter around the path.
+// Account records each request that passes through its Filter.
 type Account struct {
 	opt     Options
 	metrics *metrics
 }
 
-// New returns an account.
+// New returns an account with its metrics registered.
 func New(opt Options) *Account {
 	if opt.Log == nil {
 		opt.Log = slog.New(slog.DiscardHandler)
@@ -41,16 +41,16 @@
 	return &Account{opt: opt, metrics: newMetrics(opt.Registerer)}
 }
 
-// Record is what the filters add to the account of one request.
+// Record collects what later filters report about one request.
 type Record struct{ tries atomic.Int64 }
 
-// Try counts a try.
+// Try counts an attempt to run the request.
 func (r *Record) Try() { r.tries.Add(1) }
 
 type recordKey struct{}
 
-// From returns the record of the request that ctx belongs to. Without one it
-// returns a record that nobody reads.
+// From returns the record of the request in ctx, or an unused record if ctx has
+// none.
 func From(ctx context.Context) *Record {
 	if r, ok := ctx.Value(recordKey{}).(*Record); ok {
 		return r
@@ -58,50 +58,51 @@
 	return &Record{}
 }
 
-// Filter accounts for each request that goes through it. It is the outermost.
+// Filter records each request that passes through it. It must be the outermost
+// filter.
 func (a *Account) Filter(next filter.Handler) filter.Handler {
 	return filter.Func(func(ctx context.Context, req *request.Request, w answer.Writer) {
 		rec := &Record{}
 		started := a.opt.Clock.Now()
-		ww := &writer{Writer: w, clock: a.opt.Clock}
-		// Deferred: a request whose path panics is accounted for as well.
-		defer a.close(ctx, req, rec, ww, started)
+		ww := &observedWriter{Writer: w, clock: a.opt.Clock}
+		// Deferred, so that a request whose path panics is recorded as well.
+		defer a.record(ctx, req, rec, ww, started)
 		next.Serve(context.WithValue(ctx, recordKey{}, rec), req, ww)
 	})
 }
 
-func (a *Account) close(ctx context.Context, req *request.Request, rec *Record, w *writer, started clock.Instant) {
+func (a *Account) record(ctx context.Context, req *request.Request, rec *Record, w *observedWriter, started clock.Instant) {
 	now := a.opt.Clock.Now()
-	l := line{
+	l := summary{
 		outcome: outcome.Ran, kind: "ok", total: now.Sub(started),
 		tries: rec.tries.Load(), head: w.head, end: w.end,
 	}
-	if w.first != 0 {
-		l.first = w.first.Sub(started)
+	if w.firstFrameAt != 0 {
+		l.timeToFirstFrame = w.firstFrameAt.Sub(started)
 	}
 	switch e := w.end.Error; {
 	case e != nil:
 		l.outcome, l.kind = e.Outcome, string(e.Kind)
-	case !w.end.Whole: // what the caller is told when the path gave no end
+	case !w.end.Whole: // the caller receives the same when the path returns without an end
 		l.outcome, l.kind = outcome.Unknown, string(outcome.Internal)
 	}
-	a.metrics.observe(req, l, w.first != 0)
+	a.metrics.observe(req, l, w.firstFrameAt != 0)
 	a.log(ctx, req, l)
 	a.explain(req, l)
 }
 
-// line is what is written of one request.
-type line struct {
-	outcome outcome.Outcome
-	kind    string // "ok" or the kind of failure
-	first   time.Duration
-	total   time.Duration
-	tries   int64
-	head    answer.Head
-	end     answer.End
+// summary is the result of one request as it is logged and measured.
+type summary struct {
+	outcome          outcome.Outcome
+	kind             string // "ok" or the kind of the failure
+	timeToFirstFrame time.Duration
+	total            time.Duration
+	tries            int64
+	head             answer.Head
+	end              answer.End
 }
 
-func (a *Account) log(ctx context.Context, req *request.Request, l line) {
+func (a *Account) log(ctx context.Context, req *request.Request, l summary) {
 	attrs := []slog.Attr{
 		slog.String("id", req.ID),
 		slog.String("organisation", string(req.Organisation)),
@@ -114,7 +115,7 @@
 		slog.String("group", string(l.head.Group)),
 		slog.Uint64("generation", uint64(l.head.Generation)),
 		slog.Int64("tries", l.tries),
-		slog.Float64("first_seconds", l.first.Seconds()),
+		slog.Float64("first_seconds", l.timeToFirstFrame.Seconds()),
 		slog.Float64("total_seconds", l.total.Seconds()),
 		slog.Uint64("frames", l.end.Frames),
 		slog.Uint64("bytes", l.end.Bytes),
@@ -125,7 +126,7 @@
 	a.opt.Log.LogAttrs(ctx, slog.LevelInfo, "request", attrs...)
 }
 
-func (a *Account) explain(req *request.Request, l line) {
+func (a *Account) explain(req *request.Request, l summary) {
 	if a.opt.Explain == nil {
 		return
 	}
@@ -133,7 +134,7 @@
 		Subject: req.ID, Stage: "account",
 		Decision: string(l.outcome) + " " + l.kind,
 		Facts: []explain.Fact{
-			{Name: "first", Value: l.first.String()},
+			{Name: "first", Value: l.timeToFirstFrame.String()},
 			{Name: "total", Value: l.total.String()},
 		},
 	}
@@ -143,31 +144,32 @@
 	a.opt.Explain.Note(st)
 }
 
-// writer looks at an answer that goes by.
-type writer struct {
+// observedWriter records the head, the first frame's time and the end of an
+// answer.
+type observedWriter struct {
 	answer.Writer
-	clock clock.Clock
-	head  answer.Head
-	end   answer.End
-	first clock.Instant
+	clock        clock.Clock
+	head         answer.Head
+	end          answer.End
+	firstFrameAt clock.Instant
 }
 
-// Start keeps the head.
-func (w *writer) Start(h answer.Head) error {
+// Start records the head and passes it on.
+func (w *observedWriter) Start(h answer.Head) error {
 	w.head = h
 	return w.Writer.Start(h)
 }
 
-// Frame keeps the time of the first frame.
-func (w *writer) Frame(f answer.Frame) error {
-	if w.first == 0 {
-		w.first = w.clock.Now()
+// Frame records the time of the first frame and passes the frame on.
+func (w *observedWriter) Frame(f answer.Frame) error {
+	if w.firstFrameAt == 0 {
+		w.firstFrameAt = w.clock.Now()
 	}
 	return w.Writer.Frame(f)
 }
 
-// Finish keeps the end.
-func (w *writer) Finish(e answer.End) {
+// Finish records the end and passes it on.
+func (w *observedWriter) Finish(e answer.End) {
 	w.end = e
 	w.Writer.Finish(e)
 }
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -25,14 +25,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-type nowhere struct{}
+type discardWriter struct{}
 
-func (nowhere) Start(answer.Head) error  { return nil }
-func (nowhere) Frame(answer.Frame) error { return nil }
-func (nowhere) Finish(answer.End)        {}
+func (discardWriter) Start(answer.Head) error  { return nil }
+func (discardWriter) Frame(answer.Frame) error { return nil }
+func (discardWriter) Finish(answer.End)        {}
 
-// run takes one request through an account and returns its log line.
-func run(t *testing.T, reg prometheus.Registerer, ex explain.Recorder, h filter.Func) map[string]any {
+// serveOne serves one request through an account and returns its log line.
+func serveOne(t *testing.T, reg prometheus.Registerer, ex explain.Recorder, h filter.Func) map[string]any {
 	t.Helper()
 	var out bytes.Buffer
 	clk := clock.NewManual(1e9)
@@ -50,7 +50,7 @@
 			next.Serve(ctx, req, w)
 		})
 	}))
-	path.Serve(context.Background(), req, nowhere{})
+	path.Serve(context.Background(), req, discardWriter{})
 	if strings.Count(out.String(), "\n") != 1 {
 		t.Fatalf("not one line: %s", out.String())
 	}
@@ -64,11 +64,11 @@
 	return line
 }
 
-func TestWholeAnswerIsAccountedFor(t *testing.T) {
+func TestCompleteAnswerIsRecorded(t *testing.T) {
 	is := is.New(t)
 	reg := prometheus.NewPedanticRegistry()
 	ex := explain.NewStore("n1", 10, 10)
-	line := run(t, reg, ex, func(_ context.Context, _ *request.Request, w answer.Writer) {
+	line := serveOne(t, reg, ex, func(_ context.Context, _ *request.Request, w answer.Writer) {
 		w.Start(answer.Head{Status: 200, Endpoint: "e1", Group: "g1", Generation: 3})
 		w.Frame(answer.Frame{Data: []byte("answer")})
 		w.Finish(answer.End{Whole: true, Frames: 1, Bytes: 6})
@@ -108,9 +108,9 @@
 	return out
 }
 
-func TestFailureIsAccountedFor(t *testing.T) {
+func TestFailureIsRecorded(t *testing.T) {
 	is := is.New(t)
-	line := run(t, nil, nil, func(_ context.Context, _ *request.Request, w answer.Writer) {
+	line := serveOne(t, nil, nil, func(_ context.Context, _ *request.Request, w answer.Writer) {
 		e := outcome.New(outcome.EndpointFailed, outcome.Unknown, "m", "r").WithCause(errors.New("reset"))
 		w.Finish(answer.End{Error: e})
 	})
@@ -127,7 +127,7 @@
 	refuses := func(filter.Handler) filter.Handler {
 		return filter.Func(func(_ context.Context, _ *request.Request, w answer.Writer) { w.Finish(answer.End{}) })
 	}
-	a.Timed("admit", refuses)(nil).Serve(context.Background(), &request.Request{}, nowhere{})
+	a.Timed("admit", refuses)(nil).Serve(context.Background(), &request.Request{}, discardWriter{})
 	got := gather(t, reg)[`chervilloom_path_filter_answered_total class=unidentified filter=admit`]
 	is.Equal(got.GetCounter().GetValue(), 1.0)
 }
@@ -144,14 +144,14 @@
 	req := &request.Request{Class: request.ClassLookup}
 	b.ReportAllocs()
 	for b.Loop() {
-		h.Serve(context.Background(), req, nowhere{})
+		h.Serve(context.Background(), req, discardWriter{})
 	}
 }
 
-// A filter panics, or ends a request without saying how. The caller is told of
-// a failure whose outcome is unknown; the books must say the same and not
-// leave the request out or call it well.
-func TestRequestWithoutEndIsAccountedFor(t *testing.T) {
+// A filter panics, returns without finishing the answer, or finishes it without
+// an error. The caller receives a failure with an unknown outcome; the metrics
+// must record the same instead of a success or nothing.
+func TestUnfinishedRequestIsRecorded(t *testing.T) {
 	cases := []struct {
 		name string
 		path filter.Func
@@ -166,8 +166,8 @@
 			reg := prometheus.NewPedanticRegistry()
 			h := New(Options{Clock: clock.NewManual(1), Registerer: reg}).Filter(tc.path)
 			func() {
-				defer func() { is.Equal(recover() != nil, tc.name == "panic") }() // goes on to who tells the caller
-				h.Serve(context.Background(), &request.Request{}, nowhere{})
+				defer func() { is.Equal(recover() != nil, tc.name == "panic") }() // the panic propagates to the server, which answers the caller
+				h.Serve(context.Background(), &request.Request{}, discardWriter{})
 			}()
 			got := gather(t, reg)[`chervilloom_path_requests_total class=unidentified kind=internal outcome=unknown`]
 			is.Equal(got.GetCounter().GetValue(), 1.0)
