--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -1,6 +1,6 @@
-// Package filter joins the filters of the request path. A filter is a pure
-// decision with a thin adapter: it answers the request itself or hands it to
-// the next one.
+// Package filter chains the filters of the request path. A filter answers a
+// request itself or passes it to the next handler. Each is a thin adapter around
+// a decision without side effects.
 package filter
 
 import (
@@ -10,22 +10,22 @@
 	"chervilloom/internal/request"
 )
 
-// Handler answers a request. It returns when the answer is finished; it calls
-// w.Finish exactly once, also when ctx ends.
+// Handler answers a request. Serve calls w.Finish exactly once, even if ctx ends,
+// and returns after the answer is finished.
 type Handler interface {
 	Serve(ctx context.Context, req *request.Request, w answer.Writer)
 }
 
-// Func is a Handler made of a function.
+// Func adapts a function to Handler.
 type Func func(ctx context.Context, req *request.Request, w answer.Writer)
 
 // Serve calls f.
 func (f Func) Serve(ctx context.Context, req *request.Request, w answer.Writer) { f(ctx, req, w) }
 
-// Filter wraps the rest of the path.
+// Filter wraps the next handler of the path.
 type Filter func(next Handler) Handler
 
-// Chain returns the path that goes through the filters in order and ends at last.
+// Chain returns a handler that runs the filters in order and then last.
 func Chain(last Handler, filters ...Filter) Handler {
 	h := last
 	for i := len(filters) - 1; i >= 0; i-- {
