--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet holds the identities and facts that every other package speaks
-// of: VMs, availability zones, endpoints, serving groups and their generations.
-// It has no behaviour beyond comparing and printing them.
+// Package fleet defines the data types that the other packages share: VMs,
+// availability zones, endpoints, serving groups and their generations. It only
+// compares and prints them.
 package fleet
 
 import (
@@ -8,29 +8,28 @@
 	"slices"
 )
 
-// VM is the identifier of a virtual machine in the platform's list. It stays
-// the same when the VM restarts; BootID tells the restarts apart.
+// VM is the identifier of a virtual machine in the platform's list. It is stable
+// across restarts of the VM; BootID distinguishes them.
 type VM string
 
 // AvailabilityZone names an availability zone.
 type AvailabilityZone string
 
-// FabricDomain names a set of VMs that share a fast fabric. A fabric domain
-// lies within one availability zone.
+// FabricDomain names a set of VMs with a shared fast network fabric. A fabric
+// domain is part of one availability zone.
 type FabricDomain string
 
 // Organisation names a customer.
 type Organisation string
 
-// BootID is drawn at random when the endpoint's process starts. Two answers
-// with the same address and different boot ids come from different lives: what
-// the first life held in memory is gone.
+// BootID is a random ID of one run of an endpoint's process. A changed boot ID at
+// the same address means that the process restarted and lost its memory.
 type BootID string
 
-// Incarnation is drawn when a node's process starts and grows with every start.
+// Incarnation numbers the runs of a node's process; it grows with every start.
 type Incarnation uint64
 
-// Node identifies one life of one entry VM's process.
+// Node identifies one run of the process of an entry VM.
 type Node struct {
 	VM          VM          `json:"vm" cbor:"1,keyasint"`
 	Incarnation Incarnation `json:"incarnation" cbor:"2,keyasint"`
@@ -39,20 +38,19 @@
 // String returns "vm#incarnation".
 func (n Node) String() string { return fmt.Sprintf("%s#%d", n.VM, n.Incarnation) }
 
-// GroupID identifies a serving group for its whole life; generations follow
-// each other under one GroupID.
+// GroupID identifies a serving group across all its generations.
 type GroupID string
 
-// Generation counts the member sets of a group. A group's members are fixed
-// within a generation.
+// Generation numbers the member sets of a group. The members are fixed within a
+// generation.
 type Generation uint64
 
-// Fence orders the claims of one VM: a claim or release of a VM raises the
-// VM's fence by one in the same conditional transaction. An engine that checks
-// fences refuses an order whose fence is lower than the highest it has seen.
+// Fence is the fencing token of a VM. Each claim or release of the VM increments
+// it in the same conditional transaction. An engine that checks fences refuses
+// orders with a lower fence than the highest it has seen.
 type Fence uint64
 
-// Kind says what runs on a VM.
+// Kind is the type of process that a VM runs.
 type Kind string
 
 // The kinds of VM.
@@ -62,8 +60,8 @@
 	KindService Kind = "service" // runs a plain service
 )
 
-// State is the state of a VM in the platform's list, which lags: it may take a
-// VM away, it never proves that one is present.
+// State is the state of a VM in the platform's list. The list lags: it can show
+// that a VM is gone, but does not prove that one is present.
 type State string
 
 // The states of a VM in the platform's list.
@@ -85,16 +83,16 @@
 	State        State            `json:"state"`
 }
 
-// Target names what a model request asks for. An empty Adapter means the base
-// model; an empty Version means the version that the configuration makes
-// current.
+// Target is the model, adapter and version of a request. An empty Adapter means
+// the base model; an empty Version means the current version of the
+// configuration.
 type Target struct {
 	Model   string `json:"model" cbor:"1,keyasint"`
 	Adapter string `json:"adapter,omitempty" cbor:"2,keyasint,omitempty"`
 	Version string `json:"version,omitempty" cbor:"3,keyasint,omitempty"`
 }
 
-// String returns "model[+adapter][@version]", the form callers use.
+// String returns "model[+adapter][@version]", the format of callers' requests.
 func (t Target) String() string {
 	s := t.Model
 	if t.Adapter != "" {
@@ -106,7 +104,8 @@
 	return s
 }
 
-// Member is one VM of one generation of a group. Rank 0 takes the requests.
+// Member is one VM of a generation of a group. The member with rank 0 receives
+// the requests.
 type Member struct {
 	VM    VM     `json:"vm"`
 	Boot  BootID `json:"boot"`
@@ -115,18 +114,18 @@
 	Fence Fence  `json:"fence"` // the VM's fence after the claim for this generation
 }
 
-// Phase is the stage in a group's life, as written in its table row.
+// Phase is the lifecycle phase of a group, as stored in its table row.
 type Phase string
 
 // The phases of a group.
 const (
-	PhaseForming   Phase = "forming"   // claimed; orders go out; not all members report the generation yet
+	PhaseForming   Phase = "forming"   // VMs claimed, orders being sent; not every member has reported the generation
 	PhaseServing   Phase = "serving"   // every member has reported the generation at least once
-	PhaseDraining  Phase = "draining"  // takes no new request, finishes those it has
-	PhaseDissolved Phase = "dissolved" // the VMs are free again
+	PhaseDraining  Phase = "draining"  // receives no new request, finishes those in progress
+	PhaseDissolved Phase = "dissolved" // the VMs are released
 )
 
-// Group is a serving group as its table row holds it.
+// Group is the table row of a serving group.
 type Group struct {
 	ID         GroupID          `json:"id"`
 	Spec       string           `json:"spec"` // name of the configuration's group entry
@@ -138,11 +137,11 @@
 	Version    string           `json:"version"`
 	Adapters   []string         `json:"adapters,omitempty"`
 	Members    []Member         `json:"members"` // in rank order
-	Reason     string           `json:"reason"`  // why the generation was made
+	Reason     string           `json:"reason"`  // why the generation was created
 }
 
-// Carries reports whether the group holds what t asks for. current is the
-// version that an empty t.Version stands for.
+// Carries reports whether the group has the model, version and adapter of t.
+// current replaces an empty t.Version.
 func (g *Group) Carries(t Target, current string) bool {
 	want := t.Version
 	if want == "" {
@@ -154,22 +153,22 @@
 	return t.Adapter == "" || slices.Contains(g.Adapters, t.Adapter)
 }
 
-// EngineState is what an engine VM says of itself when probed.
+// EngineState is the state that an engine VM reports when it is probed.
 type EngineState struct {
 	VM         VM         `json:"vm"`
 	Boot       BootID     `json:"boot"`
 	Fence      Fence      `json:"fence"` // highest fence seen in an order
-	Group      GroupID    `json:"group"` // empty: in no group
+	Group      GroupID    `json:"group"` // empty if the VM is in no group
 	Generation Generation `json:"generation"`
 	Rank       int        `json:"rank"`
 	Model      string     `json:"model"`
 	Version    string     `json:"version"`
 	Adapters   []string   `json:"adapters,omitempty"`
 	Loaded     bool       `json:"loaded"`  // weights and adapters are in memory
-	Leaving    bool       `json:"leaving"` // takes no new request; sticky for the boot
+	Leaving    bool       `json:"leaving"` // accepts no new request; permanent until the next boot
 }
 
-// Load is an endpoint's load report. Engines publish it with a lag.
+// Load is an endpoint's load report. Engines publish it with a delay.
 type Load struct {
 	VM              VM      `json:"vm" cbor:"1,keyasint"`
 	Boot            BootID  `json:"boot" cbor:"2,keyasint"`
@@ -177,7 +176,7 @@
 	AgeMillis       int64   `json:"age_millis" cbor:"4,keyasint"`
 	Running         int     `json:"running" cbor:"5,keyasint"`
 	Waiting         int     `json:"waiting" cbor:"6,keyasint"`
-	CacheUsed       float64 `json:"cache_used" cbor:"7,keyasint"` // share of KV memory in use, 0..1
+	CacheUsed       float64 `json:"cache_used" cbor:"7,keyasint"` // share of the KV cache memory in use, 0..1
 	TokensPerSecond float64 `json:"tokens_per_second" cbor:"8,keyasint"`
-	Slots           int     `json:"slots" cbor:"9,keyasint"` // requests that run at once without waiting
+	Slots           int     `json:"slots" cbor:"9,keyasint"` // requests that can run concurrently without queueing
 }
