--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -8,26 +8,27 @@
 	"chervilloom/internal/ring"
 )
 
-// Bounded is a writer that never blocks its caller: lines wait in a ring for
-// one goroutine that writes them. A reader of the logs that stands still would
-// otherwise stop every request that logs. Lines that find the ring full are
-// dropped and counted; the count is written when there is room again.
+// Bounded is a writer that never blocks its caller. It queues lines in a ring
+// buffer, and one goroutine writes them. Without it, a stalled log reader would
+// block every request that logs. Lines that do not fit are dropped and counted;
+// the count is logged with the next line that is written.
 type Bounded struct {
 	to      io.Writer
 	lines   *ring.Queue[[]byte]
 	dropped atomic.Uint64
 }
 
-// boundedLines is how many lines wait at most: about a second of logs of a busy
-// node, 1 MB.
-const boundedLines = 4096
+// boundedLines is the capacity of the ring in lines: about one second of logs of
+// a busy node, 1 MB.
+const maxQueuedLines = 4096
 
-// NewBounded returns a writer to w. Run must be running for lines to get out.
+// NewBounded returns a writer to w. Lines are written only while Run is running.
 func NewBounded(w io.Writer) *Bounded {
-	return &Bounded{to: w, lines: ring.NewQueue[[]byte](boundedLines)}
+	return &Bounded{to: w, lines: ring.NewQueue[[]byte](maxQueuedLines)}
 }
 
-// Write takes one line. It never fails.
+// Write queues a copy of one line, or drops the line if the ring is full. It
+// never returns an error.
 func (b *Bounded) Write(line []byte) (int, error) {
 	if !b.lines.Offer(append([]byte(nil), line...)) {
 		b.dropped.Add(1)
@@ -35,38 +36,39 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (b *Bounded) Dropped() uint64 { return b.dropped.Load() }
 
-// Run writes lines until stop is closed, then those that still wait.
+// Run writes queued lines until stop is closed, and then the remaining ones.
 func (b *Bounded) Run(stop <-chan struct{}) {
-	var told uint64
+	var reported uint64
 	for {
 		select {
 		case line := <-b.lines.C():
-			told = b.put(line, told)
+			reported = b.writeLine(line, reported)
 			continue
 		default:
 		}
 		select {
 		case line := <-b.lines.C():
-			told = b.put(line, told)
+			reported = b.writeLine(line, reported)
 		case <-stop:
 			for b.lines.Len() > 0 {
-				told = b.put(<-b.lines.C(), told)
+				reported = b.writeLine(<-b.lines.C(), reported)
 			}
 			return
 		}
 	}
 }
 
-// put writes one line and, when lines were dropped since told, their number.
-// A failed write is dropped: there is no other place to tell of it.
-func (b *Bounded) put(line []byte, told uint64) uint64 {
+// writeLine writes one line and, if the number of dropped lines differs from reported,
+// a line with that number. It returns the number reported. Write errors are
+// ignored, because there is no other place to report them.
+func (b *Bounded) writeLine(line []byte, reported uint64) uint64 {
 	_, _ = b.to.Write(line)
-	if n := b.dropped.Load(); n != told {
+	if n := b.dropped.Load(); n != reported {
 		_, _ = io.WriteString(b.to, `{"level":"WARN","msg":"log lines dropped","total":`+strconv.FormatUint(n, 10)+"}\n")
 		return n
 	}
-	return told
+	return reported
 }
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -9,29 +9,29 @@
 	"github.com/matryer/is"
 )
 
-// blocked is a reader of logs that stands still until it is let go.
-type blocked struct {
+// blockedWriter blocks every write until gate is closed.
+type blockedWriter struct {
 	gate chan struct{}
 	mu   sync.Mutex
 	buf  bytes.Buffer
 }
 
-func (b *blocked) Write(p []byte) (int, error) {
+func (b *blockedWriter) Write(p []byte) (int, error) {
 	<-b.gate
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.Write(p)
 }
 
-// The reader of the logs stands still. Writers go on at once; what doesn't fit
-// is counted, and the count is told when the reader is back.
-func TestWritersNeverWaitForTheReader(t *testing.T) {
+// The log reader stalls. Writers must not block; lines that do not fit are
+// counted, and the count is logged when the reader resumes.
+func TestWriteDoesNotBlock(t *testing.T) {
 	is := is.New(t)
-	out := &blocked{gate: make(chan struct{})}
+	out := &blockedWriter{gate: make(chan struct{})}
 	b := NewBounded(out)
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() { b.Run(stop); close(done) }()
-	const lines = boundedLines + 100
+	const lines = maxQueuedLines + 100
 	for range lines {
 		n, err := b.Write([]byte("x\n"))
 		is.NoErr(err)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,4 @@
-// Package telemetry sets up what a process tells about itself: structured logs,
-// metrics and traces.
+// Package telemetry sets up the structured logs, metrics and traces of a process.
 package telemetry
 
 import (
@@ -19,7 +18,7 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 )
 
-// Exporter says where spans go.
+// Exporter selects the destination of spans.
 type Exporter string
 
 // The exporters.
@@ -39,10 +38,10 @@
 	Exporter     Exporter
 	OTLPEndpoint string    // URL; ExporterOTLP only
 	SpansTo      io.Writer // ExporterStdout only
-	SampleRatio  float64   // share of root spans kept, 0..1; a sampled parent is always followed
+	SampleRatio  float64   // share of root spans kept, 0..1; other spans follow their parent's decision
 }
 
-// Telemetry is what the parts of a process report to.
+// Telemetry contains the logger and the metrics registry of a process.
 type Telemetry struct {
 	Log      *slog.Logger
 	Registry *prometheus.Registry
@@ -50,7 +49,8 @@
 }
 
 // New sets up logs, a metrics registry with the Go and process collectors, and
-// the global tracer provider with W3C propagation.
+// the global tracer provider with W3C trace context propagation. It returns an
+// error if the exporter is unknown or cannot be created.
 func New(ctx context.Context, o Options) (*Telemetry, error) {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(
@@ -64,7 +64,7 @@
 	return &Telemetry{Log: newLogger(o), Registry: reg, shutdown: shutdown}, nil
 }
 
-// Shutdown sends the spans that wait.
+// Shutdown exports the remaining spans and stops the exporter.
 func (t *Telemetry) Shutdown(ctx context.Context) error { return t.shutdown(ctx) }
 
 func newLogger(o Options) *slog.Logger {
@@ -83,8 +83,8 @@
 		return nil, err
 	}
 	if exp == nil {
-		// Without a provider the global tracer makes no-op spans that still
-		// carry the caller's trace context on to the next hop.
+		// Without a provider the global tracer creates no-op spans, which still
+		// propagate the caller's trace context to the next hop.
 		return func(context.Context) error { return nil }, nil
 	}
 	tp := sdktrace.NewTracerProvider(
