--- a/internal/operator/alerts_test.go
+++ b/internal/operator/alerts_test.go
@@ -23,8 +23,8 @@
 	manualFile = "../../docs/OPERATIONS.md"
 )
 
-// rules is the part of a Prometheus rules file that is read here.
-type rules struct {
+// rulesFile is the part of a Prometheus rules file that the tests check.
+type rulesFile struct {
 	Groups []struct {
 		Name  string `yaml:"name"`
 		Rules []rule `yaml:"rules"`
@@ -39,18 +39,18 @@
 	Annotations map[string]string `yaml:"annotations"`
 }
 
-func readRules(t *testing.T) rules {
+func readRules(t *testing.T) rulesFile {
 	t.Helper()
 	is := is.New(t)
 	data, err := os.ReadFile(alertsFile)
 	is.NoErr(err)
-	var r rules
+	var r rulesFile
 	is.NoErr(yaml.UnmarshalWithOptions(data, &r, yaml.Strict()))
 	return r
 }
 
-// labelled is a metric with the labels that an expression asks it for.
-type labelled struct {
+// metricUse is a metric with the labels that an expression selects by.
+type metricUse struct {
 	metric string
 	labels []string
 }
@@ -67,8 +67,9 @@
 	histogram  = regexp.MustCompile(`_(bucket|sum|count)$`)
 )
 
-// registered returns the metrics that a node registers, with their labels.
-func registered(t *testing.T) map[string][]string {
+// registeredMetrics returns the labels of the metrics that a node registers, by
+// metric name.
+func registeredMetrics(t *testing.T) map[string][]string {
 	t.Helper()
 	is := is.New(t)
 	set, err := settings.Parse("node", []byte(`
@@ -106,17 +107,17 @@
 	return out
 }
 
-var words = []string{"and", "or", "unless", "bool"}
+var promqlOperators = []string{"and", "or", "unless", "bool"}
 
-// metricsIn returns the metrics that an expression names.
-func metricsIn(expr string) []labelled {
+// metricsIn returns the metrics used by a PromQL expression.
+func metricsIn(expr string) []metricUse {
 	expr = duration.ReplaceAllString(grouping.ReplaceAllString(expr, ""), "")
-	var out []labelled
+	var out []metricUse
 	for _, m := range selector.FindAllStringSubmatch(expr, -1) {
-		if m[3] != "" || slices.Contains(words, m[1]) {
+		if m[3] != "" || slices.Contains(promqlOperators, m[1]) {
 			continue // a function or an operator
 		}
-		l := labelled{metric: m[1]}
+		l := metricUse{metric: m[1]}
 		for _, label := range matcher.FindAllStringSubmatch(m[2], -1) {
 			l.labels = append(l.labels, label[1])
 		}
@@ -125,14 +126,14 @@
 	return out
 }
 
-// target are the labels that Prometheus itself puts on every metric.
-var target = []string{"job", "instance"}
+// targetLabels are the labels that Prometheus adds to every metric.
+var targetLabels = []string{"job", "instance"}
 
-// An operator copies the rules. A rule over a metric or label that no node has
-// never fires: the operator would sleep through what it should tell of.
-func TestAlertsNameMetricsThatExist(t *testing.T) {
-	known := registered(t)
-	known["up"] = nil // Prometheus' own
+// An alert rule on a metric or label that no node registers never fires, and the
+// operator misses the failure that it should report.
+func TestAlertsUseRegisteredMetrics(t *testing.T) {
+	known := registeredMetrics(t)
+	known["up"] = nil // added by Prometheus
 	for _, g := range readRules(t).Groups {
 		for _, r := range g.Rules {
 			t.Run(r.Alert, func(t *testing.T) {
@@ -147,7 +148,7 @@
 						t.Errorf("no node registers %s", u.metric)
 					}
 					for _, l := range u.labels {
-						if !slices.Contains(labels, l) && !slices.Contains(target, l) {
+						if !slices.Contains(labels, l) && !slices.Contains(targetLabels, l) {
 							t.Errorf("%s has no label %s", u.metric, l)
 						}
 					}
@@ -157,7 +158,7 @@
 	}
 }
 
-func TestEveryAlertSaysWhatToDo(t *testing.T) {
+func TestAlertsAreDocumented(t *testing.T) {
 	is := is.New(t)
 	manual, err := os.ReadFile(manualFile)
 	is.NoErr(err)
@@ -179,5 +180,5 @@
 func TestMetricsInExpression(t *testing.T) {
 	is := is.New(t)
 	got := metricsIn(`sum by (a) (rate(x_total{result=~"down|ok", job="j"}[2m])) > 0.2 * max(y) unless z{b!="c"} == 0`)
-	is.Equal(got, []labelled{{"x_total", []string{"result", "job"}}, {"y", nil}, {"z", []string{"b"}}})
+	is.Equal(got, []metricUse{{"x_total", []string{"result", "job"}}, {"y", nil}, {"z", []string{"b"}}})
 }
--- a/internal/operator/auth.go
+++ b/internal/operator/auth.go
@@ -13,41 +13,42 @@
 )
 
 const (
-	// triesPerSecond and triesBurst bound the wrong tokens that one address
-	// may try, so that a token cannot be guessed from outside.
-	triesPerSecond = 0.5
-	triesBurst     = 10
-	// maxTriers bounds the addresses remembered.
-	maxTriers = 4096
+	// failedTokensPerSecond and failedTokenBurst bound the wrong tokens from one
+	// address, so that tokens cannot be guessed.
+	failedTokensPerSecond = 0.5
+	failedTokenBurst      = 10
+	// maxTrackedAddresses bounds the addresses with failed attempts in memory.
+	maxTrackedAddresses = 4096
 )
 
-// Token is an operator's token as the settings hold it.
+// Token is an operator's token from the settings.
 type Token struct {
-	Name string // of the operator
+	Name string // operator's name
 	Hash string // hex SHA-256 of the token
 }
 
-// Authenticator checks operators' tokens. Caller keys never pass: they are
-// looked up in another table, under another header form.
+// Authenticator checks operators' tokens. Callers' keys are never accepted,
+// because they are looked up in another table.
 type Authenticator struct {
-	tokens []Token
-	mu     sync.Mutex
-	tries  map[string]*rate.Limiter // by remote IP; wrong tries only
+	tokens   []Token
+	mu       sync.Mutex
+	failures map[string]*rate.Limiter // failed attempts by remote IP
 }
 
 // NewAuthenticator returns an authenticator for the tokens.
 func NewAuthenticator(tokens []Token) *Authenticator {
-	return &Authenticator{tokens: tokens, tries: make(map[string]*rate.Limiter)}
+	return &Authenticator{tokens: tokens, failures: make(map[string]*rate.Limiter)}
 }
 
-// Verify returns the operator's name for a token.
+// Verify returns the name of the operator with the token, and whether there is
+// one.
 func (a *Authenticator) Verify(token string) (string, bool) {
 	sum := sha256.Sum256([]byte(token))
 	got := []byte(hex.EncodeToString(sum[:]))
 	name, ok := "", false
 	for _, t := range a.tokens {
-		// All are compared, each in constant time, so that the time taken
-		// tells nothing about which hash came close.
+		// Every hash is compared in constant time, so that the duration does
+		// not reveal which hash nearly matched.
 		if subtle.ConstantTimeCompare(got, []byte(strings.ToLower(t.Hash))) == 1 {
 			name, ok = t.Name, true
 		}
@@ -55,8 +56,8 @@
 	return name, ok
 }
 
-// HashOf returns the token hash of the operator with the name. Console sessions
-// are signed with it, so that a changed token ends them.
+// HashOf returns the token hash of the named operator. Console sessions are
+// signed with it, so that changing the token ends them.
 func (a *Authenticator) HashOf(name string) (hash string, ok bool) {
 	for _, t := range a.tokens {
 		if t.Name == name {
@@ -66,31 +67,31 @@
 	return "", false
 }
 
-// Blocked reports whether the remote address has used up its wrong tries.
+// Blocked reports whether the remote address has exhausted its failed attempts.
 func (a *Authenticator) Blocked(remote string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	l := a.tries[ipOf(remote)]
+	l := a.failures[remoteIP(remote)]
 	return l != nil && l.Tokens() < 1
 }
 
-// Failed counts a wrong try of the remote address.
+// Failed counts a failed attempt of the remote address.
 func (a *Authenticator) Failed(remote string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	ip := ipOf(remote)
-	l := a.tries[ip]
+	ip := remoteIP(remote)
+	l := a.failures[ip]
 	if l == nil {
-		if len(a.tries) >= maxTriers {
-			a.tries = make(map[string]*rate.Limiter)
+		if len(a.failures) >= maxTrackedAddresses {
+			a.failures = make(map[string]*rate.Limiter)
 		}
-		l = rate.NewLimiter(triesPerSecond, triesBurst)
-		a.tries[ip] = l
+		l = rate.NewLimiter(failedTokensPerSecond, failedTokenBurst)
+		a.failures[ip] = l
 	}
 	l.Allow()
 }
 
-func ipOf(remote string) string {
+func remoteIP(remote string) string {
 	host, _, err := net.SplitHostPort(remote)
 	if err != nil {
 		return remote
@@ -98,8 +99,8 @@
 	return host
 }
 
-// Require wraps h so that it runs only for a request with an operator's token
-// in "Authorization: Bearer". The operator's name is passed on.
+// Require returns a handler that calls h with the operator's name if the request
+// has an operator's token in "Authorization: Bearer", and refuses it otherwise.
 func (a *Authenticator) Require(h func(w http.ResponseWriter, r *http.Request, operator string)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if a.Blocked(r.RemoteAddr) {
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -11,25 +11,25 @@
 	"time"
 )
 
-// Client asks a node's operator listener.
+// Client calls the operator listener of a node.
 type Client struct {
-	base  string // http(s)://ip:port
-	token string
-	http  *http.Client
+	baseURL string // http(s)://ip:port
+	token   string
+	http    *http.Client
 }
 
 // NewClient returns a client of the node at base that presents the token.
 func NewClient(base, token string) *Client {
-	return &Client{base: strings.TrimRight(base, "/"), token: token, http: &http.Client{Timeout: 15 * time.Second}}
+	return &Client{baseURL: strings.TrimRight(base, "/"), token: token, http: &http.Client{Timeout: 15 * time.Second}}
 }
 
-// Status returns what the node believes.
+// Status returns the node's view of the fleet.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var s Status
 	return s, c.do(ctx, http.MethodGet, "/api/status", nil, &s)
 }
 
-// Explain returns what was decided about the subject.
+// Explain returns the recorded decisions about the subject.
 func (c *Client) Explain(ctx context.Context, subject string) (Explanation, error) {
 	var e Explanation
 	return e, c.do(ctx, http.MethodGet, "/api/explain/"+subject, nil, &e)
@@ -41,7 +41,8 @@
 	return v, c.do(ctx, http.MethodGet, "/api/config", nil, &v)
 }
 
-// Apply asks to accept a document.
+// Apply sends a document to be accepted. The result reports a refusal; the error
+// is non-nil only if no result was received.
 func (c *Client) Apply(ctx context.Context, req ApplyRequest) (ApplyResult, error) {
 	var r ApplyResult
 	return r, c.do(ctx, http.MethodPost, "/api/config", req, &r)
@@ -53,12 +54,13 @@
 	return h, c.do(ctx, http.MethodGet, "/api/config/history", nil, &h)
 }
 
-// Drain asks that the endpoint takes no new request.
+// Drain orders the endpoint to accept no new requests.
 func (c *Client) Drain(ctx context.Context, req DrainRequest) error {
 	return c.do(ctx, http.MethodPost, "/api/drain", req, nil)
 }
 
-// do sends in as JSON and decodes a JSON reply of any status into out.
+// do sends in as JSON and decodes a JSON reply of any status into out. A reply
+// that is not JSON is an error unless its status is below 300.
 func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
@@ -68,7 +70,7 @@
 		}
 		body = bytes.NewReader(b)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, body)
 	if err != nil {
 		return fmt.Errorf("the node's address is wrong, write http://IP:PORT: %w", err)
 	}
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -12,31 +12,33 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// maxDocument bounds the body of an apply, in bytes.
-const maxDocument = 4 << 20
+// maxBodyBytes bounds the body of a request.
+const maxBodyBytes = 4 << 20
 
-// Fleet answers what operators ask. It is implemented by the node.
+// Fleet provides the operations behind the operators' interface. The node
+// implements it.
 type Fleet interface {
 	Status() Status
 	Explain(ctx context.Context, subject string) Explanation
 	Config() ConfigView
 	Apply(ctx context.Context, req ApplyRequest, operator string) ApplyResult
-	// ConfigAt returns the revision with the number from memory or the table.
+	// ConfigAt returns the revision with the given number from memory or the
+	// table.
 	ConfigAt(ctx context.Context, number uint64) (ConfigView, error)
-	// RollBack accepts the document of revision to as the one after base, which
-	// is the revision that the operator saw in force.
+	// RollBack accepts the document of revision to as the revision after base.
+	// base is the revision in force that the operator saw.
 	RollBack(ctx context.Context, base, to uint64, operator string) ApplyResult
 	History(ctx context.Context) ([]Revision, error)
 	Drain(ctx context.Context, req DrainRequest, operator string) error
 }
 
-// Options configure the operators' listener.
+// Options configures the operators' handler.
 type Options struct {
 	Fleet    Fleet
 	Auth     *Authenticator
 	Registry *prometheus.Registry
 	Log      *slog.Logger
-	Console  http.Handler // serves everything under /console/; nil: none
+	Console  http.Handler // serves /console/; nil: no console
 }
 
 // New returns the handler of the operators' listener.
@@ -58,8 +60,8 @@
 	return mux
 }
 
-// mountProfiles serves net/http/pprof to operators only: a profile shows what
-// callers' requests hold in memory.
+// mountProfiles serves net/http/pprof to operators only, because a profile can
+// expose the memory contents of callers' requests.
 func mountProfiles(mux *http.ServeMux, auth *Authenticator) {
 	guard := func(h http.HandlerFunc) http.HandlerFunc {
 		return auth.Require(func(w http.ResponseWriter, r *http.Request, _ string) { h(w, r) })
@@ -76,26 +78,26 @@
 }
 
 func (s *server) status(w http.ResponseWriter, _ *http.Request, _ string) {
-	s.reply(w, http.StatusOK, s.fleet.Status())
+	s.writeJSON(w, http.StatusOK, s.fleet.Status())
 }
 
 func (s *server) explain(w http.ResponseWriter, r *http.Request, _ string) {
-	s.reply(w, http.StatusOK, s.fleet.Explain(r.Context(), r.PathValue("id")))
+	s.writeJSON(w, http.StatusOK, s.fleet.Explain(r.Context(), r.PathValue("id")))
 }
 
 func (s *server) config(w http.ResponseWriter, _ *http.Request, _ string) {
-	s.reply(w, http.StatusOK, s.fleet.Config())
+	s.writeJSON(w, http.StatusOK, s.fleet.Config())
 }
 
 func (s *server) apply(w http.ResponseWriter, r *http.Request, operator string) {
 	var req ApplyRequest
-	if !s.read(w, r, &req) {
+	if !s.decodeBody(w, r, &req) {
 		return
 	}
 	res := s.fleet.Apply(r.Context(), req, operator)
-	s.log.Info("configuration applied", "operator", operator, "base", req.Base,
+	s.log.Info("configuration apply finished", "operator", operator, "base", req.Base,
 		"state", res.State, "revision", res.Revision, "message", res.Message)
-	s.reply(w, applyStatus[res.State], res)
+	s.writeJSON(w, applyStatus[res.State], res)
 }
 
 var applyStatus = map[ApplyState]int{
@@ -112,12 +114,12 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	s.reply(w, http.StatusOK, h)
+	s.writeJSON(w, http.StatusOK, h)
 }
 
 func (s *server) drain(w http.ResponseWriter, r *http.Request, operator string) {
 	var req DrainRequest
-	if !s.read(w, r, &req) {
+	if !s.decodeBody(w, r, &req) {
 		return
 	}
 	if err := s.fleet.Drain(r.Context(), req, operator); err != nil {
@@ -128,8 +130,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *server) read(w http.ResponseWriter, r *http.Request, v any) bool {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxDocument))
+func (s *server) decodeBody(w http.ResponseWriter, r *http.Request, v any) bool {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, "the body is too large or was cut: send at most 4 MiB", http.StatusRequestEntityTooLarge)
 		return false
@@ -141,10 +143,10 @@
 	return true
 }
 
-func (s *server) reply(w http.ResponseWriter, status int, v any) {
+func (s *server) writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		s.log.Debug("operator left before the reply ended", "error", err)
+		s.log.Debug("operator disconnected before the reply was complete", "error", err)
 	}
 }
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -20,40 +20,44 @@
 
 const token = "an operator's token"
 
-// stub answers what the test says.
-type stub struct {
+// fakeFleet returns the results that a test sets.
+type fakeFleet struct {
 	apply   operator.ApplyResult
 	applied operator.ApplyRequest
 	by      string
 	err     error
 }
 
-func (s *stub) Status() operator.Status { return operator.Status{Node: "entry-1", Ready: true} }
+func (s *fakeFleet) Status() operator.Status { return operator.Status{Node: "entry-1", Ready: true} }
 
-func (s *stub) Explain(_ context.Context, subject string) operator.Explanation {
+func (s *fakeFleet) Explain(_ context.Context, subject string) operator.Explanation {
 	return operator.Explanation{Subject: subject, Unreached: []string{"entry-2"}}
 }
 
-func (s *stub) Config() operator.ConfigView { return operator.ConfigView{Revision: 3, Document: "x"} }
+func (s *fakeFleet) Config() operator.ConfigView {
+	return operator.ConfigView{Revision: 3, Document: "x"}
+}
 
-func (s *stub) ConfigAt(context.Context, uint64) (operator.ConfigView, error) {
+func (s *fakeFleet) ConfigAt(context.Context, uint64) (operator.ConfigView, error) {
 	return operator.ConfigView{}, s.err
 }
 
-func (s *stub) Apply(_ context.Context, req operator.ApplyRequest, by string) operator.ApplyResult {
+func (s *fakeFleet) Apply(_ context.Context, req operator.ApplyRequest, by string) operator.ApplyResult {
 	s.applied, s.by = req, by
 	return s.apply
 }
 
-func (s *stub) RollBack(context.Context, uint64, uint64, string) operator.ApplyResult { return s.apply }
+func (s *fakeFleet) RollBack(context.Context, uint64, uint64, string) operator.ApplyResult {
+	return s.apply
+}
 
-func (s *stub) History(context.Context) ([]operator.Revision, error) {
+func (s *fakeFleet) History(context.Context) ([]operator.Revision, error) {
 	return []operator.Revision{{Number: 3, Attempt: "a"}}, s.err
 }
 
-func (s *stub) Drain(context.Context, operator.DrainRequest, string) error { return s.err }
+func (s *fakeFleet) Drain(context.Context, operator.DrainRequest, string) error { return s.err }
 
-func start(t *testing.T, s *stub) *httptest.Server {
+func startServer(t *testing.T, s *fakeFleet) *httptest.Server {
 	t.Helper()
 	sum := sha256.Sum256([]byte(token))
 	srv := httptest.NewServer(operator.New(operator.Options{
@@ -65,11 +69,11 @@
 	return srv
 }
 
-// A wrong token, a caller's key among them, opens no call of the operators, and
-// after some wrong ones an address has to wait even with the right one.
-func TestOnlyOperatorsTokensOpenTheCalls(t *testing.T) {
+// A wrong token, such as a caller's key, is refused on every operator call. After
+// several wrong tokens an address is blocked even with the right one.
+func TestCallsRequireOperatorToken(t *testing.T) {
 	is := is.New(t)
-	srv := start(t, &stub{})
+	srv := startServer(t, &fakeFleet{})
 	ask := func(method, path, token string) int {
 		req, err := http.NewRequest(method, srv.URL+path, nil)
 		is.NoErr(err)
@@ -97,15 +101,15 @@
 	is.Equal(ask("GET", "/metrics", ""), http.StatusOK)
 }
 
-// Every end of an attempt reaches the command line as the node told it.
-func TestClientGetsEveryEndOfAnAttempt(t *testing.T) {
+// Every result of an apply reaches the client as the node returned it.
+func TestClientReturnsEveryApplyState(t *testing.T) {
 	for _, state := range []operator.ApplyState{
 		operator.ApplyAccepted, operator.ApplyInvalid, operator.ApplyConflict, operator.ApplyUnknown, operator.ApplyRefused,
 	} {
 		t.Run(string(state), func(t *testing.T) {
 			is := is.New(t)
-			s := &stub{apply: operator.ApplyResult{State: state, Revision: 4, Attempt: "a", Changes: []string{"c"}}}
-			c := operator.NewClient(start(t, s).URL, token)
+			s := &fakeFleet{apply: operator.ApplyResult{State: state, Revision: 4, Attempt: "a", Changes: []string{"c"}}}
+			c := operator.NewClient(startServer(t, s).URL, token)
 			res, err := c.Apply(context.Background(), operator.ApplyRequest{Base: 3, Document: "d"})
 			is.NoErr(err)
 			is.Equal(res, s.apply)
@@ -115,10 +119,10 @@
 	}
 }
 
-func TestClientReads(t *testing.T) {
+func TestClientCalls(t *testing.T) {
 	is := is.New(t)
-	s := &stub{}
-	c := operator.NewClient(start(t, s).URL, token)
+	s := &fakeFleet{}
+	c := operator.NewClient(startServer(t, s).URL, token)
 	ctx := context.Background()
 	st, err := c.Status(ctx)
 	is.NoErr(err)
--- a/internal/operator/text.go
+++ b/internal/operator/text.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// ageUnit is the precision in which ages are shown.
-const ageUnit = 10 * time.Millisecond
+// agePrecision is the precision of displayed ages.
+const agePrecision = 10 * time.Millisecond
 
-func age(d time.Duration) string {
+func formatAge(d time.Duration) string {
 	if d < 0 {
 		return "never"
 	}
-	return d.Round(ageUnit).String()
+	return d.Round(agePrecision).String()
 }
 
-// table writes rows in aligned columns under a title.
-func table(w io.Writer, title string, header []string, rows [][]string) {
+// writeTable writes a title, a header and rows in aligned columns.
+func writeTable(w io.Writer, title string, header []string, rows [][]string) {
 	fmt.Fprintf(w, "\n%s\n", title)
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "  "+strings.Join(header, "\t"))
@@ -29,18 +29,18 @@
 	tw.Flush()
 }
 
-// WriteStatus writes s for a person.
+// WriteStatus writes s as text for the command line.
 func WriteStatus(w io.Writer, s Status) {
 	ready := "ready"
 	if !s.Ready {
 		ready = "not ready: " + s.NotReady
 	}
-	fmt.Fprintf(w, "node %s in %s, %s, revision %d, view %s old\n", s.Node, s.Zone, ready, s.Revision, age(s.ViewAge))
+	fmt.Fprintf(w, "node %s in %s, %s, revision %d, view %s old\n", s.Node, s.Zone, ready, s.Revision, formatAge(s.ViewAge))
 	reach := "reachable"
 	if !s.Platform.Reachable {
 		reach = "not reachable: nothing is claimed, formed or accepted; what is formed goes on serving"
 	}
-	fmt.Fprintf(w, "platform %s, last answer %s ago\n", reach, age(s.Platform.LastSeen))
+	fmt.Fprintf(w, "platform %s, last answer %s ago\n", reach, formatAge(s.Platform.LastSeen))
 	writeGroups(w, s.Groups)
 	writeEndpoints(w, s)
 	writeNodes(w, s.Nodes)
@@ -57,19 +57,19 @@
 		}
 		rows = append(rows, []string{
 			g.Group, fmt.Sprint(g.Generation), g.Phase, g.Zone, g.Model,
-			fmt.Sprint(len(g.VMs)), fmt.Sprintf("%d+%d", g.Running, g.Waiting), age(g.LoadAge), state,
+			fmt.Sprint(len(g.VMs)), fmt.Sprintf("%d+%d", g.Running, g.Waiting), formatAge(g.LoadAge), state,
 		})
 	}
-	table(w, "groups", []string{"GROUP", "GEN", "PHASE", "ZONE", "MODEL", "VMS", "RUN+WAIT", "LOAD AGE", "STATE"}, rows)
+	writeTable(w, "groups", []string{"GROUP", "GEN", "PHASE", "ZONE", "MODEL", "VMS", "RUN+WAIT", "LOAD AGE", "STATE"}, rows)
 }
 
 func writeEndpoints(w io.Writer, s Status) {
 	var rows [][]string
 	for _, e := range s.Endpoints {
-		rows = append(rows, []string{e.VM, e.Kind, e.Zone, e.Domain, e.State, e.Group, age(e.SeenAgo)})
+		rows = append(rows, []string{e.VM, e.Kind, e.Zone, e.Domain, e.State, e.Group, formatAge(e.SeenAgo)})
 	}
 	title := fmt.Sprintf("endpoints (%d engines free)", s.FreeEngines)
-	table(w, title, []string{"VM", "KIND", "ZONE", "DOMAIN", "STATE", "GROUP", "SEEN AGO"}, rows)
+	writeTable(w, title, []string{"VM", "KIND", "ZONE", "DOMAIN", "STATE", "GROUP", "SEEN AGO"}, rows)
 }
 
 func writeNodes(w io.Writer, nodes []NodeStatus) {
@@ -79,9 +79,9 @@
 		if n.Draining {
 			state += ", draining"
 		}
-		rows = append(rows, []string{n.Node, n.Zone, state, fmt.Sprint(n.Revision), age(n.Heard)})
+		rows = append(rows, []string{n.Node, n.Zone, state, fmt.Sprint(n.Revision), formatAge(n.Heard)})
 	}
-	table(w, "nodes", []string{"NODE", "ZONE", "STATE", "REVISION", "HEARD AGO"}, rows)
+	writeTable(w, "nodes", []string{"NODE", "ZONE", "STATE", "REVISION", "HEARD AGO"}, rows)
 }
 
 func writeDuties(w io.Writer, duties []DutyStatus) {
@@ -89,29 +89,29 @@
 	for _, d := range duties {
 		held := "no"
 		if d.Held {
-			held = "yes, " + age(d.Left) + " left"
+			held = "yes, " + formatAge(d.Left) + " left"
 		}
 		rows = append(rows, []string{d.Duty, d.Owner, fmt.Sprint(d.Fence), held})
 	}
-	table(w, "duties", []string{"DUTY", "OWNER", "FENCE", "HELD HERE"}, rows)
+	writeTable(w, "duties", []string{"DUTY", "OWNER", "FENCE", "HELD HERE"}, rows)
 }
 
 func writeLimits(w io.Writer, limits []LimitStatus) {
 	var rows [][]string
 	for _, l := range limits {
-		rows = append(rows, []string{l.Organisation, fmt.Sprint(l.Weight), capped(l.Rate, l.RateShare), capped(l.Lookups, l.LookupsShare)})
+		rows = append(rows, []string{l.Organisation, fmt.Sprint(l.Weight), formatLimit(l.Rate, l.RateShare), formatLimit(l.Lookups, l.LookupsShare)})
 	}
-	table(w, "organisations", []string{"ORGANISATION", "WEIGHT", "MODEL REQUESTS", "PLAIN CALLS"}, rows)
+	writeTable(w, "organisations", []string{"ORGANISATION", "WEIGHT", "MODEL REQUESTS", "PLAIN CALLS"}, rows)
 }
 
-func capped(limit, share float64) string {
+func formatLimit(limit, share float64) string {
 	if limit == 0 {
 		return "no cap"
 	}
 	return fmt.Sprintf("%g/s, %.0f%% here", limit, 100*share)
 }
 
-// WriteExplanation writes e for a person.
+// WriteExplanation writes e as text for the command line.
 func WriteExplanation(w io.Writer, e Explanation) {
 	fmt.Fprintf(w, "%s\n", e.Subject)
 	for _, s := range e.Steps {
@@ -123,7 +123,7 @@
 		for _, f := range s.Facts {
 			fmt.Fprintf(w, "      %s = %s", f.Name, f.Value)
 			if f.Age > 0 {
-				fmt.Fprintf(w, " (%s old)", age(f.Age))
+				fmt.Fprintf(w, " (%s old)", formatAge(f.Age))
 			}
 			fmt.Fprintln(w)
 		}
@@ -133,7 +133,8 @@
 	}
 }
 
-// WriteApply writes the end of an attempt to accept a document.
+// WriteApply writes the accepted revision, the problems or the conflicting
+// changes of r.
 func WriteApply(w io.Writer, r ApplyResult) {
 	if r.State == ApplyAccepted {
 		fmt.Fprintf(w, "accepted as revision %d\n", r.Revision)
@@ -155,5 +156,5 @@
 	for _, r := range h {
 		rows = append(rows, []string{fmt.Sprint(r.Number), r.Time.Format(time.RFC3339), r.Author, r.Hash})
 	}
-	table(w, "revisions", []string{"REVISION", "ACCEPTED", "BY", "HASH"}, rows)
+	writeTable(w, "revisions", []string{"REVISION", "ACCEPTED", "BY", "HASH"}, rows)
 }
--- a/internal/operator/types.go
+++ b/internal/operator/types.go
@@ -1,6 +1,6 @@
-// Package operator serves the operators' listener: status, explanations, the
-// configuration document, drain, metrics and profiles. The console's forms use
-// the same functions; the command line is a client of it.
+// Package operator implements the operators' HTTP interface: status,
+// explanations, configuration, drain, metrics and profiles. The console uses the
+// same functions, and the command line is a client of the interface.
 package operator
 
 import (
@@ -10,12 +10,12 @@
 	"chervilloom/internal/fleet"
 )
 
-// Status is what one node believes of the fleet, with the age of each belief.
+// Status is one node's view of the fleet, with the age of each part.
 type Status struct {
 	Node        string           `json:"node"`
 	Zone        string           `json:"zone"`
 	Ready       bool             `json:"ready"`
-	NotReady    string           `json:"not_ready,omitempty"` // why not
+	NotReady    string           `json:"not_ready,omitempty"` // reason if not ready
 	Revision    uint64           `json:"revision"`
 	ViewAge     time.Duration    `json:"view_age"`
 	Platform    PlatformStatus   `json:"platform"`
@@ -27,23 +27,23 @@
 	FreeEngines int              `json:"free_engines"`
 }
 
-// PlatformStatus tells whether the platform answers.
+// PlatformStatus is the reachability of the platform.
 type PlatformStatus struct {
 	Reachable bool          `json:"reachable"`
-	LastSeen  time.Duration `json:"last_seen"` // ago; -1: never
+	LastSeen  time.Duration `json:"last_seen"` // time since the last answer; -1: never
 }
 
-// NodeStatus is one entry node as this node sees it.
+// NodeStatus is the state of an entry node in this node's view.
 type NodeStatus struct {
 	Node     string        `json:"node"`
 	Zone     string        `json:"zone"`
 	State    string        `json:"state"`
-	Heard    time.Duration `json:"heard"` // ago
+	Heard    time.Duration `json:"heard"` // time since its last message
 	Revision uint64        `json:"revision"`
 	Draining bool          `json:"draining,omitempty"`
 }
 
-// GroupStatus is one serving group as this node sees it.
+// GroupStatus is the state of a serving group in this node's view.
 type GroupStatus struct {
 	Group      string        `json:"group"`
 	Generation uint64        `json:"generation"`
@@ -51,7 +51,7 @@
 	Zone       string        `json:"zone"`
 	Domain     string        `json:"domain"`
 	Model      string        `json:"model"`
-	VMs        []string      `json:"vms"` // of a group of another zone: its leader alone
+	VMs        []string      `json:"vms"` // for a group of another zone, only its leader
 	Whole      bool          `json:"whole"`
 	Reason     string        `json:"reason,omitempty"`
 	Running    int           `json:"running"`
@@ -59,42 +59,43 @@
 	LoadAge    time.Duration `json:"load_age"`
 }
 
-// EndpointStatus is one endpoint VM as this node sees it.
+// EndpointStatus is the state of an endpoint VM in this node's view.
 type EndpointStatus struct {
 	VM      string        `json:"vm"`
 	Kind    string        `json:"kind"`
 	Zone    string        `json:"zone"`
 	Domain  string        `json:"domain,omitempty"`
-	State   string        `json:"state"` // present, unseen, failing, leaving; elsewhere: another zone watches it
+	State   string        `json:"state"` // present, unseen, failing, leaving; elsewhere: probed by another zone
 	Group   string        `json:"group,omitempty"`
 	SeenAgo time.Duration `json:"seen_ago"` // -1: never
 }
 
-// DutyStatus tells who owns a duty.
+// DutyStatus is the lease state of a duty.
 type DutyStatus struct {
 	Duty  string        `json:"duty"`
-	Owner string        `json:"owner"` // node that holds the lease as far as this node knows
-	Held  bool          `json:"held"`  // by this node
+	Owner string        `json:"owner"` // node that holds the lease, if known
+	Held  bool          `json:"held"`  // this node holds the lease
 	Fence uint64        `json:"fence"`
-	Left  time.Duration `json:"left"` // of the lease, when held by this node
+	Left  time.Duration `json:"left"` // remaining term if this node holds the lease
 }
 
-// LimitStatus is an organisation's limits over all nodes, and the parts of them
-// that this node may use now.
+// LimitStatus contains an organisation's limits over all nodes, and the shares of
+// them that this node may use now.
 type LimitStatus struct {
 	Organisation string  `json:"organisation"`
 	Weight       int     `json:"weight"`
-	Rate         float64 `json:"rate"`          // model requests a second; 0: no cap
+	Rate         float64 `json:"rate"`          // model requests per second; 0: no limit
 	RateShare    float64 `json:"rate_share"`    // 0..1
-	Lookups      float64 `json:"lookups"`       // plain calls a second; 0: no cap
+	Lookups      float64 `json:"lookups"`       // plain calls per second; 0: no limit
 	LookupsShare float64 `json:"lookups_share"` // 0..1
 }
 
-// Explanation is what was decided about a subject, by all nodes that answered.
+// Explanation contains the recorded decisions about a subject from all nodes that
+// answered.
 type Explanation struct {
 	Subject   string         `json:"subject"`
-	Steps     []explain.Step `json:"steps"`               // by time
-	Unreached []string       `json:"unreached,omitempty"` // nodes that did not answer: their steps are missing
+	Steps     []explain.Step `json:"steps"`               // sorted by time
+	Unreached []string       `json:"unreached,omitempty"` // nodes that did not answer, whose steps are missing
 }
 
 // ConfigView is the configuration in force on a node.
@@ -104,46 +105,47 @@
 	Document string `json:"document"` // YAML
 }
 
-// ApplyRequest asks to accept a document that was edited from revision Base.
+// ApplyRequest contains a document that was edited from revision Base.
 type ApplyRequest struct {
 	Base     uint64 `json:"base"`
 	Document string `json:"document"`
 }
 
-// ApplyState says how an attempt to accept ended.
+// ApplyState is the result of an attempt to accept a document.
 type ApplyState string
 
-// The ends of an attempt.
+// The results of an attempt.
 const (
 	ApplyAccepted ApplyState = "accepted"
 	ApplyInvalid  ApplyState = "invalid"
-	ApplyConflict ApplyState = "conflict" // another operator was first
+	ApplyConflict ApplyState = "conflict" // another revision was accepted first
 	ApplyUnknown  ApplyState = "unknown"  // the platform's answer was lost and could not be read back
 	ApplyRefused  ApplyState = "refused"  // nothing was written
 )
 
-// ApplyResult is the end of an attempt.
+// ApplyResult describes the result of an attempt to accept a document.
 type ApplyResult struct {
 	State    ApplyState `json:"state"`
-	Revision uint64     `json:"revision,omitempty"` // accepted: the new one; conflict: the present one; unknown: the one it has if accepted
-	Attempt  string     `json:"attempt,omitempty"`  // unknown: stands in the history if it was accepted
+	Revision uint64     `json:"revision,omitempty"` // accepted: the new one; conflict: the one in force; unknown: the number it has if it was accepted
+	Attempt  string     `json:"attempt,omitempty"`  // unknown: ID found in the history if it was accepted
 	Message  string     `json:"message,omitempty"`
-	Problems []string   `json:"problems,omitempty"` // invalid: file:line:col: what is wrong; remedy
+	Problems []string   `json:"problems,omitempty"` // invalid: "file:line:col: problem; remedy"
 	Changes  []string   `json:"changes,omitempty"`  // conflict: what changed since Base
 }
 
-// Revision is one line of the history.
+// Revision is one entry of the history.
 type Revision struct {
 	Number uint64    `json:"number"`
 	Author string    `json:"author"`
 	Time   time.Time `json:"time"`
 	Hash   string    `json:"hash"`
-	// Attempt is the write that accepted the revision; it tells an author whose
-	// answer was lost whether the revision is theirs.
+	// Attempt is the ID of the write that accepted the revision. An author whose
+	// answer was lost can identify the revision by it.
 	Attempt string `json:"attempt,omitempty"`
 }
 
-// DrainRequest asks that an endpoint or a group takes no new request.
+// DrainRequest orders an endpoint, and with it its group, to accept no new
+// requests.
 type DrainRequest struct {
 	VM fleet.VM `json:"vm"`
 }
