--- a/internal/console/access_test.go
+++ b/internal/console/access_test.go
@@ -14,8 +14,8 @@
 	"chervilloom/internal/operator"
 )
 
-func TestNobodySeesAPageWithoutASession(t *testing.T) {
-	srv := serve(t, newFakeFleet())
+func TestPagesRequireSession(t *testing.T) {
+	srv := startServer(t, newFakeFleet())
 	for _, path := range []string{"", "explain?id=x", "drain", "edit/text", "edit/models", "history", "revisions/1", "rollback/1"} {
 		is.New(t).Equal(newBrowser(t, srv.URL).get("/console/"+path).path, "/console/login")
 	}
@@ -24,29 +24,28 @@
 	}
 }
 
-// A caller who holds a key of an organisation tries it as an operator's token
-// and gets no session, in the form or as a bearer. Keys of callers stand in the
-// document, tokens of operators in the settings: the console looks in the
-// settings alone.
-func TestCallerKeyOpensNothing(t *testing.T) {
+// A caller's key must not open a session, neither through the login form nor as a
+// bearer token. Callers' keys are in the document and operators' tokens in the
+// settings; the console checks the settings only.
+func TestCallerKeyIsRefused(t *testing.T) {
 	is := is.New(t)
-	srv := serve(t, newFakeFleet())
+	srv := startServer(t, newFakeFleet())
 	b := newBrowser(t, srv.URL)
 	is.Equal(b.login(callerKey).status, http.StatusUnauthorized)
 	is.Equal(b.get("/console/").path, "/console/login")
 
 	req, err := http.NewRequest(http.MethodGet, srv.URL+"/console/", nil)
 	is.NoErr(err)
-	req.Header.Set("Authorization", "Bearer "+ashaToken) // not even an operator's: the console takes sessions only
+	req.Header.Set("Authorization", "Bearer "+ashaToken) // an operator's token is refused too: the console accepts sessions only
 	is.Equal(b.do(b.http.Do(req)).path, "/console/login")
 }
 
-// Someone guesses tokens from one address. After a few wrong ones even the
-// right token is refused there, with the time to wait.
+// Tokens are guessed from one address. After a few wrong ones even the right
+// token is refused from that address, with a Retry-After header.
 func TestWrongTokensAreRateLimited(t *testing.T) {
 	is := is.New(t)
-	b := newBrowser(t, serve(t, newFakeFleet()).URL)
-	last := shown{}
+	b := newBrowser(t, startServer(t, newFakeFleet()).URL)
+	last := response{}
 	for range 30 {
 		if last = b.login("guess"); last.status == http.StatusTooManyRequests {
 			break
@@ -57,12 +56,12 @@
 	is.Equal(b.login(ashaToken).status, http.StatusTooManyRequests)
 }
 
-// Another site makes the operator's browser post a form. It knows the session's
-// cookie only through the browser and cannot know the form's token; without it
-// nothing is done.
-func TestFormWithoutItsTokenIsRefused(t *testing.T) {
+// Another site makes the operator's browser post a form. The browser adds the
+// session cookie, but the site does not know the CSRF token. Without the token
+// the form must have no effect.
+func TestFormRequiresCSRFToken(t *testing.T) {
 	f := newFakeFleet()
-	srv := serve(t, f)
+	srv := startServer(t, f)
 	b, other := login(t, srv, ashaToken), login(t, srv, omarToken)
 	foreign := other.get("/console/drain").form(t, "/console/logout").Get("csrf")
 	for _, token := range []string{"", "wrong", foreign} {
@@ -78,9 +77,9 @@
 	is.New(t).Equal(b.get("/console/").path, "/console/") // still logged in
 }
 
-func TestRequestOfAnotherOriginIsRefused(t *testing.T) {
+func TestCrossOriginRequestIsRefused(t *testing.T) {
 	is := is.New(t)
-	b := newBrowser(t, serve(t, newFakeFleet()).URL)
+	b := newBrowser(t, startServer(t, newFakeFleet()).URL)
 	req, err := http.NewRequest(http.MethodPost, b.base+"/console/login", strings.NewReader("token="+ashaToken))
 	is.NoErr(err)
 	req.Header.Set("Content-Type", "application/x-www-form-urlencoded")
@@ -115,39 +114,39 @@
 
 func TestLogOut(t *testing.T) {
 	is := is.New(t)
-	b := login(t, serve(t, newFakeFleet()), ashaToken)
+	b := login(t, startServer(t, newFakeFleet()), ashaToken)
 	is.Equal(b.post("/console/logout", b.get("/console/").form(t, "/console/logout")).path, "/console/login")
 	is.Equal(b.get("/console/").path, "/console/login")
 }
 
-// The balancer sends an operator's next request to another node. That node
-// shares the peers' secret and accepts the session; one with another secret, a
-// later time, a changed cookie or a changed token of the operator does not.
-func TestSessionHoldsAtEveryNodeUntilItEnds(t *testing.T) {
+// The load balancer sends an operator's next request to another node. A node with
+// the same peer secret must accept the session. It must be refused with another
+// secret, after its expiry, or if the cookie or the operator's token was changed.
+func TestSessionValidity(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	clock := func(d time.Duration) func() time.Time { return func() time.Time { return now.Add(d) } }
-	cookie := newSessions([]byte(testSecret), testAuth(), clock(0)).open("asha", false)
+	cookie := newSessionSigner([]byte(testSecret), testAuth(), clock(0)).newCookie("asha", false)
 	changed := operator.NewAuthenticator([]operator.Token{{Name: "asha", Hash: hashOf("new")}})
 	gone := operator.NewAuthenticator(nil)
 	for _, c := range []struct {
 		name  string
-		node  *sessions
+		node  *sessionSigner
 		value string
 		want  bool
 	}{
-		{"another node", newSessions([]byte(testSecret), testAuth(), clock(time.Hour)), cookie.Value, true},
-		{"another secret", newSessions([]byte("another"), testAuth(), clock(0)), cookie.Value, false},
-		{"too late", newSessions([]byte(testSecret), testAuth(), clock(sessionTerm)), cookie.Value, false},
-		{"the token was changed", newSessions([]byte(testSecret), changed, clock(0)), cookie.Value, false},
-		{"the operator was removed", newSessions([]byte(testSecret), gone, clock(0)), cookie.Value, false},
-		{"another name in the cookie", newSessions([]byte(testSecret), testAuth(), clock(0)), "b21hcg" + cookie.Value[strings.IndexByte(cookie.Value, '.'):], false},
-		{"cut", newSessions([]byte(testSecret), testAuth(), clock(0)), cookie.Value[:20], false},
-		{"empty", newSessions([]byte(testSecret), testAuth(), clock(0)), "", false},
+		{"another node", newSessionSigner([]byte(testSecret), testAuth(), clock(time.Hour)), cookie.Value, true},
+		{"another secret", newSessionSigner([]byte("another"), testAuth(), clock(0)), cookie.Value, false},
+		{"too late", newSessionSigner([]byte(testSecret), testAuth(), clock(sessionLifetime)), cookie.Value, false},
+		{"the token was changed", newSessionSigner([]byte(testSecret), changed, clock(0)), cookie.Value, false},
+		{"the operator was removed", newSessionSigner([]byte(testSecret), gone, clock(0)), cookie.Value, false},
+		{"another name in the cookie", newSessionSigner([]byte(testSecret), testAuth(), clock(0)), "b21hcg" + cookie.Value[strings.IndexByte(cookie.Value, '.'):], false},
+		{"cut", newSessionSigner([]byte(testSecret), testAuth(), clock(0)), cookie.Value[:20], false},
+		{"empty", newSessionSigner([]byte(testSecret), testAuth(), clock(0)), "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			req := httptest.NewRequest(http.MethodGet, "/console/", nil)
 			req.AddCookie(&http.Cookie{Name: cookieName, Value: c.value})
-			_, ok := c.node.read(req)
+			_, ok := c.node.authenticate(req)
 			is.New(t).Equal(ok, c.want)
 		})
 	}
--- a/internal/console/attempt.go
+++ b/internal/console/attempt.go
@@ -8,116 +8,119 @@
 	"chervilloom/internal/operator"
 )
 
-// try is a write whose answer was lost.
-type try struct {
-	Number  uint64 // that the revision has if it was accepted
-	Attempt string // stands in the history then
+// unconfirmedWrite is a write whose answer was lost.
+type unconfirmedWrite struct {
+	Number  uint64 // revision number if the write was accepted
+	Attempt string // ID found in the history if the write was accepted
 }
 
-// String returns the try as forms carry it.
-func (t try) String() string { return number(t.Number) + "/" + t.Attempt }
+// String returns the write in the format of the forms, "number/attempt".
+func (t unconfirmedWrite) String() string { return formatNumber(t.Number) + "/" + t.Attempt }
 
-// readTries returns the tries in a form whose fate was open when it was shown.
-func readTries(r *http.Request) []try {
-	var out []try
+// readUnconfirmedWrites returns the writes in a form that were unconfirmed when
+// the form was rendered.
+func readUnconfirmedWrites(r *http.Request) []unconfirmedWrite {
+	var out []unconfirmedWrite
 	for _, v := range r.PostForm["attempt"] {
 		n, attempt, _ := strings.Cut(v, "/")
 		if parsed, err := strconv.ParseUint(n, 10, 64); err == nil && attempt != "" {
-			out = append(out, try{parsed, attempt})
+			out = append(out, unconfirmedWrite{parsed, attempt})
 		}
 	}
 	return out
 }
 
-// withUnknown adds the try that res tells of when its fate is open too.
-func withUnknown(earlier []try, res operator.ApplyResult) []try {
+// appendUnknown appends the write of res if its state is unknown too.
+func appendUnknown(earlier []unconfirmedWrite, res operator.ApplyResult) []unconfirmedWrite {
 	if res.State != operator.ApplyUnknown {
 		return earlier
 	}
-	return append(earlier, try{res.Revision, res.Attempt})
+	return append(earlier, unconfirmedWrite{res.Revision, res.Attempt})
 }
 
-// unknownPage tells of tries whose answers were lost.
+// unknownPage shows writes whose answers were lost.
 type unknownPage struct {
 	Draft   draft
-	Tries   []try
+	Tries   []unconfirmedWrite
 	Message string
 }
 
-func (c *console) unknown(w http.ResponseWriter, s session, p unknownPage) {
-	c.render(w, http.StatusAccepted, "unknown", view{Title: "Not known yet", Data: p}.in(s))
+func (c *console) showUnknown(w http.ResponseWriter, s session, p unknownPage) {
+	c.render(w, http.StatusAccepted, "unknown", pageView{Title: "Not known yet", Data: p}.withSession(s))
 }
 
-// fate is what the history tells about tries.
-type fate string
+// writeState is the state of a write as proved by the history.
+type writeState string
 
 const (
-	fateOpen        fate = "open" // a write may have landed, or may land yet
-	fateAccepted    fate = "accepted"
-	fateNotAccepted fate = "not accepted"
+	writePending     writeState = "open" // the write may have been applied, or may still be
+	writeAccepted    writeState = "accepted"
+	writeNotAccepted writeState = "not accepted"
 )
 
-// fateOf reads the fate of a try from the history. Only its own row proves that
-// it was accepted; only another attempt's row under its number proves that it
-// was not and can't be any more, because the write demands that the number is
-// free. A history that ends below the number proves nothing: the write may be on
-// its way still.
-func fateOf(history []operator.Revision, t try) fate {
+// findWriteState returns the state of a write from the history. Only its own row
+// proves that it was accepted. Only another attempt's row under its number proves
+// that it was not and cannot be, because the write requires the number to be
+// free. A history that ends below the number proves nothing: the write may still
+// be in flight.
+func findWriteState(history []operator.Revision, t unconfirmedWrite) writeState {
 	for _, r := range history {
 		switch {
 		case r.Attempt != "" && r.Attempt == t.Attempt:
-			return fateAccepted
+			return writeAccepted
 		case r.Number == t.Number && r.Attempt != "":
-			return fateNotAccepted
+			return writeNotAccepted
 		}
 	}
-	return fateOpen
+	return writePending
 }
 
-// fateOfAll returns the try that was accepted, if one was. At most one can be:
-// all started from one base.
-func fateOfAll(history []operator.Revision, tries []try) (fate, try) {
-	out := fateNotAccepted
+// findAcceptedWrite returns the combined state of the writes, and the accepted
+// one if there is one. At most one can be accepted, because all have the same
+// base.
+func findAcceptedWrite(history []operator.Revision, tries []unconfirmedWrite) (writeState, unconfirmedWrite) {
+	out := writeNotAccepted
 	for _, t := range tries {
-		switch fateOf(history, t) {
-		case fateAccepted:
-			return fateAccepted, t
-		case fateOpen:
-			out = fateOpen
+		switch findWriteState(history, t) {
+		case writeAccepted:
+			return writeAccepted, t
+		case writePending:
+			out = writePending
 		}
 	}
-	return out, try{}
+	return out, unconfirmedWrite{}
 }
 
-// attempt looks again for what became of tries.
-func (c *console) attempt(w http.ResponseWriter, r *http.Request, s session) {
+// checkAttempt looks up the state of unconfirmed writes again.
+func (c *console) checkAttempt(w http.ResponseWriter, r *http.Request, s session) {
 	d, err := readDraft(r)
-	tries := readTries(r)
+	tries := readUnconfirmedWrites(r)
 	if err != nil || len(tries) == 0 {
-		c.fail(w, s, http.StatusBadRequest, "The form names no attempt. Look in the history.")
+		c.showError(w, s, http.StatusBadRequest, "The form names no attempt. Look in the history.")
 		return
 	}
-	c.settle(w, r, s, unknownPage{Draft: d, Tries: tries})
+	c.showWriteState(w, r, s, unknownPage{Draft: d, Tries: tries})
 }
 
-// settle shows what became of tries as far as the history proves it. A later
-// try's refusal says nothing about an earlier one, so it ends here as well.
-func (c *console) settle(w http.ResponseWriter, r *http.Request, s session, p unknownPage) {
+// showWriteState shows the state of the writes as far as the history proves it.
+// It also serves refused retries, because a refusal says nothing about the
+// earlier writes.
+func (c *console) showWriteState(w http.ResponseWriter, r *http.Request, s session, p unknownPage) {
 	h, err := c.fleet.History(r.Context())
 	if err != nil {
 		p.Message = "The platform's table cannot be read: " + err.Error()
-		c.unknown(w, s, p)
+		c.showUnknown(w, s, p)
 		return
 	}
-	switch f, t := fateOfAll(h, p.Tries); f {
-	case fateAccepted:
-		http.Redirect(w, r, root+"revisions/"+number(t.Number), http.StatusSeeOther)
-	case fateNotAccepted:
-		c.conflict(w, r, s, p.Draft, h[0].Number, "It is known now: its number went to another revision.")
+	switch f, t := findAcceptedWrite(h, p.Tries); f {
+	case writeAccepted:
+		http.Redirect(w, r, rootPath+"revisions/"+formatNumber(t.Number), http.StatusSeeOther)
+	case writeNotAccepted:
+		c.showConflict(w, r, s, p.Draft, h[0].Number, "It is known now: its number went to another revision.")
 	default:
 		if p.Message == "" {
 			p.Message = "The history can be read and does not show the revision; the write may be on its way still."
 		}
-		c.unknown(w, s, p)
+		c.showUnknown(w, s, p)
 	}
 }
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,7 +1,7 @@
-// Package console serves the operators' console: pages with forms, rendered on
-// the node, that need no script. Its only output is one validated configuration
-// document. It keeps nothing: what an operator is editing travels in the forms,
-// so any node can take the next step.
+// Package console implements the operators' console: HTML pages with forms,
+// rendered on the node without scripts. It produces one validated configuration
+// document. It is stateless: forms contain the draft that an operator edits, so
+// any node can serve the next step.
 package console
 
 import (
@@ -15,26 +15,26 @@
 )
 
 //go:embed static
-var static embed.FS
+var staticFiles embed.FS
 
-// root is where the console is mounted.
-const root = "/console/"
+// rootPath is the path prefix of the console.
+const rootPath = "/console/"
 
-// maxForm bounds the body of a form, in bytes. A form holds a document twice at
-// most, each percent-encoded.
-const maxForm = 8 << 20
+// maxFormBytes bounds the body of a form. A form contains a document at most
+// twice, percent-encoded.
+const maxFormBytes = 8 << 20
 
-// securityPolicy lets a page load nothing but the console's own style sheet,
-// run no script, post only to the console and stand in no frame.
-const securityPolicy = "default-src 'self'; script-src 'none'; object-src 'none'; base-uri 'none'; form-action 'self'; frame-ancestors 'none'"
+// contentSecurityPolicy allows the console's own style sheet and form posts to
+// the console only. It forbids scripts and framing.
+const contentSecurityPolicy = "default-src 'self'; script-src 'none'; object-src 'none'; base-uri 'none'; form-action 'self'; frame-ancestors 'none'"
 
-// Options configure the console.
+// Options configures the console.
 type Options struct {
 	Fleet operator.Fleet
 	Auth  *operator.Authenticator
 	// Secret is shared by all nodes, so that each accepts the sessions of the
-	// others; nil: a random one of this process, and an operator has to log in
-	// again at each node.
+	// others. If it is empty, a random secret of this process is used, and
+	// operators must log in to each node.
 	Secret []byte
 	Log    *slog.Logger
 	Now    func() time.Time // nil: time.Now
@@ -43,11 +43,11 @@
 type console struct {
 	fleet    operator.Fleet
 	auth     *operator.Authenticator
-	sessions *sessions
+	sessions *sessionSigner
 	log      *slog.Logger
 }
 
-// New returns the handler of everything under /console/.
+// New returns the handler for all paths under /console/.
 func New(o Options) http.Handler {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -56,20 +56,20 @@
 	if len(secret) == 0 {
 		secret = randomSecret()
 	}
-	c := &console{fleet: o.Fleet, auth: o.Auth, sessions: newSessions(secret, o.Auth, o.Now), log: o.Log}
+	c := &console{fleet: o.Fleet, auth: o.Auth, sessions: newSessionSigner(secret, o.Auth, o.Now), log: o.Log}
 	mux := http.NewServeMux()
-	mux.Handle("GET "+root+"static/", http.StripPrefix(root, http.FileServerFS(static)))
-	mux.HandleFunc("GET "+root+"login", c.loginForm)
-	mux.HandleFunc("POST "+root+"login", c.login)
+	mux.Handle("GET "+rootPath+"static/", http.StripPrefix(rootPath, http.FileServerFS(staticFiles)))
+	mux.HandleFunc("GET "+rootPath+"login", c.loginForm)
+	mux.HandleFunc("POST "+rootPath+"login", c.login)
 	c.mountPages(mux)
-	// SameSite keeps the cookie away from other sites' forms; the origin check
-	// covers the login form, which has no session to bind a token to.
-	return headers(http.NewCrossOriginProtection().Handler(mux))
+	// SameSite withholds the cookie from other sites' forms. The origin check
+	// protects the login form, which has no session for a CSRF token.
+	return withSecurityHeaders(http.NewCrossOriginProtection().Handler(mux))
 }
 
 func (c *console) mountPages(mux *http.ServeMux) {
-	get := func(path string, h page) { mux.HandleFunc("GET "+root+path, c.guard(h)) }
-	post := func(path string, h page) { mux.HandleFunc("POST "+root+path, c.guardForm(h)) }
+	get := func(path string, h pageHandler) { mux.HandleFunc("GET "+rootPath+path, c.requireSession(h)) }
+	post := func(path string, h pageHandler) { mux.HandleFunc("POST "+rootPath+path, c.requireCSRFToken(h)) }
 	get("{$}", c.overview)
 	get("explain", c.explain)
 	get("drain", c.drainForm)
@@ -78,7 +78,7 @@
 	post("edit", c.edit)
 	post("accept", c.accept)
 	post("rebase", c.rebase)
-	post("attempt", c.attempt)
+	post("attempt", c.checkAttempt)
 	get("history", c.history)
 	get("revisions/{number}", c.revision)
 	get("rollback/{number}", c.rollBackForm)
@@ -88,19 +88,19 @@
 
 func randomSecret() []byte {
 	b := make([]byte, 32)
-	_, _ = rand.Read(b) // never fails, it ends the process instead
+	_, _ = rand.Read(b) // never returns an error; it aborts the process instead
 	return b
 }
 
-func headers(h http.Handler) http.Handler {
+func withSecurityHeaders(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		head := w.Header()
-		head.Set("Content-Security-Policy", securityPolicy)
+		head.Set("Content-Security-Policy", contentSecurityPolicy)
 		head.Set("X-Frame-Options", "DENY")
 		head.Set("X-Content-Type-Options", "nosniff")
 		head.Set("Referrer-Policy", "same-origin")
 		head.Set("Cache-Control", "no-store")
-		r.Body = http.MaxBytesReader(w, r.Body, maxForm)
+		r.Body = http.MaxBytesReader(w, r.Body, maxFormBytes)
 		h.ServeHTTP(w, r)
 	})
 }
--- a/internal/console/draft.go
+++ b/internal/console/draft.go
@@ -9,15 +9,15 @@
 	"chervilloom/internal/yamlcheck"
 )
 
-// draft is a document that an operator edits, and the revision that it was
-// edited from. It travels in the forms.
+// draft is a document that an operator edits, and the revision that the edit
+// started from. The forms contain it.
 type draft struct {
 	Base uint64
 	Text string
 }
 
-// readDraft returns the draft in a form. Browsers end the lines of what they
-// send with CR LF whatever they were given.
+// readDraft returns the draft in a form. It converts the CR LF line ends that
+// browsers send to LF.
 func readDraft(r *http.Request) (draft, error) {
 	base, err := strconv.ParseUint(r.PostForm.Get("base"), 10, 64)
 	if err != nil {
@@ -26,8 +26,8 @@
 	return draft{Base: base, Text: strings.ReplaceAll(r.PostForm.Get("draft"), "\r\n", "\n")}, nil
 }
 
-// HasComments reports whether the text may hold comments, which are lost when a
-// form writes it anew.
+// HasComments reports whether the text may contain comments, which are lost when
+// a form rewrites it.
 func (d draft) HasComments() bool {
 	for line := range strings.Lines(d.Text) {
 		if strings.HasPrefix(strings.TrimSpace(line), "#") || strings.Contains(line, " #") {
@@ -37,23 +37,23 @@
 	return false
 }
 
-// checked is a document as far as it can be read.
-type checked struct {
+// checkedDocument is a decoded document and its problems.
+type checkedDocument struct {
 	document  *config.Document
-	decodable bool // every value was read; the document may be wrong all the same
+	decodable bool // every value was decoded; the document may still be invalid
 	problems  yamlcheck.Problems
 }
 
-func check(text string) checked {
+func checkDocument(text string) checkedDocument {
 	d := &config.Document{}
 	_, undecoded := yamlcheck.Decode("", []byte(text), d)
-	c := checked{document: d, decodable: len(undecoded) == 0}
+	c := checkedDocument{document: d, decodable: len(undecoded) == 0}
 	_, err := config.Parse("", []byte(text))
 	c.problems = problemsOf(err)
 	return c
 }
 
-// problemsOf returns the problems that err holds.
+// problemsOf returns the problems in err, or err as a single problem.
 func problemsOf(err error) yamlcheck.Problems {
 	if err == nil {
 		return nil
--- a/internal/console/edit.go
+++ b/internal/console/edit.go
@@ -8,16 +8,16 @@
 	"chervilloom/internal/yamlcheck"
 )
 
-// editPage shows one part's form, or the whole document as text.
+// editPage shows the form of a part, or the whole document as text.
 type editPage struct {
 	Draft    draft
-	Form     form // of the part; unused for the text
+	Form     form // form of the part; unused if Text is set
 	Text     bool
 	Problems yamlcheck.Problems
 	Parts    []part
 }
 
-// Holds reports whether the control of the value at path is on the page.
+// Holds reports whether the page has a control for the value at path.
 func (p editPage) Holds(path string) bool {
 	for _, s := range p.Form.Sections {
 		for _, f := range s.Fields {
@@ -33,7 +33,7 @@
 type previewPage struct {
 	Draft   draft
 	Changes []change
-	Same    bool // not a byte differs from the base
+	Same    bool // the text equals that of the base
 	Parts   []part
 }
 
@@ -42,29 +42,29 @@
 	v := c.fleet.Config()
 	d := draft{Base: v.Revision, Text: v.Document}
 	key := r.PathValue("part")
-	if key == textPart {
+	if key == textPartKey {
 		c.showText(w, s, http.StatusOK, d, nil)
 		return
 	}
-	p, ok := partOf(key)
+	p, ok := findPart(key)
 	if !ok {
-		c.fail(w, s, http.StatusNotFound, "The document has no part with this name. Choose one from the menu.")
+		c.showError(w, s, http.StatusNotFound, "The document has no part with this name. Choose one from the menu.")
 		return
 	}
 	if d.Base == 0 {
-		c.showText(w, s, http.StatusOK, draft{Text: firstDocument}, nil)
+		c.showText(w, s, http.StatusOK, draft{Text: initialDocument}, nil)
 		return
 	}
-	doc := check(d.Text)
+	doc := checkDocument(d.Text)
 	if !doc.decodable {
 		c.showText(w, s, http.StatusOK, d, doc.problems)
 		return
 	}
-	c.showForm(w, s, http.StatusOK, d, p, valuesOf(p.Key, doc.document), nil)
+	c.showForm(w, s, http.StatusOK, d, p, formValues(p.Key, doc.document), nil)
 }
 
-// firstDocument is where the first operator of a deployment starts.
-const firstDocument = `version: 1
+// initialDocument is the draft for a deployment without a revision.
+const initialDocument = `version: 1
 organisations: []
 models: []
 groups: []
@@ -74,89 +74,90 @@
 `
 
 func (c *console) showForm(w http.ResponseWriter, s session, status int, d draft, p part, values url.Values, ps yamlcheck.Problems) {
-	c.render(w, status, "edit", view{Title: p.Title, Data: editPage{
+	c.render(w, status, "edit", pageView{Title: p.Title, Data: editPage{
 		Draft: d, Form: newForm(p, values, ps), Problems: ps, Parts: parts,
-	}}.in(s))
+	}}.withSession(s))
 }
 
 func (c *console) showText(w http.ResponseWriter, s session, status int, d draft, ps yamlcheck.Problems) {
-	c.render(w, status, "edit", view{Title: "Whole document", Data: editPage{
+	c.render(w, status, "edit", pageView{Title: "Whole document", Data: editPage{
 		Draft: d, Text: true, Problems: ps, Parts: parts,
-	}}.in(s))
+	}}.withSession(s))
 }
 
-// goPreview is the value of the button that checks and previews; the other
-// buttons carry the part to show next.
-const goPreview = "preview"
+// previewAction is the value of the button that checks and previews the draft.
+// The value of any other button is the part to show next.
+const previewAction = "preview"
 
-// edit takes what was written into one part and shows the next part or the
-// preview.
+// edit applies the values of one part's form to the draft and shows the next part
+// or the preview.
 func (c *console) edit(w http.ResponseWriter, r *http.Request, s session) {
 	d, err := readDraft(r)
 	if err != nil {
-		c.fail(w, s, http.StatusBadRequest, "The form names no base revision. Open the form again from the menu.")
+		c.showError(w, s, http.StatusBadRequest, "The form names no base revision. Open the form again from the menu.")
 		return
 	}
 	next := r.PostForm.Get("go")
-	p, isPart := partOf(r.PostForm.Get("part"))
+	p, isPart := findPart(r.PostForm.Get("part"))
 	if !isPart {
-		c.proceed(w, r, s, d, next)
+		c.showNext(w, r, s, d, next)
 		return
 	}
-	before := check(d.Text)
+	before := checkDocument(d.Text)
 	if !before.decodable {
 		c.showText(w, s, http.StatusUnprocessableEntity, d, before.problems)
 		return
 	}
-	values := tidy(p, r.PostForm)
-	text, err := apply(p, values, before.document)
+	values := compactElements(p, r.PostForm)
+	text, err := applyPart(p, values, before.document)
 	if err != nil {
-		c.fail(w, s, http.StatusInternalServerError, "The document cannot be written: "+err.Error()+". Edit the whole document as text.")
+		c.showError(w, s, http.StatusInternalServerError, "The document cannot be written: "+err.Error()+". Edit the whole document as text.")
 		return
 	}
-	after := check(text)
-	stay := next == goPreview && len(after.problems) > 0
+	after := checkDocument(text)
+	stay := next == previewAction && len(after.problems) > 0
 	if after.decodable {
 		d.Text = text
-	} else if next != textPart {
+	} else if next != textPartKey {
 		stay = true
 	}
 	if stay {
 		c.showForm(w, s, http.StatusUnprocessableEntity, d, p, values, after.problems)
 		return
 	}
-	c.proceed(w, r, s, draft{Base: d.Base, Text: text}, next)
+	c.showNext(w, r, s, draft{Base: d.Base, Text: text}, next)
 }
 
-// proceed shows the draft as next asks.
-func (c *console) proceed(w http.ResponseWriter, r *http.Request, s session, d draft, next string) {
-	doc := check(d.Text)
-	p, isPart := partOf(next)
+// showNext shows the draft as the part or preview that next names. It shows the
+// whole text if the draft is invalid or next is unknown.
+func (c *console) showNext(w http.ResponseWriter, r *http.Request, s session, d draft, next string) {
+	doc := checkDocument(d.Text)
+	p, isPart := findPart(next)
 	switch {
 	case isPart && doc.decodable:
-		c.showForm(w, s, http.StatusOK, d, p, valuesOf(p.Key, doc.document), doc.problems)
-	case next == goPreview && len(doc.problems) == 0:
+		c.showForm(w, s, http.StatusOK, d, p, formValues(p.Key, doc.document), doc.problems)
+	case next == previewAction && len(doc.problems) == 0:
 		c.preview(w, r, s, d)
-	case next == textPart:
+	case next == textPartKey:
 		c.showText(w, s, http.StatusOK, d, doc.problems)
 	default:
 		c.showText(w, s, http.StatusUnprocessableEntity, d, doc.problems)
 	}
 }
 
-// preview shows what a valid draft changes. When another operator was first
-// meanwhile, that is shown instead: the draft would be refused.
+// preview shows the changes of a valid draft. If a newer revision than its base
+// is in force, it shows the conflict instead, because the draft would be refused.
 func (c *console) preview(w http.ResponseWriter, r *http.Request, s session, d draft) {
 	if now := c.fleet.Config(); now.Revision > d.Base {
-		c.conflict(w, r, s, d, now.Revision, "")
+		c.showConflict(w, r, s, d, now.Revision, "")
 		return
 	}
-	base, err := c.at(r.Context(), d.Base)
+	base, err := c.loadRevision(r.Context(), d.Base)
 	if err != nil {
-		c.fail(w, s, http.StatusServiceUnavailable, "Revision "+number(d.Base)+" cannot be read to compare with it: "+err.Error()+". Nothing changed. Go back and try again.")
+		c.showError(w, s, http.StatusServiceUnavailable, "Revision "+formatNumber(d.Base)+" cannot be read to compare with it: "+err.Error()+". Nothing changed. Go back and try again.")
 		return
 	}
-	c.render(w, http.StatusOK, "preview", view{Title: "Preview", Data: previewPage{
-		Draft: d, Changes: diff(base.document, check(d.Text).document), Same: d.Text == base.text, Parts: parts,
-	}}.in(s))
+	c.render(w, http.StatusOK, "preview", pageView{Title: "Preview", Data: previewPage{
+		Draft: d, Changes: diff(base.document, checkDocument(d.Text).document), Same: d.Text == base.text, Parts: parts,
+	}}.withSession(s))
 }
--- a/internal/console/export_test.go
+++ b/internal/console/export_test.go
@@ -8,10 +8,10 @@
 	"github.com/matryer/is"
 )
 
-// Operator is an operator at a browser, for tests through real nodes.
+// Operator drives the console through a browser, for tests with real nodes.
 type Operator struct{ b *browser }
 
-// LogIn logs an operator in at a node.
+// LogIn logs an operator in to the node at base.
 func LogIn(t *testing.T, base, token string) Operator {
 	t.Helper()
 	b := newBrowser(t, base)
@@ -21,12 +21,12 @@
 	return Operator{b}
 }
 
-// GoTo has the browser send its next requests to another node, as a balancer
-// does. Cookies go by IP number, so the session goes along.
+// GoTo sends the next requests to another node, as a load balancer would. Cookies
+// are bound to the IP address and not to the port, so the session is kept.
 func (o Operator) GoTo(base string) { o.b.base = base }
 
-// Set changes one value through its form and accepts the preview; it returns the
-// path of the page that the operator ends on.
+// Set changes one value through its form and accepts the preview. It returns the
+// path of the resulting page.
 func (o Operator) Set(part, field, value string) string {
 	o.b.t.Helper()
 	page := o.b.preview(part, field, value)
@@ -34,11 +34,11 @@
 	return o.b.accept(page).path
 }
 
-// InForce reports whether the page of a revision says that it is in force on
-// every node.
+// InForce reports whether the page of a revision shows it as in force on every
+// node.
 func (o Operator) InForce(path string) bool {
 	return strings.Contains(o.b.get(path).body, "In force on every node")
 }
 
-// Status returns the status of a page.
+// Status returns the HTTP status of a page.
 func (o Operator) Status(path string) int { return o.b.get(path).status }
--- a/internal/console/fake_test.go
+++ b/internal/console/fake_test.go
@@ -51,26 +51,26 @@
 fence_checked: ["*"]
 `
 
-// fakeFleet accepts revisions in memory as the keeper does.
+// fakeFleet accepts revisions in memory like revision.Keeper.
 type fakeFleet struct {
-	mu        sync.Mutex
-	status    operator.Status
-	explained operator.Explanation
-	revisions []operator.Revision
-	documents []string
-	drained   []string
-	down      error                                                     // of the platform's table
-	answer    func(operator.ApplyResult) operator.ApplyResult           // what the author hears; nil: the truth
-	before    func(f *fakeFleet, req operator.ApplyRequest) (drop bool) // runs before a write
+	mu             sync.Mutex
+	status         operator.Status
+	explained      operator.Explanation
+	revisions      []operator.Revision
+	documents      []string
+	drained        []string
+	historyErr     error                                                     // error of History, as if the table were down
+	overrideResult func(operator.ApplyResult) operator.ApplyResult           // replaces the result that the author receives; nil: none
+	beforeWrite    func(f *fakeFleet, req operator.ApplyRequest) (drop bool) // runs before a write and may drop it; nil: none
 }
 
 func newFakeFleet() *fakeFleet {
 	f := &fakeFleet{status: operator.Status{Node: "entry-1#1", Zone: "baneshwor", Ready: true}}
-	f.put(testDocument, "setup")
+	f.addRevision(testDocument, "setup")
 	return f
 }
 
-func (f *fakeFleet) put(document, author string) operator.Revision {
+func (f *fakeFleet) addRevision(document, author string) operator.Revision {
 	n := uint64(len(f.revisions) + 1)
 	rev := operator.Revision{
 		Number: n, Author: author, Time: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC),
@@ -115,17 +115,17 @@
 func (f *fakeFleet) Apply(_ context.Context, req operator.ApplyRequest, by string) operator.ApplyResult {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.before != nil && f.before(f, req) {
-		return f.tell(operator.ApplyResult{State: operator.ApplyRefused, Message: "the platform's table cannot be reached; nothing changed"})
+	if f.beforeWrite != nil && f.beforeWrite(f, req) {
+		return f.reply(operator.ApplyResult{State: operator.ApplyRefused, Message: "the platform's table cannot be reached; nothing changed"})
 	}
 	if ps := problemsOf(parseError(req.Document)); len(ps) > 0 {
 		return operator.ApplyResult{State: operator.ApplyInvalid, Problems: []string{ps.Error()}}
 	}
 	if now := uint64(len(f.revisions)); req.Base != now {
-		return f.tell(operator.ApplyResult{State: operator.ApplyConflict, Revision: now, Message: "another revision came first"})
+		return f.reply(operator.ApplyResult{State: operator.ApplyConflict, Revision: now, Message: "another revision came first"})
 	}
-	rev := f.put(req.Document, by)
-	return f.tell(operator.ApplyResult{State: operator.ApplyAccepted, Revision: rev.Number})
+	rev := f.addRevision(req.Document, by)
+	return f.reply(operator.ApplyResult{State: operator.ApplyAccepted, Revision: rev.Number})
 }
 
 func parseError(document string) error {
@@ -133,9 +133,9 @@
 	return err
 }
 
-func (f *fakeFleet) tell(res operator.ApplyResult) operator.ApplyResult {
-	if f.answer != nil {
-		return f.answer(res)
+func (f *fakeFleet) reply(res operator.ApplyResult) operator.ApplyResult {
+	if f.overrideResult != nil {
+		return f.overrideResult(res)
 	}
 	return res
 }
@@ -151,8 +151,8 @@
 func (f *fakeFleet) History(context.Context) ([]operator.Revision, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.down != nil {
-		return nil, f.down
+	if f.historyErr != nil {
+		return nil, f.historyErr
 	}
 	var out []operator.Revision
 	for i := len(f.revisions) - 1; i >= 0; i-- {
@@ -183,21 +183,21 @@
 	return New(Options{Fleet: f, Auth: testAuth(), Secret: []byte(testSecret), Log: slog.New(slog.DiscardHandler)})
 }
 
-func serve(t *testing.T, f operator.Fleet) *httptest.Server {
+func startServer(t *testing.T, f operator.Fleet) *httptest.Server {
 	srv := httptest.NewServer(newConsole(f))
 	t.Cleanup(srv.Close)
 	return srv
 }
 
-// browser is an operator at a browser that runs no script.
+// browser is a client with a cookie jar that follows redirects and runs no script.
 type browser struct {
 	t    *testing.T
 	base string
 	http *http.Client
 }
 
-// shown is a page as the browser got it.
-type shown struct {
+// response is a page that the browser received.
+type response struct {
 	status int
 	path   string // after redirects
 	body   string
@@ -212,27 +212,27 @@
 	return &browser{t: t, base: base, http: client}
 }
 
-func (b *browser) do(res *http.Response, err error) shown {
+func (b *browser) do(res *http.Response, err error) response {
 	b.t.Helper()
 	is := is.New(b.t)
 	is.NoErr(err)
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
 	is.NoErr(err)
-	return shown{res.StatusCode, res.Request.URL.Path, string(body), res.Header}
+	return response{res.StatusCode, res.Request.URL.Path, string(body), res.Header}
 }
 
-func (b *browser) get(path string) shown {
+func (b *browser) get(path string) response {
 	b.t.Helper()
 	return b.do(b.http.Get(b.base + path))
 }
 
-func (b *browser) post(path string, form url.Values) shown {
+func (b *browser) post(path string, form url.Values) response {
 	b.t.Helper()
 	return b.do(b.http.PostForm(b.base+path, form))
 }
 
-func (b *browser) login(token string) shown {
+func (b *browser) login(token string) response {
 	b.t.Helper()
 	return b.post("/console/login", url.Values{"token": {token}})
 }
@@ -253,9 +253,9 @@
 	attrTag   = regexp.MustCompile(`([a-z]+)="([^"]*)"`)
 )
 
-// form returns what a browser sends for the page's form with the action: every
-// control as it stands, lines ended by CR LF.
-func (p shown) form(t *testing.T, action string) url.Values {
+// form returns the values that a browser would send for the page's form with the
+// given action: every control unchanged, with CR LF line ends.
+func (p response) form(t *testing.T, action string) url.Values {
 	t.Helper()
 	for _, f := range formTag.FindAllStringSubmatch(p.body, -1) {
 		if f[1] == action {
@@ -300,8 +300,8 @@
 
 func crlf(s string) string { return strings.ReplaceAll(s, "\n", "\r\n") }
 
-// with returns the form with a control filled in.
-func with(form url.Values, pairs ...string) url.Values {
+// setFields sets controls of the form to the given name and value pairs.
+func setFields(form url.Values, pairs ...string) url.Values {
 	for i := 0; i < len(pairs); i += 2 {
 		form.Set(pairs[i], pairs[i+1])
 	}
--- a/internal/console/fleet.go
+++ b/internal/console/fleet.go
@@ -8,8 +8,8 @@
 	"chervilloom/internal/operator"
 )
 
-// liveSeconds is how often the overview asks again when the operator wants it.
-const liveSeconds = 5
+// liveRefreshSeconds is the reload interval of the live overview.
+const liveRefreshSeconds = 5
 
 type overviewPage struct {
 	Status operator.Status
@@ -17,13 +17,13 @@
 }
 
 func (c *console) overview(w http.ResponseWriter, r *http.Request, s session) {
-	v := view{Title: "Overview"}
+	v := pageView{Title: "Overview"}
 	data := overviewPage{Status: c.fleet.Status(), Live: r.URL.Query().Has("live")}
 	if data.Live {
-		v.Refresh = liveSeconds
+		v.Refresh = liveRefreshSeconds
 	}
 	v.Data = data
-	c.render(w, http.StatusOK, "overview", v.in(s))
+	c.render(w, http.StatusOK, "overview", v.withSession(s))
 }
 
 type explainPage struct {
@@ -36,12 +36,12 @@
 	if p.Asked != "" {
 		p.Explanation = c.fleet.Explain(r.Context(), p.Asked)
 	}
-	c.render(w, http.StatusOK, "explain", view{Title: "Explain", Data: p}.in(s))
+	c.render(w, http.StatusOK, "explain", pageView{Title: "Explain", Data: p}.withSession(s))
 }
 
 type drainPage struct {
 	VM        string
-	Endpoint  *operator.EndpointStatus // nil: not known here
+	Endpoint  *operator.EndpointStatus // nil: unknown to this node
 	Endpoints []operator.EndpointStatus
 }
 
@@ -59,7 +59,7 @@
 	if p.VM != "" && p.Endpoint == nil && problem == "" {
 		status, problem = http.StatusNotFound, "No endpoint with this name is known here. Take one from the list."
 	}
-	c.render(w, status, "drain", view{Title: "Drain an endpoint", Error: problem, Data: p}.in(s))
+	c.render(w, status, "drain", pageView{Title: "Drain an endpoint", Error: problem, Data: p}.withSession(s))
 }
 
 func (c *console) drain(w http.ResponseWriter, r *http.Request, s session) {
@@ -75,8 +75,8 @@
 		return
 	}
 	c.log.Info("drain ordered", "operator", s.operator, "endpoint", vm)
-	c.render(w, http.StatusOK, "message", view{
+	c.render(w, http.StatusOK, "message", pageView{
 		Title: "Drain ordered",
 		Body:  "The endpoint " + vm + " was told to take no new request; those in progress end. The overview shows it as leaving.",
-	}.in(s))
+	}.withSession(s))
 }
--- a/internal/console/form.go
+++ b/internal/console/form.go
@@ -13,15 +13,15 @@
 	"chervilloom/internal/yamlcheck"
 )
 
-// part is one top-level key of the document that has a form of its own.
+// part is a top-level key of the document that has its own form.
 type part struct {
-	Key   string // of the document
+	Key   string // key in the document
 	Title string
 	Help  string
 }
 
-// textPart is the whole document as text.
-const textPart = "text"
+// textPartKey selects the whole document as text instead of a part.
+const textPartKey = "text"
 
 var parts = []part{
 	{"organisations", "Organisations", "Customers: their keys, their share of the capacity and their limits."},
@@ -33,7 +33,7 @@
 	{"policy", "Policy", "How requests are routed and retried. Empty values stand for the defaults."},
 }
 
-func partOf(key string) (part, bool) {
+func findPart(key string) (part, bool) {
 	for _, p := range parts {
 		if p.Key == key {
 			return p, true
@@ -42,7 +42,7 @@
 	return part{}, false
 }
 
-// fieldKind selects the control of a field.
+// fieldKind is the type of the form control of a field.
 type fieldKind string
 
 const (
@@ -53,8 +53,8 @@
 	kindSelect fieldKind = "select"
 )
 
-// field is one control of a form. Its name is the path of the value in the
-// document, by which problems find their control.
+// field is a form control. Its name is the path of the value in the document, by
+// which problems are matched to controls.
 type field struct {
 	Path     string
 	Label    string
@@ -65,64 +65,65 @@
 	Problems []yamlcheck.Problem
 }
 
-// section is one element of a list, or the whole of a part that is no list.
+// section contains the fields of one list element, or of a part that is not a
+// list.
 type section struct {
 	Legend string
-	Remove string // name of the control that removes the element; empty: none
+	Remove string // name of the checkbox that removes the element; empty: no checkbox
 	Fields []field
 }
 
 // form is the form of a part.
 type form struct {
 	Part     part
-	Count    int // elements, the empty one included; 0 for a part that is no list
+	Count    int // number of elements, including the empty one; 0 if the part is not a list
 	Sections []section
 }
 
-// partField returns the document's field with the key.
-func partField(key string) reflect.StructField {
+// documentField returns the struct field of the document with the given key.
+func documentField(key string) reflect.StructField {
 	t := reflect.TypeFor[config.Document]()
 	for i := range t.NumField() {
-		if keyOf(t.Field(i)) == key {
+		if yamlKey(t.Field(i)) == key {
 			return t.Field(i)
 		}
 	}
-	panic("console: the document has no part " + key) // parts is fixed
+	panic("console: the document has no part " + key) // not reached: the keys come from parts
 }
 
-func keyOf(f reflect.StructField) string {
+func yamlKey(f reflect.StructField) string {
 	key, _, _ := strings.Cut(f.Tag.Get("yaml"), ",")
 	return key
 }
 
-// valuesOf returns a part of the document as its form would send it.
-func valuesOf(key string, d *config.Document) url.Values {
+// formValues returns the form values of a part of the document.
+func formValues(key string, d *config.Document) url.Values {
 	out := url.Values{}
-	v := reflect.ValueOf(*d).FieldByIndex(partField(key).Index)
+	v := reflect.ValueOf(*d).FieldByIndex(documentField(key).Index)
 	switch {
 	case isNamedList(v.Type()):
 		for i := range v.Len() {
-			putStruct(out, fmt.Sprintf("%s[%d]", key, i), v.Index(i))
+			addStructValues(out, fmt.Sprintf("%s[%d]", key, i), v.Index(i))
 		}
 		out.Set("count", strconv.Itoa(v.Len()))
 	case v.Kind() == reflect.Struct:
-		putStruct(out, key, v)
+		addStructValues(out, key, v)
 	default:
-		out.Set(key, show(v, true))
+		out.Set(key, controlValue(v, true))
 	}
 	return out
 }
 
-func putStruct(out url.Values, path string, v reflect.Value) {
+func addStructValues(out url.Values, path string, v reflect.Value) {
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
 		omit := strings.HasSuffix(f.Tag.Get("yaml"), ",omitempty")
-		out.Set(path+"."+keyOf(f), show(v.Field(i), omit))
+		out.Set(path+"."+yamlKey(f), controlValue(v.Field(i), omit))
 	}
 }
 
-// show writes a value as a control holds it.
-func show(v reflect.Value, omitZero bool) string {
+// controlValue returns a value in the format of its form control.
+func controlValue(v reflect.Value, omitZero bool) string {
 	if v.Kind() == reflect.Slice {
 		return strings.Join(v.Interface().([]string), "\n")
 	}
@@ -133,7 +134,7 @@
 		return ""
 	}
 	if d, ok := v.Interface().(config.Duration); ok {
-		b, _ := d.MarshalText() // never fails
+		b, _ := d.MarshalText() // never returns an error
 		return string(b)
 	}
 	if v.Kind() == reflect.Float64 {
@@ -142,10 +143,11 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// newForm lays out a part's form with the values and the problems next to them.
+// newForm returns the form of a part with its values, and with each problem next
+// to its control.
 func newForm(p part, values url.Values, problems yamlcheck.Problems) form {
-	b := builder{values: values, problems: problems}
-	t := partField(p.Key).Type
+	b := formBuilder{values: values, problems: problems}
+	t := documentField(p.Key).Type
 	switch {
 	case isNamedList(t):
 		n, _ := strconv.Atoi(values.Get("count"))
@@ -162,12 +164,12 @@
 	return form{Part: p, Sections: []section{{Legend: p.Title, Fields: []field{one}}}}
 }
 
-type builder struct {
+type formBuilder struct {
 	values   url.Values
 	problems yamlcheck.Problems
 }
 
-func (b *builder) element(p part, t reflect.Type, i int, empty bool) section {
+func (b *formBuilder) element(p part, t reflect.Type, i int, empty bool) section {
 	path := fmt.Sprintf("%s[%d]", p.Key, i)
 	s := section{Legend: b.values.Get(path + ".name"), Fields: b.fields(path, p.Key, t)}
 	if empty {
@@ -178,17 +180,17 @@
 	return s
 }
 
-func (b *builder) fields(path, group string, t reflect.Type) []field {
+func (b *formBuilder) fields(path, group string, t reflect.Type) []field {
 	var out []field
 	for i := range t.NumField() {
 		f := t.Field(i)
-		key := keyOf(f)
-		out = append(out, b.field(path+"."+key, group+"."+key, help[group+"."+key], f.Type, f.Tag.Get("jsonschema")))
+		key := yamlKey(f)
+		out = append(out, b.field(path+"."+key, group+"."+key, fieldHelp[group+"."+key], f.Type, f.Tag.Get("jsonschema")))
 	}
 	return out
 }
 
-func (b *builder) field(path, id, help string, t reflect.Type, schema string) field {
+func (b *formBuilder) field(path, id, help string, t reflect.Type, schema string) field {
 	label := id[strings.LastIndexByte(id, '.')+1:]
 	f := field{
 		Path: path, Label: strings.ReplaceAll(strings.ToUpper(label[:1])+label[1:], "_", " "),
@@ -202,7 +204,7 @@
 	case reflect.Int, reflect.Float64:
 		f.Kind = kindNumber
 	}
-	if f.Options = enum(schema); f.Options != nil {
+	if f.Options = enumOptions(schema); f.Options != nil {
 		f.Kind = kindSelect
 	}
 	for _, p := range b.problems {
@@ -213,8 +215,9 @@
 	return f
 }
 
-// enum returns the values that a schema tag allows, the empty one first.
-func enum(schema string) []string {
+// enumOptions returns the enum values of a schema tag, preceded by the empty value,
+// or nil if it has none.
+func enumOptions(schema string) []string {
 	var out []string
 	for word := range strings.SplitSeq(schema, ",") {
 		if v, ok := strings.CutPrefix(word, "enum="); ok {
@@ -227,10 +230,10 @@
 	return out
 }
 
-// tidy drops the elements that are empty or to be removed and numbers the rest
-// anew, so that the numbers are those of the document that is written.
-func tidy(p part, sent url.Values) url.Values {
-	t := partField(p.Key).Type
+// compactElements drops the elements that are empty or marked for removal and
+// renumbers the rest, so that their indexes match the written document.
+func compactElements(p part, sent url.Values) url.Values {
+	t := documentField(p.Key).Type
 	if !isNamedList(t) {
 		return sent
 	}
@@ -239,11 +242,11 @@
 	n, _ := strconv.Atoi(sent.Get("count"))
 	for i := range min(n, maxElements) {
 		from, to := fmt.Sprintf("%s[%d]", p.Key, i), fmt.Sprintf("%s[%d]", p.Key, kept)
-		if sent.Get("remove:"+from) != "" || blank(sent, from, t.Elem()) {
+		if sent.Get("remove:"+from) != "" || isBlankElement(sent, from, t.Elem()) {
 			continue
 		}
 		for j := range t.Elem().NumField() {
-			key := keyOf(t.Elem().Field(j))
+			key := yamlKey(t.Elem().Field(j))
 			out.Set(to+"."+key, sent.Get(from+"."+key))
 		}
 		kept++
@@ -252,29 +255,29 @@
 	return out
 }
 
-// maxElements bounds the count that a form may claim to have.
+// maxElements bounds the number of elements that are read from a form.
 const maxElements = 10000
 
-func blank(sent url.Values, path string, t reflect.Type) bool {
+func isBlankElement(sent url.Values, path string, t reflect.Type) bool {
 	for i := range t.NumField() {
-		if strings.TrimSpace(sent.Get(path+"."+keyOf(t.Field(i)))) != "" {
+		if strings.TrimSpace(sent.Get(path+"."+yamlKey(t.Field(i)))) != "" {
 			return false
 		}
 	}
 	return true
 }
 
-// apply writes the document d with the part's values put in. A number that
-// cannot be read is written as it was sent, so that the check of the document
-// tells about it with the rest.
-func apply(p part, values url.Values, d *config.Document) (string, error) {
+// applyPart returns document d as YAML with the values of the part replaced. A
+// number that cannot be parsed is written unchanged, so that the document check
+// reports it with the other problems.
+func applyPart(p part, values url.Values, d *config.Document) (string, error) {
 	var out yaml.MapSlice
 	v := reflect.ValueOf(*d)
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
-		key := keyOf(f)
+		key := yamlKey(f)
 		if key == p.Key {
-			if item := written(p.Key, f.Type, values); item != nil {
+			if item := yamlPart(p.Key, f.Type, values); item != nil {
 				out = append(out, yaml.MapItem{Key: key, Value: item})
 			}
 			continue
@@ -288,37 +291,37 @@
 	return string(text), err
 }
 
-// written returns the part as YAML values; nil: nothing to write.
-func written(path string, t reflect.Type, values url.Values) any {
+// yamlPart returns the part as YAML values, or nil if it is empty.
+func yamlPart(path string, t reflect.Type, values url.Values) any {
 	switch {
 	case isNamedList(t):
 		list := []yaml.MapSlice{}
 		n, _ := strconv.Atoi(values.Get("count"))
 		for i := range n {
-			list = append(list, writtenStruct(fmt.Sprintf("%s[%d]", path, i), t.Elem(), values))
+			list = append(list, yamlStruct(fmt.Sprintf("%s[%d]", path, i), t.Elem(), values))
 		}
 		return list
 	case t.Kind() == reflect.Struct:
-		if m := writtenStruct(path, t, values); len(m) > 0 {
+		if m := yamlStruct(path, t, values); len(m) > 0 {
 			return m
 		}
 		return nil
 	}
-	return writtenValue(t, values.Get(path))
+	return yamlValue(t, values.Get(path))
 }
 
-func writtenStruct(path string, t reflect.Type, values url.Values) yaml.MapSlice {
+func yamlStruct(path string, t reflect.Type, values url.Values) yaml.MapSlice {
 	var out yaml.MapSlice
 	for i := range t.NumField() {
 		f := t.Field(i)
-		if v := writtenValue(f.Type, values.Get(path+"."+keyOf(f))); v != nil {
-			out = append(out, yaml.MapItem{Key: keyOf(f), Value: v})
+		if v := yamlValue(f.Type, values.Get(path+"."+yamlKey(f))); v != nil {
+			out = append(out, yaml.MapItem{Key: yamlKey(f), Value: v})
 		}
 	}
 	return out
 }
 
-func writtenValue(t reflect.Type, sent string) any {
+func yamlValue(t reflect.Type, sent string) any {
 	sent = strings.TrimSpace(sent)
 	switch {
 	case t.Kind() == reflect.Bool:
@@ -326,7 +329,7 @@
 	case sent == "":
 		return nil
 	case t.Kind() == reflect.Slice:
-		return lines(sent)
+		return splitLines(sent)
 	case t.Kind() == reflect.Int:
 		if n, err := strconv.ParseInt(sent, 10, 64); err == nil {
 			return n
@@ -339,7 +342,7 @@
 	return sent
 }
 
-func lines(s string) []string {
+func splitLines(s string) []string {
 	var out []string
 	for line := range strings.Lines(s) {
 		if line = strings.TrimSpace(line); line != "" {
--- a/internal/console/help.go
+++ b/internal/console/help.go
@@ -1,7 +1,7 @@
 package console
 
-// help explains the controls, by part and key.
-var help = map[string]string{
+// fieldHelp contains the help texts of the form controls by part and key.
+var fieldHelp = map[string]string{
 	"organisations.name":         "Letters, digits, dot, dash and underscore",
 	"organisations.key_hashes":   "Hex SHA-256 of each caller key, one a line",
 	"organisations.weight":       "Share of contended capacity, 1 to 1000",
--- a/internal/console/merge.go
+++ b/internal/console/merge.go
@@ -11,67 +11,67 @@
 	"chervilloom/internal/config"
 )
 
-// side says whose value stands where two operators changed the same one.
+// side selects whose value is used where two operators changed the same one.
 type side string
 
 const (
-	mine   side = "mine"
-	theirs side = "theirs"
+	sideMine   side = "mine"
+	sideTheirs side = "theirs"
 )
 
-// clash is a value that both operators changed, each in another way.
-type clash struct {
+// mergeConflict is a value that both operators changed differently.
+type mergeConflict struct {
 	Path   string // as in config.Change
 	Base   string
 	Mine   string
 	Theirs string
-	Choice side // empty: not decided
+	Choice side // empty: unresolved
 }
 
 // mergeResult is the outcome of a three-way merge.
 type mergeResult struct {
-	Document *config.Document // complete only when no clash is open
-	Clashes  []clash
+	Document *config.Document // complete only if no conflict is unresolved
+	Clashes  []mergeConflict
 }
 
-// open reports whether a clash is not decided.
-func (r *mergeResult) open() bool {
-	return slices.ContainsFunc(r.Clashes, func(c clash) bool { return c.Choice == "" })
+// hasUnresolved reports whether a conflict is unresolved.
+func (r *mergeResult) hasUnresolved() bool {
+	return slices.ContainsFunc(r.Clashes, func(c mergeConflict) bool { return c.Choice == "" })
 }
 
-// merge applies what changed from base to own onto current. Elements of lists
-// are matched by name as config.Diff does. Where both changed the same path the
-// choice for that path decides; without one the clash stays open.
+// merge applies the changes from base to own to current. List elements are
+// matched by name, as in config.Diff. If both sides changed the same path,
+// choice selects the side; without a choice the conflict stays unresolved.
 func merge(base, own, current *config.Document, choice func(path string) side) mergeResult {
 	m := &merger{choice: choice}
 	out := &config.Document{}
-	m.structs("", reflect.ValueOf(*base), reflect.ValueOf(*own), reflect.ValueOf(*current), reflect.ValueOf(out).Elem())
-	return mergeResult{Document: out, Clashes: m.clashes}
+	m.mergeStruct("", reflect.ValueOf(*base), reflect.ValueOf(*own), reflect.ValueOf(*current), reflect.ValueOf(out).Elem())
+	return mergeResult{Document: out, Clashes: m.conflicts}
 }
 
 type merger struct {
-	choice  func(path string) side
-	clashes []clash
+	choice    func(path string) side
+	conflicts []mergeConflict
 }
 
-func (m *merger) structs(path string, base, own, cur, out reflect.Value) {
+func (m *merger) mergeStruct(path string, base, own, cur, out reflect.Value) {
 	for i := range out.NumField() {
 		key, _, _ := strings.Cut(out.Type().Field(i).Tag.Get("yaml"), ",")
 		if path != "" {
 			key = path + "." + key
 		}
-		m.values(key, base.Field(i), own.Field(i), cur.Field(i), out.Field(i))
+		m.mergeValue(key, base.Field(i), own.Field(i), cur.Field(i), out.Field(i))
 	}
 }
 
-func (m *merger) values(path string, base, own, cur, out reflect.Value) {
+func (m *merger) mergeValue(path string, base, own, cur, out reflect.Value) {
 	switch {
 	case out.Kind() == reflect.Struct:
-		m.structs(path, base, own, cur, out)
+		m.mergeStruct(path, base, own, cur, out)
 	case isNamedList(out.Type()):
-		m.named(path, base, own, cur, out)
+		m.mergeNamedList(path, base, own, cur, out)
 	default:
-		out.Set(m.pick(path, base, own, cur))
+		out.Set(m.pickSide(path, base, own, cur))
 	}
 }
 
@@ -79,25 +79,26 @@
 	return t.Kind() == reflect.Slice && t.Elem().Kind() == reflect.Struct
 }
 
-// pick returns the side that changed the value; when both did, the chosen one.
-func (m *merger) pick(path string, base, own, cur reflect.Value) reflect.Value {
+// pickSide returns the value of the side that changed it, or of the chosen side
+// if both did.
+func (m *merger) pickSide(path string, base, own, cur reflect.Value) reflect.Value {
 	switch {
-	case same(own, cur), same(own, base):
+	case isEqual(own, cur), isEqual(own, base):
 		return cur
-	case same(cur, base):
+	case isEqual(cur, base):
 		return own
 	}
-	c := clash{Path: path, Base: text(base), Mine: text(own), Theirs: text(cur), Choice: m.choice(path)}
-	m.clashes = append(m.clashes, c)
-	if c.Choice == mine {
+	c := mergeConflict{Path: path, Base: formatValue(base), Mine: formatValue(own), Theirs: formatValue(cur), Choice: m.choice(path)}
+	m.conflicts = append(m.conflicts, c)
+	if c.Choice == sideMine {
 		return own
 	}
 	return cur
 }
 
-// same treats an absent element as equal to nothing but another absent one, and
-// a nil list as equal to an empty one.
-func same(a, b reflect.Value) bool {
+// isEqual compares two values. An absent element equals only another absent one,
+// and a nil list equals an empty one.
+func isEqual(a, b reflect.Value) bool {
 	if !a.IsValid() || !b.IsValid() {
 		return a.IsValid() == b.IsValid()
 	}
@@ -107,21 +108,21 @@
 	return reflect.DeepEqual(a.Interface(), b.Interface())
 }
 
-// named merges lists of structs that have a Name.
-func (m *merger) named(path string, base, own, cur, out reflect.Value) {
-	b, o, c := index(base), index(own), index(cur)
+// mergeNamedList merges lists of structs with a Name field.
+func (m *merger) mergeNamedList(path string, base, own, cur, out reflect.Value) {
+	b, o, c := indexByName(base), indexByName(own), indexByName(cur)
 	merged := reflect.MakeSlice(out.Type(), 0, cur.Len())
-	for _, name := range m.order(path, b.names, o.names, c.names) {
+	for _, name := range m.mergeOrder(path, b.names, o.names, c.names) {
 		at := fmt.Sprintf("%s[%s]", path, name)
 		bv, ov, cv := b.byName[name], o.byName[name], c.byName[name]
 		if bv.IsValid() && ov.IsValid() && cv.IsValid() {
 			element := reflect.New(out.Type().Elem()).Elem()
-			m.structs(at, bv, ov, cv, element)
+			m.mergeStruct(at, bv, ov, cv, element)
 			merged = reflect.Append(merged, element)
 			continue
 		}
-		// One side added or removed the element: it is taken or left whole.
-		if v := m.pick(at, bv, ov, cv); v.IsValid() {
+		// One side added or removed the element: it is kept or dropped as a whole.
+		if v := m.pickSide(at, bv, ov, cv); v.IsValid() {
 			merged = reflect.Append(merged, v)
 		}
 	}
@@ -130,13 +131,13 @@
 	}
 }
 
-type elements struct {
+type namedElements struct {
 	names  []string
 	byName map[string]reflect.Value
 }
 
-func index(list reflect.Value) elements {
-	e := elements{byName: make(map[string]reflect.Value, list.Len())}
+func indexByName(list reflect.Value) namedElements {
+	e := namedElements{byName: make(map[string]reflect.Value, list.Len())}
 	for i := range list.Len() {
 		name := list.Index(i).FieldByName("Name").String()
 		e.names = append(e.names, name)
@@ -145,19 +146,19 @@
 	return e
 }
 
-// order returns every name of own and cur once. The order is that of the side
-// which changed it; when both did, it is decided like any other value.
-func (m *merger) order(path string, base, own, cur []string) []string {
+// mergeOrder returns every name of own and cur once, in the order of the side that
+// reordered the list. If both did, it is a conflict like that of any other value.
+func (m *merger) mergeOrder(path string, base, own, cur []string) []string {
 	first, second := cur, own
-	if reordered(base, own) && reordered(own, cur) {
+	if isReordered(base, own) && isReordered(own, cur) {
 		first, second = own, cur
-		if reordered(base, cur) {
-			c := clash{
+		if isReordered(base, cur) {
+			c := mergeConflict{
 				Path: path, Base: strings.Join(base, ", "), Mine: strings.Join(own, ", "),
 				Theirs: strings.Join(cur, ", "), Choice: m.choice(path),
 			}
-			m.clashes = append(m.clashes, c)
-			if c.Choice != mine {
+			m.conflicts = append(m.conflicts, c)
+			if c.Choice != sideMine {
 				first, second = cur, own
 			}
 		}
@@ -165,10 +166,10 @@
 	return interleave(first, second)
 }
 
-// reordered reports whether the names that a and b share stand in another order.
-func reordered(a, b []string) bool { return !slices.Equal(shared(a, b), shared(b, a)) }
+// isReordered reports whether a and b list their common names in different orders.
+func isReordered(a, b []string) bool { return !slices.Equal(sharedNames(a, b), sharedNames(b, a)) }
 
-func shared(list, other []string) []string {
+func sharedNames(list, other []string) []string {
 	var out []string
 	for _, name := range list {
 		if slices.Contains(other, name) {
@@ -178,8 +179,8 @@
 	return out
 }
 
-// interleave returns first with the names that only second holds, each behind
-// the name that it follows there.
+// interleave returns first with the names that only second has inserted, each
+// after its predecessor in second.
 func interleave(first, second []string) []string {
 	out := slices.Clone(first)
 	for i, name := range second {
@@ -195,13 +196,13 @@
 	return out
 }
 
-// text returns a value for a person.
-func text(v reflect.Value) string {
+// formatValue returns a value as YAML for display.
+func formatValue(v reflect.Value) string {
 	if !v.IsValid() {
 		return "(not there)"
 	}
 	out, err := yaml.Marshal(v.Interface())
-	if err != nil { // documents hold texts, numbers and lists of them
+	if err != nil { // not expected: values are strings, numbers, booleans and lists of them
 		return fmt.Sprint(v.Interface())
 	}
 	return strings.TrimSpace(string(out))
--- a/internal/console/render.go
+++ b/internal/console/render.go
@@ -12,48 +12,48 @@
 //go:embed templates
 var templateFiles embed.FS
 
-// view is what every page shows; Data is the page's own type.
-type view struct {
+// pageView contains the template data of a page. Data is specific to the page.
+type pageView struct {
 	Title    string
-	Operator string // empty: nobody is logged in
+	Operator string // empty: not logged in
 	CSRF     string
 	Error    string
 	Body     string
-	Refresh  int // seconds after which the browser asks again; 0: never
+	Refresh  int // reload interval in seconds; 0: no reload
 	Data     any
 }
 
-// in returns the view with the session's name and token.
-func (v view) in(s session) view {
+// withSession returns the view with the session's operator and CSRF token.
+func (v pageView) withSession(s session) pageView {
 	v.Operator, v.CSRF = s.operator, s.csrf
 	return v
 }
 
-// ageUnit is the precision in which ages are shown.
-const ageUnit = 10 * time.Millisecond
+// agePrecision is the precision of displayed ages.
+const agePrecision = 10 * time.Millisecond
 
-// age returns "never" for the age of what never happened.
-func age(d time.Duration) string {
+// formatAge returns d rounded for display, or "never" if it is negative.
+func formatAge(d time.Duration) string {
 	if d < 0 {
 		return "never"
 	}
-	return d.Round(ageUnit).String()
+	return d.Round(agePrecision).String()
 }
 
-// capped shows a cap over all nodes, and the share of it that this node hands
-// out now.
-func capped(limit, share float64) string {
+// formatLimit returns a limit over all nodes and the share of it that this node
+// may use now.
+func formatLimit(limit, share float64) string {
 	if limit == 0 {
 		return "no cap"
 	}
 	return fmt.Sprintf("%g/s, %.0f%% of it here", limit, 100*share)
 }
 
-var templates = template.Must(template.New("").Funcs(template.FuncMap{"age": age, "capped": capped}).ParseFS(templateFiles, "templates/*.html"))
+var templates = template.Must(template.New("").Funcs(template.FuncMap{"age": formatAge, "capped": formatLimit}).ParseFS(templateFiles, "templates/*.html"))
 
-// render writes a page whole or, when its template fails, an error: a page cut
-// in the middle could show a form without its base revision.
-func (c *console) render(w http.ResponseWriter, status int, name string, v view) {
+// render writes a complete page, or an error if its template fails. A truncated
+// page could contain a form without its base revision.
+func (c *console) render(w http.ResponseWriter, status int, name string, v pageView) {
 	var b bytes.Buffer
 	if err := templates.ExecuteTemplate(&b, name+".html", v); err != nil {
 		c.log.Error("console page cannot be rendered", "page", name, "error", err)
@@ -63,10 +63,10 @@
 	w.Header().Set("Content-Type", "text/html; charset=utf-8")
 	w.WriteHeader(status)
 	if _, err := w.Write(b.Bytes()); err != nil {
-		c.log.Debug("operator left before the page ended", "error", err)
+		c.log.Debug("operator disconnected before the page was complete", "error", err)
 	}
 }
 
-func (c *console) fail(w http.ResponseWriter, s session, status int, body string) {
-	c.render(w, status, "message", view{Title: "Not done", Body: body}.in(s))
+func (c *console) showError(w http.ResponseWriter, s session, status int, body string) {
+	c.render(w, status, "message", pageView{Title: "Not done", Body: body}.withSession(s))
 }
--- a/internal/console/revisions.go
+++ b/internal/console/revisions.go
@@ -9,30 +9,30 @@
 	"chervilloom/internal/operator"
 )
 
-// change is one difference as a page shows it.
+// change is a difference between two documents.
 type change = config.Change
 
 func diff(a, b *config.Document) []change { return config.Diff(a, b) }
 
-func number(n uint64) string { return strconv.FormatUint(n, 10) }
+func formatNumber(n uint64) string { return strconv.FormatUint(n, 10) }
 
-// stored is a revision with its document read.
-type stored struct {
+// storedRevision is the text and the parsed document of a revision.
+type storedRevision struct {
 	text     string
 	document *config.Document
 }
 
-// at returns a revision; the one numbered 0 is empty.
-func (c *console) at(ctx context.Context, n uint64) (stored, error) {
+// loadRevision returns a revision by number. Revision 0 is the empty document.
+func (c *console) loadRevision(ctx context.Context, n uint64) (storedRevision, error) {
 	if n == 0 {
-		return stored{document: &config.Document{}}, nil
+		return storedRevision{document: &config.Document{}}, nil
 	}
 	v, err := c.fleet.ConfigAt(ctx, n)
 	if err != nil {
-		return stored{}, err
+		return storedRevision{}, err
 	}
 	doc, err := config.Parse("", []byte(v.Document))
-	return stored{text: v.Document, document: doc}, err
+	return storedRevision{text: v.Document, document: doc}, err
 }
 
 type historyPage struct {
@@ -43,16 +43,16 @@
 func (c *console) history(w http.ResponseWriter, r *http.Request, s session) {
 	h, err := c.fleet.History(r.Context())
 	if err != nil {
-		c.fail(w, s, http.StatusServiceUnavailable, "The history is in the platform's table, which cannot be read now: "+err.Error()+". The configuration in force is not touched by that. Try again when the platform is back.")
+		c.showError(w, s, http.StatusServiceUnavailable, "The history is in the platform's table, which cannot be read now: "+err.Error()+". The configuration in force is not touched by that. Try again when the platform is back.")
 		return
 	}
-	c.render(w, http.StatusOK, "history", view{
+	c.render(w, http.StatusOK, "history", pageView{
 		Title: "History", Data: historyPage{InForce: c.fleet.Config().Revision, Revisions: h},
-	}.in(s))
+	}.withSession(s))
 }
 
-// nodeForce tells whether a revision is in force on a node.
-type nodeForce struct {
+// nodeRevision is the revision of a node and whether it includes the one shown.
+type nodeRevision struct {
 	Node     string
 	Zone     string
 	State    string
@@ -62,46 +62,47 @@
 
 type revisionPage struct {
 	Number     uint64
-	Known      bool               // this node or the table holds it
-	Record     *operator.Revision // nil: the table cannot be read or no longer holds it
-	Nodes      []nodeForce
-	Everywhere bool // on every node that is not dead
+	Known      bool               // this node or the table has it
+	Record     *operator.Revision // nil: the table cannot be read or no longer has it
+	Nodes      []nodeRevision
+	Everywhere bool // in force on every node that is not dead
 	Changes    []change
 	Document   string
 }
 
-// followSeconds is how often the browser asks again while a revision spreads.
-const followSeconds = 2
+// spreadRefreshSeconds is the reload interval until a revision is in force on
+// every node.
+const spreadRefreshSeconds = 2
 
-// revision shows a revision and where it is in force. A revision stays in force
-// in the higher ones that were built on it.
+// revision shows a revision and the nodes on which it is in force. A node with a
+// higher revision counts, because higher revisions build on lower ones.
 func (c *console) revision(w http.ResponseWriter, r *http.Request, s session) {
 	n, err := strconv.ParseUint(r.PathValue("number"), 10, 64)
 	if err != nil || n == 0 {
-		c.fail(w, s, http.StatusNotFound, "There is no revision with this number. Take one from the history.")
+		c.showError(w, s, http.StatusNotFound, "There is no revision with this number. Take one from the history.")
 		return
 	}
-	data := revisionPage{Number: n, Record: c.record(r.Context(), n)}
-	data.Nodes, data.Everywhere = spread(c.fleet.Status(), n)
-	if rev, err := c.at(r.Context(), n); err == nil {
+	data := revisionPage{Number: n, Record: c.historyEntry(r.Context(), n)}
+	data.Nodes, data.Everywhere = listNodeRevisions(c.fleet.Status(), n)
+	if rev, err := c.loadRevision(r.Context(), n); err == nil {
 		data.Known, data.Document = true, rev.text
-		if before, err := c.at(r.Context(), n-1); err == nil {
+		if before, err := c.loadRevision(r.Context(), n-1); err == nil {
 			data.Changes = diff(before.document, rev.document)
 		}
 	}
-	v := view{Title: "Revision " + number(n), Data: data}
+	v := pageView{Title: "Revision " + formatNumber(n), Data: data}
 	status := http.StatusOK
 	if !data.Known {
 		status = http.StatusNotFound
 	}
 	if data.Known && !data.Everywhere {
-		v.Refresh = followSeconds
+		v.Refresh = spreadRefreshSeconds
 	}
-	c.render(w, status, "revision", v.in(s))
+	c.render(w, status, "revision", v.withSession(s))
 }
 
-// record returns the line of the history for a number, nil when there is none.
-func (c *console) record(ctx context.Context, n uint64) *operator.Revision {
+// historyEntry returns the history entry of revision n, or nil if there is none.
+func (c *console) historyEntry(ctx context.Context, n uint64) *operator.Revision {
 	h, err := c.fleet.History(ctx)
 	if err != nil {
 		return nil
@@ -114,16 +115,16 @@
 	return nil
 }
 
-// nodeDead is the state of a node that is not waited for.
+// nodeDead is the state of a node that a revision need not reach.
 const nodeDead = "dead"
 
-// spread returns where revision n is in force, and whether every node that is
-// not dead has it.
-func spread(st operator.Status, n uint64) (nodes []nodeForce, everywhere bool) {
-	nodes = []nodeForce{{Node: st.Node, Zone: st.Zone, State: "this node", Revision: st.Revision, InForce: st.Revision >= n}}
+// listNodeRevisions returns the revision of each node, and whether revision n is
+// in force on every node that is not dead.
+func listNodeRevisions(st operator.Status, n uint64) (nodes []nodeRevision, everywhere bool) {
+	nodes = []nodeRevision{{Node: st.Node, Zone: st.Zone, State: "this node", Revision: st.Revision, InForce: st.Revision >= n}}
 	everywhere = st.Revision >= n
 	for _, o := range st.Nodes {
-		f := nodeForce{Node: o.Node, Zone: o.Zone, State: o.State, Revision: o.Revision, InForce: o.Revision >= n}
+		f := nodeRevision{Node: o.Node, Zone: o.Zone, State: o.State, Revision: o.Revision, InForce: o.Revision >= n}
 		nodes = append(nodes, f)
 		if !f.InForce && o.State != nodeDead {
 			everywhere = false
@@ -138,46 +139,47 @@
 	Changes []change
 }
 
-// rollBackForm shows what a roll back changes. The form holds the revision that
-// was in force then, so that a newer one is not undone unseen.
+// rollBackForm shows the changes of a rollback. The form contains the revision in
+// force when it was rendered, so that the rollback does not undo a newer one that
+// the operator has not seen.
 func (c *console) rollBackForm(w http.ResponseWriter, r *http.Request, s session) {
 	to, err := strconv.ParseUint(r.PathValue("number"), 10, 64)
 	if err != nil {
-		c.fail(w, s, http.StatusNotFound, "There is no revision with this number. Take one from the history.")
+		c.showError(w, s, http.StatusNotFound, "There is no revision with this number. Take one from the history.")
 		return
 	}
 	base := c.fleet.Config().Revision
-	old, err := c.at(r.Context(), to)
+	old, err := c.loadRevision(r.Context(), to)
 	if err != nil {
-		c.fail(w, s, http.StatusServiceUnavailable, "Revision "+number(to)+" cannot be read: "+err.Error())
+		c.showError(w, s, http.StatusServiceUnavailable, "Revision "+formatNumber(to)+" cannot be read: "+err.Error())
 		return
 	}
-	now, err := c.at(r.Context(), base)
+	now, err := c.loadRevision(r.Context(), base)
 	if err != nil {
-		c.fail(w, s, http.StatusServiceUnavailable, "Revision "+number(base)+" cannot be read: "+err.Error())
+		c.showError(w, s, http.StatusServiceUnavailable, "Revision "+formatNumber(base)+" cannot be read: "+err.Error())
 		return
 	}
-	c.render(w, http.StatusOK, "rollback", view{Title: "Roll back to revision " + number(to), Data: rollBackPage{
+	c.render(w, http.StatusOK, "rollback", pageView{Title: "Roll back to revision " + formatNumber(to), Data: rollBackPage{
 		Base: base, To: to, Changes: diff(now.document, old.document),
-	}}.in(s))
+	}}.withSession(s))
 }
 
 func (c *console) rollBack(w http.ResponseWriter, r *http.Request, s session) {
 	base, errBase := strconv.ParseUint(r.PostForm.Get("base"), 10, 64)
 	to, errTo := strconv.ParseUint(r.PostForm.Get("to"), 10, 64)
 	if errBase != nil || errTo != nil {
-		c.fail(w, s, http.StatusBadRequest, "The form names no revision. Start from the history again.")
+		c.showError(w, s, http.StatusBadRequest, "The form names no revision. Start from the history again.")
 		return
 	}
-	ctx, cancel := finish(r.Context())
+	ctx, cancel := detachContext(r.Context())
 	defer cancel()
 	old, err := c.fleet.ConfigAt(ctx, to)
 	if err != nil {
-		c.fail(w, s, http.StatusServiceUnavailable, "Revision "+number(to)+" cannot be read, nothing changed: "+err.Error())
+		c.showError(w, s, http.StatusServiceUnavailable, "Revision "+formatNumber(to)+" cannot be read, nothing changed: "+err.Error())
 		return
 	}
 	res := c.fleet.RollBack(ctx, base, to, s.operator)
-	c.log.Info("configuration rolled back", "operator", s.operator, "base", base, "to", to,
+	c.log.Info("configuration rollback finished", "operator", s.operator, "base", base, "to", to,
 		"state", res.State, "revision", res.Revision, "message", res.Message)
-	c.outcome(w, r, s, draft{Base: base, Text: old.Document}, res)
+	c.showResult(w, r, s, draft{Base: base, Text: old.Document}, res)
 }
--- a/internal/console/session.go
+++ b/internal/console/session.go
@@ -16,46 +16,47 @@
 
 const (
 	cookieName = "chervilloom_session"
-	// sessionTerm is a long shift: a session can't be taken back on the other
-	// nodes, which share no memory, so it must end by itself.
-	sessionTerm = 10 * time.Hour
-	nonceBytes  = 16
-	csrfField   = "csrf"
+	// sessionLifetime covers a long shift. The nodes share no session store, so a
+	// node cannot revoke a session on the others, and it must expire.
+	sessionLifetime = 10 * time.Hour
+	nonceBytes      = 16
+	csrfField       = "csrf"
 )
 
-// session is what a valid cookie says.
+// session is the content of a valid cookie.
 type session struct {
 	operator string
-	csrf     string // that each form of this session carries
+	csrf     string // token in every form of this session
 }
 
-// sessions signs and checks session cookies. The key is derived from a secret
-// that all nodes share, so any node behind the balancer accepts the session and
-// nothing is stored. Without a shared secret it is a secret of this process.
-type sessions struct {
+// sessionSigner signs and verifies session cookies. The key is derived from the
+// secret that all nodes share, so every node behind the load balancer accepts a
+// session without storing it. Without a shared secret, the secret is random per
+// process.
+type sessionSigner struct {
 	key  []byte
 	auth *operator.Authenticator
 	now  func() time.Time
 }
 
-func newSessions(secret []byte, auth *operator.Authenticator, now func() time.Time) *sessions {
-	return &sessions{key: sign(secret, "chervilloom console session key"), auth: auth, now: now}
+func newSessionSigner(secret []byte, auth *operator.Authenticator, now func() time.Time) *sessionSigner {
+	return &sessionSigner{key: computeMAC(secret, "chervilloom console session key"), auth: auth, now: now}
 }
 
-func sign(key []byte, parts ...string) []byte {
+func computeMAC(key []byte, parts ...string) []byte {
 	m := hmac.New(sha256.New, key)
 	for _, p := range parts {
-		// The length keeps two lists of parts from reading the same.
+		// The length prefix keeps different lists of parts distinct.
 		m.Write([]byte(strconv.Itoa(len(p)) + ":" + p))
 	}
 	return m.Sum(nil)
 }
 
-// open returns the cookie of a new session.
-func (s *sessions) open(name string, secure bool) *http.Cookie {
+// newCookie returns the cookie of a new session.
+func (s *sessionSigner) newCookie(name string, secure bool) *http.Cookie {
 	nonce := make([]byte, nonceBytes)
-	_, _ = rand.Read(nonce) // never fails, it ends the process instead
-	expiry := s.now().Add(sessionTerm)
+	_, _ = rand.Read(nonce) // never returns an error; it aborts the process instead
+	expiry := s.now().Add(sessionLifetime)
 	payload := strings.Join([]string{
 		base64.RawURLEncoding.EncodeToString([]byte(name)),
 		strconv.FormatInt(expiry.Unix(), 10),
@@ -63,26 +64,27 @@
 	}, ".")
 	hash, _ := s.auth.HashOf(name)
 	return &http.Cookie{
-		Name: cookieName, Value: payload + "." + s.mac(payload, hash), Path: root,
+		Name: cookieName, Value: payload + "." + s.mac(payload, hash), Path: rootPath,
 		Expires: expiry, HttpOnly: true, Secure: secure, SameSite: http.SameSiteStrictMode,
 	}
 }
 
-// closed returns the cookie that makes the browser forget the session.
-func closed(secure bool) *http.Cookie {
+// expiredCookie returns a cookie that deletes the session in the browser.
+func expiredCookie(secure bool) *http.Cookie {
 	return &http.Cookie{
-		Name: cookieName, Path: root, MaxAge: -1,
+		Name: cookieName, Path: rootPath, MaxAge: -1,
 		HttpOnly: true, Secure: secure, SameSite: http.SameSiteStrictMode,
 	}
 }
 
-// mac covers the operator's token hash: a session ends with the token.
-func (s *sessions) mac(payload, tokenHash string) string {
-	return hex.EncodeToString(sign(s.key, "session", payload, tokenHash))
+// mac returns the signature of a session. It covers the operator's token hash, so
+// that a session ends when the token changes.
+func (s *sessionSigner) mac(payload, tokenHash string) string {
+	return hex.EncodeToString(computeMAC(s.key, "session", payload, tokenHash))
 }
 
-// read returns the session of a request.
-func (s *sessions) read(r *http.Request) (session, bool) {
+// authenticate returns the session of a request, and whether it is valid.
+func (s *sessionSigner) authenticate(r *http.Request) (session, bool) {
 	cookie, err := r.Cookie(cookieName)
 	if err != nil {
 		return session{}, false
@@ -108,66 +110,68 @@
 	if err != nil || s.now().Unix() >= expiry {
 		return session{}, false
 	}
-	return session{operator: string(name), csrf: s.csrf(payload)}, true
+	return session{operator: string(name), csrf: s.csrfToken(payload)}, true
 }
 
-func (s *sessions) csrf(payload string) string {
-	return hex.EncodeToString(sign(s.key, "csrf", payload))
+func (s *sessionSigner) csrfToken(payload string) string {
+	return hex.EncodeToString(computeMAC(s.key, "csrf", payload))
 }
 
-// page is a handler that runs for a session only.
-type page func(w http.ResponseWriter, r *http.Request, s session)
+// pageHandler is a handler that requires a session.
+type pageHandler func(w http.ResponseWriter, r *http.Request, s session)
 
-// guard sends whoever has no session to the login form.
-func (c *console) guard(h page) http.HandlerFunc {
+// requireSession returns a handler that calls h, or redirects to the login form if
+// the request has no session.
+func (c *console) requireSession(h pageHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		s, ok := c.sessions.read(r)
+		s, ok := c.sessions.authenticate(r)
 		if !ok {
-			http.Redirect(w, r, root+"login", http.StatusSeeOther)
+			http.Redirect(w, r, rootPath+"login", http.StatusSeeOther)
 			return
 		}
 		h(w, r, s)
 	}
 }
 
-// guardForm runs h only for a form that this session was given. A form of
-// another site would otherwise act in the operator's name.
-func (c *console) guardForm(h page) http.HandlerFunc {
+// requireCSRFToken returns a handler that calls h only for forms with the
+// session's CSRF token. Otherwise another site could submit a form in the
+// operator's name.
+func (c *console) requireCSRFToken(h pageHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		s, ok := c.sessions.read(r)
+		s, ok := c.sessions.authenticate(r)
 		if !ok {
-			c.expired(w)
+			c.showSessionExpired(w)
 			return
 		}
 		if err := r.ParseForm(); err != nil {
-			c.fail(w, s, http.StatusBadRequest, "The form cannot be read: it was cut on its way or is too large. Go back and send it again.")
+			c.showError(w, s, http.StatusBadRequest, "The form cannot be read: it was cut on its way or is too large. Go back and send it again.")
 			return
 		}
 		if !hmac.Equal([]byte(r.PostForm.Get(csrfField)), []byte(s.csrf)) {
-			c.fail(w, s, http.StatusForbidden, "This form does not belong to your session. Nothing was done. Go back, reload the page and send it again.")
+			c.showError(w, s, http.StatusForbidden, "This form does not belong to your session. Nothing was done. Go back, reload the page and send it again.")
 			return
 		}
 		h(w, r, s)
 	}
 }
 
-// expired answers a form whose session has ended. It does not redirect: the
-// browser's way back still holds what the operator wrote.
-func (c *console) expired(w http.ResponseWriter) {
-	c.render(w, http.StatusUnauthorized, "message", view{
+// showSessionExpired answers a form whose session has ended. It does not redirect,
+// so that the operator's input remains on the browser's previous page.
+func (c *console) showSessionExpired(w http.ResponseWriter) {
+	c.render(w, http.StatusUnauthorized, "message", pageView{
 		Title: "Log in again",
 		Body:  "Your session has ended and nothing was done. Log in in another tab, then come back here, go back one page, reload it and send the form again.",
 	})
 }
 
 func (c *console) loginForm(w http.ResponseWriter, _ *http.Request) {
-	c.render(w, http.StatusOK, "login", view{Title: "Log in"})
+	c.render(w, http.StatusOK, "login", pageView{Title: "Log in"})
 }
 
 func (c *console) login(w http.ResponseWriter, r *http.Request) {
 	if c.auth.Blocked(r.RemoteAddr) {
 		w.Header().Set("Retry-After", "10")
-		c.render(w, http.StatusTooManyRequests, "login", view{
+		c.render(w, http.StatusTooManyRequests, "login", pageView{
 			Title: "Log in", Error: "Too many wrong tokens from this address. Wait ten seconds and try again.",
 		})
 		return
@@ -176,17 +180,17 @@
 	if !ok {
 		c.auth.Failed(r.RemoteAddr)
 		c.log.Warn("console login refused", "remote", r.RemoteAddr)
-		c.render(w, http.StatusUnauthorized, "login", view{
+		c.render(w, http.StatusUnauthorized, "login", pageView{
 			Title: "Log in", Error: "This is no operator's token. A caller's key does not open the console.",
 		})
 		return
 	}
 	c.log.Info("console login", "operator", name, "remote", r.RemoteAddr)
-	http.SetCookie(w, c.sessions.open(name, r.TLS != nil))
-	http.Redirect(w, r, root, http.StatusSeeOther)
+	http.SetCookie(w, c.sessions.newCookie(name, r.TLS != nil))
+	http.Redirect(w, r, rootPath, http.StatusSeeOther)
 }
 
 func (c *console) logout(w http.ResponseWriter, r *http.Request, _ session) {
-	http.SetCookie(w, closed(r.TLS != nil))
-	http.Redirect(w, r, root+"login", http.StatusSeeOther)
+	http.SetCookie(w, expiredCookie(r.TLS != nil))
+	http.Redirect(w, r, rootPath+"login", http.StatusSeeOther)
 }
