--- a/internal/standin/register.go
+++ b/internal/standin/register.go
@@ -11,14 +11,15 @@
 	"chervilloom/internal/fleet"
 )
 
-// Register puts a VM on the list of a stand-in platform, and tries again until
-// that answers or ctx ends.
+// Register adds a VM to the list of the stand-in platform at platformURL. It
+// retries until the platform accepts the record, and returns the error of the last
+// try once ctx is done.
 func Register(ctx context.Context, platformURL string, r fleet.Record) error {
 	body, err := json.Marshal(r)
 	if err != nil {
-		return fmt.Errorf("stand-in: record of %s: %w", r.VM, err)
+		return fmt.Errorf("stand-in: encode the record of VM %s: %w", r.VM, err)
 	}
-	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: shutdownTime}
+	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: registerTimeout}
 	for {
 		err := post(ctx, c, platformURL+"/admin/vms", body)
 		if err == nil {
@@ -26,8 +27,8 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("stand-in: register %s at %s: %w", r.VM, platformURL, err)
-		case <-time.After(registerWait):
+			return fmt.Errorf("stand-in: register VM %s at platform %s: %w", r.VM, platformURL, err)
+		case <-time.After(registerRetryInterval):
 		}
 	}
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,6 +1,5 @@
-// Package standin runs the small stand-ins that take the place of the platform,
-// the engines and the plain services in tests and demonstrations, each as an
-// HTTP server of its own.
+// Package standin runs the stand-ins that replace the platform, the engines and
+// the plain services in tests and demonstrations. Each is its own HTTP server.
 package standin
 
 import (
@@ -22,10 +21,10 @@
 	client "chervilloom/internal/platform"
 )
 
-// Kind names a kind of stand-in.
+// Kind selects what a stand-in replaces.
 type Kind string
 
-// The kinds.
+// Kinds of stand-in.
 const (
 	KindPlatform Kind = "platform"
 	KindEngine   Kind = "engine"
@@ -33,8 +32,8 @@
 )
 
 const (
-	shutdownTime = 2 * time.Second
-	registerWait = 200 * time.Millisecond
+	registerTimeout       = 2 * time.Second
+	registerRetryInterval = 200 * time.Millisecond
 )
 
 // PlatformSettings are the settings of a stand-in platform.
@@ -45,31 +44,32 @@
 // EngineSettings are the settings of a stand-in engine.
 type EngineSettings struct {
 	engine.Options `yaml:",inline"`
-	// Platform is the URL of a stand-in platform to register at and to keep KV
-	// objects in; empty: none.
+	// Platform is the URL of the stand-in platform to register at and to store KV
+	// objects in. Empty disables both.
 	Platform string `yaml:"platform"`
 }
 
 // ServiceSettings are the settings of a stand-in service.
 type ServiceSettings struct {
 	service.Options `yaml:",inline"`
-	// Platform is the URL of a stand-in platform to register at; empty: none.
+	// Platform is the URL of the stand-in platform to register at. Empty disables
+	// registration.
 	Platform string `yaml:"platform"`
 }
 
-// Server is a stand-in that listens.
+// Server is the running HTTP server of a stand-in.
 type Server struct {
-	Addr   string // ip:port
+	Addr   string // the address it listens on, ip:port
 	server *http.Server
-	done   chan error
-	close  func() // ends the handler's goroutines
+	done   chan error // receives the error of Serve
+	close  func()     // stops the handler's goroutines
 }
 
-// closer is a handler with goroutines of its own.
+// closer is implemented by handlers that run goroutines.
 type closer interface{ Close() }
 
-// Start serves h at listen, an ip:port where port 0 stands for any. Closing the
-// server closes a handler that can be closed.
+// Start serves h at listen, an ip:port; port 0 selects a free port. Closing the
+// server also closes h if it has a Close method.
 func Start(listen string, h http.Handler) (*Server, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -88,19 +88,21 @@
 	return s, nil
 }
 
-// Close breaks all connections and waits until the server has ended.
+// Close closes all connections, waits until the server has stopped and then closes
+// the handler.
 func (s *Server) Close() error {
 	err := s.server.Close()
-	if served := <-s.done; !errors.Is(served, http.ErrServerClosed) {
-		err = errors.Join(err, served)
+	if serveErr := <-s.done; !errors.Is(serveErr, http.ErrServerClosed) {
+		err = errors.Join(err, serveErr)
 	}
 	s.close()
 	return err
 }
 
-// Run runs a stand-in of the kind until ctx ends. Its settings are strict YAML;
-// empty settings stand for the defaults. Once it listens (and is registered at
-// its platform, if it has one), it writes "listening ADDR" to out.
+// Run runs a stand-in of the given kind until ctx is done. The settings are YAML in
+// which an unknown field is an error; empty settings select the defaults. Once the
+// stand-in listens (and is registered, if a platform is set), Run writes
+// "listening ADDR" to out.
 func Run(ctx context.Context, kind Kind, listen string, settings []byte, out io.Writer) error {
 	s, register, err := start(kind, listen, settings)
 	if err != nil {
@@ -121,7 +123,7 @@
 	}
 }
 
-// registration puts a stand-in on its platform's list of VMs.
+// registration adds a stand-in to its platform's list of VMs.
 type registration func(ctx context.Context) error
 
 func start(kind Kind, listen string, settings []byte) (*Server, registration, error) {
@@ -165,7 +167,7 @@
 	}
 	s.close = func() {
 		e.Close()
-		closeClient() // after the engine, which moves KV state through it
+		closeClient() // after the engine, which exports and imports KV state through it
 	}
 	return s, registrationAt(set.Platform, e.Record(s.Addr)), nil
 }
@@ -188,7 +190,7 @@
 		return nil
 	}
 	if err := yaml.UnmarshalWithOptions(settings, v, yaml.Strict()); err != nil {
-		return fmt.Errorf("stand-in settings: %w", err)
+		return fmt.Errorf("stand-in: parse the settings: %w", err)
 	}
 	return nil
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -22,8 +22,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// run starts a stand-in as the command line does and returns its address.
-func run(t *testing.T, kind standin.Kind, settings string) string {
+// startStandin starts a stand-in through Run, as the command line does, and returns its
+// address.
+func startStandin(t *testing.T, kind standin.Kind, settings string) string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	r, w := io.Pipe()
@@ -47,16 +48,16 @@
 	return strings.TrimSpace(strings.TrimPrefix(string(line[:n]), "listening "))
 }
 
-// A platform, an engine and a service run on their own addresses; the endpoints
-// register, the engine takes an order and answers a chat call, and the answer is
-// the one that its prompt asks for.
+// Runs a platform, an engine and a service on their own addresses: both endpoints
+// register, the engine accepts an order and answers a chat request with the text
+// that is derived from its prompt, and the service issues its first receipt.
 func TestStandinsEndToEnd(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	url := "http://" + run(t, standin.KindPlatform, "")
-	engineAddr := run(t, standin.KindEngine, "vm: e1\nzone: z\ndomain: d\nload_time: 1ms\ntokens_per_second: 2000\nplatform: "+url)
-	serviceAddr := run(t, standin.KindService, "vm: s1\nzone: z\nname: counter\nplatform: "+url)
+	url := "http://" + startStandin(t, standin.KindPlatform, "")
+	engineAddr := startStandin(t, standin.KindEngine, "vm: e1\nzone: z\ndomain: d\nload_time: 1ms\ntokens_per_second: 2000\nplatform: "+url)
+	serviceAddr := startStandin(t, standin.KindService, "vm: s1\nzone: z\nname: counter\nplatform: "+url)
 
 	p := platform.NewClient(url)
 	defer p.Close()
@@ -78,13 +79,13 @@
 	waitLoaded(ctx, t, c, engineAddr)
 
 	body := `{"model":"m","messages":[{"role":"user","content":"renew 17"}],"max_tokens":5}`
-	res := do(t, http.MethodPost, "http://"+engineAddr+"/v1/chat/completions", body, engine.HeaderGeneration, "g/1")
+	res := doRequest(t, http.MethodPost, "http://"+engineAddr+"/v1/chat/completions", body, engine.HeaderGeneration, "g/1")
 	var answer engine.ChatAnswer
 	is.NoErr(json.Unmarshal(res, &answer))
 	is.Equal(answer.Choices[0].Message.Content, strings.Join(standinengine.ExpectedTokens([]byte(body)), ""))
 
 	var receipt service.Answer
-	is.NoErr(json.Unmarshal(do(t, http.MethodPost, "http://"+serviceAddr+"/receipts", "x", "Idempotency-Key", "k"), &receipt))
+	is.NoErr(json.Unmarshal(doRequest(t, http.MethodPost, "http://"+serviceAddr+"/receipts", "x", "Idempotency-Key", "k"), &receipt))
 	is.Equal(receipt.Serial, uint64(1))
 	is.Equal(receipt.Check, service.CheckOf(http.MethodPost, "/receipts", []byte("x")))
 }
@@ -98,13 +99,13 @@
 		}
 		select {
 		case <-ctx.Done():
-			t.Fatalf("not loaded: %+v, %v", s, err)
+			t.Fatalf("the engine did not load: state %+v, error %v", s, err)
 		case <-time.After(time.Millisecond):
 		}
 	}
 }
 
-func do(t *testing.T, method, url, body, header, value string) []byte {
+func doRequest(t *testing.T, method, url, body, header, value string) []byte {
 	t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -124,7 +125,7 @@
 	return b
 }
 
-// Settings with a misspelt name are refused with the line, not ignored.
+// A misspelt settings field is an error that quotes the field; it is not ignored.
 func TestSettingsAreStrict(t *testing.T) {
 	is := is.New(t)
 	err := standin.Run(context.Background(), standin.KindEngine, "127.0.0.1:0", []byte("vm: e1\nslotz: 3\n"), io.Discard)
