--- a/internal/standin/engine/bench_test.go
+++ b/internal/standin/engine/bench_test.go
@@ -9,12 +9,13 @@
 	"chervilloom/internal/fleet"
 )
 
-// BenchmarkChat measures what the stand-in itself costs a request: its tokens
-// take next to no time. A bench of the system must stay well below this.
+// BenchmarkChat measures the overhead of the stand-in per request, with tokens that
+// take almost no time. The request rate of a system benchmark must stay well below
+// the rate measured here, or the stand-in limits it.
 func BenchmarkChat(b *testing.B) {
 	for _, stream := range []bool{false, true} {
 		b.Run(fmt.Sprintf("stream=%v", stream), func(b *testing.B) {
-			o := fast("e")
+			o := fastOptions("e")
 			o.Slots, o.TokensPerSecond, o.CachePrefixes = 1000, 1e9, 1024
 			e := New(o)
 			defer e.Close()
@@ -28,16 +29,16 @@
 				b.Fatal("the order was refused")
 			}
 			v := &vm{Engine: e, addr: addr, http: srv.Client()}
-			body := prompt("x", DefaultTokens, stream)
+			body := chatBody("x", DefaultTokens, stream)
 			for i := 0; b.Loop(); i++ {
 				res, err := v.chat(b.Context(), fmt.Sprint(i), body)
 				if stream {
-					if got := readEvents(res, err); !got.whole() {
+					if got := readEvents(res, err); !got.isComplete() {
 						b.Fatal(got.err)
 					}
 					continue
 				}
-				if _, err := content(res, err); err != nil {
+				if _, err := answerText(res, err); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -10,33 +10,33 @@
 
 // Bounds of the published cache events.
 const (
-	eventsKept   = 8192
-	eventsAtOnce = 1000
+	maxCacheEvents    = 8192
+	maxEventsPerReply = 1000
 )
 
-// publishedEvent is a cache event with the time at which it happened.
+// publishedEvent is a cache event with the time at which it occurred.
 type publishedEvent struct {
 	engine.CacheEvent
 	at clock.Instant
 }
 
-// prefixCache is a bounded cache of prompt prefixes, least recently used out
-// first. It is not safe for concurrent use.
+// prefixCache is a bounded LRU cache of prompt prefixes that publishes its
+// insertions and evictions as events. It is not safe for concurrent use.
 type prefixCache struct {
-	size     int
-	order    *list.List // of uint64, most recently used first
+	capacity int        // in prefixes
+	lru      *list.List // of uint64, most recently used first
 	entries  map[uint64]*list.Element
-	sequence uint64
+	sequence uint64 // of the newest event
 	events   []publishedEvent
-	gapEvery int // every n-th event is lost; 0: none
+	gapEvery int // every n-th event is lost; 0 loses none
 }
 
 func newPrefixCache(size int) *prefixCache {
-	return &prefixCache{size: size, order: list.New(), entries: make(map[uint64]*list.Element)}
+	return &prefixCache{capacity: size, lru: list.New(), entries: make(map[uint64]*list.Element)}
 }
 
-// use marks the prefixes as used and returns how many of them, counted from the
-// shortest, were cached.
+// use adds the prefixes to the cache or marks them as used. It returns how many of
+// them, counted from the shortest, were cached before.
 func (c *prefixCache) use(now clock.Instant, prefixes []uint64) (hits int) {
 	for _, p := range prefixes {
 		if _, ok := c.entries[p]; !ok {
@@ -44,8 +44,8 @@
 		}
 		hits++
 	}
-	// The longest goes first, so that the shortest, which more prompts share,
-	// ends as the most recently used.
+	// The longest prefix is added first, so that the shortest, which more prompts
+	// share, becomes the most recently used.
 	for i := len(prefixes) - 1; i >= 0; i-- {
 		c.add(now, prefixes[i])
 	}
@@ -54,21 +54,22 @@
 
 func (c *prefixCache) add(now clock.Instant, p uint64) {
 	if e, ok := c.entries[p]; ok {
-		c.order.MoveToFront(e)
+		c.lru.MoveToFront(e)
 		return
 	}
-	c.entries[p] = c.order.PushFront(p)
+	c.entries[p] = c.lru.PushFront(p)
 	c.publish(now, p, false)
-	for c.order.Len() > c.size {
-		oldest := c.order.Back()
-		c.order.Remove(oldest)
+	for c.lru.Len() > c.capacity {
+		oldest := c.lru.Back()
+		c.lru.Remove(oldest)
 		evicted := oldest.Value.(uint64)
 		delete(c.entries, evicted)
 		c.publish(now, evicted, true)
 	}
 }
 
-// publish numbers an event; a lost one leaves a gap in the numbers.
+// publish numbers an event and keeps it. An event that is lost by gapEvery leaves a
+// gap in the sequence numbers.
 func (c *prefixCache) publish(now clock.Instant, p uint64, evicted bool) {
 	c.sequence++
 	if c.gapEvery > 0 && c.sequence%uint64(c.gapEvery) == 0 {
@@ -78,16 +79,17 @@
 		CacheEvent: engine.CacheEvent{Sequence: c.sequence, Prefix: p, Evicted: evicted},
 		at:         now,
 	})
-	if len(c.events) > eventsKept {
-		c.events = append([]publishedEvent(nil), c.events[len(c.events)-eventsKept/2:]...)
+	if len(c.events) > maxCacheEvents {
+		c.events = append([]publishedEvent(nil), c.events[len(c.events)-maxCacheEvents/2:]...)
 	}
 }
 
-// after returns the events with a higher sequence that are at least lag old.
-func (c *prefixCache) after(sequence uint64, now clock.Instant, lag time.Duration) []engine.CacheEvent {
+// eventsAfter returns the events with a higher sequence number that are at least lag old,
+// at most maxEventsPerReply of them.
+func (c *prefixCache) eventsAfter(sequence uint64, now clock.Instant, lag time.Duration) []engine.CacheEvent {
 	out := []engine.CacheEvent{}
 	for _, e := range c.events {
-		if now.Sub(e.at) < lag || len(out) == eventsAtOnce {
+		if now.Sub(e.at) < lag || len(out) == maxEventsPerReply {
 			break
 		}
 		if e.Sequence > sequence {
@@ -97,8 +99,8 @@
 	return out
 }
 
-// held returns those of the prefixes that are cached.
-func (c *prefixCache) held(prefixes []uint64) []uint64 {
+// filterCached returns the prefixes that are cached.
+func (c *prefixCache) filterCached(prefixes []uint64) []uint64 {
 	var out []uint64
 	for _, p := range prefixes {
 		if _, ok := c.entries[p]; ok {
@@ -108,5 +110,5 @@
 	return out
 }
 
-// used returns the share of the cache that is in use.
-func (c *prefixCache) used() float64 { return float64(c.order.Len()) / float64(c.size) }
+// usage returns the fraction of the cache that is in use, from 0 to 1.
+func (c *prefixCache) usage() float64 { return float64(c.lru.Len()) / float64(c.capacity) }
--- a/internal/standin/engine/chat.go
+++ b/internal/standin/engine/chat.go
@@ -15,14 +15,14 @@
 	"chervilloom/internal/standin/fault"
 )
 
-// refusal is an answer to a request that did not run.
+// refusal is the response to a request that did not run.
 type refusal struct {
 	status  int
 	message string
 }
 
-// refuse promises in the answer's header that nothing ran.
-func refuse(w http.ResponseWriter, r *refusal) {
+// writeRefusal sends the refusal with the header that declares the request not run.
+func writeRefusal(w http.ResponseWriter, r *refusal) {
 	w.Header().Set(engine.HeaderNotRun, "true")
 	http.Error(w, r.message, r.status)
 }
@@ -32,40 +32,41 @@
 	at := e.stages.Next(r)
 	body, err := fault.ReadBody(r, at)
 	if err != nil {
-		return // the caller has left
+		return // the caller disconnected
 	}
-	e.nameLife(w.Header())
+	e.setIdentityHeaders(w.Header())
 	if at == fault.Refuse {
-		refuse(w, &refusal{http.StatusServiceUnavailable, "full"})
+		writeRefusal(w, &refusal{http.StatusServiceUnavailable, "full"})
 		return
 	}
 	var req engine.ChatRequest
 	if err := json.Unmarshal(body, &req); err != nil || len(req.Messages) == 0 {
-		refuse(w, &refusal{http.StatusBadRequest, "the body is no chat request"})
+		writeRefusal(w, &refusal{http.StatusBadRequest, "the body is no chat request"})
 		return
 	}
 	s, ref := e.admit(r, &req)
 	if ref != nil {
-		refuse(w, ref)
+		writeRefusal(w, ref)
 		return
 	}
 	if s == nil {
-		return // the caller left while waiting; nothing ran
+		return // the caller disconnected while it waited for a slot; nothing ran
 	}
-	e.answer(w, r, s, &req, at)
+	e.sendAnswer(w, r, s, &req, at)
 }
 
-// nameLife tells which life and generation answers.
-func (e *Engine) nameLife(h http.Header) {
+// setIdentityHeaders sets the response headers with the engine's boot id and generation.
+func (e *Engine) setIdentityHeaders(h http.Header) {
 	s := e.State()
 	h.Set(engine.HeaderBoot, string(s.Boot))
 	h.Set(engine.HeaderGeneration, engine.GenerationTag(s.Group, s.Generation))
 }
 
-// admit takes a request in, waits for its slot and starts it. It returns a
-// refusal when the request did not run, and neither when the caller left.
+// admit checks a request, waits for a slot and starts its stream. It returns a
+// refusal if the request did not run, and two nils if the caller disconnected while
+// the request waited.
 func (e *Engine) admit(r *http.Request, req *engine.ChatRequest) (*stream, *refusal) {
-	replica, ref := e.place(r, req)
+	replica, ref := e.findReplica(r, req)
 	if ref != nil {
 		return nil, ref
 	}
@@ -73,62 +74,64 @@
 	if id == "" {
 		id = uuid.NewString()
 	}
-	s := e.register(replica, id, req)
+	s := e.addStream(replica, id, req)
 	if s == nil {
 		return nil, &refusal{http.StatusConflict, "the stream id is taken"}
 	}
-	priority, _ := strconv.Atoi(r.Header.Get(engine.HeaderPriority)) // 0 when it is missing
+	priority, _ := strconv.Atoi(r.Header.Get(engine.HeaderPriority)) // 0 if it is missing
 	if err := e.slots.acquire(r.Context(), priority); err != nil {
-		e.forget(s)
+		e.dropStream(s)
 		if err == errQueueFull {
 			return nil, &refusal{http.StatusServiceUnavailable, "the queue is full"}
 		}
 		return nil, nil
 	}
-	e.fill(s, req)
-	if !replica.begin(r.Context()) || !e.start(s, replica, r.Header.Get("X-Request-Id")) {
+	e.usePrefixCache(s, req)
+	if !replica.checkReady(r.Context()) || !e.startStream(s, replica, r.Header.Get("X-Request-Id")) {
 		e.slots.release()
-		e.forget(s)
+		e.dropStream(s)
 		return nil, &refusal{http.StatusServiceUnavailable, "a member of the group is missing"}
 	}
 	return s, nil
 }
 
-// place finds the replica that the request is meant for.
-func (e *Engine) place(r *http.Request, req *engine.ChatRequest) (*replica, *refusal) {
+// findReplica returns the engine's replica if it can serve the request: the generation
+// matches, the engine has rank 0, the model is loaded and the engine is not leaving.
+func (e *Engine) findReplica(r *http.Request, req *engine.ChatRequest) (*replica, *refusal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := e.stateNow()
+	s := e.currentState()
 	want := r.Header.Get(engine.HeaderGeneration)
 	switch {
 	case s.Leaving:
 		return nil, &refusal{http.StatusServiceUnavailable, "leaving"}
-	case e.replica == nil || want != e.replica.tag:
+	case e.replica == nil || want != e.replica.generationTag:
 		return nil, &refusal{http.StatusPreconditionFailed, "the engine is not in generation " + want}
 	case s.Rank != 0:
 		return nil, &refusal{http.StatusPreconditionFailed, "only rank 0 takes requests"}
 	case !s.Loaded:
 		return nil, &refusal{http.StatusServiceUnavailable, "not loaded"}
-	case !carries(s, req.Model):
+	case !isModelLoaded(s, req.Model):
 		return nil, &refusal{http.StatusNotFound, "the engine does not carry " + req.Model}
 	default:
 		return e.replica, nil
 	}
 }
 
-// carries compares what is loaded with what a request names.
-func carries(s fleet.EngineState, want string) bool {
+// isModelLoaded reports whether the loaded model, version and adapters serve the model
+// name of a request.
+func isModelLoaded(s fleet.EngineState, want string) bool {
 	loaded := fleet.Group{Model: s.Model, Version: s.Version, Adapters: s.Adapters}
 	return loaded.Carries(identify.ParseTarget(want), s.Version)
 }
 
-// answer sends the answer of a stream that runs.
-func (e *Engine) answer(w http.ResponseWriter, r *http.Request, s *stream, req *engine.ChatRequest, at fault.Stage) {
-	s.join()
-	defer s.leave()
+// sendAnswer sends the response of a started stream, with the fault at the given stage.
+func (e *Engine) sendAnswer(w http.ResponseWriter, r *http.Request, s *stream, req *engine.ChatRequest, at fault.Stage) {
+	s.addReader()
+	defer s.removeReader()
 	w.Header().Set(engine.HeaderStream, s.id)
 	if at == fault.AfterRun || at == fault.Fail {
-		waitEnd(r.Context(), s)
+		waitFinished(r.Context(), s)
 		if at == fault.Fail {
 			http.Error(w, "failed", http.StatusInternalServerError)
 			return
@@ -136,14 +139,15 @@
 		fault.Abort()
 	}
 	if !req.Stream {
-		e.sendWhole(w, r, s, at)
+		e.sendUnstreamed(w, r, s, at)
 		return
 	}
-	e.sendEvents(w, r, s, 0, e.cutOf(s, at))
+	e.sendEvents(w, r, s, 0, e.nextCut(s, at))
 }
 
-// waitEnd returns when the stream has ended or the caller has left.
-func waitEnd(ctx context.Context, s *stream) bool {
+// waitFinished waits until the stream has ended or ctx is done, and reports whether the
+// stream has ended.
+func waitFinished(ctx context.Context, s *stream) bool {
 	select {
 	case <-s.finished:
 		return true
@@ -152,9 +156,9 @@
 	}
 }
 
-// sendWhole sends an answer that is not streamed.
-func (e *Engine) sendWhole(w http.ResponseWriter, r *http.Request, s *stream, at fault.Stage) {
-	if !waitEnd(r.Context(), s) {
+// sendUnstreamed waits for the end of the stream and sends the answer in one response.
+func (e *Engine) sendUnstreamed(w http.ResponseWriter, r *http.Request, s *stream, at fault.Stage) {
+	if !waitFinished(r.Context(), s) {
 		return
 	}
 	if p, _ := s.wait(r.Context(), len(s.tokens)); p.err != nil {
@@ -177,5 +181,5 @@
 }
 
 func (s *stream) usage() *engine.Usage {
-	return &engine.Usage{PromptTokens: s.prompt, CompletionTokens: len(s.tokens), CachedTokens: s.cached}
+	return &engine.Usage{PromptTokens: s.promptTokens, CompletionTokens: len(s.tokens), CachedTokens: s.cachedTokens}
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a small stand-in for one engine VM: it takes orders, loads
-// models, batches requests, caches prefixes, streams deterministic answers and
-// reports its load late. Its faults can be switched while it runs.
+// Package engine is a stand-in for one engine VM: it executes orders, simulates
+// loading models, batches requests, caches prefixes, streams deterministic answers
+// and reports its load with a lag. Faults can be injected while it runs.
 package engine
 
 import (
@@ -21,7 +21,8 @@
 	"chervilloom/internal/standin/pressure"
 )
 
-// Defaults of the options.
+// Defaults of Options, limits and timeouts of the engine, and the causes with which
+// a boot ends.
 const (
 	DefaultSlots                  = 8
 	DefaultTokensPerSecond        = 50
@@ -38,48 +39,49 @@
 	minPeerTimeout                = 250 * time.Millisecond
 	peerDialTimeout               = time.Second
 	peerIdleTimeout               = 10 * time.Second
-	streamsKept                   = 1024
+	maxEndedStreams               = 1024
 	shutdownCause           cause = "the engine was closed"
 	restartCause            cause = "the engine restarted"
 )
 
-// cause is why a life or a replica ended.
+// cause is an error that says why a boot of the engine ended.
 type cause string
 
 // Error implements error.
 func (c cause) Error() string { return string(c) }
 
-// Options describe a stand-in engine. Zero values stand for the defaults.
+// Options configures a stand-in engine. Zero values select the defaults.
 type Options struct {
 	VM                     fleet.VM               `yaml:"vm"`
 	Zone                   fleet.AvailabilityZone `yaml:"zone"`
 	Domain                 fleet.FabricDomain     `yaml:"domain"`
 	Accelerators           int                    `yaml:"accelerators"`
-	Slots                  int                    `yaml:"slots"`                     // requests that run at once
-	QueueLimit             int                    `yaml:"queue_limit"`               // requests that may wait
-	TokensPerSecond        float64                `yaml:"tokens_per_second"`         // of one request
-	PrefillTokensPerSecond float64                `yaml:"prefill_tokens_per_second"` // prompt tokens that are not cached
-	CachePrefixes          int                    `yaml:"cache_prefixes"`            // size of the prefix cache, in blocks
+	Slots                  int                    `yaml:"slots"`                     // requests that run concurrently
+	QueueLimit             int                    `yaml:"queue_limit"`               // requests that may wait for a slot
+	TokensPerSecond        float64                `yaml:"tokens_per_second"`         // decode speed of one request
+	PrefillTokensPerSecond float64                `yaml:"prefill_tokens_per_second"` // speed for prompt tokens that are not cached
+	CachePrefixes          int                    `yaml:"cache_prefixes"`            // capacity of the prefix cache, in blocks
 	LoadLag                config.Duration        `yaml:"load_lag"`
 	CacheEventLag          config.Duration        `yaml:"cache_event_lag"`
-	CacheGapEvery          int                    `yaml:"cache_gap_every"` // every n-th cache event is lost; 0: none
-	CheckFence             bool                   `yaml:"check_fence"`     // refuse orders with an old fence
-	LoadTime               config.Duration        `yaml:"load_time"`       // to load weights; Immediately: none
-	PeerInterval           config.Duration        `yaml:"peer_interval"`   // between checks of the other members
-	PeerLost               config.Duration        `yaml:"peer_lost"`       // silence of a member that kills the replica
+	CacheGapEvery          int                    `yaml:"cache_gap_every"` // every n-th cache event is lost; 0 loses none
+	CheckFence             bool                   `yaml:"check_fence"`     // refuse orders with an outdated fence
+	LoadTime               config.Duration        `yaml:"load_time"`       // time to load weights
+	PeerInterval           config.Duration        `yaml:"peer_interval"`   // between health checks of the other members
+	PeerLost               config.Duration        `yaml:"peer_lost"`       // time without a reply from a member that ends the replica
 	StreamKept             config.Duration        `yaml:"stream_kept"`     // how long an ended stream can be resumed
-	OrphanAfter            config.Duration        `yaml:"orphan_after"`    // a stream that nobody reads is cancelled
-	Objects                platform.Objects       `yaml:"-"`               // for KV moves; nil: they are refused
+	OrphanAfter            config.Duration        `yaml:"orphan_after"`    // time without a reader that cancels a stream
+	Objects                platform.Objects       `yaml:"-"`               // store for KV transfers; nil refuses them
 	Clock                  clock.Clock            `yaml:"-"`               // for lags and loading; default clock.Boot
 }
 
-// Immediately as Options.LoadTime, LoadLag or CacheEventLag stands for no time.
+// Immediately as Options.LoadTime, LoadLag, CacheEventLag or OrphanAfter means no
+// delay; zero would select the default.
 const Immediately = config.Duration(-1)
 
 func (o *Options) setDefaults() {
-	o.Slots = orInt(o.Slots, DefaultSlots)
-	o.QueueLimit = orInt(o.QueueLimit, DefaultQueueLimit)
-	o.CachePrefixes = orInt(o.CachePrefixes, DefaultCachePrefixes)
+	o.Slots = intOrDefault(o.Slots, DefaultSlots)
+	o.QueueLimit = intOrDefault(o.QueueLimit, DefaultQueueLimit)
+	o.CachePrefixes = intOrDefault(o.CachePrefixes, DefaultCachePrefixes)
 	if o.TokensPerSecond == 0 {
 		o.TokensPerSecond = DefaultTokensPerSecond
 	}
@@ -91,63 +93,66 @@
 	}
 }
 
-func orInt(v, def int) int {
+func intOrDefault(v, def int) int {
 	if v == 0 {
 		return def
 	}
 	return v
 }
 
-// lagOr returns d, the default when it is zero, or none when it is negative.
-func lagOr(d config.Duration, def time.Duration) time.Duration {
+// delayOrDefault returns d, or def if d is zero, or 0 if d is negative.
+func delayOrDefault(d config.Duration, def time.Duration) time.Duration {
 	return max(d.Or(def), 0)
 }
 
-// Faults are the switches of a stand-in engine.
+// Faults are the faults that can be injected into a stand-in engine.
 type Faults struct {
 	fault.Stages
-	// Stall pauses the process: it answers nothing and generates nothing.
+	// Stall simulates a paused process: no calls are answered and no tokens are
+	// generated.
 	Stall bool `json:"stall"`
-	// Straggle makes each token take that many times as long; 0 stands for 1.
+	// Straggle multiplies the time per token; 0 means 1.
 	Straggle float64 `json:"straggle"`
-	// CutStreams cuts that many streamed answers after CutAfter tokens.
+	// CutStreams cuts the next CutStreams streamed answers after CutAfter tokens;
+	// a negative value cuts all of them.
 	CutStreams int `json:"cut_streams"`
 	CutAfter   int `json:"cut_after"`
-	// CleanEOF makes a cut stream, and the streams of a replica that lost a
-	// member, end like a whole answer but without the end marker.
+	// CleanEOF ends cut streams, and the streams of a replica that lost a member,
+	// with a regular end of the response, but without the end marker.
 	CleanEOF bool `json:"clean_eof"`
-	// CacheGapEvery loses every n-th cache event; 0: none.
+	// CacheGapEvery loses every n-th cache event; 0 loses none.
 	CacheGapEvery int `json:"cache_gap_every"`
 }
 
-// Engine is the stand-in of one engine VM. It is an http.Handler and safe for
-// concurrent use. Close ends its goroutines.
+// Engine is the stand-in for one engine VM. It is an http.Handler and safe for
+// concurrent use. Close stops its goroutines.
 type Engine struct {
-	opts   Options
-	clock  clock.Clock
-	mux    *http.ServeMux
-	peers  *http.Transport
-	slots  *slots
-	stages fault.Switch
-	gate   fault.Gate // shut while stalled
-	runs   *fault.Executions
-	work   sync.WaitGroup
+	opts          Options
+	clock         clock.Clock
+	mux           *http.ServeMux
+	peerTransport *http.Transport
+	slots         *slots
+	stages        fault.Switch
+	gate          fault.Gate // shut while stalled
+	executions    *fault.Executions
+	work          sync.WaitGroup
 
-	// Pressure is what the engine says of how much it takes, and who kept to it.
+	// Pressure adds rate limits, backoffs and leaving notices to the answers and
+	// checks that callers comply with them.
 	Pressure pressure.Endpoint
 
-	mu       sync.Mutex
-	life     context.Context // ends at a restart
-	endLife  context.CancelCauseFunc
-	state    fleet.EngineState // Loaded is worked out from loadedAt and replica
-	loadedAt clock.Instant
-	replica  *replica // nil: in no group
-	streams  map[string]*stream
-	ended    []endedStream // in order of their end
-	cache    *prefixCache
-	load     *loadHistory
-	faults   Faults
-	order    engine.Order // the newest accepted
+	mu         sync.Mutex
+	bootCtx    context.Context // done at a restart
+	cancelBoot context.CancelCauseFunc
+	state      fleet.EngineState // without Loaded, which currentState computes
+	loadedAt   clock.Instant     // end of loading
+	replica    *replica          // nil while in no group
+	streams    map[string]*stream
+	ended      []endedStream // in order of their end
+	cache      *prefixCache
+	load       *loadHistory
+	faults     Faults
+	joinOrder  engine.Order // the join order in force
 }
 
 type endedStream struct {
@@ -155,78 +160,78 @@
 	at clock.Instant
 }
 
-// New returns an engine in no group, with a fresh boot id.
+// New returns an engine in no group, with a new boot id.
 func New(o Options) *Engine {
 	o.setDefaults()
 	e := &Engine{
 		opts:  o,
 		clock: o.Clock,
-		peers: &http.Transport{
+		peerTransport: &http.Transport{
 			DialContext:     (&net.Dialer{Timeout: peerDialTimeout}).DialContext,
 			IdleConnTimeout: peerIdleTimeout,
 		},
-		runs: fault.NewExecutions(),
+		executions: fault.NewExecutions(),
 	}
 	e.faults.CacheGapEvery = o.CacheGapEvery
 	e.slots = newSlots(o.Slots, o.QueueLimit, e.recordLoad)
 	e.mu.Lock()
-	e.boot()
+	e.startBoot()
 	e.mu.Unlock()
 	e.mux = e.routes()
 	return e
 }
 
-// boot starts a life that knows nothing of those before. e.mu is held.
-func (e *Engine) boot() {
-	e.life, e.endLife = context.WithCancelCause(context.Background())
+// startBoot starts a new boot with a new boot id and empty state. The caller holds e.mu.
+func (e *Engine) startBoot() {
+	e.bootCtx, e.cancelBoot = context.WithCancelCause(context.Background())
 	e.state = fleet.EngineState{VM: e.opts.VM, Boot: fleet.BootID(uuid.NewString())}
 	e.replica = nil
-	e.order = engine.Order{}
+	e.joinOrder = engine.Order{}
 	e.streams = make(map[string]*stream)
 	e.ended = nil
 	e.cache = newPrefixCache(e.opts.CachePrefixes)
 	e.cache.gapEvery = e.faults.CacheGapEvery
-	e.load = &loadHistory{lag: lagOr(e.opts.LoadLag, DefaultLoadLag)}
-	e.load.record(e.clock.Now(), e.loadNow(0, 0))
+	e.load = &loadHistory{lag: delayOrDefault(e.opts.LoadLag, DefaultLoadLag)}
+	e.load.record(e.clock.Now(), e.currentLoad(0, 0))
 }
 
-// Restart ends the engine's life and begins another: running streams break, all
-// is forgotten, and the same address answers with a new boot id.
+// Restart simulates a restart of the VM: running streams are cut off, all state is
+// lost, and the same address answers with a new boot id.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.endLife(restartCause)
-	e.boot()
+	e.cancelBoot(restartCause)
+	e.startBoot()
 }
 
-// Close breaks what runs and waits until the engine's goroutines have ended.
+// Close cuts off running streams and waits until the engine's goroutines have ended.
 func (e *Engine) Close() {
 	e.mu.Lock()
-	e.endLife(shutdownCause)
+	e.cancelBoot(shutdownCause)
 	e.mu.Unlock()
 	e.gate.Set(false)
 	e.work.Wait()
-	e.peers.CloseIdleConnections()
+	e.peerTransport.CloseIdleConnections()
 }
 
 // Record returns the engine's row for the platform's list of VMs.
 func (e *Engine) Record(addr string) fleet.Record {
 	return fleet.Record{
 		VM: e.opts.VM, Kind: fleet.KindEngine, Addr: addr, Zone: e.opts.Zone,
-		Domain: e.opts.Domain, Accelerators: orInt(e.opts.Accelerators, 1), State: fleet.StateLive,
+		Domain: e.opts.Domain, Accelerators: intOrDefault(e.opts.Accelerators, 1), State: fleet.StateLive,
 	}
 }
 
-// State returns what the engine reports of itself.
+// State returns the state that the engine reports.
 func (e *Engine) State() fleet.EngineState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.stateNow()
+	return e.currentState()
 }
 
-// stateNow returns the state with Loaded worked out. A replica that lost a
-// member reports that nothing is loaded. e.mu is held.
-func (e *Engine) stateNow() fleet.EngineState {
+// currentState returns the state with Loaded computed; Loaded is false for a replica
+// that lost a member. The caller holds e.mu.
+func (e *Engine) currentState() fleet.EngineState {
 	s := e.state
 	s.Loaded = e.replica != nil && e.replica.ctx.Err() == nil && !e.clock.Now().Before(e.loadedAt)
 	return s
@@ -239,7 +244,7 @@
 	e.state.Leaving = true
 }
 
-// Faults returns the faults with what is left of their counts.
+// Faults returns the faults with their remaining counts.
 func (e *Engine) Faults() Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -259,25 +264,26 @@
 }
 
 // Executions returns how often the request with the given X-Request-Id ran.
-func (e *Engine) Executions(id string) int { return e.runs.Count(id) }
+func (e *Engine) Executions(id string) int { return e.executions.Count(id) }
 
-// recordLoad is told of each change by the slots.
+// recordLoad records the load after each change of the slots.
 func (e *Engine) recordLoad(running, waiting int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.load.record(e.clock.Now(), e.loadNow(running, waiting))
+	e.load.record(e.clock.Now(), e.currentLoad(running, waiting))
 }
 
-// loadNow returns the present load. TokensPerSecond is the speed of one request.
-func (e *Engine) loadNow(running, waiting int) fleet.Load {
+// currentLoad returns the load at this moment. TokensPerSecond is the decode speed of
+// one request.
+func (e *Engine) currentLoad(running, waiting int) fleet.Load {
 	return fleet.Load{
 		VM: e.opts.VM, Boot: e.state.Boot, Running: running, Waiting: waiting,
-		CacheUsed: e.cache.used(), TokensPerSecond: e.opts.TokensPerSecond / straggleOf(e.faults),
+		CacheUsed: e.cache.usage(), TokensPerSecond: e.opts.TokensPerSecond / straggleFactor(e.faults),
 		Slots: e.opts.Slots,
 	}
 }
 
-func straggleOf(f Faults) float64 {
+func straggleFactor(f Faults) float64 {
 	if f.Straggle == 0 {
 		return 1
 	}
--- a/internal/standin/engine/events.go
+++ b/internal/standin/engine/events.go
@@ -10,44 +10,45 @@
 	"chervilloom/internal/standin/fault"
 )
 
-// cut is where a fault cuts a streamed answer.
+// cut is the point at which a fault cuts a streamed answer.
 type cut struct {
-	after int // tokens sent on this connection; -1: it is not cut
-	clean bool
+	afterTokens int  // tokens sent on this connection; -1 for no cut
+	clean       bool // end the response regularly instead of by a reset
 }
 
-// cutOf uses up one hit of the faults that cut streams.
-func (e *Engine) cutOf(s *stream, at fault.Stage) cut {
+// nextCut returns the cut for s, from the stage's fault or from CutStreams, whose
+// count it decrements.
+func (e *Engine) nextCut(s *stream, at fault.Stage) cut {
 	switch at {
 	case fault.HalfAnswer:
-		return cut{after: len(s.tokens) / 2}
+		return cut{afterTokens: len(s.tokens) / 2}
 	case fault.HalfAnswerClean:
-		return cut{after: len(s.tokens) / 2, clean: true}
+		return cut{afterTokens: len(s.tokens) / 2, clean: true}
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.CutStreams == 0 {
-		return cut{after: -1}
+		return cut{afterTokens: -1}
 	}
 	if e.faults.CutStreams > 0 {
 		e.faults.CutStreams--
 	}
-	return cut{after: e.faults.CutAfter, clean: e.faults.CleanEOF}
+	return cut{afterTokens: e.faults.CutAfter, clean: e.faults.CleanEOF}
 }
 
-// serveResume serves GET /v1/streams/{id}: the events from token N on.
+// serveResume serves GET /v1/streams/{id}?from=N: the events from token N on.
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	if _, err := fault.ReadBody(r, e.stages.Next(r)); err != nil {
 		return
 	}
-	e.nameLife(w.Header())
+	e.setIdentityHeaders(w.Header())
 	want := r.Header.Get(engine.HeaderGeneration)
 	if want != "" && want != w.Header().Get(engine.HeaderGeneration) {
 		http.Error(w, "the engine is not in generation "+want, http.StatusPreconditionFailed)
 		return
 	}
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
-	s := e.streamOf(r.PathValue("id"))
+	s := e.findStream(r.PathValue("id"))
 	switch {
 	case err != nil || from < 0:
 		http.Error(w, "from must be the number of a token", http.StatusBadRequest)
@@ -56,15 +57,15 @@
 		http.Error(w, "no such stream or token", http.StatusNotFound)
 		return
 	}
-	s.join()
-	defer s.leave()
+	s.addReader()
+	defer s.removeReader()
 	w.Header().Set(engine.HeaderStream, s.id)
-	e.sendEvents(w, r, s, from, e.cutOf(s, fault.None))
+	e.sendEvents(w, r, s, from, e.nextCut(s, fault.None))
 }
 
 // serveCancel serves DELETE /v1/streams/{id}.
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
-	s := e.streamOf(r.PathValue("id"))
+	s := e.findStream(r.PathValue("id"))
 	if s == nil {
 		http.Error(w, "no such stream", http.StatusNotFound)
 		return
@@ -73,38 +74,39 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// sendEvents sends the events of a stream from token from on.
+// sendEvents sends the stream's events from token number from, as they are
+// generated, until the stream ends, the cut is reached or the caller disconnects.
 func (e *Engine) sendEvents(w http.ResponseWriter, r *http.Request, s *stream, from int, c cut) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(http.StatusOK)
-	out := &eventWriter{w: w, flush: http.NewResponseController(w), s: s, cut: c}
-	out.send()
+	out := &eventWriter{w: w, controller: http.NewResponseController(w), s: s, cut: c}
+	out.flush()
 	for n := from; ; {
 		p, err := s.wait(r.Context(), n)
 		if err != nil {
-			return // the caller has left
+			return // the caller disconnected
 		}
 		if _, err := e.gate.Wait(r.Context()); err != nil {
 			return
 		}
-		for ; n < p.made; n++ {
+		for ; n < p.generated; n++ {
 			if out.isCut() {
-				out.breakOff(c.clean)
+				out.endEarly(c.clean)
 				return
 			}
-			out.token(n)
+			out.writeToken(n)
 		}
 		if !p.ended {
-			out.send()
+			out.flush()
 			continue
 		}
 		if p.err != nil {
-			out.breakOff(e.Faults().CleanEOF)
+			out.endEarly(e.Faults().CleanEOF)
 			return
 		}
 		if out.isCut() {
-			out.breakOff(c.clean)
+			out.endEarly(c.clean)
 			return
 		}
 		out.finish()
@@ -112,32 +114,33 @@
 	}
 }
 
-// eventWriter writes one connection's events.
+// eventWriter writes a stream's events to one connection.
 type eventWriter struct {
-	w     http.ResponseWriter
-	flush *http.ResponseController
-	s     *stream
-	cut   cut
-	sent  int // tokens on this connection
+	w          http.ResponseWriter
+	controller *http.ResponseController
+	s          *stream
+	cut        cut
+	sent       int // tokens on this connection
 }
 
-func (o *eventWriter) isCut() bool { return o.cut.after >= 0 && o.sent >= o.cut.after }
+func (o *eventWriter) isCut() bool { return o.cut.afterTokens >= 0 && o.sent >= o.cut.afterTokens }
 
-func (o *eventWriter) token(n int) {
-	o.event(n, engine.Choice{Delta: &engine.Message{Role: "assistant", Content: o.s.tokens[n]}}, nil)
+func (o *eventWriter) writeToken(n int) {
+	o.writeEvent(n, engine.Choice{Delta: &engine.Message{Role: "assistant", Content: o.s.tokens[n]}}, nil)
 	o.sent++
 }
 
-// finish sends the end marker.
+// finish sends the finish reason with the usage, and the end marker.
 func (o *eventWriter) finish() {
 	stop := "stop"
-	o.event(len(o.s.tokens), engine.Choice{Delta: &engine.Message{}, FinishReason: &stop}, o.s.usage())
+	o.writeEvent(len(o.s.tokens), engine.Choice{Delta: &engine.Message{}, FinishReason: &stop}, o.s.usage())
 	_, _ = fmt.Fprint(o.w, "data: [DONE]\n\n")
-	o.send()
+	o.flush()
 }
 
-// event writes one event; a caller that has left is noticed by its context.
-func (o *eventWriter) event(n int, c engine.Choice, u *engine.Usage) {
+// writeEvent writes one event. Write errors are ignored: the request's context is
+// cancelled when the caller disconnects.
+func (o *eventWriter) writeEvent(n int, c engine.Choice, u *engine.Usage) {
 	data, err := json.Marshal(engine.ChatChunk{
 		ID: o.s.id, Object: "chat.completion.chunk", Model: o.s.model,
 		Choices: []engine.Choice{c}, Usage: u,
@@ -148,12 +151,12 @@
 	_, _ = fmt.Fprintf(o.w, "id: %s:%d\ndata: %s\n\n", o.s.id, n, data)
 }
 
-func (o *eventWriter) send() { _ = o.flush.Flush() }
+func (o *eventWriter) flush() { _ = o.controller.Flush() }
 
-// breakOff ends the answer early: by a reset, or cleanly so that it looks whole
-// to a reader that does not know the end marker.
-func (o *eventWriter) breakOff(clean bool) {
-	o.send()
+// endEarly ends the answer early: by a reset, or, if clean, by a regular end that
+// looks complete to a reader that does not check for the end marker.
+func (o *eventWriter) endEarly(clean bool) {
+	o.flush()
 	if !clean {
 		fault.Abort()
 	}
--- a/internal/standin/engine/generate.go
+++ b/internal/standin/engine/generate.go
@@ -8,49 +8,50 @@
 	"chervilloom/internal/identify"
 )
 
-// bytesPerToken is the usual length of a token of English text.
+// bytesPerToken is the typical length of a token of English text.
 const bytesPerToken = 4
 
-// start counts the execution and begins to generate. The caller holds a slot,
-// which is given back when the stream ends. It reports false, and gives nothing
-// back, when the replica broke before the request began.
-func (e *Engine) start(s *stream, r *replica, requestID string) bool {
+// startStream counts the execution and starts the generation. The caller holds a slot,
+// which is released when the stream ends. startStream returns false, and the caller keeps
+// the slot, if the replica ended before the generation started.
+func (e *Engine) startStream(s *stream, r *replica, requestID string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s.ctx.Err() != nil {
 		return false
 	}
-	e.runs.Add(requestID)
-	if r.enter() {
-		e.work.Go(r.watch)
+	e.executions.Add(requestID)
+	if r.addStream() {
+		e.work.Go(r.watchPeers)
 	}
 	e.work.Go(func() {
 		err := e.generate(s, r)
-		r.exit()
+		r.removeStream()
 		s.end(err)
 		e.slots.release()
-		e.retire(s)
+		e.recordEnd(s)
 	})
 	return true
 }
 
-// generate makes the tokens of s one by one. It returns why it stopped early.
+// generate produces the tokens of s at the configured speed. It returns nil after
+// the last token, or the reason for which it stopped early.
 func (e *Engine) generate(s *stream, r *replica) error {
-	uncached := float64(s.prompt - s.cached)
+	uncached := float64(s.promptTokens - s.cachedTokens)
 	next := time.Now().Add(seconds(uncached / e.opts.PrefillTokensPerSecond))
 	for range s.tokens {
-		next = next.Add(e.tokenTime())
+		next = next.Add(e.tokenInterval())
 		if err := sleepUntil(s.ctx, next); err != nil {
 			return context.Cause(s.ctx)
 		}
-		paused, err := e.pause(s.ctx, r)
+		paused, err := e.waitWhileStalled(s.ctx, r)
 		if err != nil {
 			return context.Cause(s.ctx)
 		}
 		if paused {
 			next = time.Now()
 		}
-		if s.orphaned(e.opts.OrphanAfter.Or(DefaultOrphanAfter)) {
+		if s.isOrphaned(e.opts.OrphanAfter.Or(DefaultOrphanAfter)) {
 			return errStreamCancelled
 		}
 		s.advance()
@@ -58,8 +59,9 @@
 	return nil
 }
 
-// pause waits while the engine or a member of its replica is stalled.
-func (e *Engine) pause(ctx context.Context, r *replica) (bool, error) {
+// waitWhileStalled waits while the engine or a member of its replica is stalled, and reports
+// whether it had to wait.
+func (e *Engine) waitWhileStalled(ctx context.Context, r *replica) (bool, error) {
 	own, err := e.gate.Wait(ctx)
 	if err != nil {
 		return own, err
@@ -68,10 +70,10 @@
 	return own || peer, err
 }
 
-func (e *Engine) tokenTime() time.Duration {
+func (e *Engine) tokenInterval() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return seconds(straggleOf(e.faults) / e.opts.TokensPerSecond)
+	return seconds(straggleFactor(e.faults) / e.opts.TokensPerSecond)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -91,34 +93,34 @@
 	}
 }
 
-// register makes the stream of a request. It returns nil when its id is taken.
-func (e *Engine) register(r *replica, id string, req *engine.ChatRequest) *stream {
+// addStream creates the stream of a request. It returns nil if the id is in use.
+func (e *Engine) addStream(r *replica, id string, req *engine.ChatRequest) *stream {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.purge()
+	e.purgeStreams()
 	if _, taken := e.streams[id]; taken {
 		return nil
 	}
-	s := newStream(r.ctx, id, req.Model, tokensOf(req))
+	s := newStream(r.ctx, id, req.Model, answerTokens(req))
 	for _, f := range engine.PromptFields(req.Messages) {
-		s.prompt += (len(f) + bytesPerToken - 1) / bytesPerToken
+		s.promptTokens += (len(f) + bytesPerToken - 1) / bytesPerToken
 	}
 	e.streams[id] = s
 	return s
 }
 
-// fill uses the prefix cache for the prompt of s.
-func (e *Engine) fill(s *stream, req *engine.ChatRequest) {
+// usePrefixCache looks the prompt up in the prefix cache, adds it and sets s.cached.
+func (e *Engine) usePrefixCache(s *stream, req *engine.ChatRequest) {
 	t := identify.ParseTarget(req.Model)
 	prefixes := engine.Prefixes(t.Model, t.Adapter, engine.PromptFields(req.Messages))
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	hits := e.cache.use(e.clock.Now(), prefixes)
-	s.cached = min(engine.PrefixBytes(hits)/bytesPerToken, s.prompt)
+	s.cachedTokens = min(engine.PrefixBytes(hits)/bytesPerToken, s.promptTokens)
 }
 
-// forget takes a stream that never began out of memory.
-func (e *Engine) forget(s *stream) {
+// dropStream removes a stream whose generation never started.
+func (e *Engine) dropStream(s *stream) {
 	s.end(errStreamCancelled)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -127,8 +129,8 @@
 	}
 }
 
-// retire notes the end of a stream, from which its time in memory counts.
-func (e *Engine) retire(s *stream) {
+// recordEnd records the end of a stream, from which Options.StreamKept counts.
+func (e *Engine) recordEnd(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.streams[s.id] == s {
@@ -136,19 +138,20 @@
 	}
 }
 
-// purge drops the ended streams that are old or too many. e.mu is held.
-func (e *Engine) purge() {
+// purgeStreams removes ended streams that are older than Options.StreamKept, and the oldest
+// ones beyond maxEndedStreams. The caller holds e.mu.
+func (e *Engine) purgeStreams() {
 	kept := e.opts.StreamKept.Or(DefaultStreamKept)
 	now := e.clock.Now()
-	for len(e.ended) > 0 && (len(e.ended) > streamsKept || now.Sub(e.ended[0].at) > kept) {
+	for len(e.ended) > 0 && (len(e.ended) > maxEndedStreams || now.Sub(e.ended[0].at) > kept) {
 		delete(e.streams, e.ended[0].id)
 		e.ended = e.ended[1:]
 	}
 }
 
-func (e *Engine) streamOf(id string) *stream {
+func (e *Engine) findStream(id string) *stream {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.purge()
+	e.purgeStreams()
 	return e.streams[id]
 }
--- a/internal/standin/engine/helpers_test.go
+++ b/internal/standin/engine/helpers_test.go
@@ -21,7 +21,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// vm is a stand-in that listens, with a client for its control calls.
+// vm is a stand-in engine served over HTTP, with clients for its control calls and its
+// requests.
 type vm struct {
 	*Engine
 	addr   string
@@ -30,21 +31,21 @@
 	t      *testing.T
 }
 
-// fast are options under which nothing takes long.
-func fast(name string) Options {
+// fastOptions returns options without loading time and lags, and with fast tokens.
+func fastOptions(name string) Options {
 	return Options{
 		VM: fleet.VM(name), TokensPerSecond: 5000, PrefillTokensPerSecond: 1e6,
 		LoadTime: Immediately, LoadLag: Immediately, CacheEventLag: Immediately,
 	}
 }
 
-func start(t *testing.T, o Options) *vm {
+func startEngine(t *testing.T, o Options) *vm {
 	t.Helper()
 	e := New(o)
 	srv := httptest.NewServer(e)
 	v := &vm{
 		Engine: e, addr: srv.Listener.Addr().String(), t: t,
-		client: engine.NewClient(engine.WithTimeout(testTime)),
+		client: engine.NewClient(engine.WithTimeout(testTimeout)),
 		http:   &http.Client{Transport: &http.Transport{}},
 	}
 	t.Cleanup(func() {
@@ -57,15 +58,16 @@
 	return v
 }
 
-const testTime = testkit.Patience
+const testTimeout = testkit.Patience
 
-func within(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), testTime)
+func testContext(t *testing.T) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// join orders the VM into generation g of group "g".
+// join sends an order to join generation g of group "g"; the peers default to the VM
+// alone.
 func (v *vm) join(g fleet.Generation, fence fleet.Fence, rank int, peers ...string) {
 	v.t.Helper()
 	if len(peers) == 0 {
@@ -80,7 +82,7 @@
 	}
 }
 
-func prompt(text string, tokens int, stream bool) string {
+func chatBody(text string, tokens int, stream bool) string {
 	b, err := json.Marshal(engine.ChatRequest{
 		Model: "m", Messages: []engine.Message{{Role: "user", Content: text}}, MaxTokens: tokens, Stream: stream,
 	})
@@ -90,8 +92,8 @@
 	return string(b)
 }
 
-// call is a request to the VM with headers in pairs.
-func (v *vm) call(ctx context.Context, method, path, body string, headers ...string) (*http.Response, error) {
+// send sends a request to the VM; headers are pairs of name and value.
+func (v *vm) send(ctx context.Context, method, path, body string, headers ...string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+v.addr+path, strings.NewReader(body))
 	if err != nil {
 		v.t.Fatal(err)
@@ -102,15 +104,15 @@
 	return v.http.Do(req)
 }
 
-// chat sends a chat request to generation 1 under the given id, which is also
-// the id of its stream.
+// chat sends a chat request to generation 1 with the given request id, which is also
+// the stream id.
 func (v *vm) chat(ctx context.Context, id, body string) (*http.Response, error) {
-	return v.call(ctx, http.MethodPost, "/v1/chat/completions", body,
+	return v.send(ctx, http.MethodPost, "/v1/chat/completions", body,
 		engine.HeaderGeneration, "g/1", engine.HeaderStream, id, "X-Request-Id", id)
 }
 
-// content returns the text of a whole answer.
-func content(res *http.Response, err error) (string, error) {
+// answerText returns the text of an answer that is not streamed.
+func answerText(res *http.Response, err error) (string, error) {
 	if err != nil {
 		return "", err
 	}
@@ -129,20 +131,20 @@
 	return a.Choices[0].Message.Content, nil
 }
 
-// events is what a reader got of a stream.
-type events struct {
+// receivedEvents is the part of a stream that a reader received.
+type receivedEvents struct {
 	ids    []string
 	tokens []string
 	usage  *engine.Usage // of the event with the finish reason
-	done   bool
-	err    error // nil after a clean end of the connection
+	done   bool          // the end marker was received
+	err    error         // nil if the response ended regularly
 }
 
-// whole reports whether all tokens and the end marker came.
-func (e *events) whole() bool { return e.done && e.usage != nil }
+// isComplete reports whether the finish reason and the end marker were received.
+func (e *receivedEvents) isComplete() bool { return e.done && e.usage != nil }
 
-func readEvents(res *http.Response, err error) *events {
-	e := &events{err: err}
+func readEvents(res *http.Response, err error) *receivedEvents {
+	e := &receivedEvents{err: err}
 	if err != nil {
 		return e
 	}
@@ -153,13 +155,13 @@
 	}
 	lines := bufio.NewScanner(res.Body)
 	for lines.Scan() {
-		e.line(lines.Text())
+		e.parseLine(lines.Text())
 	}
 	e.err = errors.Join(e.err, lines.Err())
 	return e
 }
 
-func (e *events) line(line string) {
+func (e *receivedEvents) parseLine(line string) {
 	field, value, _ := strings.Cut(line, ": ")
 	switch {
 	case field == "id":
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -13,13 +13,14 @@
 
 var pressureNames = pressure.Names{Limit: engine.HeaderRateLimit, RetryAfter: engine.HeaderRetryAfter, Leaving: engine.HeaderLeaving, NotRun: engine.HeaderNotRun, Promise: "true"}
 
-// pressureBounds are short, so that tests don't wait.
+// pressureBounds are short to keep tests fast.
 var pressureBounds = pressure.Bounds{Stable: time.Second, Drain: time.Second}
 
-// ServeHTTP serves the protocol of package engine, and for tests:
+// ServeHTTP serves the protocol of package engine and, for tests:
 //
-//	POST /faults      Faults; "restart": true begins a new life. GET shows them
-//	GET  /executions  how often each X-Request-Id ran
+//	POST /faults      sets Faults; "restart": true restarts the engine
+//	GET  /faults      returns Faults
+//	GET  /executions  returns how often each X-Request-Id ran
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.gate.Serve(w, r, e.mux) }
 
 func (e *Engine) routes() *http.ServeMux {
@@ -38,7 +39,7 @@
 	mux.HandleFunc("POST /leave", e.serveLeave)
 	mux.HandleFunc("GET "+fault.PathFaults, e.serveFaults)
 	mux.HandleFunc("POST "+fault.PathFaults, e.serveSetFaults)
-	mux.Handle("GET "+fault.PathExecutions, e.runs)
+	mux.Handle("GET "+fault.PathExecutions, e.executions)
 	return mux
 }
 
@@ -48,7 +49,7 @@
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	l := e.load.at(e.clock.Now())
+	l := e.load.reportAt(e.clock.Now())
 	e.mu.Unlock()
 	fault.Reply(w, http.StatusOK, l)
 }
@@ -58,10 +59,10 @@
 	if !fault.ReadJSON(w, r, &o) {
 		return
 	}
-	res, v := e.take(o)
-	status := map[verdict]int{
-		orderTaken: http.StatusOK, orderStale: http.StatusConflict,
-		orderOtherLife: http.StatusGone, orderMalformed: http.StatusBadRequest,
+	res, v := e.executeOrder(o)
+	status := map[orderStatus]int{
+		orderAccepted: http.StatusOK, orderStaleFence: http.StatusConflict,
+		orderOtherBoot: http.StatusGone, orderMalformed: http.StatusBadRequest,
 	}[v]
 	fault.Reply(w, status, res)
 }
@@ -73,34 +74,34 @@
 		return
 	}
 	e.mu.Lock()
-	events := e.cache.after(after, e.clock.Now(), lagOr(e.opts.CacheEventLag, DefaultCacheEventLag))
+	events := e.cache.eventsAfter(after, e.clock.Now(), delayOrDefault(e.opts.CacheEventLag, DefaultCacheEventLag))
 	e.mu.Unlock()
 	fault.Reply(w, http.StatusOK, events)
 }
 
 func (e *Engine) serveExport(w http.ResponseWriter, r *http.Request) {
 	var m engine.KVMove
-	if !e.readMove(w, r, &m) {
+	if !e.readTransfer(w, r, &m) {
 		return
 	}
 	e.mu.Lock()
-	meant := e.meant(&m)
-	held := e.cache.held(m.Prefixes)
+	matches := e.matchesGeneration(&m)
+	cached := e.cache.filterCached(m.Prefixes)
 	e.mu.Unlock()
-	if !meant {
+	if !matches {
 		http.Error(w, "in another generation", http.StatusPreconditionFailed)
 		return
 	}
-	data, err := json.Marshal(held)
+	data, err := json.Marshal(cached)
 	if err == nil {
 		err = e.opts.Objects.PutObject(r.Context(), m.Object, data)
 	}
-	done(w, err)
+	replyTransfer(w, err)
 }
 
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
 	var m engine.KVMove
-	if !e.readMove(w, r, &m) {
+	if !e.readTransfer(w, r, &m) {
 		return
 	}
 	data, err := e.opts.Objects.GetObject(r.Context(), m.Object)
@@ -109,27 +110,27 @@
 		err = json.Unmarshal(data, &prefixes)
 	}
 	e.mu.Lock()
-	meant := e.meant(&m)
-	if meant {
+	matches := e.matchesGeneration(&m)
+	if matches {
 		for _, p := range prefixes {
 			e.cache.add(e.clock.Now(), p)
 		}
 	}
 	e.mu.Unlock()
-	if !meant {
+	if !matches {
 		http.Error(w, "in another generation", http.StatusPreconditionFailed)
 		return
 	}
-	done(w, err)
+	replyTransfer(w, err)
 }
 
-// meant reports whether the move is for the place that the engine is in. e.mu is
-// held.
-func (e *Engine) meant(m *engine.KVMove) bool {
+// matchesGeneration reports whether the KV transfer is for the engine's generation, or for any.
+// The caller holds e.mu.
+func (e *Engine) matchesGeneration(m *engine.KVMove) bool {
 	return m.Generation == "" || m.Generation == engine.GenerationTag(e.state.Group, e.state.Generation)
 }
 
-func (e *Engine) readMove(w http.ResponseWriter, r *http.Request, m *engine.KVMove) bool {
+func (e *Engine) readTransfer(w http.ResponseWriter, r *http.Request, m *engine.KVMove) bool {
 	if e.opts.Objects == nil {
 		http.Error(w, "the engine has no object store", http.StatusNotImplemented)
 		return false
@@ -137,8 +138,9 @@
 	return fault.ReadJSON(w, r, m)
 }
 
-// done answers a KV move; the object store is the only thing that can fail it.
-func done(w http.ResponseWriter, err error) {
+// replyTransfer sends the result of a KV transfer. An error comes from the object store or
+// from decoding an object, hence the status 502.
+func replyTransfer(w http.ResponseWriter, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
@@ -155,7 +157,7 @@
 	fault.Reply(w, http.StatusOK, e.Faults())
 }
 
-// faultOrder is the body of POST /faults; fields left out stay as they are.
+// faultOrder is the body of POST /faults. Fields that are left out keep their value.
 type faultOrder struct {
 	Faults
 	Restart bool `json:"restart"`
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -7,55 +7,55 @@
 	"chervilloom/internal/fleet"
 )
 
-// Bound of the past loads that are kept for the lag.
-const loadsKept = 8192
+// Bound of the load points that are kept for the lag.
+const maxLoadPoints = 8192
 
-// loadPoint is the load from an instant on.
+// loadPoint is the load that applies from an instant on.
 type loadPoint struct {
 	at   clock.Instant
 	load fleet.Load
 }
 
-// loadHistory shows the load as it was a while ago. It is not safe for
-// concurrent use.
+// loadHistory reports the load as it was lag ago. It is not safe for concurrent use.
 type loadHistory struct {
 	lag      time.Duration
-	sequence uint64
-	past     []loadPoint
+	sequence uint64 // of the newest point
+	points   []loadPoint
 }
 
-// record notes the load from now on.
+// record adds l as the load from now on.
 func (h *loadHistory) record(now clock.Instant, l fleet.Load) {
 	h.sequence++
 	l.Sequence = h.sequence
-	h.past = append(h.past, loadPoint{at: now, load: l})
+	h.points = append(h.points, loadPoint{at: now, load: l})
 	h.prune(now)
 }
 
-// prune keeps the point that is shown now and those after it.
+// prune drops the points before the one that is reported now, and the oldest ones
+// beyond maxLoadPoints. It copies only when more than half of the points are dropped.
 func (h *loadHistory) prune(now clock.Instant) {
-	shown := h.index(now)
-	if over := len(h.past) - loadsKept; over > shown {
-		shown = over
+	reported := h.reportedIndex(now)
+	if over := len(h.points) - maxLoadPoints; over > reported {
+		reported = over
 	}
-	if shown > len(h.past)/2 {
-		h.past = append([]loadPoint(nil), h.past[shown:]...)
+	if reported > len(h.points)/2 {
+		h.points = append([]loadPoint(nil), h.points[reported:]...)
 	}
 }
 
-// index returns the newest point that is at least lag old, or the first.
-func (h *loadHistory) index(now clock.Instant) int {
+// reportedIndex returns the index of the newest point that is at least lag old, or 0.
+func (h *loadHistory) reportedIndex(now clock.Instant) int {
 	i := 0
-	for i+1 < len(h.past) && now.Sub(h.past[i+1].at) >= h.lag {
+	for i+1 < len(h.points) && now.Sub(h.points[i+1].at) >= h.lag {
 		i++
 	}
 	return i
 }
 
-// at returns the report that is shown now. Its age is that of the moment it
-// describes.
-func (h *loadHistory) at(now clock.Instant) fleet.Load {
-	p := h.past[h.index(now)]
+// reportAt returns the load report at now. Its age is the time since the moment that the
+// report describes, at most lag.
+func (h *loadHistory) reportAt(now clock.Instant) fleet.Load {
+	p := h.points[h.reportedIndex(now)]
 	l := p.load
 	l.AgeMillis = min(now.Sub(p.at), h.lag).Milliseconds()
 	return l
--- a/internal/standin/engine/load_test.go
+++ b/internal/standin/engine/load_test.go
@@ -32,15 +32,15 @@
 	return l
 }
 
-// The report tells the load as it was a lag ago, with its age.
+// The load report describes the load as it was LoadLag ago, with its age.
 func TestLoadReportLags(t *testing.T) {
 	is := is.New(t)
 	now := clock.NewManual(0)
-	o := fast("e")
+	o := fastOptions("e")
 	o.Clock, o.LoadLag = now, config.Duration(time.Second)
-	v := start(t, o)
+	v := startEngine(t, o)
 	now.Advance(5 * time.Second)
-	v.slots.changed(3, 1)
+	v.slots.onChange(3, 1)
 	now.Advance(900 * time.Millisecond)
 	old := loadOf(t, v)
 	is.Equal(old.Running, 0)
@@ -53,8 +53,8 @@
 	is.Equal(l.Slots, DefaultSlots)
 }
 
-// Requests beyond the slots wait by priority; beyond the queue they are refused
-// as not run.
+// Requests without a free slot wait by priority; requests beyond the queue limit fail
+// with errQueueFull.
 func TestSlotsAndPriorities(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
@@ -83,9 +83,9 @@
 	is.Equal(s.running, 0)
 }
 
-// A caller leaves at the moment at which its request is handed a slot: the slot
-// goes on to the next, or is free again.
-func TestSlotHandedToOneThatLeft(t *testing.T) {
+// A caller disconnects at the moment at which its request gets a slot: the slot passes
+// to the next waiter, or becomes free.
+func TestSlotOfDisconnectedCallerPassesOn(t *testing.T) {
 	is := is.New(t)
 	s := newSlots(1, 3, func(int, int) {})
 	is.NoErr(s.acquire(context.Background(), 0))
@@ -98,22 +98,22 @@
 	select {
 	case <-next.ready:
 	default:
-		t.Fatal("the slot was not handed on")
+		t.Fatal("the slot did not pass to the next waiter")
 	}
 	s.abandon(next)
 	is.Equal(s.running, 0)
 }
 
-// A prompt that shares its beginning with an earlier one is charged for the
-// rest only, until the cache is full and the oldest prefixes go.
+// A prompt that shares a prefix with an earlier one counts the shared blocks as cached
+// tokens, until the cache is full and evicts the least recently used prefixes.
 func TestPrefixCache(t *testing.T) {
 	is := is.New(t)
-	o := fast("e")
+	o := fastOptions("e")
 	o.CachePrefixes = 8
-	v := start(t, o)
+	v := startEngine(t, o)
 	v.join(1, 1, 0)
 	cached := func(text string) int {
-		got := readEvents(v.chat(within(t), text[len(text)-8:], prompt(text, 1, true)))
+		got := readEvents(v.chat(testContext(t), text[len(text)-8:], chatBody(text, 1, true)))
 		is.NoErr(got.err)
 		return got.usage.CachedTokens
 	}
@@ -124,18 +124,19 @@
 	is.Equal(cached(shared+"driver 4"), 0)
 }
 
-// Cache events come late, numbered, and with gaps where some were lost.
-func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
+// Cache events are published after CacheEventLag with sequence numbers, which have a
+// gap for each lost event.
+func TestCacheEventsLagAndHaveGaps(t *testing.T) {
 	is := is.New(t)
 	now := clock.NewManual(0)
-	o := fast("e")
+	o := fastOptions("e")
 	o.Clock, o.CacheEventLag, o.CacheGapEvery = now, config.Duration(time.Second), 3
-	v := start(t, o)
+	v := startEngine(t, o)
 	v.join(1, 1, 0)
-	_, err := content(v.chat(within(t), "r", prompt(strings.Repeat("x", 5*engine.PrefixBlock), 1, false)))
+	_, err := answerText(v.chat(testContext(t), "r", chatBody(strings.Repeat("x", 5*engine.PrefixBlock), 1, false)))
 	is.NoErr(err)
 	events := func(after uint64) []engine.CacheEvent {
-		l, err := v.client.CacheEvents(within(t), v.addr, after)
+		l, err := v.client.CacheEvents(testContext(t), v.addr, after)
 		is.NoErr(err)
 		return l
 	}
@@ -149,9 +150,9 @@
 	is.Equal(len(events(4)), 1)
 }
 
-// The nodes hash a prompt's prefixes in the same way as the engine names them
-// in its events; were they to differ, no node would ever find a cached prompt.
-func TestNodesAndEnginesHashAlike(t *testing.T) {
+// Nodes and engines must hash a prompt's prefixes alike: otherwise no node would find
+// the prefixes of the engine's cache events in any prompt.
+func TestNodesAndEnginesHashPrefixesAlike(t *testing.T) {
 	is := is.New(t)
 	text := "renewal\x00 of " + strings.Repeat("दर्ता and rules ", 3000)
 	body, err := json.Marshal(engine.ChatRequest{Model: "m+a@1", Messages: []engine.Message{
@@ -176,25 +177,26 @@
 	is.Equal(engine.Prefixes("m", "a", engine.PromptFields(chat.Messages)), req.Prefix)
 }
 
-// Cached prefixes move from one engine to another through the object store.
-func TestKVMoves(t *testing.T) {
+// Cached prefixes are transferred from one engine to another through the object store;
+// the import of a missing object fails.
+func TestKVTransfer(t *testing.T) {
 	is := is.New(t)
 	store := platform.New(platform.Options{NoLimits: true})
-	from, to := fast("from"), fast("to")
+	from, to := fastOptions("from"), fastOptions("to")
 	from.Objects, to.Objects = store, store
-	a, b := start(t, from), start(t, to)
+	a, b := startEngine(t, from), startEngine(t, to)
 	a.join(1, 1, 0)
 	b.join(1, 1, 0)
 	text := strings.Repeat("renewal ", 64) // two blocks with its role
-	_, err := content(a.chat(within(t), "r", prompt(text, 1, false)))
+	_, err := answerText(a.chat(testContext(t), "r", chatBody(text, 1, false)))
 	is.NoErr(err)
 	move := engine.KVMove{Object: "kv/1", Prefixes: engine.Prefixes("m", "", []string{"user", text})}
-	is.NoErr(a.client.ExportKV(within(t), a.addr, move))
-	is.NoErr(b.client.ImportKV(within(t), b.addr, move))
-	got := readEvents(b.chat(within(t), "r", prompt(text, 1, true)))
+	is.NoErr(a.client.ExportKV(testContext(t), a.addr, move))
+	is.NoErr(b.client.ImportKV(testContext(t), b.addr, move))
+	got := readEvents(b.chat(testContext(t), "r", chatBody(text, 1, true)))
 	is.NoErr(got.err)
 	is.Equal(got.usage.CachedTokens, engine.PrefixBytes(len(move.Prefixes))/bytesPerToken)
 	is.True(got.usage.CachedTokens > 0)
 	move.Object = "kv/none"
-	is.True(b.client.ImportKV(within(t), b.addr, move) != nil)
+	is.True(b.client.ImportKV(testContext(t), b.addr, move) != nil)
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -10,79 +10,82 @@
 	"chervilloom/internal/fleet"
 )
 
-// verdict is how an order was met.
-type verdict int
+// orderStatus is the result of checking an order.
+type orderStatus int
 
 const (
-	orderTaken     verdict = iota
-	orderStale             // its fence is older than one seen before
-	orderOtherLife         // it was meant for another boot
-	orderMalformed
+	orderAccepted   orderStatus = iota
+	orderStaleFence             // its fence is lower than one accepted before
+	orderOtherBoot              // it names another boot
+	orderMalformed              // its verb is unknown
 )
 
-// Order carries an order out, as POST /orders does.
+// Order executes an order, as POST /orders does, and reports whether it was
+// accepted.
 func (e *Engine) Order(o engine.Order) (engine.OrderResult, bool) {
-	res, v := e.take(o)
-	return res, v == orderTaken
+	res, v := e.executeOrder(o)
+	return res, v == orderAccepted
 }
 
-func (e *Engine) take(o engine.Order) (engine.OrderResult, verdict) {
+func (e *Engine) executeOrder(o engine.Order) (engine.OrderResult, orderStatus) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	v := e.judge(o)
-	if v == orderTaken {
+	v := e.checkOrder(o)
+	if v == orderAccepted {
 		e.state.Fence = max(e.state.Fence, o.Fence)
-		e.carryOut(o)
+		e.applyOrder(o)
 	}
-	return engine.OrderResult{Accepted: v == orderTaken, State: e.stateNow()}, v
+	return engine.OrderResult{Accepted: v == orderAccepted, State: e.currentState()}, v
 }
 
-// judge decides whether an order is taken. An engine that ignores fences takes
-// an old owner's order like any other.
-func (e *Engine) judge(o engine.Order) verdict {
+// checkOrder decides whether an order is accepted. Without Options.CheckFence, an order
+// from a former owner with an outdated fence is accepted.
+func (e *Engine) checkOrder(o engine.Order) orderStatus {
 	switch {
 	case o.Verb != engine.VerbJoin && o.Verb != engine.VerbLeave:
 		return orderMalformed
 	case o.Boot != e.state.Boot:
-		return orderOtherLife
+		return orderOtherBoot
 	case e.opts.CheckFence && o.Fence < e.state.Fence:
-		return orderStale
+		return orderStaleFence
 	default:
-		return orderTaken
+		return orderAccepted
 	}
 }
 
-func (e *Engine) carryOut(o engine.Order) {
+func (e *Engine) applyOrder(o engine.Order) {
 	if o.Verb == engine.VerbLeave {
 		e.leaveGroup()
 		return
 	}
-	if e.replica != nil && samePlace(e.order, o) {
-		return // sent again: nothing is loaded twice
+	if e.replica != nil && isSameAssignment(e.joinOrder, o) {
+		return // a repeated order does not load again
 	}
 	e.leaveGroup()
-	e.order = o
+	e.joinOrder = o
 	e.state.Group, e.state.Generation, e.state.Rank = o.Group, o.Generation, o.Rank
 	e.state.Model, e.state.Version, e.state.Adapters = o.Model, o.Version, slices.Clone(o.Adapters)
-	e.loadedAt = e.clock.Now().Add(lagOr(e.opts.LoadTime, DefaultLoadTime))
+	e.loadedAt = e.clock.Now().Add(delayOrDefault(e.opts.LoadTime, DefaultLoadTime))
 	e.replica = e.newReplica(o)
 }
 
-// samePlace reports whether two orders describe the same place.
-func samePlace(a, b engine.Order) bool {
+// isSameAssignment reports whether two join orders assign the same group, generation, rank,
+// model and peers.
+func isSameAssignment(a, b engine.Order) bool {
 	return a.Group == b.Group && a.Generation == b.Generation && a.Rank == b.Rank &&
 		a.Model == b.Model && a.Version == b.Version &&
 		slices.Equal(a.Adapters, b.Adapters) && slices.Equal(a.Peers, b.Peers)
 }
 
-// leaveGroup breaks what runs and frees the memory.
+// leaveGroup ends the replica, which cuts off its running streams, and clears the
+// group state. The caller holds e.mu.
 func (e *Engine) leaveGroup() {
 	if e.replica == nil {
 		return
 	}
-	e.replica.kill(errStreamBroken)
+	e.replica.cancel(errReplicaEnded)
 	e.replica = nil
-	e.order = engine.Order{}
+	e.joinOrder = engine.Order{}
 	e.state.Group, e.state.Generation, e.state.Rank = "", 0, 0
 	e.state.Model, e.state.Version, e.state.Adapters = "", "", nil
 	e.streams = make(map[string]*stream)
@@ -90,18 +93,18 @@
 }
 
 func (e *Engine) newReplica(o engine.Order) *replica {
-	ctx, kill := context.WithCancelCause(e.life)
+	ctx, cancel := context.WithCancelCause(e.bootCtx)
 	r := &replica{
-		tag:      engine.GenerationTag(o.Group, o.Generation),
-		client:   &http.Client{Transport: e.peers},
-		interval: e.opts.PeerInterval.Or(DefaultPeerInterval),
-		lost:     e.opts.PeerLost.Or(DefaultPeerLost),
-		ctx:      ctx,
-		kill:     kill,
-		boots:    make(map[string]fleet.BootID),
+		generationTag: engine.GenerationTag(o.Group, o.Generation),
+		client:        &http.Client{Transport: e.peerTransport},
+		interval:      e.opts.PeerInterval.Or(DefaultPeerInterval),
+		lossTimeout:   e.opts.PeerLost.Or(DefaultPeerLost),
+		ctx:           ctx,
+		cancel:        cancel,
+		peerBoots:     make(map[string]fleet.BootID),
 	}
 	if o.Rank != 0 {
-		return r // only rank 0 watches the others
+		return r // only rank 0 checks the other members
 	}
 	for rank, addr := range o.Peers {
 		if rank != o.Rank {
@@ -109,7 +112,7 @@
 		}
 	}
 	if len(r.peers) == 0 {
-		r.checked = time.Now()
+		r.lastPresent = time.Now()
 	}
 	return r
 }
--- a/internal/standin/engine/replica.go
+++ b/internal/standin/engine/replica.go
@@ -14,93 +14,95 @@
 	"chervilloom/internal/standin/fault"
 )
 
-// replica is rank 0's tie to the other members of its generation. Losing one of
-// them kills the replica for good: only a new generation serves again. It is
-// safe for concurrent use.
+// replica is rank 0's view of the other members of its generation. The loss of a
+// member ends the replica permanently: the group serves again only in a new
+// generation. It is safe for concurrent use.
 type replica struct {
-	tag      string
-	peers    []string // addresses of the other members
-	client   *http.Client
-	interval time.Duration
-	lost     time.Duration // silence of a peer after which the replica is dead
-	ctx      context.Context
-	kill     context.CancelCauseFunc
-	gate     fault.Gate // shut while a peer is silent
+	generationTag string   // as in engine.HeaderGeneration
+	peers         []string // addresses of the other members
+	client        *http.Client
+	interval      time.Duration   // between checks of the peers
+	lossTimeout   time.Duration   // time without a reply from a peer that ends the replica
+	ctx           context.Context // done when the replica has ended
+	cancel        context.CancelCauseFunc
+	gate          fault.Gate // shut while a peer does not reply
 
-	mu      sync.Mutex
-	boots   map[string]fleet.BootID // boot of each peer when it was first met
-	checked time.Time               // last check that found all peers
-	silent  time.Time               // since when a peer is silent; zero: none is
-	streams int
-	watched bool
+	mu            sync.Mutex
+	peerBoots     map[string]fleet.BootID // boot id of each peer at its first successful check
+	lastPresent   time.Time               // last check that found all peers present
+	silentSince   time.Time               // first check without a reply from a peer; zero if all reply
+	activeStreams int                     // running streams
+	watching      bool                    // watchPeers is running
 }
 
-// peerFinding is what a check of one peer found.
-type peerFinding int
+// peerStatus is the result of checking one peer. Higher values are worse.
+type peerStatus int
 
 const (
-	peerPresent peerFinding = iota
-	peerSilent              // no answer in time
-	peerAbsent              // gone, or in another life or generation
+	peerPresent peerStatus = iota
+	peerSilent             // no reply in time
+	peerAbsent             // unreachable, restarted, not loaded or in another generation
 )
 
-// begin reports whether the replica can begin a request. A peer that has not
-// taken its place yet is no reason to die.
-func (r *replica) begin(ctx context.Context) bool {
+// checkReady reports whether the replica can start a request. It checks the peers if the
+// last successful check is older than the interval. An absent peer ends the replica
+// only if all peers were present before.
+func (r *replica) checkReady(ctx context.Context) bool {
 	if r.ctx.Err() != nil {
 		return false
 	}
 	r.mu.Lock()
-	recent := time.Since(r.checked) < r.interval
+	recent := time.Since(r.lastPresent) < r.interval
 	r.mu.Unlock()
 	if recent || len(r.peers) == 0 {
 		return true
 	}
-	found := r.check(ctx)
-	r.note(found)
-	return found == peerPresent
+	status := r.checkPeers(ctx)
+	r.recordStatus(status)
+	return status == peerPresent
 }
 
-// note keeps what a check found.
-func (r *replica) note(found peerFinding) {
+// recordStatus records the result of a check of all peers: a peer that does not reply stalls
+// the replica, and one that was present and is lost ends it.
+func (r *replica) recordStatus(status peerStatus) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	established := !r.checked.IsZero()
-	switch found {
+	established := !r.lastPresent.IsZero()
+	switch status {
 	case peerPresent:
-		r.checked = time.Now()
-		r.silent = time.Time{}
+		r.lastPresent = time.Now()
+		r.silentSince = time.Time{}
 		r.gate.Set(false)
 	case peerSilent:
-		if r.silent.IsZero() {
-			r.silent = time.Now()
+		if r.silentSince.IsZero() {
+			r.silentSince = time.Now()
 		}
 		r.gate.Set(true)
-		if established && time.Since(r.silent) > r.lost {
-			r.kill(errStreamBroken)
+		if established && time.Since(r.silentSince) > r.lossTimeout {
+			r.cancel(errReplicaEnded)
 		}
 	case peerAbsent:
 		if established {
-			r.kill(errStreamBroken)
+			r.cancel(errReplicaEnded)
 		}
 	}
 }
 
-// check asks all peers at once and returns the worst finding.
-func (r *replica) check(ctx context.Context) peerFinding {
-	findings := make(chan peerFinding, len(r.peers))
+// checkPeers checks all peers concurrently and returns the worst result.
+func (r *replica) checkPeers(ctx context.Context) peerStatus {
+	statuses := make(chan peerStatus, len(r.peers))
 	for _, addr := range r.peers {
-		go func() { findings <- r.ask(ctx, addr) }()
+		go func() { statuses <- r.checkPeer(ctx, addr) }()
 	}
 	worst := peerPresent
 	for range r.peers {
-		worst = max(worst, <-findings)
+		worst = max(worst, <-statuses)
 	}
 	return worst
 }
 
-// ask asks one peer for its state.
-func (r *replica) ask(ctx context.Context, addr string) peerFinding {
+// checkPeer checks one peer by its /state.
+func (r *replica) checkPeer(ctx context.Context, addr string) peerStatus {
 	ctx, cancel := context.WithTimeout(ctx, max(r.interval, minPeerTimeout))
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/state", nil)
@@ -119,20 +121,21 @@
 	if err := json.NewDecoder(res.Body).Decode(&s); err != nil {
 		return peerAbsent
 	}
-	if engine.GenerationTag(s.Group, s.Generation) != r.tag || !s.Loaded {
+	if engine.GenerationTag(s.Group, s.Generation) != r.generationTag || !s.Loaded {
 		return peerAbsent
 	}
-	return r.sameLife(addr, s.Boot)
+	return r.checkBoot(addr, s.Boot)
 }
 
-// sameLife compares the peer's boot with the one that joined: a peer that
-// restarted has lost its part of the model, whatever it reports.
-func (r *replica) sameLife(addr string, boot fleet.BootID) peerFinding {
+// checkBoot compares the peer's boot id with that of its first check. A peer that
+// restarted has lost its shard of the model, even if it reports the same generation
+// as loaded.
+func (r *replica) checkBoot(addr string, boot fleet.BootID) peerStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	first, ok := r.boots[addr]
+	first, ok := r.peerBoots[addr]
 	if !ok {
-		r.boots[addr] = boot
+		r.peerBoots[addr] = boot
 		return peerPresent
 	}
 	if first != boot {
@@ -141,44 +144,43 @@
 	return peerPresent
 }
 
-// enter counts a stream that needs the peers, and reports whether the caller
-// must start watch.
-func (r *replica) enter() bool {
+// addStream counts a running stream and reports whether the caller must start watchPeers.
+func (r *replica) addStream() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.streams++
-	start := !r.watched && len(r.peers) > 0
-	r.watched = r.watched || start
+	r.activeStreams++
+	start := !r.watching && len(r.peers) > 0
+	r.watching = r.watching || start
 	return start
 }
 
-func (r *replica) exit() {
+func (r *replica) removeStream() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.streams--
+	r.activeStreams--
 }
 
-// idle ends the watch when no stream is left.
-func (r *replica) idle() bool {
+// stopIfIdle reports whether no stream runs, and if so marks watchPeers as stopped.
+func (r *replica) stopIfIdle() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.streams > 0 {
+	if r.activeStreams > 0 {
 		return false
 	}
-	r.watched = false
+	r.watching = false
 	return true
 }
 
-// watch checks the peers while streams run.
-func (r *replica) watch() {
+// watchPeers checks the peers at each interval while streams run, until the replica ends.
+func (r *replica) watchPeers() {
 	tick := time.NewTicker(r.interval)
 	defer tick.Stop()
-	for !r.idle() {
+	for !r.stopIfIdle() {
 		select {
 		case <-r.ctx.Done():
 			return
 		case <-tick.C:
 		}
-		r.note(r.check(r.ctx))
+		r.recordStatus(r.checkPeers(r.ctx))
 	}
 }
--- a/internal/standin/engine/replica_test.go
+++ b/internal/standin/engine/replica_test.go
@@ -11,27 +11,27 @@
 	"chervilloom/internal/testkit"
 )
 
-// pair starts a replica of two VMs, in generation 1, with the first as rank 0.
-func pair(t *testing.T, change func(*Options)) (*vm, *vm) {
+// startReplica starts a replica of two VMs in generation 1; the first has rank 0.
+func startReplica(t *testing.T, change func(*Options)) (*vm, *vm) {
 	t.Helper()
-	o := fast("a")
+	o := fastOptions("a")
 	o.TokensPerSecond, o.PeerInterval = 200, config.Duration(5*time.Millisecond)
 	if change != nil {
 		change(&o)
 	}
-	a := start(t, o)
+	a := startEngine(t, o)
 	o.VM = "b"
-	b := start(t, o)
+	b := startEngine(t, o)
 	a.join(1, 1, 0, a.addr, b.addr)
 	b.join(1, 1, 1, a.addr, b.addr)
 	return a, b
 }
 
-// A member of a replica is lost while an answer runs: it dies, restarts as if
-// nothing had happened, or is ordered into another generation. The answer breaks
-// by a reset or by an end that looks proper, never with the end marker, and the
-// replica serves no more, even when the member takes its old place again.
-func TestLosingAMemberKillsTheReplica(t *testing.T) {
+// A member of a replica is lost during an answer: it restarts or is ordered into
+// another generation. The answer ends by a reset or by a regular end of the response,
+// never with the end marker. The replica serves no further request, even after the
+// member joins the same generation again.
+func TestLostMemberEndsReplica(t *testing.T) {
 	for name, lose := range map[string]func(t *testing.T, b *vm){
 		"restarts":         func(_ *testing.T, b *vm) { b.Restart() },
 		"other generation": func(_ *testing.T, b *vm) { b.join(2, 2, 1, "192.0.2.1:1", b.addr) },
@@ -39,17 +39,17 @@
 		for _, clean := range []bool{false, true} {
 			t.Run(name+map[bool]string{true: ", clean end", false: ", reset"}[clean], func(t *testing.T) {
 				is := is.New(t)
-				a, b := pair(t, nil)
+				a, b := startReplica(t, nil)
 				a.SetFaults(Faults{CleanEOF: clean})
-				res, err := a.chat(within(t), "r", prompt("x", MaxTokens, true))
+				res, err := a.chat(testContext(t), "r", chatBody("x", MaxTokens, true))
 				is.NoErr(err)
 				lose(t, b)
 				got := readEvents(res, nil)
 				is.Equal(got.err == nil, clean)
-				is.True(!got.whole())
+				is.True(!got.isComplete())
 				b.join(1, 3, 1, a.addr, b.addr)
 				is.True(!a.State().Loaded)
-				res, err = a.chat(within(t), "again", prompt("x", 1, false))
+				res, err = a.chat(testContext(t), "again", chatBody("x", 1, false))
 				is.NoErr(err)
 				is.NoErr(res.Body.Close())
 				is.Equal(res.Header.Get(engine.HeaderNotRun), "true")
@@ -59,50 +59,50 @@
 	}
 }
 
-// A member restarts between two requests and takes its old place again before
-// anyone looks: same address, same group and generation, another boot id. What it
-// held of the replica's state is gone, so rank 0 must not serve.
-func TestReturnedMemberIsNotTaken(t *testing.T) {
+// A member restarts between two requests and joins again before the next check: same
+// address, group and generation, another boot id. Its part of the replica's state is
+// lost, so rank 0 must not serve.
+func TestRestartedMemberEndsReplica(t *testing.T) {
 	is := is.New(t)
-	a, b := pair(t, nil)
-	_, err := content(a.chat(within(t), "before", prompt("x", 1, false)))
+	a, b := startReplica(t, nil)
+	_, err := answerText(a.chat(testContext(t), "before", chatBody("x", 1, false)))
 	is.NoErr(err)
 	b.Restart()
 	b.join(1, 2, 1, a.addr, b.addr)
-	testkit.Eventually(t, "a replica that gave up", func() bool {
-		_, err = content(a.chat(within(t), "after", prompt("x", 1, false)))
+	testkit.Eventually(t, "the end of the replica", func() bool {
+		_, err = answerText(a.chat(testContext(t), "after", chatBody("x", 1, false)))
 		return err != nil && !a.State().Loaded
 	})
-	_, err = content(a.chat(within(t), "last", prompt("x", 1, false)))
+	_, err = answerText(a.chat(testContext(t), "last", chatBody("x", 1, false)))
 	is.True(err != nil)
 }
 
-// A member that has not taken its place yet is no loss: rank 0 refuses as not
-// run and serves once the member is there.
-func TestReplicaWaitsForItsMembers(t *testing.T) {
+// A member that has not joined yet does not count as lost: rank 0 refuses requests as
+// not run and serves once the member has joined.
+func TestReplicaWaitsForMembers(t *testing.T) {
 	is := is.New(t)
-	o := fast("a")
+	o := fastOptions("a")
 	o.PeerInterval = config.Duration(time.Millisecond)
-	a := start(t, o)
+	a := startEngine(t, o)
 	o.VM = "b"
-	b := start(t, o)
+	b := startEngine(t, o)
 	a.join(1, 1, 0, a.addr, b.addr)
-	res, err := a.chat(within(t), "early", prompt("x", 1, false))
+	res, err := a.chat(testContext(t), "early", chatBody("x", 1, false))
 	is.NoErr(err)
 	is.NoErr(res.Body.Close())
 	is.Equal(res.Header.Get(engine.HeaderNotRun), "true")
 	b.join(1, 1, 1, a.addr, b.addr)
-	_, err = content(a.chat(within(t), "r", prompt("x", 1, false)))
+	_, err = answerText(a.chat(testContext(t), "r", chatBody("x", 1, false)))
 	is.NoErr(err)
 }
 
-// A member that pauses stalls the whole replica; when it wakes in time, the
-// answer goes on where it stood.
-func TestPausedMemberStallsTheReplica(t *testing.T) {
+// A paused member stalls the whole replica. If it resumes in time, the answer continues
+// with the next token.
+func TestPausedMemberStallsReplica(t *testing.T) {
 	is := is.New(t)
-	a, b := pair(t, nil)
-	body := prompt("x", 200, true)
-	res, err := a.chat(within(t), "r", body)
+	a, b := startReplica(t, nil)
+	body := chatBody("x", 200, true)
+	res, err := a.chat(testContext(t), "r", body)
 	is.NoErr(err)
 	b.SetFaults(Faults{Stall: true})
 	testkit.Eventually(t, "a stalled replica", func() bool {
@@ -114,34 +114,34 @@
 	b.SetFaults(Faults{})
 	got := readEvents(res, nil)
 	is.NoErr(got.err)
-	is.True(got.whole())
+	is.True(got.isComplete())
 	is.Equal(got.tokens, ExpectedTokens([]byte(body)))
 }
 
-// A member that stays silent for long kills the replica.
-func TestSilentMemberKillsTheReplica(t *testing.T) {
+// A member that does not reply for longer than PeerLost ends the replica.
+func TestSilentMemberEndsReplica(t *testing.T) {
 	is := is.New(t)
-	a, b := pair(t, func(o *Options) { o.PeerLost = config.Duration(time.Millisecond) })
-	res, err := a.chat(within(t), "r", prompt("x", MaxTokens, true))
+	a, b := startReplica(t, func(o *Options) { o.PeerLost = config.Duration(time.Millisecond) })
+	res, err := a.chat(testContext(t), "r", chatBody("x", MaxTokens, true))
 	is.NoErr(err)
 	b.SetFaults(Faults{Stall: true})
 	got := readEvents(res, nil)
-	is.True(!got.whole())
+	is.True(!got.isComplete())
 	b.SetFaults(Faults{})
 	is.True(!a.State().Loaded)
 }
 
-// An answer that is not streamed breaks without a byte when the replica does.
-func TestBrokenReplicaAnswersNothing(t *testing.T) {
+// An answer that is not streamed fails without a response if the replica ends.
+func TestEndedReplicaSendsNoAnswer(t *testing.T) {
 	is := is.New(t)
-	a, b := pair(t, nil)
+	a, b := startReplica(t, nil)
 	done := make(chan error, 1)
-	ctx := within(t)
+	ctx := testContext(t)
 	go func() {
-		_, err := content(a.chat(ctx, "r", prompt("x", MaxTokens, false)))
+		_, err := answerText(a.chat(ctx, "r", chatBody("x", MaxTokens, false)))
 		done <- err
 	}()
-	testkit.Eventually(t, "a request that runs", func() bool { return a.Executions("r") == 1 })
+	testkit.Eventually(t, "a running request", func() bool { return a.Executions("r") == 1 })
 	b.Restart()
 	is.True(<-done != nil)
 }
--- a/internal/standin/engine/slots.go
+++ b/internal/standin/engine/slots.go
@@ -7,33 +7,34 @@
 	"sync"
 )
 
-// errQueueFull means that as many requests wait as may.
+// errQueueFull is returned when the queue limit is reached.
 var errQueueFull = errors.New("the queue is full")
 
-// slots lets a bounded number of requests run at once; the others wait in order
-// of priority, then of arrival. It is safe for concurrent use.
+// slots bounds the number of requests that run concurrently. Other requests wait, in
+// order of priority and then of arrival. It is safe for concurrent use.
 type slots struct {
-	mu      sync.Mutex
-	size    int
-	running int
-	limit   int // requests that may wait
-	waiting waiters
-	arrived uint64
-	changed func(running, waiting int) // called with mu held
+	mu         sync.Mutex
+	capacity   int
+	running    int
+	queueLimit int // requests that may wait
+	waiting    waiters
+	arrivals   uint64                     // requests so far
+	onChange   func(running, waiting int) // called after each change, with mu held
 }
 
 type waiter struct {
 	priority int
-	arrived  uint64
-	index    int           // in the heap; -1: not in it
-	ready    chan struct{} // closed when the slot is handed over
+	arrival  uint64        // order of arrival
+	index    int           // in the heap; -1 if not queued
+	ready    chan struct{} // closed when the waiter gets a slot
 }
 
 func newSlots(size, limit int, changed func(running, waiting int)) *slots {
-	return &slots{size: size, limit: limit, changed: changed}
+	return &slots{capacity: size, queueLimit: limit, onChange: changed}
 }
 
-// acquire waits for a slot.
+// acquire waits for a slot. It returns errQueueFull, or the error of ctx if ctx is
+// done first.
 func (s *slots) acquire(ctx context.Context, priority int) error {
 	w, err := s.enqueue(priority)
 	if err != nil {
@@ -48,56 +49,59 @@
 	}
 }
 
+// enqueue takes a free slot or queues the request.
 func (s *slots) enqueue(priority int) (*waiter, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := &waiter{priority: priority, arrived: s.arrived, index: -1, ready: make(chan struct{})}
-	s.arrived++
+	w := &waiter{priority: priority, arrival: s.arrivals, index: -1, ready: make(chan struct{})}
+	s.arrivals++
 	switch {
-	case s.running < s.size:
+	case s.running < s.capacity:
 		s.running++
 		close(w.ready)
-	case len(s.waiting) >= s.limit:
+	case len(s.waiting) >= s.queueLimit:
 		return nil, errQueueFull
 	default:
 		heap.Push(&s.waiting, w)
 	}
-	s.changed(s.running, len(s.waiting))
+	s.onChange(s.running, len(s.waiting))
 	return w, nil
 }
 
-// abandon takes w out of the queue, or gives back the slot that it was handed
-// at the same moment.
+// abandon removes w from the queue, or releases its slot if it got one at the same
+// moment.
 func (s *slots) abandon(w *waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if w.index >= 0 {
 		heap.Remove(&s.waiting, w.index)
-		s.changed(s.running, len(s.waiting))
+		s.onChange(s.running, len(s.waiting))
 		return
 	}
-	s.next()
+	s.passOn()
 }
 
-// release gives a slot back.
+// release returns a slot.
 func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.next()
+	s.passOn()
 }
 
-// next hands a slot that is free to the first in the queue.
-func (s *slots) next() {
+// passOn passes a returned slot to the first waiter, or frees it. The caller holds
+// s.mu.
+func (s *slots) passOn() {
 	if len(s.waiting) > 0 {
 		w := heap.Pop(&s.waiting).(*waiter)
 		close(w.ready)
 	} else {
 		s.running--
 	}
-	s.changed(s.running, len(s.waiting))
+	s.onChange(s.running, len(s.waiting))
 }
 
-// waiters is a heap.Interface: higher priority first, then the earlier.
+// waiters implements heap.Interface: the highest priority first, then the earliest
+// arrival.
 type waiters []*waiter
 
 func (q waiters) Len() int { return len(q) }
@@ -106,7 +110,7 @@
 	if q[i].priority != q[j].priority {
 		return q[i].priority > q[j].priority
 	}
-	return q[i].arrived < q[j].arrived
+	return q[i].arrival < q[j].arrival
 }
 
 func (q waiters) Swap(i, j int) {
--- a/internal/standin/engine/text.go
+++ b/internal/standin/engine/text.go
@@ -20,33 +20,33 @@
 	"li", "mu", "ne", "pa", "ro", "su", "ti", "ve",
 }
 
-// ExpectedTokens returns the tokens of the answer to a chat request's body: the
-// text of each in order; joined they are the whole answer. They depend on the
-// model and the messages alone, so that a caller whose prompt is unique can tell
-// its own answer from any other. It returns nil for a body that is no request.
+// ExpectedTokens returns the texts of the tokens that answer a chat request's body;
+// joined they are the complete answer. Their texts depend only on the model and the
+// messages, so a caller with a unique prompt can distinguish its answer from any other. It
+// returns nil for a body that is not a chat request.
 func ExpectedTokens(body []byte) []string {
 	var req engine.ChatRequest
 	if err := json.Unmarshal(body, &req); err != nil {
 		return nil
 	}
-	return tokensOf(&req)
+	return answerTokens(&req)
 }
 
-func tokensOf(req *engine.ChatRequest) []string {
+func answerTokens(req *engine.ChatRequest) []string {
 	n := req.MaxTokens
 	if n <= 0 {
 		n = DefaultTokens
 	}
-	seed := seedOf(req)
+	seed := promptSeed(req)
 	out := make([]string, min(n, MaxTokens))
 	for i := range out {
-		out[i] = word(seed, i)
+		out[i] = tokenText(seed, i)
 	}
 	return out
 }
 
-// seedOf hashes the whole prompt.
-func seedOf(req *engine.ChatRequest) uint64 {
+// promptSeed returns a hash of the model and all messages.
+func promptSeed(req *engine.ChatRequest) uint64 {
 	d := xxhash.New()
 	add := func(s string) {
 		_, _ = d.WriteString(s) // never fails
@@ -60,9 +60,9 @@
 	return d.Sum64()
 }
 
-// word returns token i: syllables made of a hash, and a space before all but
-// the first.
-func word(seed uint64, i int) string {
+// tokenText returns the text of token i: syllables selected by a hash, with a leading space
+// except for the first token.
+func tokenText(seed uint64, i int) string {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], seed)
 	binary.LittleEndian.PutUint64(b[8:], uint64(i))
