--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault breaks an endpoint's connections at chosen stages of a request.
-// The stand-ins of engines and plain services share it.
+// Package fault injects connection faults into an endpoint at chosen stages of a
+// request. The stand-ins for engines and plain services share it.
 package fault
 
 import (
@@ -8,35 +8,35 @@
 	"sync"
 )
 
-// Always makes a counting fault hit every request.
+// Always as the count of a fault applies it to every request.
 const Always = -1
 
 // Bounds.
 const (
-	maxBody       = 64 << 20
-	maxKnownConns = 4096
+	maxBody      = 64 << 20
+	maxUsedConns = 4096
 )
 
-// Stages counts the next requests that each fault hits: 0 none, Always all. A
-// closed connection gives the caller no answer; only the stand-in's count of
-// executions knows whether the request ran.
+// Stages is, for each fault, the number of following requests that it applies to: 0
+// for none, Always for all. A caller whose connection is closed gets no answer; only
+// the stand-in's execution count shows whether the request ran.
 type Stages struct {
 	DropBeforeBody  int `json:"drop_before_body" yaml:"drop_before_body"`   // close without reading the body; not run
 	DropHalfBody    int `json:"drop_half_body" yaml:"drop_half_body"`       // close after half the body; not run
-	DropAfterBody   int `json:"drop_after_body" yaml:"drop_after_body"`     // close after the whole body; not run
+	DropAfterBody   int `json:"drop_after_body" yaml:"drop_after_body"`     // close after the complete body; not run
 	DropAfterRun    int `json:"drop_after_run" yaml:"drop_after_run"`       // run, then close without an answer
 	CutAnswer       int `json:"cut_answer" yaml:"cut_answer"`               // run, send half the answer, then reset
-	CutAnswerClean  int `json:"cut_answer_clean" yaml:"cut_answer_clean"`   // run, send half the answer, then end as if whole
+	CutAnswerClean  int `json:"cut_answer_clean" yaml:"cut_answer_clean"`   // run, send half the answer, then end the response regularly
 	DropReused      int `json:"drop_reused" yaml:"drop_reused"`             // close a reused connection at its next request; not run
 	DropReusedAfter int `json:"drop_reused_after" yaml:"drop_reused_after"` // on a reused connection: run, then close without an answer
-	RefuseNotRun    int `json:"refuse_not_run" yaml:"refuse_not_run"`       // 503 that promises that nothing ran
+	RefuseNotRun    int `json:"refuse_not_run" yaml:"refuse_not_run"`       // answer 503 with the not-run header; not run
 	FailAfterRun    int `json:"fail_after_run" yaml:"fail_after_run"`       // run, then answer 500
 }
 
-// Stage is where the connection breaks for one request.
+// Stage is the stage of one request at which its fault applies.
 type Stage int
 
-// The stages.
+// The stages, as described for the fields of Stages.
 const (
 	None Stage = iota
 	BeforeBody
@@ -49,11 +49,12 @@
 	Fail
 )
 
-// Switch holds the faults of one endpoint. It is safe for concurrent use.
+// Switch holds the faults of one endpoint and selects the one for each request. It is
+// safe for concurrent use.
 type Switch struct {
-	mu     sync.Mutex
-	stages Stages
-	conns  map[string]struct{} // remote addresses that sent a request before
+	mu        sync.Mutex
+	stages    Stages
+	usedConns map[string]struct{} // remote addresses of connections that carried a request
 }
 
 // Set replaces the faults.
@@ -63,18 +64,19 @@
 	s.stages = f
 }
 
-// Get returns the faults with what is left of their counts.
+// Get returns the faults with their remaining counts.
 func (s *Switch) Get() Stages {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stages
 }
 
-// Next uses up one hit and returns the stage at which r's connection breaks.
+// Next returns the stage at which a fault applies to r, and decrements that fault's
+// count. Faults of reused connections come first, then the order of Stages.
 func (s *Switch) Next(r *http.Request) Stage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	reused := s.seen(r.RemoteAddr)
+	reused := s.recordConn(r.RemoteAddr)
 	f := &s.stages
 	switch {
 	case reused && Take(&f.DropReused):
@@ -102,19 +104,21 @@
 	}
 }
 
-// seen reports whether the connection carried a request before.
-func (s *Switch) seen(remote string) bool {
-	if _, ok := s.conns[remote]; ok {
+// recordConn records the connection and reports whether it carried a request before. The
+// record is cleared when it reaches maxUsedConns.
+func (s *Switch) recordConn(remote string) bool {
+	if _, ok := s.usedConns[remote]; ok {
 		return true
 	}
-	if s.conns == nil || len(s.conns) >= maxKnownConns {
-		s.conns = make(map[string]struct{})
+	if s.usedConns == nil || len(s.usedConns) >= maxUsedConns {
+		s.usedConns = make(map[string]struct{})
 	}
-	s.conns[remote] = struct{}{}
+	s.usedConns[remote] = struct{}{}
 	return false
 }
 
-// Take uses up one hit of a counting fault and reports whether there was one.
+// Take reports whether the fault with count n applies, and decrements n unless it is
+// Always.
 func Take(n *int) bool {
 	if *n == 0 {
 		return false
@@ -125,11 +129,12 @@
 	return true
 }
 
-// Abort closes the connection of the request that is being served.
+// Abort closes the connection of the request that is being served, by a panic that
+// net/http recovers. It does not return.
 func Abort() { panic(http.ErrAbortHandler) }
 
-// ReadBody reads r's body as far as the stage lets it, and does not return when
-// the connection breaks on the way.
+// ReadBody returns r's body. It does not return if the fault at the given stage closes
+// the connection before, during or after reading.
 func ReadBody(r *http.Request, at Stage) ([]byte, error) {
 	switch at {
 	case BeforeBody:
--- a/internal/standin/fault/gate.go
+++ b/internal/standin/fault/gate.go
@@ -6,11 +6,11 @@
 	"sync"
 )
 
-// Gate holds callers back while it is shut. The zero value is open. It is safe
-// for concurrent use.
+// Gate blocks callers of Wait while it is shut. The zero value is open. It is safe for
+// concurrent use.
 type Gate struct {
-	mu   sync.Mutex
-	shut chan struct{} // closed when the gate opens; nil: open
+	mu     sync.Mutex
+	opened chan struct{} // closed when the gate opens; nil while open
 }
 
 // Set shuts or opens the gate.
@@ -18,11 +18,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
-	case shut && g.shut == nil:
-		g.shut = make(chan struct{})
-	case !shut && g.shut != nil:
-		close(g.shut)
-		g.shut = nil
+	case shut && g.opened == nil:
+		g.opened = make(chan struct{})
+	case !shut && g.opened != nil:
+		close(g.opened)
+		g.opened = nil
 	}
 }
 
@@ -30,36 +30,37 @@
 func (g *Gate) Shut() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.shut != nil
+	return g.opened != nil
 }
 
-// Wait returns when the gate is open, with whether it had to wait.
+// Wait blocks until the gate is open or ctx is done. It returns whether it had to wait,
+// and the error of ctx.
 func (g *Gate) Wait(ctx context.Context) (waited bool, err error) {
 	for {
 		g.mu.Lock()
-		shut := g.shut
+		opened := g.opened
 		g.mu.Unlock()
-		if shut == nil {
+		if opened == nil {
 			return waited, ctx.Err()
 		}
 		waited = true
 		select {
-		case <-shut:
+		case <-opened:
 		case <-ctx.Done():
 			return waited, ctx.Err()
 		}
 	}
 }
 
-// The calls of tests, which a stalled stand-in answers too: how else would the
-// stall be ended.
+// Paths of the control calls of tests. A stalled stand-in serves them too, since the
+// stall is ended by one of them.
 const (
 	PathFaults     = "/faults"
 	PathExecutions = "/executions"
 )
 
-// Serve serves r by h once the gate is open, and the calls of tests at once. A
-// caller that leaves before gets nothing.
+// Serve serves r with h: control calls at once, others when the gate is open. It sends
+// nothing if the caller disconnects before.
 func (g *Gate) Serve(w http.ResponseWriter, r *http.Request, h http.Handler) {
 	if r.URL.Path != PathFaults && r.URL.Path != PathExecutions {
 		if _, err := g.Wait(r.Context()); err != nil {
--- a/internal/standin/fault/http.go
+++ b/internal/standin/fault/http.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// ReadJSON decodes the body of a control call; fields that are not known are
-// refused. It reports whether the call goes on.
+// ReadJSON decodes the JSON body of a control call into v. On an error, an unknown
+// field included, it answers with status 400 and returns false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
 	dec.DisallowUnknownFields()
@@ -18,7 +18,7 @@
 	return true
 }
 
-// Reply answers with JSON.
+// Reply sends v as JSON with the given status.
 func Reply(w http.ResponseWriter, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -30,7 +30,8 @@
 	_, _ = w.Write(body)
 }
 
-// Answer sends body with its length, or as much of it as the stage lets through.
+// Answer sends body with its Content-Length, or half of it if the stage is HalfAnswer,
+// which then resets the connection, or HalfAnswerClean.
 func Answer(w http.ResponseWriter, body []byte, at Stage) {
 	switch at {
 	case HalfAnswer:
@@ -39,7 +40,7 @@
 		_ = http.NewResponseController(w).Flush()
 		Abort()
 	case HalfAnswerClean:
-		// Without a length the answer is chunked, and its end looks proper.
+		// Without a Content-Length the response is chunked, and its end is regular.
 		_, _ = w.Write(body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
 	default:
