--- a/internal/standin/netfault/netfault_test.go
+++ b/internal/standin/netfault/netfault_test.go
@@ -12,8 +12,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echo returns a target that sends each datagram back.
-func echo(t *testing.T) string {
+// startEchoServer starts a UDP server that returns each datagram to its sender, and returns its
+// address.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -38,9 +39,9 @@
 	return c.LocalAddr().String()
 }
 
-func relay(t *testing.T) *Relay {
+func startRelay(t *testing.T) *Relay {
 	t.Helper()
-	r, err := NewRelay(echo(t))
+	r, err := NewRelay(startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +53,7 @@
 	return r
 }
 
-func dial(t *testing.T, r *Relay) *net.UDPConn {
+func dialRelay(t *testing.T, r *Relay) *net.UDPConn {
 	t.Helper()
 	to, err := net.ResolveUDPAddr("udp", r.Addr())
 	if err != nil {
@@ -66,9 +67,9 @@
 	return c
 }
 
-// reaches sends until an answer to this very text comes back, as a real
-// protocol over datagrams would.
-func reaches(limit time.Duration, c *net.UDPConn, text string) bool {
+// isEchoed sends text repeatedly, as a protocol over datagrams retransmits, and reports
+// whether the same text came back within the limit.
+func isEchoed(limit time.Duration, c *net.UDPConn, text string) bool {
 	end := time.Now().Add(limit)
 	buf := make([]byte, 2048)
 	for time.Now().Before(end) {
@@ -88,37 +89,38 @@
 }
 
 const (
-	soon = 200 * time.Millisecond
-	long = 20 * time.Second
+	cutWait     = 200 * time.Millisecond
+	echoTimeout = 20 * time.Second
 )
 
-// Each client gets the answers to its own datagrams.
-func TestRelayKeepsClientsApart(t *testing.T) {
+// Each client receives the replies to its own datagrams.
+func TestRelaySeparatesClients(t *testing.T) {
 	is := is.New(t)
-	r := relay(t)
+	r := startRelay(t)
 	for i := range 3 {
-		is.True(reaches(long, dial(t, r), fmt.Sprintf("client %d", i)))
+		is.True(isEchoed(echoTimeout, dialRelay(t, r), fmt.Sprintf("client %d", i)))
 	}
 }
 
-// Nothing passes a direction that is cut, and all passes again afterwards. A
-// cut from the target alone loses the answers though the target saw the request.
+// No echo returns while a direction is cut, and echoes return again afterwards. A cut
+// of only the direction from the target loses the reply to a request that the target
+// received.
 func TestRelayCuts(t *testing.T) {
 	for _, cut := range []struct{ to, from bool }{{true, false}, {false, true}, {true, true}} {
 		t.Run(fmt.Sprintf("to=%v from=%v", cut.to, cut.from), func(t *testing.T) {
 			is := is.New(t)
-			r := relay(t)
-			c := dial(t, r)
+			r := startRelay(t)
+			c := dialRelay(t, r)
 			r.Cut(cut.to, cut.from)
-			is.True(!reaches(soon, c, "while cut"))
+			is.True(!isEchoed(cutWait, c, "while cut"))
 			r.Cut(false, false)
-			is.True(reaches(long, c, "after"))
+			is.True(isEchoed(echoTimeout, c, "after"))
 		})
 	}
 }
 
-// The share that is lost is drawn from the seed: the same datagrams are lost in
-// each run, and none or all at the ends of the scale.
+// The losses are drawn from the seeded source: the same number of datagrams is lost in
+// each run, none at a fraction of 0 and all at 1.
 func TestRelayLoss(t *testing.T) {
 	is := is.New(t)
 	draw := func(share float64) (lost int) {
@@ -126,7 +128,7 @@
 		r.Seed(7)
 		r.Loss(share)
 		for range 1000 {
-			if r.lost() {
+			if r.drawLoss() {
 				lost++
 			}
 		}
@@ -138,17 +140,17 @@
 	is.True(draw(0.3) > 200 && draw(0.3) < 400)
 }
 
-// A delayed datagram arrives no earlier than its delay, in each direction.
+// A datagram arrives no earlier than its delay, which applies in each direction.
 func TestRelayDelay(t *testing.T) {
 	is := is.New(t)
-	r := relay(t)
-	c := dial(t, r)
+	r := startRelay(t)
+	c := dialRelay(t, r)
 	const delay = 30 * time.Millisecond
 	r.Delay(delay)
 	start := time.Now()
 	_, err := c.Write([]byte("x"))
 	is.NoErr(err)
-	is.NoErr(c.SetReadDeadline(time.Now().Add(long)))
+	is.NoErr(c.SetReadDeadline(time.Now().Add(echoTimeout)))
 	_, err = c.Read(make([]byte, 16))
 	is.NoErr(err)
 	is.True(time.Since(start) >= 2*delay)
