--- a/internal/standin/pressure/pressure.go
+++ b/internal/standin/pressure/pressure.go
@@ -1,6 +1,6 @@
-// Package pressure lets a stand-in endpoint limit the requests that it takes, turn them away
-// for a while and say that it leaves. It counts what arrives, and from whom, and tells
-// whether callers kept to what they had been told.
+// Package pressure adds backpressure signals to a stand-in endpoint: a rate limit, a
+// backoff and a leaving notice. It counts the requests of each caller and reports the
+// callers that do not comply with the signals they received.
 package pressure
 
 import (
@@ -13,183 +13,190 @@
 	"time"
 )
 
-// Names are the headers of a wire.
+// Names are the names of the response headers that carry the signals.
 type Names struct {
-	Limit      string // requests a second from all callers together
-	RetryAfter string // seconds for which a caller that is turned away shall send nothing
-	Leaving    string // the endpoint leaves, with the value 1
-	// NotRun promises that a request didn't run, with the value Promise.
+	Limit      string // requests per second from all callers together
+	RetryAfter string // seconds for which a refused caller must not send requests
+	Leaving    string // the endpoint is leaving; its value is 1
+	// NotRun declares that a request did not run; its value is Promise.
 	NotRun, Promise string
 }
 
-// Signals are what the endpoint says in its answers.
+// Signals are the backpressure signals in the endpoint's answers.
 type Signals struct {
-	Limit      float64       // requests a second; 0: none is named
-	RetryAfter time.Duration // requests are turned away with this Retry-After; 0: they are served
+	Limit      float64       // requests per second; 0 sends no limit
+	RetryAfter time.Duration // refuse all requests with this Retry-After; 0 serves them
 	Leaving    bool
 }
 
-// The bounds that callers must keep.
+// Limits that callers must comply with.
 const (
-	window    = 4 * time.Second
-	overLimit = 1.5 // of what the limit allows in a window
-	slack     = 5   // requests
-	// toldAfter is how long after an answer its caller must act by it.
-	toldAfter = 500 * time.Millisecond
-	inBackoff = 2 // requests within a backoff
+	limitWindow    = 4 * time.Second
+	limitTolerance = 1.5 // allowed multiple of the rate limit within a window
+	limitSlack     = 5   // requests allowed in addition
+	// complianceDelay is the time from an answer until its caller must comply with its signals.
+	complianceDelay = 500 * time.Millisecond
+	maxInBackoff    = 2 // requests of a caller allowed during a backoff
 )
 
-// Endpoint is the part of a stand-in that says and counts. The zero value says nothing.
-// It is safe for concurrent use.
+// Endpoint sends the signals of a stand-in and checks that callers comply with them.
+// The zero value sends no signals. It is safe for concurrent use.
 type Endpoint struct {
-	mu       sync.Mutex
-	signals  Signals
-	since    time.Time            // when the limit was first named
-	told     map[string]time.Time // who was told the limit, and when first
-	recent   []arrival
-	leaving  map[string]time.Time // who was told that the endpoint leaves, and when first
-	backoffs []backoff
-	arrivals int
-	broken   []string
+	mu              sync.Mutex
+	signals         Signals
+	limitSince      time.Time            // when the limit was set
+	limitReceived   map[string]time.Time // when each caller first received the limit
+	recentArrivals  []arrival            // within the window, from callers that must comply with the limit
+	leavingReceived map[string]time.Time // when each caller first received the leaving notice
+	backoffs        []backoff
+	arrivals        int
+	violations      []string
 }
 
 type arrival struct {
-	at   time.Time
-	from string
+	at     time.Time
+	caller string
 }
 
-// backoff is the time in which a caller that was turned away should send nothing.
+// backoff is the period in which a refused caller should not send requests.
 type backoff struct {
-	from       string
+	caller     string
 	begin, end time.Time
-	requests   int
+	requests   int // received in the period
 }
 
-// Bounds are the times of the deployment that the checks need.
+// Bounds are the grace periods of the deployment that the checks allow for.
 type Bounds struct {
-	Stable time.Duration // from the first naming of a limit until it must hold
-	Drain  time.Duration // from the word that the endpoint leaves until nothing may come
+	Stable time.Duration // from the setting of a limit until callers together must comply
+	Drain  time.Duration // from the leaving notice until no request may arrive
 }
 
-// Set changes what the endpoint says from now on.
+// Set changes the signals of the answers from now on. A new limit, or the end of
+// leaving, discards the record of the callers that received the previous signal.
 func (e *Endpoint) Set(s Signals) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s.Limit != e.signals.Limit {
-		e.since, e.told, e.recent = time.Now(), map[string]time.Time{}, nil
+		e.limitSince, e.limitReceived, e.recentArrivals = time.Now(), map[string]time.Time{}, nil
 	}
-	if !s.Leaving || e.leaving == nil {
-		e.leaving = map[string]time.Time{}
+	if !s.Leaving || e.leavingReceived == nil {
+		e.leavingReceived = map[string]time.Time{}
 	}
 	e.signals = s
 }
 
-// Excuse forgets what a caller was told: it was paused, and acts by what it knew before.
-func (e *Endpoint) Excuse(from string) {
+// Excuse discards the signals and backoffs recorded for a caller, and its requests in
+// the window. Tests call it for a caller that was paused, which after resuming acts on
+// outdated signals.
+func (e *Endpoint) Excuse(caller string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.told, from)
-	delete(e.leaving, from)
-	e.recent = slices.DeleteFunc(e.recent, func(a arrival) bool { return a.from == from })
-	e.backoffs = slices.DeleteFunc(e.backoffs, func(r backoff) bool { return r.from == from })
+	delete(e.limitReceived, caller)
+	delete(e.leavingReceived, caller)
+	e.recentArrivals = slices.DeleteFunc(e.recentArrivals, func(a arrival) bool { return a.caller == caller })
+	e.backoffs = slices.DeleteFunc(e.backoffs, func(r backoff) bool { return r.caller == caller })
 }
 
-// Arrivals returns how many requests came.
+// Arrivals returns the number of requests received.
 func (e *Endpoint) Arrivals() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.arrivals
 }
 
-// Broken returns what callers did that they had been told not to.
+// Broken returns a description of each violation of a signal by a caller.
 func (e *Endpoint) Broken() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]string(nil), e.broken...)
+	return append([]string(nil), e.violations...)
 }
 
-// Serve adds the endpoint's signals to the answer to a request, and turns it away if the
-// endpoint asks for a backoff; next serves it otherwise. The caller's name is the request's
-// id up to a dot. It is told when the answer's head is written: one that breaks off before
-// tells it nothing.
+// Serve adds the signals to the answer to a request. If RetryAfter is set, it refuses
+// the request with status 503, else next serves it. The caller's name is the
+// X-Request-Id up to the first dot. The caller counts as informed once the response
+// header is written or next returns; an answer that is aborted before carries no signal.
 func (e *Endpoint) Serve(w http.ResponseWriter, r *http.Request, n Names, b Bounds, next http.HandlerFunc) {
-	from, _, _ := strings.Cut(r.Header.Get("X-Request-Id"), ".")
-	signals := e.arrive(from, time.Now(), b)
+	caller, _, _ := strings.Cut(r.Header.Get("X-Request-Id"), ".")
+	signals := e.recordArrival(caller, time.Now(), b)
 	if signals.Limit > 0 {
 		w.Header().Set(n.Limit, strconv.FormatFloat(signals.Limit, 'f', -1, 64))
 	}
 	if signals.Leaving {
 		w.Header().Set(n.Leaving, "1")
 	}
-	told := sync.OnceFunc(func() { e.note(from, signals, time.Now()) })
+	recordOnce := sync.OnceFunc(func() { e.recordSignals(caller, signals, time.Now()) })
 	if signals.RetryAfter == 0 {
-		next(&headWatcher{w, told}, r)
-		told()
+		next(&headerWatcher{w, recordOnce}, r)
+		recordOnce()
 		return
 	}
 	w.Header().Set(n.NotRun, n.Promise)
 	w.Header().Set(n.RetryAfter, strconv.FormatFloat(signals.RetryAfter.Seconds(), 'f', -1, 64))
-	told()
+	recordOnce()
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// headWatcher calls written before an answer's head goes out.
-type headWatcher struct {
+// headerWatcher calls onWrite before the response header or body is written.
+type headerWatcher struct {
 	http.ResponseWriter
-	written func()
+	onWrite func()
 }
 
-func (h *headWatcher) WriteHeader(status int) {
-	h.written()
+func (h *headerWatcher) WriteHeader(status int) {
+	h.onWrite()
 	h.ResponseWriter.WriteHeader(status)
 }
 
-func (h *headWatcher) Write(b []byte) (int, error) {
-	h.written()
+func (h *headerWatcher) Write(b []byte) (int, error) {
+	h.onWrite()
 	return h.ResponseWriter.Write(b)
 }
 
-func (h *headWatcher) Unwrap() http.ResponseWriter { return h.ResponseWriter }
+func (h *headerWatcher) Unwrap() http.ResponseWriter { return h.ResponseWriter }
 
-// arrive counts and checks a request, and returns what its answer says.
-func (e *Endpoint) arrive(from string, now time.Time, b Bounds) Signals {
+// recordArrival counts and checks a request, and returns the signals for its answer.
+func (e *Endpoint) recordArrival(caller string, now time.Time, b Bounds) Signals {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.arrivals++
-	e.checkLimit(from, now, b)
-	e.checkBackoffs(from, now)
-	if at, ok := e.leaving[from]; ok && now.Sub(at) > b.Drain {
-		e.broken = append(e.broken, fmt.Sprintf("a request from %s %v after it was told that the endpoint leaves", from, now.Sub(at)))
+	e.checkLimit(caller, now, b)
+	e.checkBackoffs(caller, now)
+	if at, ok := e.leavingReceived[caller]; ok && now.Sub(at) > b.Drain {
+		e.violations = append(e.violations, fmt.Sprintf("a request from %s arrived %v after the leaving notice", caller, now.Sub(at)))
 	}
 	return e.signals
 }
 
-func (e *Endpoint) checkLimit(from string, now time.Time, b Bounds) {
+// checkLimit records a violation if callers that received the limit exceed it together.
+// A caller's requests count from complianceDelay after it first received the limit.
+func (e *Endpoint) checkLimit(caller string, now time.Time, b Bounds) {
 	if e.signals.Limit == 0 {
 		return
 	}
-	if at, ok := e.told[from]; ok && now.Sub(at) >= toldAfter {
-		e.recent = append(e.recent, arrival{now, from})
+	if at, ok := e.limitReceived[caller]; ok && now.Sub(at) >= complianceDelay {
+		e.recentArrivals = append(e.recentArrivals, arrival{now, caller})
 	}
-	for len(e.recent) > 0 && now.Sub(e.recent[0].at) > window {
-		e.recent = e.recent[1:]
+	for len(e.recentArrivals) > 0 && now.Sub(e.recentArrivals[0].at) > limitWindow {
+		e.recentArrivals = e.recentArrivals[1:]
 	}
-	allowed := overLimit*e.signals.Limit*window.Seconds() + slack
-	if now.Sub(e.since) >= b.Stable && float64(len(e.recent)) > allowed {
-		e.broken = append(e.broken, fmt.Sprintf("%d requests in %v at a limit of %v a second; allowed %.0f", len(e.recent), window, e.signals.Limit, allowed))
+	allowed := limitTolerance*e.signals.Limit*limitWindow.Seconds() + limitSlack
+	if now.Sub(e.limitSince) >= b.Stable && float64(len(e.recentArrivals)) > allowed {
+		e.violations = append(e.violations, fmt.Sprintf("%d requests in %v at a rate limit of %v per second; at most %.0f are allowed", len(e.recentArrivals), limitWindow, e.signals.Limit, allowed))
 	}
 }
 
-func (e *Endpoint) checkBackoffs(from string, now time.Time) {
+// checkBackoffs records a violation if the caller sends more than maxInBackoff requests
+// during one of its backoffs, and drops the backoffs that are over.
+func (e *Endpoint) checkBackoffs(caller string, now time.Time) {
 	open := e.backoffs[:0]
 	for _, r := range e.backoffs {
 		if now.After(r.end) {
 			continue
 		}
-		if r.from == from && !now.Before(r.begin) {
+		if r.caller == caller && !now.Before(r.begin) {
 			r.requests++
-			if r.requests == inBackoff+1 {
-				e.broken = append(e.broken, fmt.Sprintf("%d requests from %s within a backoff", r.requests, from))
+			if r.requests == maxInBackoff+1 {
+				e.violations = append(e.violations, fmt.Sprintf("%d requests from %s during its backoff", r.requests, caller))
 			}
 		}
 		open = append(open, r)
@@ -197,17 +204,18 @@
 	e.backoffs = open
 }
 
-// note notes what a caller is told, unless the endpoint has changed its mind since.
-func (e *Endpoint) note(from string, s Signals, now time.Time) {
+// recordSignals records the signals that a caller receives. A limit or leaving notice
+// that has changed since the request arrived is not recorded.
+func (e *Endpoint) recordSignals(caller string, s Signals, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, ok := e.told[from]; !ok && s.Limit > 0 && s.Limit == e.signals.Limit {
-		e.told[from] = now
+	if _, ok := e.limitReceived[caller]; !ok && s.Limit > 0 && s.Limit == e.signals.Limit {
+		e.limitReceived[caller] = now
 	}
-	if _, ok := e.leaving[from]; !ok && s.Leaving && e.signals.Leaving {
-		e.leaving[from] = now
+	if _, ok := e.leavingReceived[caller]; !ok && s.Leaving && e.signals.Leaving {
+		e.leavingReceived[caller] = now
 	}
 	if s.RetryAfter > 0 {
-		e.backoffs = append(e.backoffs, backoff{from: from, begin: now.Add(toldAfter), end: now.Add(s.RetryAfter)})
+		e.backoffs = append(e.backoffs, backoff{caller: caller, begin: now.Add(complianceDelay), end: now.Add(s.RetryAfter)})
 	}
 }
--- a/internal/standin/pressure/pressure_test.go
+++ b/internal/standin/pressure/pressure_test.go
@@ -10,9 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// send sends 40 requests of one caller in 4 s; the endpoint breaks off without an answer if
-// lost is set.
-func send(e *Endpoint, lost bool) {
+// sendRequests sends 40 requests of one caller in 4 s. If lost is set, the endpoint aborts each
+// request without an answer.
+func sendRequests(e *Endpoint, lost bool) {
 	names := Names{Limit: "Limit", RetryAfter: "Retry-After", Leaving: "Leaving", NotRun: "Not-Run", Promise: "1"}
 	for range 40 {
 		func() {
@@ -29,16 +29,17 @@
 	}
 }
 
-// Guards against a check that blames callers for what no answer has told them.
-func TestLostAnswersTellNothing(t *testing.T) {
+// Guards against violations reported for callers that received no answer and so no
+// signal.
+func TestLostAnswersCarryNoSignal(t *testing.T) {
 	for _, s := range []Signals{{Limit: 1}, {Leaving: true}} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			var e Endpoint
 			e.Set(s)
-			send(&e, true)
+			sendRequests(&e, true)
 			is.Equal(len(e.Broken()), 0)
-			send(&e, false)
+			sendRequests(&e, false)
 			is.True(len(e.Broken()) > 0)
 		})
 	}
