--- a/internal/standin/platform/http.go
+++ b/internal/standin/platform/http.go
@@ -9,15 +9,16 @@
 	"chervilloom/internal/platform"
 )
 
-// Bound of a request's body.
+// maxBody is the largest request body in bytes.
 const maxBody = 64 << 20
 
-// ServeHTTP serves the protocol of the platform's client, and for tests:
+// ServeHTTP serves the protocol of the platform's client and, for tests:
 //
-//	POST   /faults        Faults, "save", "restore"; GET shows them
-//	GET    /stats         Stats
-//	POST   /admin/vms     fleet.Record to add or replace
-//	DELETE /admin/vms/VM
+//	POST   /faults        sets Faults; "save" and "restore" copy the store
+//	GET    /faults        returns Faults
+//	GET    /stats         returns Stats
+//	POST   /admin/vms     adds or replaces a fleet.Record
+//	DELETE /admin/vms/VM  removes a VM
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.mux.ServeHTTP(w, r) }
 
 func (p *Platform) routes() *http.ServeMux {
@@ -36,23 +37,24 @@
 	return mux
 }
 
-// admit applies the faults to a request. It returns false when the request has
-// got all the answer it will get.
-func (p *Platform) admit(w http.ResponseWriter, r *http.Request, a access) (lose, ok bool) {
+// admit applies the faults to a request. It returns ok = false if the request was
+// answered with an error, and loseAnswer = true if its connection must be closed after it is
+// applied.
+func (p *Platform) admit(w http.ResponseWriter, r *http.Request, a requestCost) (loseAnswer, ok bool) {
 	if !p.Faults().ForgetAttempts {
 		w.Header().Set(platform.HeaderAttempts, platform.AttemptsKept)
 	}
-	switch p.enter(r.Context(), a) {
-	case fateClosed:
+	switch p.applyFaults(r.Context(), a) {
+	case effectClosed:
 		panic(http.ErrAbortHandler) // closes the connection without an answer
-	case fateRefused:
+	case effectUnavailable:
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return false, false
-	case fateLimited:
+	case effectLimited:
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "over the rate limit", http.StatusTooManyRequests)
 		return false, false
-	case fateLoseAnswer:
+	case effectLoseAnswer:
 		return true, true
 	default:
 		return false, true
@@ -60,35 +62,35 @@
 }
 
 func (p *Platform) serveGet(w http.ResponseWriter, r *http.Request) {
-	if _, ok := p.admit(w, r, access{}); ok {
-		reply(w, p.get(r.PathValue("table"), r.PathValue("key")))
+	if _, ok := p.admit(w, r, requestCost{}); ok {
+		replyJSON(w, p.get(r.PathValue("table"), r.PathValue("key")))
 	}
 }
 
 func (p *Platform) serveList(w http.ResponseWriter, r *http.Request) {
-	if _, ok := p.admit(w, r, access{}); ok {
-		reply(w, p.list(r.PathValue("table"), r.URL.Query().Get("prefix")))
+	if _, ok := p.admit(w, r, requestCost{}); ok {
+		replyJSON(w, p.list(r.PathValue("table"), r.URL.Query().Get("prefix")))
 	}
 }
 
 func (p *Platform) serveTxn(w http.ResponseWriter, r *http.Request) {
 	var txn platform.Txn
-	if !read(w, r, &txn) {
+	if !readJSON(w, r, &txn) {
 		return
 	}
-	lose, ok := p.admit(w, r, access{write: true, rows: len(txn.Writes)})
+	loseAnswer, ok := p.admit(w, r, requestCost{write: true, rows: len(txn.Writes)})
 	if !ok {
 		return
 	}
 	res := p.commit(txn)
-	if lose {
+	if loseAnswer {
 		panic(http.ErrAbortHandler)
 	}
-	reply(w, res)
+	replyJSON(w, res)
 }
 
 func (p *Platform) serveGetObject(w http.ResponseWriter, r *http.Request) {
-	if _, ok := p.admit(w, r, access{}); !ok {
+	if _, ok := p.admit(w, r, requestCost{}); !ok {
 		return
 	}
 	data, ok := p.getObject(r.PathValue("name"))
@@ -106,28 +108,28 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	lose, ok := p.admit(w, r, access{write: true})
+	loseAnswer, ok := p.admit(w, r, requestCost{write: true})
 	if !ok {
 		return
 	}
 	p.putObject(r.PathValue("name"), data)
-	if lose {
+	if loseAnswer {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (p *Platform) serveVMs(w http.ResponseWriter, r *http.Request) {
-	if _, ok := p.admit(w, r, access{}); ok {
-		reply(w, p.listVMs())
+	if _, ok := p.admit(w, r, requestCost{}); ok {
+		replyJSON(w, p.listVMs())
 	}
 }
 
-func (p *Platform) serveFaults(w http.ResponseWriter, _ *http.Request) { reply(w, p.Faults()) }
+func (p *Platform) serveFaults(w http.ResponseWriter, _ *http.Request) { replyJSON(w, p.Faults()) }
 
 func (p *Platform) serveSetFaults(w http.ResponseWriter, r *http.Request) {
 	order := faultOrder{Faults: p.Faults()}
-	if !read(w, r, &order) {
+	if !readJSON(w, r, &order) {
 		return
 	}
 	if order.Save {
@@ -140,14 +142,14 @@
 		}
 	}
 	p.SetFaults(order.Faults)
-	reply(w, order.Faults)
+	replyJSON(w, order.Faults)
 }
 
-func (p *Platform) serveStats(w http.ResponseWriter, _ *http.Request) { reply(w, p.Stats()) }
+func (p *Platform) serveStats(w http.ResponseWriter, _ *http.Request) { replyJSON(w, p.Stats()) }
 
 func (p *Platform) serveAddVM(w http.ResponseWriter, r *http.Request) {
 	var rec fleet.Record
-	if !read(w, r, &rec) {
+	if !readJSON(w, r, &rec) {
 		return
 	}
 	if rec.VM == "" {
@@ -163,8 +165,9 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// read decodes the JSON body; fields that are not known are refused.
-func read(w http.ResponseWriter, r *http.Request, v any) bool {
+// readJSON decodes the JSON body into v. On an error, an unknown field included, it
+// answers with status 400 and returns false.
+func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
@@ -174,9 +177,9 @@
 	return true
 }
 
-func reply(w http.ResponseWriter, v any) {
+func replyJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		panic(http.ErrAbortHandler) // the reader has left
+		panic(http.ErrAbortHandler) // the client disconnected
 	}
 }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is a small in-memory stand-in for the platform's service:
-// the transactional table, the object store and the lagging list of VMs. Tests
-// and the demo use it; its faults can be switched while it runs.
+// Package platform is an in-memory stand-in for the platform's service: the
+// transactional table, the object store and the list of VMs, which lags. Tests and the
+// demo use it. Faults can be injected while it runs.
 package platform
 
 import (
@@ -21,37 +21,36 @@
 	"chervilloom/internal/standin/fault"
 )
 
-// Default rates of the service, in rows written and reads a second.
+// Default rate limits, in rows written and reads per second.
 const (
 	DefaultWritesPerSecond = 400
 	DefaultReadsPerSecond  = 2000
 )
 
-// Options describe a stand-in platform.
+// Options configures a stand-in platform. Zero values select the defaults.
 type Options struct {
 	VMs             []fleet.Record  `yaml:"-"`
 	ListLag         config.Duration `yaml:"list_lag"`
-	WritesPerSecond float64         `yaml:"writes_per_second"` // rows; default 400
-	ReadsPerSecond  float64         `yaml:"reads_per_second"`  // default 2000
+	WritesPerSecond float64         `yaml:"writes_per_second"` // in rows; default DefaultWritesPerSecond
+	ReadsPerSecond  float64         `yaml:"reads_per_second"`  // default DefaultReadsPerSecond
 	NoLimits        bool            `yaml:"no_limits"`
 	Clock           clock.Clock     `yaml:"-"` // default clock.Boot
 }
 
-// Stats counts what was asked of the platform.
+// Stats counts the requests to the platform.
 type Stats struct {
-	Reads       uint64 `json:"reads"`        // gets, lists of rows, lists of VMs, objects
-	Lists       uint64 `json:"lists"`        // of the reads, lists of rows
+	Reads       uint64 `json:"reads"`        // reads of rows, row lists, VM lists and objects
+	Lists       uint64 `json:"lists"`        // reads of row lists
 	ListedRows  uint64 `json:"listed_rows"`  // rows returned by lists
-	Writes      uint64 `json:"writes"`       // transactions and objects put
-	WrittenRows uint64 `json:"written_rows"` // rows that committed transactions wrote
+	Writes      uint64 `json:"writes"`       // transactions and object writes
+	WrittenRows uint64 `json:"written_rows"` // rows written by committed transactions
 	Conflicts   uint64 `json:"conflicts"`    // transactions whose checks failed
-	Replays     uint64 `json:"replays"`      // transactions answered from their attempt
-	Limited     uint64 `json:"limited"`      // requests refused for the rate
+	Replays     uint64 `json:"replays"`      // transactions answered with the result of an earlier attempt
+	Limited     uint64 `json:"limited"`      // requests refused by the rate limits
 }
 
-// Platform is the stand-in. It is an http.Handler, and implements the same
-// interfaces as the client for use within a process. It is safe for concurrent
-// use.
+// Platform is the stand-in platform. It is an http.Handler and, for use within the
+// process, implements the interfaces of the client. It is safe for concurrent use.
 type Platform struct {
 	clock  clock.Clock
 	mux    *http.ServeMux
@@ -97,17 +96,17 @@
 
 // AddVM adds or replaces a VM of the list.
 func (p *Platform) AddVM(r fleet.Record) {
-	p.changeVMs(func(vms map[fleet.VM]fleet.Record) { vms[r.VM] = withState(r) })
+	p.updateVMs(func(vms map[fleet.VM]fleet.Record) { vms[r.VM] = withDefaultState(r) })
 }
 
-// RemoveVM takes a VM off the list.
+// RemoveVM removes a VM from the list.
 func (p *Platform) RemoveVM(vm fleet.VM) {
-	p.changeVMs(func(vms map[fleet.VM]fleet.Record) { delete(vms, vm) })
+	p.updateVMs(func(vms map[fleet.VM]fleet.Record) { delete(vms, vm) })
 }
 
-// SetVMState changes the state of a VM that is on the list.
+// SetVMState changes the state of a VM; it has no effect if the VM is not listed.
 func (p *Platform) SetVMState(vm fleet.VM, s fleet.State) {
-	p.changeVMs(func(vms map[fleet.VM]fleet.Record) {
+	p.updateVMs(func(vms map[fleet.VM]fleet.Record) {
 		r, ok := vms[vm]
 		if ok {
 			r.State = s
@@ -116,13 +115,13 @@
 	})
 }
 
-func (p *Platform) changeVMs(f func(map[fleet.VM]fleet.Record)) {
+func (p *Platform) updateVMs(f func(map[fleet.VM]fleet.Record)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.vms.change(p.clock.Now(), f)
+	p.vms.update(p.clock.Now(), f)
 }
 
-// Faults returns the faults as they stand.
+// Faults returns the faults with their remaining counts.
 func (p *Platform) Faults() Faults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,7 +142,7 @@
 	p.saved = p.store.clone()
 }
 
-// Restore rolls the store back to the copy kept by Save.
+// Restore replaces the store by the copy that Save kept. It fails if there is none.
 func (p *Platform) Restore() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,56 +160,58 @@
 	return p.stats
 }
 
-// fate is what the faults make of one request.
-type fate int
+// requestEffect is how the faults and rate limits affect one request.
+type requestEffect int
 
 const (
-	fatePass       fate = iota
-	fateClosed          // the connection closes; nothing is applied
-	fateRefused         // 503; nothing is applied
-	fateLimited         // 429; nothing is applied
-	fateLoseAnswer      // applied; the connection closes without an answer
+	effectNone        requestEffect = iota
+	effectClosed                    // not applied; the connection is closed
+	effectUnavailable               // not applied; status 503
+	effectLimited                   // not applied; status 429
+	effectLoseAnswer                // applied; the connection is closed without an answer
 )
 
-// access is one request's use of the service.
-type access struct {
+// requestCost is the cost of one request for the rate limits.
+type requestCost struct {
 	write bool
-	rows  int // rows written; 0: one
+	rows  int // rows written; 0 counts as 1
 }
 
-// enter delays a request as the faults say and decides its fate.
-func (p *Platform) enter(ctx context.Context, a access) fate {
+// applyFaults delays a request by Faults.Slow and returns how the faults and rate limits
+// affect it.
+func (p *Platform) applyFaults(ctx context.Context, a requestCost) requestEffect {
 	p.mu.Lock()
-	slow := p.faults.slow()
+	slow := p.faults.delay()
 	p.mu.Unlock()
 	if slow > 0 {
 		select {
 		case <-time.After(slow):
 		case <-ctx.Done():
-			return fateClosed
+			return effectClosed
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
 	case p.faults.Down == DownClose:
-		return fateClosed
+		return effectClosed
 	case p.faults.Down == DownRefused:
-		return fateRefused
-	case !p.faults.NoLimits && !p.withinRate(a):
+		return effectUnavailable
+	case !p.faults.NoLimits && !p.allowRate(a):
 		p.stats.Limited++
-		return fateLimited
+		return effectLimited
 	case a.write && fault.Take(&p.faults.DropBefore):
-		return fateClosed
+		return effectClosed
 	case a.write && fault.Take(&p.faults.LoseAnswers):
-		return fateLoseAnswer
+		return effectLoseAnswer
 	default:
-		return fatePass
+		return effectNone
 	}
 }
 
-// withinRate counts each row of a transaction as one write.
-func (p *Platform) withinRate(a access) bool {
+// allowRate charges a request to its rate limit, each row of a transaction as one
+// write, and reports whether it is within the limit.
+func (p *Platform) allowRate(a requestCost) bool {
 	now := time.Unix(0, int64(p.clock.Now()))
 	if !a.write {
 		return p.reads.AllowN(now, 1)
@@ -219,14 +220,15 @@
 	return p.writes.AllowN(now, n)
 }
 
-// errorOf returns the error of a request made within the process.
-func errorOf(f fate) error {
+// effectError returns the error of a request that was made within the process instead
+// of over HTTP.
+func effectError(f requestEffect) error {
 	switch f {
-	case fateLimited:
+	case effectLimited:
 		return fmt.Errorf("%w: %w", platform.ErrDown, platform.ErrLimited)
-	case fateClosed, fateRefused:
+	case effectClosed, effectUnavailable:
 		return platform.ErrDown
-	case fateLoseAnswer:
+	case effectLoseAnswer:
 		return platform.ErrAmbiguous
 	default:
 		return nil
@@ -235,7 +237,7 @@
 
 // Get implements platform.Table.
 func (p *Platform) Get(ctx context.Context, table, key string) (platform.Row, error) {
-	if err := errorOf(p.enter(ctx, access{})); err != nil {
+	if err := effectError(p.applyFaults(ctx, requestCost{})); err != nil {
 		return platform.Row{}, err
 	}
 	return p.get(table, key), nil
@@ -250,7 +252,7 @@
 
 // List implements platform.Table.
 func (p *Platform) List(ctx context.Context, table, prefix string) ([]platform.Row, error) {
-	if err := errorOf(p.enter(ctx, access{})); err != nil {
+	if err := effectError(p.applyFaults(ctx, requestCost{})); err != nil {
 		return nil, err
 	}
 	return p.list(table, prefix), nil
@@ -266,24 +268,24 @@
 	return rows
 }
 
-// Commit implements platform.Table. A lost answer is not read back here: the
-// caller gets ErrAmbiguous, as from a client whose reading back failed.
+// Commit implements platform.Table. For a lost answer it returns ErrAmbiguous, as a
+// client does that could not read the result back.
 func (p *Platform) Commit(ctx context.Context, txn platform.Txn) (platform.Result, error) {
-	a := access{write: true, rows: len(txn.Writes)}
-	f := p.enter(ctx, a)
-	if f != fatePass && f != fateLoseAnswer {
-		return platform.Result{}, errorOf(f)
+	a := requestCost{write: true, rows: len(txn.Writes)}
+	f := p.applyFaults(ctx, a)
+	if f != effectNone && f != effectLoseAnswer {
+		return platform.Result{}, effectError(f)
 	}
 	res := p.commit(txn)
-	return res, errorOf(f)
+	return res, effectError(f)
 }
 
 func (p *Platform) commit(txn platform.Txn) platform.Result {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stats.Writes++
-	remembers := txn.Attempt != "" && !p.faults.ForgetAttempts
-	if res, ok := p.store.known(txn.Attempt); ok && remembers {
+	keepsAttempt := txn.Attempt != "" && !p.faults.ForgetAttempts
+	if res, ok := p.store.attemptResult(txn.Attempt); ok && keepsAttempt {
 		p.stats.Replays++
 		return res
 	}
@@ -293,20 +295,20 @@
 	} else {
 		p.stats.Conflicts++
 	}
-	if remembers {
-		p.store.remember(txn.Attempt, res)
+	if keepsAttempt {
+		p.store.recordAttempt(txn.Attempt, res)
 	}
 	return res
 }
 
 // PutObject implements platform.Objects.
 func (p *Platform) PutObject(ctx context.Context, name string, data []byte) error {
-	a := access{write: true}
-	f := p.enter(ctx, a)
-	if f == fatePass || f == fateLoseAnswer {
+	a := requestCost{write: true}
+	f := p.applyFaults(ctx, a)
+	if f == effectNone || f == effectLoseAnswer {
 		p.putObject(name, data)
 	}
-	return errorOf(f)
+	return effectError(f)
 }
 
 func (p *Platform) putObject(name string, data []byte) {
@@ -318,7 +320,7 @@
 
 // GetObject implements platform.Objects.
 func (p *Platform) GetObject(ctx context.Context, name string) ([]byte, error) {
-	if err := errorOf(p.enter(ctx, access{})); err != nil {
+	if err := effectError(p.applyFaults(ctx, requestCost{})); err != nil {
 		return nil, err
 	}
 	data, ok := p.getObject(name)
@@ -338,7 +340,7 @@
 
 // VMs implements platform.VMList.
 func (p *Platform) VMs(ctx context.Context) ([]fleet.Record, error) {
-	if err := errorOf(p.enter(ctx, access{})); err != nil {
+	if err := effectError(p.applyFaults(ctx, requestCost{})); err != nil {
 		return nil, err
 	}
 	return p.listVMs(), nil
@@ -348,5 +350,5 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stats.Reads++
-	return p.vms.at(p.clock.Now(), p.faults.lag())
+	return p.vms.listAt(p.clock.Now(), p.faults.listLag())
 }
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -21,8 +21,8 @@
 	"chervilloom/internal/platform"
 )
 
-// The properties are checked with the same draws in each run, unless the command
-// line asks for others.
+// TestMain fixes the seed and the number of property checks, so that each run draws the
+// same inputs; command line flags override both.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "1000"} {
 		if err := flag.Set(name, value); err != nil {
@@ -33,8 +33,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// names returns the VMs of a list with their states.
-func names(records []fleet.Record) string {
+// formatVMs returns the VMs of a list and their states as text.
+func formatVMs(records []fleet.Record) string {
 	var out []string
 	for _, r := range records {
 		out = append(out, string(r.VM)+" "+string(r.State))
@@ -42,9 +42,9 @@
 	return strings.Join(out, ", ")
 }
 
-// The list lags in both directions: a VM that is gone is still shown, and one
-// that has come is not shown yet, until the lag has passed.
-func TestListLags(t *testing.T) {
+// The VM list lags for removals and additions alike: until ListLag has passed, a
+// removed VM is still listed and an added VM is not.
+func TestVMListLags(t *testing.T) {
 	is := is.New(t)
 	now := clock.NewManual(0)
 	p := New(Options{
@@ -54,7 +54,7 @@
 	shown := func() string {
 		l, err := p.VMs(context.Background())
 		is.NoErr(err)
-		return names(l)
+		return formatVMs(l)
 	}
 	p.RemoveVM("a")
 	p.SetVMState("b", fleet.StateLeaving)
@@ -71,8 +71,8 @@
 	is.Equal(shown(), "a live, b live")
 }
 
-// Requests over the rate are refused before they change anything, and pass
-// again when the second is over. A transaction costs as many writes as rows.
+// Requests over a rate limit are refused without any effect, and are accepted again
+// after a second. Each row of a transaction counts as a write.
 func TestRateLimits(t *testing.T) {
 	is := is.New(t)
 	now := clock.NewManual(0)
@@ -101,9 +101,9 @@
 	}
 }
 
-// A transaction sent again with its attempt id gets the first result and
-// changes nothing, also when rows have moved on; a row that was deleted and made
-// anew goes on counting.
+// A repeated transaction with the same attempt id gets the first result and changes
+// nothing, even if its rows have changed since. The version of a row that is deleted and
+// created again continues from its last version.
 func TestAttemptsAndVersions(t *testing.T) {
 	is := is.New(t)
 	p := New(Options{NoLimits: true})
@@ -129,8 +129,8 @@
 	is.Equal(anew.Rows[0].Version, uint64(3))
 }
 
-// The switches work over HTTP: fields that are left out stay, a misspelt one is
-// refused, and the store is saved and restored.
+// Faults can be set over HTTP: omitted fields keep their value, an unknown field is
+// refused, and the store can be saved and restored. A VM added over HTTP is listed.
 func TestFaultsOverHTTP(t *testing.T) {
 	is := is.New(t)
 	p := New(Options{NoLimits: true})
@@ -170,10 +170,10 @@
 	is.NoErr(err)
 	is.NoErr(json.NewDecoder(res.Body).Decode(&listed))
 	is.NoErr(res.Body.Close())
-	is.Equal(names(listed), "e1 live")
+	is.Equal(formatVMs(listed), "e1 live")
 }
 
-// Each way to be down keeps the write from landing.
+// No mode of Down applies a write.
 func TestDownAppliesNothing(t *testing.T) {
 	for _, down := range []Down{DownClose, DownRefused} {
 		t.Run(string(down), func(t *testing.T) {
@@ -185,12 +185,12 @@
 			p.SetFaults(Faults{NoLimits: true})
 			rows, err := p.List(context.Background(), "t", "")
 			is.NoErr(err)
-			is.True(slices.Equal(keysOf(rows), nil))
+			is.True(slices.Equal(rowKeys(rows), nil))
 		})
 	}
 }
 
-func keysOf(rows []platform.Row) []string {
+func rowKeys(rows []platform.Row) []string {
 	var keys []string
 	for _, r := range rows {
 		keys = append(keys, r.Key)
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -8,23 +8,24 @@
 	"chervilloom/internal/platform"
 )
 
-// Bound of the attempts that are remembered, first in first out.
-const attemptsKept = 100_000
+// maxAttempts bounds the attempts whose results are kept; the oldest are dropped first.
+const maxAttempts = 100_000
 
 type rowKey struct{ table, key string }
 
-// cell is a row together with the version counter that outlives its deletion.
+// cell is a row whose version counter continues after the row is deleted.
 type cell struct {
 	row    platform.Row
-	exists bool
+	exists bool // false once the row is deleted
 }
 
-// store is the table and the objects. It is not safe for concurrent use.
+// store contains the rows of all tables, the objects and the results of attempts. It is
+// not safe for concurrent use.
 type store struct {
-	cells    map[rowKey]cell
-	objects  map[string][]byte
-	attempts map[string]platform.Result
-	order    []string // attempts in order of arrival
+	cells        map[rowKey]cell
+	objects      map[string][]byte
+	attempts     map[string]platform.Result // by attempt id
+	attemptOrder []string                   // attempt ids, oldest first
 }
 
 func newStore() *store {
@@ -35,13 +36,13 @@
 	}
 }
 
-// clone returns a copy. Values are never changed in place, so they are shared.
+// clone returns a copy that shares the values, which are never modified in place.
 func (s *store) clone() *store {
 	return &store{
-		cells:    maps.Clone(s.cells),
-		objects:  maps.Clone(s.objects),
-		attempts: maps.Clone(s.attempts),
-		order:    slices.Clone(s.order),
+		cells:        maps.Clone(s.cells),
+		objects:      maps.Clone(s.objects),
+		attempts:     maps.Clone(s.attempts),
+		attemptOrder: slices.Clone(s.attemptOrder),
 	}
 }
 
@@ -64,15 +65,16 @@
 	return rows
 }
 
-// known returns the result of an attempt that was made before.
-func (s *store) known(attempt string) (platform.Result, bool) {
+// attemptResult returns the kept result of an attempt, if there is one.
+func (s *store) attemptResult(attempt string) (platform.Result, bool) {
 	res, ok := s.attempts[attempt]
 	return res, ok
 }
 
-// commit runs a transaction.
+// commit applies all writes of a transaction if all its checks pass. Otherwise it
+// applies none and returns the rows whose checks failed.
 func (s *store) commit(txn platform.Txn) platform.Result {
-	res := s.check(txn.Checks)
+	res := s.failedChecks(txn.Checks)
 	if len(res.Rows) > 0 {
 		return res
 	}
@@ -83,8 +85,8 @@
 	return res
 }
 
-// check returns a refusal with the present rows of the checks that fail.
-func (s *store) check(checks []platform.Check) platform.Result {
+// failedChecks returns a result with the current rows of the checks that fail.
+func (s *store) failedChecks(checks []platform.Check) platform.Result {
 	var res platform.Result
 	for _, ch := range checks {
 		row := s.get(ch.Table, ch.Key)
@@ -109,12 +111,12 @@
 	return row
 }
 
-// remember keeps the result of an attempt.
-func (s *store) remember(attempt string, res platform.Result) {
-	if len(s.order) >= attemptsKept {
-		delete(s.attempts, s.order[0])
-		s.order = s.order[1:]
+// recordAttempt keeps the result of an attempt for attemptResult.
+func (s *store) recordAttempt(attempt string, res platform.Result) {
+	if len(s.attemptOrder) >= maxAttempts {
+		delete(s.attempts, s.attemptOrder[0])
+		s.attemptOrder = s.attemptOrder[1:]
 	}
 	s.attempts[attempt] = res
-	s.order = append(s.order, attempt)
+	s.attemptOrder = append(s.attemptOrder, attempt)
 }
--- a/internal/standin/platform/table_test.go
+++ b/internal/standin/platform/table_test.go
@@ -20,22 +20,22 @@
 	"chervilloom/internal/platform"
 )
 
-// model is the table as its contract states it, in the plainest form.
-type model struct {
+// tableModel is a minimal reference implementation of the table's contract.
+type tableModel struct {
 	value   map[string]string // rows that exist
 	version map[string]uint64 // also of deleted rows
 }
 
-func (m *model) shown(key string) uint64 {
+func (m *tableModel) visibleVersion(key string) uint64 {
 	if _, ok := m.value[key]; ok {
 		return m.version[key]
 	}
 	return 0
 }
 
-func (m *model) commit(txn platform.Txn) bool {
+func (m *tableModel) commit(txn platform.Txn) bool {
 	for _, c := range txn.Checks {
-		if m.shown(c.Key) != c.Version {
+		if m.visibleVersion(c.Key) != c.Version {
 			return false
 		}
 	}
@@ -49,17 +49,17 @@
 	return true
 }
 
-// Any sequence of conditional transactions leaves the table as the contract
-// says: all checks hold and all writes land, or nothing changes.
-func TestTableFollowsItsContract(t *testing.T) {
+// Any sequence of conditional transactions leaves the table in the state of the model:
+// a transaction applies all writes if all checks pass, and none otherwise.
+func TestTableMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(Options{NoLimits: true})
-		m := &model{value: map[string]string{}, version: map[string]uint64{}}
+		m := &tableModel{value: map[string]string{}, version: map[string]uint64{}}
 		keys := rapid.SampledFrom([]string{"a", "ab", "b", "c"})
 		for i := range rapid.IntRange(1, 30).Draw(t, "transactions") {
 			txn := platform.Txn{Attempt: strconv.Itoa(i)}
 			for _, k := range rapid.SliceOfNDistinct(keys, 0, 3, rapid.ID).Draw(t, "checks") {
-				version := m.shown(k)
+				version := m.visibleVersion(k)
 				switch rapid.IntRange(0, 5).Draw(t, "stale") {
 				case 0:
 					version++
@@ -79,19 +79,19 @@
 				t.Fatal(err)
 			}
 			if res.Committed != m.commit(txn) {
-				t.Fatalf("%+v was answered %+v", txn, res)
+				t.Fatalf("transaction %+v: result %+v differs from the model", txn, res)
 			}
-			compare(t, p, m)
+			checkAgainstModel(t, p, m)
 		}
 	})
 }
 
-func compare(t *rapid.T, p *Platform, m *model) {
+func checkAgainstModel(t *rapid.T, p *Platform, m *tableModel) {
 	rows, err := p.List(context.Background(), "t", "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(rows) != len(m.value) || !slices.IsSorted(keysOf(rows)) {
+	if len(rows) != len(m.value) || !slices.IsSorted(rowKeys(rows)) {
 		t.Fatalf("rows %+v, want %+v", rows, m.value)
 	}
 	for _, r := range rows {
@@ -101,11 +101,10 @@
 	}
 }
 
-// Writers move units between accounts by conditional transactions over HTTP
-// while answers are lost and requests dropped at random. A reader that lists all
-// rows at any moment finds the full sum: no transaction is seen in part, lands
-// twice or is lost.
-func TestTransfersKeepTheSum(t *testing.T) {
+// Writers transfer units between accounts by conditional transactions over HTTP, while
+// answers are lost and requests dropped at random. Every list of all rows has the full
+// sum: no transaction is visible in part, applied twice or lost.
+func TestTransfersPreserveSum(t *testing.T) {
 	for name, forget := range map[string]bool{"attempts remembered": false, "attempts in the rows only": true} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -116,32 +115,33 @@
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
 			for i := range accounts {
-				_, err := p.Commit(ctx, transferTo(account(i), 0, each))
+				_, err := p.Commit(ctx, setBalance(account(i), 0, each))
 				is.NoErr(err)
 			}
-			stop := faultsAtRandom(p, forget)
+			stop := injectRandomFaults(p, forget)
 			var work sync.WaitGroup
 			for w := range writers {
-				work.Go(func() { transfer(ctx, t, srv.URL, rand.New(rand.NewPCG(1, uint64(w))), moves, accounts) })
+				work.Go(func() { runTransfers(ctx, t, srv.URL, rand.New(rand.NewPCG(1, uint64(w))), moves, accounts) })
 			}
 			work.Wait()
 			stop()
-			is.Equal(sumOf(t, p), accounts*each)
+			is.Equal(totalBalance(t, p), accounts*each)
 		})
 	}
 }
 
 func account(i int) string { return fmt.Sprintf("account-%d", i) }
 
-func transferTo(key string, version uint64, balance int) platform.Txn {
+func setBalance(key string, version uint64, balance int) platform.Txn {
 	return platform.Txn{
 		Checks: []platform.Check{{Table: "t", Key: key, Version: version}},
 		Writes: []platform.Write{{Table: "t", Key: key, Value: []byte(strconv.Itoa(balance))}},
 	}
 }
 
-// transfer moves one unit at a time and checks the sum before each move.
-func transfer(ctx context.Context, t *testing.T, url string, r *rand.Rand, moves, accounts int) {
+// runTransfers transfers one unit at a time between random accounts, and checks the sum
+// before each transfer.
+func runTransfers(ctx context.Context, t *testing.T, url string, r *rand.Rand, moves, accounts int) {
 	c := platform.NewClient(url, platform.WithSettleTimeout(200*time.Millisecond))
 	defer c.Close()
 	for range moves {
@@ -155,12 +155,12 @@
 			sum += balanceOf(row)
 		}
 		if sum != accounts*100 {
-			t.Errorf("sum %d in %+v", sum, rows)
+			t.Errorf("the sum is %d in the rows %+v", sum, rows)
 		}
 		i := r.IntN(accounts)
 		from, to := rows[i], rows[(i+1+r.IntN(accounts-1))%accounts]
-		out := transferTo(from.Key, from.Version, balanceOf(from)-1)
-		in := transferTo(to.Key, to.Version, balanceOf(to)+1)
+		out := setBalance(from.Key, from.Version, balanceOf(from)-1)
+		in := setBalance(to.Key, to.Version, balanceOf(to)+1)
 		out.Checks = append(out.Checks, in.Checks...)
 		out.Writes = append(out.Writes, in.Writes...)
 		if _, err := c.Commit(ctx, out); err != nil && !errors.Is(err, platform.ErrAmbiguous) {
@@ -177,7 +177,7 @@
 	return n
 }
 
-func sumOf(t *testing.T, p *Platform) (sum int) {
+func totalBalance(t *testing.T, p *Platform) (sum int) {
 	rows, err := p.List(context.Background(), "t", "")
 	if err != nil {
 		t.Fatal(err)
@@ -188,9 +188,9 @@
 	return sum
 }
 
-// faultsAtRandom loses answers and drops requests until stop is called, which
-// ends the faults.
-func faultsAtRandom(p *Platform, forget bool) (stop func()) {
+// injectRandomFaults loses answers and drops requests at random until stop is called, which
+// removes the faults.
+func injectRandomFaults(p *Platform, forget bool) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	work.Go(func() {
@@ -207,15 +207,16 @@
 	}
 }
 
-// casInput is one operation on the one row of a history: a read, or a write
-// under the condition that the row is at a version.
+// casInput is one operation on the single row of a history: a read, or a write that is
+// conditional on the row's version.
 type casInput struct {
 	read    bool
 	version uint64
 	value   string
 }
 
-// casOutput is its answer. A write that may or may not have landed has lost set.
+// casOutput is the result of an operation. lost is set for a write that may or may not
+// have been applied.
 type casOutput struct {
 	row       platform.Row
 	committed bool
@@ -227,7 +228,8 @@
 	value   string
 }
 
-// casModel is a row under conditional writes. A lost write has two next states.
+// casModel is the model of a row with conditional writes. A lost write whose condition
+// is met has two possible next states.
 var casModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{casState{}} },
 	Step: func(state, input, output any) []any {
@@ -255,24 +257,23 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Clients read one row and write it under the version that they read, while
-// answers are lost and requests dropped. What the client told each of them fits
-// one order of all operations: a write that it called landed was seen by the
-// reads after it, and one that it called refused was not.
+// Clients read one row and write it on condition of the version they read, while answers
+// are lost and requests dropped. The history of their results is linearizable: a write
+// reported as committed is visible to later reads, and one reported as refused is not.
 func TestClientHistoryIsLinearizable(t *testing.T) {
 	for name, forget := range map[string]bool{"attempts remembered": false, "attempts in the rows only": true} {
 		t.Run(name, func(t *testing.T) {
 			p := New(Options{NoLimits: true})
 			srv := httptest.NewServer(p)
 			defer srv.Close()
-			stop := faultsAtRandom(p, forget)
+			stop := injectRandomFaults(p, forget)
 			var mu sync.Mutex
 			var history []porcupine.Operation
 			var work sync.WaitGroup
 			start := time.Now()
 			for id := range 4 {
 				work.Go(func() {
-					ops := casClient(t, srv.URL, id, start)
+					ops := runCASClient(t, srv.URL, id, start)
 					mu.Lock()
 					defer mu.Unlock()
 					history = append(history, ops...)
@@ -281,14 +282,14 @@
 			work.Wait()
 			stop()
 			if res := porcupine.CheckOperationsTimeout(casModel.ToModel(), history, 20*time.Second); res != porcupine.Ok {
-				t.Errorf("history of %d operations: %s\n%s", len(history), res, printHistory(history))
+				t.Errorf("history of %d operations: %s\n%s", len(history), res, formatHistory(history))
 			}
 		})
 	}
 }
 
-// casClient makes one client's part of the history.
-func casClient(t *testing.T, url string, id int, start time.Time) (ops []porcupine.Operation) {
+// runCASClient runs one client and returns its operations.
+func runCASClient(t *testing.T, url string, id int, start time.Time) (ops []porcupine.Operation) {
 	c := platform.NewClient(url, platform.WithSettleTimeout(50*time.Millisecond))
 	defer c.Close()
 	ctx := context.Background()
@@ -297,7 +298,7 @@
 		out := f()
 		ret := time.Since(start).Nanoseconds()
 		if out.lost {
-			ret = 1 << 62 // it may land at any later time
+			ret = 1 << 62 // it may be applied at any later time
 		}
 		ops = append(ops, porcupine.Operation{ClientId: id, Input: in, Call: call, Output: out, Return: ret})
 	}
@@ -312,7 +313,7 @@
 		})
 		value := fmt.Sprintf("%d-%d", id, i)
 		add(casInput{version: row.Version, value: value}, func() casOutput {
-			res, err := c.Commit(ctx, transferValue(row.Version, value))
+			res, err := c.Commit(ctx, conditionalWrite(row.Version, value))
 			if err != nil && !errors.Is(err, platform.ErrAmbiguous) {
 				t.Error(err)
 			}
@@ -322,14 +323,14 @@
 	return ops
 }
 
-func transferValue(version uint64, value string) platform.Txn {
+func conditionalWrite(version uint64, value string) platform.Txn {
 	return platform.Txn{
 		Checks: []platform.Check{{Table: "t", Key: "k", Version: version}},
 		Writes: []platform.Write{{Table: "t", Key: "k", Value: []byte(value)}},
 	}
 }
 
-func printHistory(ops []porcupine.Operation) string {
+func formatHistory(ops []porcupine.Operation) string {
 	var b strings.Builder
 	for _, o := range ops {
 		fmt.Fprintf(&b, "%d..%d client %d %+v -> %+v\n", o.Call, o.Return, o.ClientId, o.Input, o.Output)
--- a/internal/standin/platform/vms.go
+++ b/internal/standin/platform/vms.go
@@ -10,50 +10,51 @@
 	"chervilloom/internal/fleet"
 )
 
-// Bound of the states of the list that are kept for its lag.
-const listStatesKept = 4096
+// maxListStates bounds the states of the list that are kept for its lag.
+const maxListStates = 4096
 
-// listState is the list of VMs as it was from an instant on. The map is never
-// changed once it is in the history.
+// listState is the list of VMs from an instant on. The map is not modified after it is
+// added to the history.
 type listState struct {
 	since clock.Instant
 	vms   map[fleet.VM]fleet.Record
 }
 
-// vmList is the list of VMs with its past. It is not safe for concurrent use.
-type vmList struct{ past []listState }
+// vmList is the list of VMs with its history. It is not safe for concurrent use.
+type vmList struct{ history []listState }
 
 func newVMList(initial []fleet.Record) *vmList {
 	vms := make(map[fleet.VM]fleet.Record, len(initial))
 	for _, r := range initial {
-		vms[r.VM] = withState(r)
+		vms[r.VM] = withDefaultState(r)
 	}
-	// The first state counts as older than any lag.
-	return &vmList{past: []listState{{since: -1 << 62, vms: vms}}}
+	// The first state is older than any lag.
+	return &vmList{history: []listState{{since: -1 << 62, vms: vms}}}
 }
 
-func withState(r fleet.Record) fleet.Record {
+// withDefaultState returns r with StateLive if it has no state.
+func withDefaultState(r fleet.Record) fleet.Record {
 	if r.State == "" {
 		r.State = fleet.StateLive
 	}
 	return r
 }
 
-// change makes a new state at now by applying f to a copy of the newest.
-func (l *vmList) change(now clock.Instant, f func(map[fleet.VM]fleet.Record)) {
-	vms := maps.Clone(l.past[len(l.past)-1].vms)
+// update adds a state at now: a copy of the newest state, modified by f.
+func (l *vmList) update(now clock.Instant, f func(map[fleet.VM]fleet.Record)) {
+	vms := maps.Clone(l.history[len(l.history)-1].vms)
 	f(vms)
-	l.past = append(l.past, listState{since: now, vms: vms})
-	if len(l.past) > listStatesKept {
-		l.past = slices.Clone(l.past[len(l.past)-listStatesKept:])
+	l.history = append(l.history, listState{since: now, vms: vms})
+	if len(l.history) > maxListStates {
+		l.history = slices.Clone(l.history[len(l.history)-maxListStates:])
 	}
 }
 
-// at returns the list as it was lag before now, in order of VM.
-func (l *vmList) at(now clock.Instant, lag time.Duration) []fleet.Record {
+// listAt returns the list as it was lag before now, sorted by VM.
+func (l *vmList) listAt(now clock.Instant, lag time.Duration) []fleet.Record {
 	want := now.Add(-lag)
-	state := l.past[0]
-	for _, s := range l.past {
+	state := l.history[0]
+	for _, s := range l.history {
 		if s.since.After(want) {
 			break
 		}
