--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,6 +1,6 @@
-// Package service is a small stand-in for a plain service: quick lookups that
-// may be repeated and calls, such as receipts, that may not. It counts what it
-// ran, and its faults can be switched while it runs.
+// Package service is a stand-in for a plain service, with short lookups that may be
+// repeated and calls, such as receipts, that may not. It counts the executions of each
+// request. Faults can be injected while it runs.
 package service
 
 import (
@@ -22,26 +22,27 @@
 	"chervilloom/internal/standin/pressure"
 )
 
-// DefaultName is the name of the service when the options give none.
+// DefaultName is the name of the service if Options.Name is empty.
 const DefaultName = "counter"
 
-// Options describe a stand-in service. Zero values stand for the defaults.
+// Options configures a stand-in service. Zero values select the defaults.
 type Options struct {
 	VM    fleet.VM               `yaml:"vm"`
 	Zone  fleet.AvailabilityZone `yaml:"zone"`
-	Name  string                 `yaml:"name"`  // of the service; default "counter"
-	Delay config.Duration        `yaml:"delay"` // time that a call takes; default none
-	// ExitOn ends the process when it begins to run a call with this path; empty: none.
+	Name  string                 `yaml:"name"`  // of the service; default DefaultName
+	Delay config.Duration        `yaml:"delay"` // duration of each call; default 0
+	// ExitOn is a path; a call to it ends the process, with exit code ExitCrashed,
+	// before the call runs. Empty disables it.
 	ExitOn string `yaml:"exit_on"`
 }
 
-// ExitCrashed is the exit code of a process that a call has ended.
+// ExitCrashed is the exit code of a process that a call to Options.ExitOn ended.
 const ExitCrashed = 70
 
-// Faults are the switches of a stand-in service.
+// Faults are the faults that can be injected into a stand-in service.
 type Faults struct {
 	fault.Stages
-	// Stall pauses the process: it answers nothing.
+	// Stall simulates a paused process: no calls are answered.
 	Stall bool `json:"stall"`
 	// Slow delays each call.
 	Slow config.Duration `json:"slow"`
@@ -51,16 +52,17 @@
 type Answer struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
-	// Serial is drawn anew for each run of a call that changes something.
+	// Serial is a new serial number for each run of a call other than GET and HEAD.
 	Serial uint64 `json:"serial,omitempty"`
-	// Check is CheckOf the request: callers tell their own answer by it.
+	// Check is the CheckOf value of the request, by which callers recognise the
+	// answer to their own request.
 	Check string `json:"check"`
-	// Runs counts the runs of this request so far, this one included.
+	// Runs is the number of runs of this request so far, including this one.
 	Runs int `json:"runs"`
 }
 
-// CheckOf returns the check value of the answer to a request. The path includes
-// the query.
+// CheckOf returns a hash of the method, the path including the query, and the body of a
+// request.
 func CheckOf(method, path string, body []byte) string {
 	d := xxhash.New()
 	_, _ = d.WriteString(method + " " + path + "\x00") // never fails
@@ -68,43 +70,45 @@
 	return strconv.FormatUint(d.Sum64(), 16)
 }
 
-// Service is the stand-in of one service VM. It is an http.Handler and safe for
+// Service is the stand-in for one service VM. It is an http.Handler and safe for
 // concurrent use.
 type Service struct {
-	opts   Options
-	mux    *http.ServeMux
-	stages fault.Switch
-	gate   fault.Gate // shut while stalled
-	runs   *fault.Executions
+	opts       Options
+	mux        *http.ServeMux
+	stages     fault.Switch
+	gate       fault.Gate // shut while stalled
+	executions *fault.Executions
 
 	mu       sync.Mutex
 	state    fleet.EngineState
-	serial   uint64
-	running  int
-	sequence uint64
+	serial   uint64 // last serial number issued
+	running  int    // calls in progress
+	sequence uint64 // of the last load report
 	faults   Faults
 
-	// Pressure is what the service says of how much it takes, and who kept to it.
+	// Pressure adds rate limits, backoffs and leaving notices to the answers and
+	// checks that callers comply with them.
 	Pressure pressure.Endpoint
 }
 
 var pressureNames = pressure.Names{Limit: engine.HeaderRateLimit, RetryAfter: engine.HeaderRetryAfter, Leaving: engine.HeaderLeaving, NotRun: engine.HeaderNotRun, Promise: "true"}
 
-// pressureBounds are short, so that tests don't wait.
+// pressureBounds are short to keep tests fast.
 var pressureBounds = pressure.Bounds{Stable: time.Second, Drain: time.Second}
 
-// New returns a service with a fresh boot id.
+// New returns a service with a new boot id.
 func New(o Options) *Service {
 	if o.Name == "" {
 		o.Name = DefaultName
 	}
-	s := &Service{opts: o, runs: fault.NewExecutions()}
+	s := &Service{opts: o, executions: fault.NewExecutions()}
 	s.Restart()
 	s.mux = s.routes()
 	return s
 }
 
-// Restart begins a new life with a new boot id; the counts stay.
+// Restart simulates a restart of the VM: the boot id changes and the leaving state ends.
+// The execution counts are kept.
 func (s *Service) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +123,7 @@
 	}
 }
 
-// State returns what the service reports of itself.
+// State returns the state that the service reports.
 func (s *Service) State() fleet.EngineState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +137,7 @@
 	s.state.Leaving = true
 }
 
-// Faults returns the faults with what is left of their counts.
+// Faults returns the faults with their remaining counts.
 func (s *Service) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,16 +155,17 @@
 	s.faults = f
 }
 
-// Executions returns how often a call ran: the key is its Idempotency-Key, else
-// its X-Request-Id, after the method and the path as in "POST /receipts key".
+// Executions returns how often a call ran. The key is its Idempotency-Key, or its
+// X-Request-Id if it has none; the path includes the query.
 func (s *Service) Executions(method, path, key string) int {
-	return s.runs.Count(runKey(method, path, key))
+	return s.executions.Count(executionKey(method, path, key))
 }
 
-func runKey(method, path, key string) string { return fmt.Sprintf("%s %s %s", method, path, key) }
+// executionKey returns the key of a call in the execution counts, such as "POST /receipts key".
+func executionKey(method, path, key string) string { return fmt.Sprintf("%s %s %s", method, path, key) }
 
-// ServeHTTP serves GET /state, /load, POST /leave, and any other path as the
-// service's calls; for tests GET and POST /faults and GET /executions.
+// ServeHTTP serves GET /state, GET /load and POST /leave and, for tests, GET and POST
+// /faults and GET /executions. Any other request is a call to the service.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.gate.Serve(w, r, s.mux) }
 
 func (s *Service) routes() *http.ServeMux {
@@ -173,7 +178,7 @@
 	})
 	mux.HandleFunc("GET "+fault.PathFaults, func(w http.ResponseWriter, _ *http.Request) { fault.Reply(w, http.StatusOK, s.Faults()) })
 	mux.HandleFunc("POST "+fault.PathFaults, s.serveSetFaults)
-	mux.Handle("GET "+fault.PathExecutions, s.runs)
+	mux.Handle("GET "+fault.PathExecutions, s.executions)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		s.Pressure.Serve(w, r, pressureNames, pressureBounds, s.serveCall)
 	})
@@ -188,7 +193,7 @@
 	fault.Reply(w, http.StatusOK, l)
 }
 
-// faultOrder is the body of POST /faults; fields left out stay as they are.
+// faultOrder is the body of POST /faults. Fields that are left out keep their value.
 type faultOrder struct {
 	Faults
 	Restart bool `json:"restart"`
@@ -206,12 +211,12 @@
 	fault.Reply(w, http.StatusOK, o.Faults)
 }
 
-// serveCall runs one call.
+// serveCall serves a call to the service, with the fault that applies to it.
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
 	at := s.stages.Next(r)
 	body, err := fault.ReadBody(r, at)
 	if err != nil {
-		return // the caller has left
+		return // the caller disconnected
 	}
 	state := s.State()
 	w.Header().Set(engine.HeaderBoot, string(state.Boot))
@@ -235,7 +240,8 @@
 	}
 }
 
-// run executes the call, whether or not its caller is still there.
+// run executes the call, even if its caller disconnects, and returns the JSON of its
+// Answer.
 func (s *Service) run(r *http.Request, body []byte) []byte {
 	s.mu.Lock()
 	s.running++
@@ -252,7 +258,7 @@
 	a := Answer{
 		Method: r.Method, Path: path,
 		Check: CheckOf(r.Method, path, body),
-		Runs:  s.runs.Add(runKey(r.Method, path, key)),
+		Runs:  s.executions.Add(executionKey(r.Method, path, key)),
 	}
 	s.mu.Lock()
 	s.running--
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -19,18 +19,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// caller keeps one connection to a service.
-type caller struct {
+// testService is a stand-in service with a client that reuses one connection to it.
+type testService struct {
 	*Service
 	url  string
 	http *http.Client
 }
 
-func start(t *testing.T) *caller {
+func startService(t *testing.T) *testService {
 	t.Helper()
 	s := New(Options{VM: "s1", Name: "counter"})
 	srv := httptest.NewServer(s)
-	c := &caller{Service: s, url: srv.URL, http: &http.Client{Transport: &http.Transport{}}}
+	c := &testService{Service: s, url: srv.URL, http: &http.Client{Transport: &http.Transport{}}}
 	t.Cleanup(func() {
 		c.http.CloseIdleConnections()
 		srv.Close()
@@ -38,8 +38,9 @@
 	return c
 }
 
-// call makes a request that the Transport does not repeat by itself.
-func (c *caller) call(method, path, body, key string) (Answer, http.Header, error) {
+// call sends a request with a body that http.Transport cannot rewind, so that it does
+// not retry the request.
+func (c *testService) call(method, path, body, key string) (Answer, http.Header, error) {
 	req, err := http.NewRequest(method, c.url+path, io.NopCloser(strings.NewReader(body)))
 	if err != nil {
 		return Answer{}, nil, err
@@ -59,11 +60,11 @@
 	return a, res.Header, err
 }
 
-// Each answer tells the request that it belongs to; a receipt has a serial
-// number of its own, a lookup has none.
-func TestAnswers(t *testing.T) {
+// Each answer has the check value of its request. Each receipt has its own serial
+// number; a lookup has none.
+func TestAnswersMatchRequests(t *testing.T) {
 	is := is.New(t)
-	c := start(t)
+	c := startService(t)
 	first, _, err := c.call("POST", "/receipts?desk=2", "fee 1", "a")
 	is.NoErr(err)
 	second, _, err := c.call("POST", "/receipts?desk=2", "fee 2", "b")
@@ -78,10 +79,10 @@
 	is.Equal(h.Get(engine.HeaderBoot), string(c.State().Boot))
 }
 
-// The count tells repeats of one key from other keys and other paths.
+// Executions are counted separately for each key and path.
 func TestExecutionsAreCountedByKey(t *testing.T) {
 	is := is.New(t)
-	c := start(t)
+	c := startService(t)
 	for range 2 {
 		_, _, err := c.call("POST", "/receipts", "x", "a")
 		is.NoErr(err)
@@ -93,8 +94,8 @@
 	is.Equal(c.Executions("POST", "/receipts", "b"), 0)
 }
 
-// A call loses its connection at each stage. The caller gets no whole answer in
-// any of them; whether the receipt was issued is known to the count alone.
+// A call fails at each stage. The caller gets no complete answer in any case; whether
+// the receipt was issued shows only in the execution count.
 func TestConnectionFaults(t *testing.T) {
 	cases := append(testkit.ConnectionFaults(),
 		testkit.ConnectionFault{Name: "reused connection closed", Stages: fault.Stages{DropReused: 1}, Runs: 0},
@@ -105,7 +106,7 @@
 	for _, tt := range cases {
 		t.Run(tt.Name, func(t *testing.T) {
 			is := is.New(t)
-			c := start(t)
+			c := startService(t)
 			_, _, err := c.call("POST", "/receipts", "x", "opens the connection")
 			is.NoErr(err)
 			c.SetFaults(Faults{Stages: tt.Stages})
@@ -116,20 +117,20 @@
 	}
 }
 
-// A fresh connection is not hit by the faults of reused ones.
-func TestFreshConnectionIsSpared(t *testing.T) {
+// Faults for reused connections do not apply to a new connection.
+func TestNewConnectionIgnoresReuseFaults(t *testing.T) {
 	is := is.New(t)
-	c := start(t)
+	c := startService(t)
 	c.SetFaults(Faults{Stages: fault.Stages{DropReused: fault.Always}})
 	_, _, err := c.call("POST", "/receipts", "x", "a")
 	is.NoErr(err)
 }
 
-// A leaving service refuses calls as not run, says so in its state, and is back
-// only with another boot id.
+// A leaving service refuses calls as not run and reports that it is leaving, until a
+// restart with another boot id.
 func TestLeaving(t *testing.T) {
 	is := is.New(t)
-	c := start(t)
+	c := startService(t)
 	boot := c.State().Boot
 	res, err := c.http.Post(c.url+"/leave", "", nil)
 	is.NoErr(err)
@@ -146,10 +147,11 @@
 	is.True(c.State().Boot != boot)
 }
 
-// State and load are read by the same client as those of engines.
+// The client for engines can read the state and the load of a service and order it to
+// leave.
 func TestControlCalls(t *testing.T) {
 	is := is.New(t)
-	c := start(t)
+	c := startService(t)
 	client := engine.NewClient()
 	defer client.Close()
 	addr := strings.TrimPrefix(c.url, "http://")
