--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -44,7 +44,7 @@
 	restartCause            cause = "the engine restarted"
 )
 
-// cause is an error that says why a boot of the engine ended.
+// cause is the reason for the end of a boot of the engine, as an error.
 type cause string
 
 // Error implements error.
--- a/internal/standin/engine/generate.go
+++ b/internal/standin/engine/generate.go
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// waitWhileStalled waits while the engine or a member of its replica is stalled, and reports
-// whether it had to wait.
+// waitWhileStalled waits while the engine or a member of its replica is stalled, and
+// reports whether it had to wait.
 func (e *Engine) waitWhileStalled(ctx context.Context, r *replica) (bool, error) {
 	own, err := e.gate.Wait(ctx)
 	if err != nil {
@@ -78,6 +78,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
+// sleepUntil waits until t, or returns the error of ctx if ctx is done first.
 func sleepUntil(ctx context.Context, t time.Time) error {
 	d := time.Until(t)
 	if d <= 0 {
@@ -109,7 +110,7 @@
 	return s
 }
 
-// usePrefixCache looks the prompt up in the prefix cache, adds it and sets s.cached.
+// usePrefixCache looks the prompt up in the prefix cache, adds it and sets s.cachedTokens.
 func (e *Engine) usePrefixCache(s *stream, req *engine.ChatRequest) {
 	t := identify.ParseTarget(req.Model)
 	prefixes := engine.Prefixes(t.Model, t.Adapter, engine.PromptFields(req.Messages))
@@ -138,12 +139,12 @@
 	}
 }
 
-// purgeStreams removes ended streams that are older than Options.StreamKept, and the oldest
-// ones beyond maxEndedStreams. The caller holds e.mu.
+// purgeStreams removes ended streams that are older than Options.StreamKept, and the
+// oldest ones beyond maxEndedStreams. The caller holds e.mu.
 func (e *Engine) purgeStreams() {
-	kept := e.opts.StreamKept.Or(DefaultStreamKept)
+	retention := e.opts.StreamKept.Or(DefaultStreamKept)
 	now := e.clock.Now()
-	for len(e.ended) > 0 && (len(e.ended) > maxEndedStreams || now.Sub(e.ended[0].at) > kept) {
+	for len(e.ended) > 0 && (len(e.ended) > maxEndedStreams || now.Sub(e.ended[0].at) > retention) {
 		delete(e.streams, e.ended[0].id)
 		e.ended = e.ended[1:]
 	}
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -124,8 +124,8 @@
 	replyTransfer(w, err)
 }
 
-// matchesGeneration reports whether the KV transfer is for the engine's generation, or for any.
-// The caller holds e.mu.
+// matchesGeneration reports whether the KV transfer is for the engine's generation,
+// or for any. The caller holds e.mu.
 func (e *Engine) matchesGeneration(m *engine.KVMove) bool {
 	return m.Generation == "" || m.Generation == engine.GenerationTag(e.state.Group, e.state.Generation)
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -69,8 +69,8 @@
 	e.replica = e.newReplica(o)
 }
 
-// isSameAssignment reports whether two join orders assign the same group, generation, rank,
-// model and peers.
+// isSameAssignment reports whether two join orders assign the same group,
+// generation, rank, model and peers.
 func isSameAssignment(a, b engine.Order) bool {
 	return a.Group == b.Group && a.Generation == b.Generation && a.Rank == b.Rank &&
 		a.Model == b.Model && a.Version == b.Version &&
--- a/internal/standin/engine/replica.go
+++ b/internal/standin/engine/replica.go
@@ -62,8 +62,9 @@
 	return status == peerPresent
 }
 
-// recordStatus records the result of a check of all peers: a peer that does not reply stalls
-// the replica, and one that was present and is lost ends it.
+// recordStatus records the result of a check of all peers. A silent peer stalls the
+// replica. Once all peers have been present, a peer that is absent, or silent for longer
+// than lossTimeout, ends it.
 func (r *replica) recordStatus(status peerStatus) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/engine/slots.go
+++ b/internal/standin/engine/slots.go
@@ -78,19 +78,19 @@
 		s.onChange(s.running, len(s.waiting))
 		return
 	}
-	s.passOn()
+	s.passSlot()
 }
 
 // release returns a slot.
 func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.passOn()
+	s.passSlot()
 }
 
-// passOn passes a returned slot to the first waiter, or frees it. The caller holds
+// passSlot passes a returned slot to the first waiter, or frees it. The caller holds
 // s.mu.
-func (s *slots) passOn() {
+func (s *slots) passSlot() {
 	if len(s.waiting) > 0 {
 		w := heap.Pop(&s.waiting).(*waiter)
 		close(w.ready)
--- a/internal/standin/engine/text.go
+++ b/internal/standin/engine/text.go
@@ -60,8 +60,8 @@
 	return d.Sum64()
 }
 
-// tokenText returns the text of token i: syllables selected by a hash, with a leading space
-// except for the first token.
+// tokenText returns the text of token i: syllables selected by a hash, with a
+// leading space except for the first token.
 func tokenText(seed uint64, i int) string {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], seed)
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -49,7 +49,7 @@
 	Fail
 )
 
-// Switch holds the faults of one endpoint and selects the one for each request. It is
+// Switch contains the faults of one endpoint and selects the one for each request. It is
 // safe for concurrent use.
 type Switch struct {
 	mu        sync.Mutex
--- a/internal/standin/netfault/netfault_test.go
+++ b/internal/standin/netfault/netfault_test.go
@@ -12,8 +12,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startEchoServer starts a UDP server that returns each datagram to its sender, and returns its
-// address.
+// startEchoServer starts a UDP server that returns each datagram to its sender, and
+// returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
--- a/internal/standin/platform/http.go
+++ b/internal/standin/platform/http.go
@@ -38,8 +38,8 @@
 }
 
 // admit applies the faults to a request. It returns ok = false if the request was
-// answered with an error, and loseAnswer = true if its connection must be closed after it is
-// applied.
+// answered with an error, and loseAnswer = true if its connection must be closed
+// after it is applied.
 func (p *Platform) admit(w http.ResponseWriter, r *http.Request, a requestCost) (loseAnswer, ok bool) {
 	if !p.Faults().ForgetAttempts {
 		w.Header().Set(platform.HeaderAttempts, platform.AttemptsKept)
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -51,7 +51,7 @@
 		Clock: now, ListLag: config.Duration(3 * time.Second),
 		VMs: []fleet.Record{{VM: "a"}, {VM: "b"}},
 	})
-	shown := func() string {
+	listed := func() string {
 		l, err := p.VMs(context.Background())
 		is.NoErr(err)
 		return formatVMs(l)
@@ -60,15 +60,15 @@
 	p.SetVMState("b", fleet.StateLeaving)
 	now.Advance(time.Second)
 	p.AddVM(fleet.Record{VM: "c"})
-	is.Equal(shown(), "a live, b live")
+	is.Equal(listed(), "a live, b live")
 	now.Advance(2 * time.Second)
-	is.Equal(shown(), "b leaving")
+	is.Equal(listed(), "b leaving")
 	now.Advance(time.Second)
-	is.Equal(shown(), "b leaving, c live")
+	is.Equal(listed(), "b leaving, c live")
 	f := p.Faults()
 	f.ListLag = config.Duration(time.Hour)
 	p.SetFaults(f)
-	is.Equal(shown(), "a live, b live")
+	is.Equal(listed(), "a live, b live")
 }
 
 // Requests over a rate limit are refused without any effect, and are accepted again
@@ -124,9 +124,9 @@
 	is.NoErr(err)
 	is.Equal(row.Version, uint64(0))
 	first.Attempt = "3"
-	anew, err := p.Commit(ctx, first)
+	recreated, err := p.Commit(ctx, first)
 	is.NoErr(err)
-	is.Equal(anew.Rows[0].Version, uint64(3))
+	is.Equal(recreated.Rows[0].Version, uint64(3))
 }
 
 // Faults can be set over HTTP: omitted fields keep their value, an unknown field is
--- a/internal/standin/platform/table_test.go
+++ b/internal/standin/platform/table_test.go
@@ -188,8 +188,8 @@
 	return sum
 }
 
-// injectRandomFaults loses answers and drops requests at random until stop is called, which
-// removes the faults.
+// injectRandomFaults loses answers and drops requests at random until stop is
+// called, which removes the faults.
 func injectRandomFaults(p *Platform, forget bool) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var work sync.WaitGroup
--- a/internal/standin/pressure/pressure.go
+++ b/internal/standin/pressure/pressure.go
@@ -34,7 +34,7 @@
 	limitWindow    = 4 * time.Second
 	limitTolerance = 1.5 // allowed multiple of the rate limit within a window
 	limitSlack     = 5   // requests allowed in addition
-	// complianceDelay is the time from an answer until its caller must comply with its signals.
+	// complianceDelay is the time from an answer until its caller must comply with it.
 	complianceDelay = 500 * time.Millisecond
 	maxInBackoff    = 2 // requests of a caller allowed during a backoff
 )
--- a/internal/standin/pressure/pressure_test.go
+++ b/internal/standin/pressure/pressure_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// sendRequests sends 40 requests of one caller in 4 s. If lost is set, the endpoint aborts each
-// request without an answer.
+// sendRequests sends 40 requests of one caller in 4 s. If lost is set, the endpoint
+// aborts each request without an answer.
 func sendRequests(e *Endpoint, lost bool) {
 	names := Names{Limit: "Limit", RetryAfter: "Retry-After", Leaving: "Leaving", NotRun: "Not-Run", Promise: "1"}
 	for range 40 {
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -54,8 +54,8 @@
 	Path   string `json:"path"`
 	// Serial is a new serial number for each run of a call other than GET and HEAD.
 	Serial uint64 `json:"serial,omitempty"`
-	// Check is the CheckOf value of the request, by which callers recognise the
-	// answer to their own request.
+	// Check is the result of CheckOf for the request. Callers use it to recognise
+	// the answer to their own request.
 	Check string `json:"check"`
 	// Runs is the number of runs of this request so far, including this one.
 	Runs int `json:"runs"`
@@ -161,7 +161,8 @@
 	return s.executions.Count(executionKey(method, path, key))
 }
 
-// executionKey returns the key of a call in the execution counts, such as "POST /receipts key".
+// executionKey returns the key of a call in the execution counts, such as
+// "POST /receipts key".
 func executionKey(method, path, key string) string { return fmt.Sprintf("%s %s %s", method, path, key) }
 
 // ServeHTTP serves GET /state, GET /load and POST /leave and, for tests, GET and POST
