--- a/test/caller_test.go
+++ b/test/caller_test.go
@@ -17,53 +17,53 @@
 	"chervilloom/internal/standin/service"
 )
 
-// told is what a caller is told of one request.
-type told struct {
+// callResult is the response to one request as the caller received it.
+type callResult struct {
 	status  int
 	header  http.Header
-	outcome outcome.Outcome // of the header, or of the trailer
+	outcome outcome.Outcome // from the header or the trailer
 	body    []byte
-	err     error // of the connection: no answer, or one that was cut
+	err     error // connection error: no response, or an interrupted one
 	kind    outcome.Kind
-	tokens  []string // of a chat answer
-	done    bool     // the stream had its end marker
+	tokens  []string // of a chat response
+	done    bool     // the stream ended with its end marker
 }
 
-// whole reports whether a caller would take it for a whole answer.
-func (a told) whole() bool { return a.err == nil && a.status == http.StatusOK }
+// isComplete reports whether a caller would accept the response as complete.
+func (a callResult) isComplete() bool { return a.err == nil && a.status == http.StatusOK }
 
-func (a told) String() string {
+func (a callResult) String() string {
 	return fmt.Sprintf("status %d, outcome %q, kind %q, %d tokens, done %t, error %v, body %.300q",
 		a.status, a.outcome, a.kind, len(a.tokens), a.done, a.err, a.body)
 }
 
-// callers is the client of all callers; it does not follow or resend anything
-// by itself that net/http would not.
-var callers = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
+// callerClient is the HTTP client shared by all callers. It adds no redirects
+// or retries to those of net/http.
+var callerClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
 
-// send sends one request and reads its whole answer.
-func send(ctx context.Context, method, url, body string, header map[string]string, onData func()) told {
+// send sends one request and reads the entire response.
+func send(ctx context.Context, method, url, body string, header map[string]string, onData func()) callResult {
 	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
-		return told{err: err}
+		return callResult{err: err}
 	}
 	req.Header.Set("Authorization", "Bearer "+callerKey)
 	for k, v := range header {
 		req.Header.Set(k, v)
 	}
-	req.GetBody = nil // net/http must not send a body twice: the tests count runs
-	res, err := callers.Do(req)
+	req.GetBody = nil // prevents net/http from resending the body: the tests count executions
+	res, err := callerClient.Do(req)
 	if err != nil {
-		return told{err: err}
+		return callResult{err: err}
 	}
 	defer res.Body.Close()
-	a := told{status: res.StatusCode, header: res.Header}
-	var body2 bytes.Buffer
+	a := callResult{status: res.StatusCode, header: res.Header}
+	var content bytes.Buffer
 	r := bufio.NewReader(res.Body)
 	for err == nil {
 		var line []byte
 		line, err = r.ReadBytes('\n')
-		body2.Write(line)
+		content.Write(line)
 		if onData != nil && bytes.HasPrefix(line, []byte("data: ")) {
 			onData()
 		}
@@ -71,18 +71,18 @@
 	if err != io.EOF {
 		a.err = err
 	}
-	a.body = body2.Bytes()
+	a.body = content.Bytes()
 	a.outcome = outcome.Outcome(res.Header.Get(outcome.Header))
 	if a.outcome == "" {
 		a.outcome = outcome.Outcome(res.Trailer.Get(outcome.Header))
 	}
-	a.readKind()
+	a.parseErrorKind()
 	return a
 }
 
-// readKind reads the kind of an error answer, or of the error event of a
-// stream.
-func (a *told) readKind() {
+// parseErrorKind reads the error kind, and the outcome if it is still unset,
+// from an error body or from the error event of a stream.
+func (a *callResult) parseErrorKind() {
 	text := a.body
 	if i := bytes.Index(text, []byte("event: error\ndata: ")); i >= 0 {
 		text, _, _ = bytes.Cut(text[i+len("event: error\ndata: "):], []byte("\n"))
@@ -97,7 +97,8 @@
 	}
 }
 
-// chatBody returns a chat request whose answer no other prompt has.
+// chatBody returns a chat request; each prompt has a different expected
+// response.
 func chatBody(prompt string, tokens int, stream bool) string {
 	b, err := json.Marshal(engine.ChatRequest{
 		Model: "clerk", MaxTokens: tokens, Stream: stream,
@@ -110,17 +111,18 @@
 }
 
 // chat sends a chat request to a node.
-func (n *node) chat(ctx context.Context, body string, onToken func()) told {
+func (n *node) chat(ctx context.Context, body string, onToken func()) callResult {
 	a := send(ctx, http.MethodPost, "http://"+n.caller+"/v1/chat/completions", body, nil, onToken)
-	a.readTokens()
+	a.parseTokens()
 	return a
 }
 
-func (a *told) readTokens() {
+// parseTokens reads the tokens and the end marker from a chat response.
+func (a *callResult) parseTokens() {
 	if !strings.HasPrefix(a.header.Get("Content-Type"), "text/event-stream") {
-		var whole engine.ChatAnswer
-		if json.Unmarshal(a.body, &whole) == nil && len(whole.Choices) > 0 && whole.Choices[0].Message != nil {
-			a.tokens, a.done = []string{whole.Choices[0].Message.Content}, true
+		var answer engine.ChatAnswer
+		if json.Unmarshal(a.body, &answer) == nil && len(answer.Choices) > 0 && answer.Choices[0].Message != nil {
+			a.tokens, a.done = []string{answer.Choices[0].Message.Content}, true
 		}
 		return
 	}
@@ -139,39 +141,40 @@
 	}
 }
 
-// checkChat returns what is wrong with an answer: a whole one must be the
-// request's own to the last token, a cut one must be its beginning and told as
-// cut, and a refusal must name its outcome.
-func checkChat(body string, a told) error {
+// checkChat validates a chat response. A complete response must contain exactly
+// the expected tokens, a truncated one a prefix of them and an error event, and
+// a refusal an outcome and a kind.
+func checkChat(body string, a callResult) error {
 	want := standin.ExpectedTokens([]byte(body))
 	switch {
 	case a.done && a.err == nil && a.status == http.StatusOK:
 		if strings.Join(a.tokens, "") != strings.Join(want, "") {
-			return fmt.Errorf("whole answer of another request or with tokens missing: %v", a)
+			return fmt.Errorf("complete response belongs to another request or lacks tokens: %v", a)
 		}
 		if a.outcome != outcome.Ran {
-			return fmt.Errorf("whole answer told as %q", a.outcome)
+			return fmt.Errorf("complete response has outcome %q", a.outcome)
 		}
 		return nil
 	case a.status == http.StatusOK:
-		return checkCut(want, a)
+		return checkTruncatedAnswer(want, a)
 	case a.status == 0:
-		return fmt.Errorf("no answer at all: %v", a.err)
+		return fmt.Errorf("no response: %v", a.err)
 	case a.outcome == "" || a.kind == "":
 		return fmt.Errorf("failure without outcome or kind: %v", a)
 	}
 	return nil
 }
 
-func checkCut(want []string, a told) error {
+// checkTruncatedAnswer validates a stream that ended before its end marker.
+func checkTruncatedAnswer(want []string, a callResult) error {
 	if a.done || a.err == nil {
-		return fmt.Errorf("cut answer that looks whole: %v", a)
+		return fmt.Errorf("truncated response looks complete: %v", a)
 	}
 	if a.kind == "" {
-		return fmt.Errorf("cut answer without an error event: %v", a)
+		return fmt.Errorf("truncated response without an error event: %v", a)
 	}
 	if len(a.tokens) > len(want) {
-		return fmt.Errorf("more tokens than the answer has: %v", a)
+		return fmt.Errorf("more tokens than expected: %v", a)
 	}
 	for i, tok := range a.tokens {
 		if tok != want[i] {
@@ -181,14 +184,14 @@
 	return nil
 }
 
-// call sends a call of the plain service to a node.
-func (n *node) call(ctx context.Context, method, path, body string, header map[string]string) told {
+// call sends a request for the plain service to a node.
+func (n *node) call(ctx context.Context, method, path, body string, header map[string]string) callResult {
 	return send(ctx, method, "http://"+n.caller+"/services/counter"+path, body, header, nil)
 }
 
-// checkCall returns what is wrong with an answer of the plain service.
-func checkCall(method, path, body string, a told) error {
-	if !a.whole() {
+// checkCall validates a response of the plain service.
+func checkCall(method, path, body string, a callResult) error {
+	if !a.isComplete() {
 		if a.status != 0 && (a.outcome == "" || a.kind == "") {
 			return fmt.Errorf("failure without outcome or kind: %v", a)
 		}
@@ -196,16 +199,16 @@
 	}
 	var got service.Answer
 	if err := json.Unmarshal(a.body, &got); err != nil {
-		return fmt.Errorf("answer is not whole: %w: %v", err, a)
+		return fmt.Errorf("response is incomplete: %w: %v", err, a)
 	}
 	if got.Check != service.CheckOf(method, path, []byte(body)) {
-		return fmt.Errorf("answer of another request: %v", a)
+		return fmt.Errorf("response belongs to another request: %v", a)
 	}
 	return nil
 }
 
-// post sends v to a stand-in's control path.
-func post(t *testing.T, addr, path string, v any) {
+// postJSON sends v to a control path of a stand-in.
+func postJSON(t *testing.T, addr, path string, v any) {
 	t.Helper()
 	b, err := json.Marshal(v)
 	must(t, err)
@@ -218,14 +221,14 @@
 	}
 }
 
-// faults sets faults of a stand-in; those left out stay.
-func faults(t *testing.T, addr string, set map[string]any) {
+// setFaults sets the given faults of a stand-in; other faults are unchanged.
+func setFaults(t *testing.T, addr string, set map[string]any) {
 	t.Helper()
-	post(t, addr, "/faults", set)
+	postJSON(t, addr, "/faults", set)
 }
 
-// get reads JSON from a stand-in.
-func get(t *testing.T, addr, path string, v any) {
+// getJSON reads JSON from a stand-in into v.
+func getJSON(t *testing.T, addr, path string, v any) {
 	t.Helper()
 	res, err := http.Get("http://" + addr + path)
 	must(t, err)
@@ -233,16 +236,16 @@
 	must(t, json.NewDecoder(res.Body).Decode(v))
 }
 
-// executions returns the counts of what ran at an endpoint.
+// executions returns how often each request ran at the endpoint, by request id.
 func (e *endpoint) executions(t *testing.T) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
-	get(t, e.addr, "/executions", &counts)
+	getJSON(t, e.addr, "/executions", &counts)
 	return counts
 }
 
-// ran sums the executions whose id holds text.
-func (e *endpoint) ran(t *testing.T, text string) int {
+// countExecutions sums the executions whose id contains text.
+func (e *endpoint) countExecutions(t *testing.T, text string) int {
 	t.Helper()
 	n := 0
 	for id, c := range e.executions(t) {
--- a/test/claims_test.go
+++ b/test/claims_test.go
@@ -17,25 +17,25 @@
 	"chervilloom/internal/view"
 )
 
-// claimsWatch reads the tables of claims and groups over and over and notes
-// what must never be.
-type claimsWatch struct {
-	f      *testFleet
-	reads  int
-	fences map[string]fleet.Fence
-	wrong  []string
+// claimsWatcher reads the claim and group tables repeatedly and records
+// violations of their invariants.
+type claimsWatcher struct {
+	f          *testFleet
+	reads      int
+	fences     map[string]fleet.Fence
+	violations []string
 }
 
-// watchClaims starts a watch; the function that it returns ends it and fails
-// the test for each thing found wrong.
+// watchClaims starts a watcher. The returned function stops it and fails the
+// test for each violation.
 func (f *testFleet) watchClaims() func() {
 	ctx, cancel := context.WithCancel(f.t.Context())
-	w := &claimsWatch{f: f, fences: map[string]fleet.Fence{}}
+	w := &claimsWatcher{f: f, fences: map[string]fleet.Fence{}}
 	var work sync.WaitGroup
 	work.Go(func() {
 		for ctx.Err() == nil {
-			w.look(ctx)
-			time.Sleep(5 * time.Millisecond) // leaves the processor to the fleet
+			w.readTables(ctx)
+			time.Sleep(5 * time.Millisecond) // leaves processor time for the fleet
 		}
 	})
 	return func() {
@@ -43,16 +43,16 @@
 		cancel()
 		work.Wait()
 		if w.reads < 100 {
-			f.t.Errorf("the tables were read %d times only", w.reads)
+			f.t.Errorf("the tables were read only %d times", w.reads)
 		}
 		f.t.Logf("the tables were read %d times", w.reads)
-		for _, s := range w.wrong {
+		for _, s := range w.violations {
 			f.t.Error(s)
 		}
 	}
 }
 
-func (w *claimsWatch) look(ctx context.Context) {
+func (w *claimsWatcher) readTables(ctx context.Context) {
 	groups, err := w.f.table.List(ctx, platform.TableGroups, "")
 	if err != nil {
 		return
@@ -66,109 +66,112 @@
 	w.checkFences(claims)
 }
 
-// checkGroups looks at one read of the groups' table, which is one moment.
-func (w *claimsWatch) checkGroups(rows []platform.Row) {
-	holder := map[fleet.VM]fleet.GroupID{}
+// checkGroups checks one read of the group table, which is a consistent
+// snapshot: no VM may be a member of two groups that are not dissolved.
+func (w *claimsWatcher) checkGroups(rows []platform.Row) {
+	groupOf := map[fleet.VM]fleet.GroupID{}
 	for _, r := range rows {
 		var g fleet.Group
 		if err := json.Unmarshal(r.Value, &g); err != nil {
-			w.note("group %s is not readable: %v", r.Key, err)
+			w.recordViolation("group %s: decoding failed: %v", r.Key, err)
 			continue
 		}
 		if g.Phase == fleet.PhaseDissolved {
 			continue
 		}
 		for _, m := range g.Members {
-			if other, ok := holder[m.VM]; ok {
-				w.note("%s is in %s and in %s", m.VM, other, g.ID)
+			if other, ok := groupOf[m.VM]; ok {
+				w.recordViolation("%s is a member of both %s and %s", m.VM, other, g.ID)
 			}
-			holder[m.VM] = g.ID
+			groupOf[m.VM] = g.ID
 		}
 	}
 }
 
-func (w *claimsWatch) checkFences(rows []platform.Row) {
+// checkFences checks that no fence has decreased since the previous read.
+func (w *claimsWatcher) checkFences(rows []platform.Row) {
 	for _, r := range rows {
 		var c view.Claim
 		if err := json.Unmarshal(r.Value, &c); err != nil {
-			w.note("claim of %s is not readable: %v", r.Key, err)
+			w.recordViolation("claim of %s: decoding failed: %v", r.Key, err)
 			continue
 		}
 		if c.Fence < w.fences[r.Key] {
-			w.note("the fence of %s went from %d to %d", r.Key, w.fences[r.Key], c.Fence)
+			w.recordViolation("the fence of %s decreased from %d to %d", r.Key, w.fences[r.Key], c.Fence)
 		}
 		w.fences[r.Key] = c.Fence
 	}
 }
 
-func (w *claimsWatch) note(format string, args ...any) {
-	if s := fmt.Sprintf(format, args...); !slices.Contains(w.wrong, s) {
-		w.wrong = append(w.wrong, s)
+func (w *claimsWatcher) recordViolation(format string, args ...any) {
+	if s := fmt.Sprintf(format, args...); !slices.Contains(w.violations, s) {
+		w.violations = append(w.violations, s)
 	}
 }
 
-// The node that holds the zone's lease is paused past its term while a member
-// dies, and goes on later believing that it still holds it. The other node has
-// repaired the group by then. No VM is ever in two live groups, no fence goes
-// down, callers get whole answers or are told otherwise, and in the end every
-// engine is where the table has it, also where engines ignore fences.
+// The holder of the zone's lease is paused until after the lease expires while
+// a member fails in each group, and resumes with stale lease state after the
+// other node has repaired the groups. No VM may be in two live groups, no fence
+// may decrease, callers must get complete responses or errors, and every engine
+// must end up in the group that the table claims it for, including engines that
+// ignore fences.
 func TestLeaseHolderPausedPastItsTerm(t *testing.T) {
 	t.Parallel()
 	for name, ignore := range map[string]bool{"fences checked": false, "fences ignored": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := startFleet(t, plan{zones: []string{zoneA, zoneA, zoneB}, engines: 10, replicas: 2, ignoreFences: ignore})
+			f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneA, zoneB}, engines: 10, replicas: 2, ignoreFences: ignore})
 			stop := f.watchClaims()
 			holder, other := f.leaseHolder()
-			groups := wholeGroups(other.status(t))
+			groups := servingGroups(other.status(t))
 
-			// The death and the pause come together: the holder has seen the
-			// dead member at most as a late probe, and decides when it wakes.
+			// The members fail and the holder is paused together: the holder has at
+			// most seen late probes, and decides after it resumes.
 			f.engine(groups[0].VMs[1]).kill()
 			f.engine(groups[1].VMs[2]).kill()
 			holder.signal(t, syscall.SIGSTOP)
-			f.await(other, "the other node holds the lease", holdsLease)
-			f.await(other, "both groups are repaired", func(s operator.Status) bool {
+			f.awaitStatus(other, "the other node holds the lease", holdsLease)
+			f.awaitStatus(other, "both groups are repaired", func(s operator.Status) bool {
 				return repairedSince(s, groups)
 			})
 			holder.signal(t, syscall.SIGCONT)
 			f.awaitServing()
-			f.mustAnswer()
-			f.enginesAsInTable()
+			f.checkNodesAnswer()
+			f.awaitEnginesMatchTable()
 			stop()
 		})
 	}
 }
 
-// The holder's writes are under way for longer than its lease: they are held
-// back while the other node takes the lease and repairs the group, and land
-// then. Nothing of them takes effect, because each names the versions of the
+// The holder's writes are delayed for longer than its lease: they reach the
+// platform after the other node has acquired the lease and repaired the groups.
+// They must have no effect, because each is conditional on the versions of the
 // lease, the group and the VMs that it was planned on.
-func TestLateWritesOfAnOldHolder(t *testing.T) {
+func TestDelayedWritesOfFormerLeaseHolder(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, plan{zones: []string{zoneA, zoneA, zoneB}, engines: 10, replicas: 2, ignoreFences: true})
+	f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneA, zoneB}, engines: 10, replicas: 2, ignoreFences: true})
 	stop := f.watchClaims()
 	holder, other := f.leaseHolder()
-	groups := wholeGroups(other.status(t))
+	groups := servingGroups(other.status(t))
 
-	holder.writes.hold()
+	holder.writeInterceptor.hold()
 	f.engine(groups[0].VMs[1]).kill()
 	f.engine(groups[1].VMs[2]).kill()
-	until(t, "the holder has sent a repair", func() bool { return holder.writes.holding() > 0 }, func() string { return "" })
-	f.await(other, "the other node holds the lease", holdsLease)
-	f.await(other, "both groups are repaired", func(s operator.Status) bool { return repairedSince(s, groups) })
+	waitUntil(t, "the holder has sent a repair transaction", func() bool { return holder.writeInterceptor.heldGroupWrites() > 0 }, func() string { return "" })
+	f.awaitStatus(other, "the other node holds the lease", holdsLease)
+	f.awaitStatus(other, "both groups are repaired", func(s operator.Status) bool { return repairedSince(s, groups) })
 	before := f.groupRows()
-	holder.writes.release()
+	holder.writeInterceptor.release()
 	if after := f.groupRows(); after != before {
-		t.Errorf("a late write took effect:\n%s\nbefore:\n%s", after, before)
+		t.Errorf("a delayed write took effect:\n%s\nbefore:\n%s", after, before)
 	}
 	f.awaitServing()
-	f.mustAnswer()
-	f.enginesAsInTable()
+	f.checkNodesAnswer()
+	f.awaitEnginesMatchTable()
 	stop()
 }
 
-// groupRows returns the rows of claims and groups as text.
+// groupRows returns the rows of the claim and group tables as text.
 func (f *testFleet) groupRows() string {
 	f.t.Helper()
 	var out strings.Builder
@@ -182,40 +185,42 @@
 	return out.String()
 }
 
-// A holder is paused again and again for short and long times while members
-// restart, so that it wakes at any step of a repair. The table stays sound.
+// The lease holder is paused repeatedly while members restart, so that it
+// resumes at different steps of a repair. The table invariants must hold
+// throughout.
 func TestLeaseHolderPausedDuringRepairs(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, plan{zones: []string{zoneA, zoneA}, engines: 9, replicas: 2, ignoreFences: true})
+	f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneA}, engines: 9, replicas: 2, ignoreFences: true})
 	stop := f.watchClaims()
 	for i := range 4 {
 		holder, other := f.leaseHolder()
 		victim := f.engines[(3*i)%len(f.engines)]
-		faults(t, victim.addr, map[string]any{"restart": true})
+		setFaults(t, victim.addr, map[string]any{"restart": true})
 		if i%2 == 0 {
-			f.await(holder, "the holder has begun a repair or found none needed", func(s operator.Status) bool {
-				return len(wholeGroups(s)) < 2 || stateOf(s, string(victim.vm)) == "present"
+			f.awaitStatus(holder, "the holder has started a repair or found none needed", func(s operator.Status) bool {
+				return len(servingGroups(s)) < 2 || endpointState(s, string(victim.vm)) == "present"
 			})
 		}
 		holder.signal(t, syscall.SIGSTOP)
-		f.await(other, "the other node holds the lease", holdsLease)
+		f.awaitStatus(other, "the other node holds the lease", holdsLease)
 		holder.signal(t, syscall.SIGCONT)
 		f.awaitServing()
 	}
-	f.enginesAsInTable()
-	f.mustAnswer()
+	f.awaitEnginesMatchTable()
+	f.checkNodesAnswer()
 	stop()
 }
 
+// holdsLease reports whether the node holds a duty's lease.
 func holdsLease(s operator.Status) bool {
 	return slices.ContainsFunc(s.Duties, func(d operator.DutyStatus) bool { return d.Held })
 }
 
-// leaseHolder returns the node of zoneA that holds the duty of its groups, and
-// the other one.
+// leaseHolder returns the node of zoneA that holds the lease of its groups, and
+// the zone's other node.
 func (f *testFleet) leaseHolder() (holder, other *node) {
 	f.t.Helper()
-	until(f.t, "a node holds the lease",
+	waitUntil(f.t, "exactly one node holds the lease",
 		func() bool {
 			a, b := holdsLease(f.nodes[0].status(f.t)), holdsLease(f.nodes[1].status(f.t))
 			holder, other = f.nodes[0], f.nodes[1]
@@ -224,14 +229,14 @@
 			}
 			return a != b
 		},
-		func() string { return describe(f.nodes[0].status(f.t).Duties) })
+		func() string { return formatJSON(f.nodes[0].status(f.t).Duties) })
 	return holder, other
 }
 
-// repairedSince reports whether two groups are whole, each in a generation that
-// is not one of old.
+// repairedSince reports whether as many groups serve as in old, each in a
+// generation that is not in old.
 func repairedSince(s operator.Status, old []operator.GroupStatus) bool {
-	now := wholeGroups(s)
+	now := servingGroups(s)
 	for _, g := range now {
 		for _, o := range old {
 			if g.Group == o.Group && g.Generation == o.Generation {
@@ -242,25 +247,27 @@
 	return len(now) == len(old)
 }
 
-// enginesAsInTable waits until each live engine reports the group and the
+// awaitEnginesMatchTable waits until each running engine reports the group and
 // generation that the table claims it for.
-func (f *testFleet) enginesAsInTable() {
+func (f *testFleet) awaitEnginesMatchTable() {
 	f.t.Helper()
-	var differ []string
-	until(f.t, "engines are where the table has them",
+	var mismatches []string
+	waitUntil(f.t, "engines report the groups that the table claims them for",
 		func() bool {
 			rows, err := f.table.List(f.t.Context(), platform.TableVMs, "")
 			must(f.t, err)
-			differ = nil
+			mismatches = nil
 			for _, r := range rows {
-				differ = append(differ, f.compare(r)...)
+				mismatches = append(mismatches, f.engineMismatch(r)...)
 			}
-			return len(differ) == 0
+			return len(mismatches) == 0
 		},
-		func() string { return fmt.Sprint(differ) })
+		func() string { return fmt.Sprint(mismatches) })
 }
 
-func (f *testFleet) compare(r platform.Row) []string {
+// engineMismatch compares the state of an engine with its claim and returns the
+// difference, if any.
+func (f *testFleet) engineMismatch(r platform.Row) []string {
 	e := f.engine(r.Key)
 	select {
 	case <-e.done:
@@ -270,41 +277,43 @@
 	var c view.Claim
 	must(f.t, json.Unmarshal(r.Value, &c))
 	var s fleet.EngineState
-	get(f.t, e.addr, "/state", &s)
+	getJSON(f.t, e.addr, "/state", &s)
 	if s.Group != c.Group || s.Generation != c.Generation {
-		return []string{fmt.Sprintf("%s reports %s/%d, claimed for %s/%d", r.Key, s.Group, s.Generation, c.Group, c.Generation)}
+		return []string{fmt.Sprintf("%s reports %s/%d but is claimed for %s/%d", r.Key, s.Group, s.Generation, c.Group, c.Generation)}
 	}
 	return nil
 }
 
-// A platform that loses every second answer and fails for moments meets groups
-// that must be formed and repaired. The table stays sound throughout.
-func TestGroupsFormedOverLostAnswers(t *testing.T) {
+// Groups are formed and repaired while the platform intermittently loses
+// responses and drops requests. The table invariants must hold throughout.
+func TestGroupsFormedDespiteLostPlatformAnswers(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, plan{zones: []string{zoneA, zoneA}, engines: 9, replicas: 2})
+	f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneA}, engines: 9, replicas: 2})
 	stop := f.watchClaims()
 	ctx, cancel := context.WithCancel(t.Context())
 	var work sync.WaitGroup
 	work.Go(func() {
 		for i := 0; ctx.Err() == nil; i++ {
-			faults(t, f.store, map[string]any{"lose_answers": 1, "drop_before": i % 2})
-			time.Sleep(30 * time.Millisecond) // paces the faults; proves nothing
+			setFaults(t, f.platformAddr, map[string]any{"lose_answers": 1, "drop_before": i % 2})
+			time.Sleep(30 * time.Millisecond) // interval between faults; no check depends on it
 		}
 	})
 	for i := range 3 {
-		groups := wholeGroups(f.await(f.nodes[0], "both groups serve", f.groupsServe))
-		faults(t, f.engine(groups[0].VMs[i]).addr, map[string]any{"restart": true})
-		f.await(f.nodes[0], "the group is repaired", func(s operator.Status) bool {
-			return len(wholeGroups(s)) == 2 && !sameGenerations(wholeGroups(s), groups)
+		groups := servingGroups(f.awaitStatus(f.nodes[0], "both groups are serving", f.hasServingGroups))
+		setFaults(t, f.engine(groups[0].VMs[i]).addr, map[string]any{"restart": true})
+		f.awaitStatus(f.nodes[0], "the group is repaired", func(s operator.Status) bool {
+			return len(servingGroups(s)) == 2 && !sameGenerations(servingGroups(s), groups)
 		})
 	}
 	cancel()
 	work.Wait()
 	f.awaitServing()
-	f.enginesAsInTable()
+	f.awaitEnginesMatchTable()
 	stop()
 }
 
+// sameGenerations reports whether a and b contain the same groups and
+// generations in the same order.
 func sameGenerations(a, b []operator.GroupStatus) bool {
 	return slices.EqualFunc(a, b, func(x, y operator.GroupStatus) bool {
 		return x.Group == y.Group && x.Generation == y.Generation
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -12,48 +12,50 @@
 	"chervilloom/internal/platform"
 )
 
-// weighted returns the fleet's document with the organisation's weight set: two
-// of them differ in one line.
-func (f *testFleet) weighted(w int) string {
+// documentWithWeight returns the fleet's document with the organisation's
+// weight set to w. Such documents differ in one line.
+func (f *testFleet) documentWithWeight(w int) string {
 	return strings.Replace(f.document(), "weight: 10", fmt.Sprintf("weight: %d", w), 1)
 }
 
-// accept has a node accept a document and returns its revision.
-func (f *testFleet) accept(n *node, base uint64, doc string) uint64 {
+// applyDocument applies a document through a node, requires that it is
+// accepted, and returns its revision.
+func (f *testFleet) applyDocument(n *node, base uint64, doc string) uint64 {
 	f.t.Helper()
 	res, err := n.client().Apply(f.t.Context(), operator.ApplyRequest{Base: base, Document: doc})
 	must(f.t, err)
 	if res.State != operator.ApplyAccepted {
-		f.t.Fatalf("through %s on base %d: %+v", n.vm, base, res)
+		f.t.Fatalf("applying through %s on base %d: %+v", n.vm, base, res)
 	}
 	return res.Revision
 }
 
-// inForce waits until the document of the revision is in force on the nodes.
-func (f *testFleet) inForce(revision uint64, doc string, nodes ...*node) {
+// awaitRevision waits until the nodes use the revision, and checks that its
+// document is doc.
+func (f *testFleet) awaitRevision(revision uint64, doc string, nodes ...*node) {
 	f.t.Helper()
 	for _, n := range nodes {
 		var last operator.ConfigView
-		until(f.t, fmt.Sprintf("revision %d is in force on %s", revision, n.vm),
+		waitUntil(f.t, fmt.Sprintf("revision %d is in use on %s", revision, n.vm),
 			func() bool {
 				v, err := n.client().Config(f.t.Context())
 				last = v
 				return err == nil && v.Revision >= revision
 			},
-			func() string { return describe(last) })
+			func() string { return formatJSON(last) })
 		if last.Revision != revision || last.Document != doc {
-			f.t.Errorf("%s has revision %d in force, want %d with its own document:\n%s", n.vm, last.Revision, revision, last.Document)
+			f.t.Errorf("%s uses revision %d, want %d with its document; got:\n%s", n.vm, last.Revision, revision, last.Document)
 		}
 	}
 }
 
-// neverBack watches the revisions in force on nodes; the function that it
-// returns ends the watch and tells of each step back.
-func (f *testFleet) neverBack(nodes ...*node) func() {
+// watchRevisions polls the revisions that the nodes use. The returned function
+// stops polling and fails the test for each decrease.
+func (f *testFleet) watchRevisions(nodes ...*node) func() {
 	ctx, cancel := context.WithCancel(f.t.Context())
 	var work sync.WaitGroup
 	var mu sync.Mutex
-	var wrong []string
+	var regressions []string
 	for _, n := range nodes {
 		c := n.client()
 		work.Go(func() {
@@ -64,7 +66,7 @@
 				}
 				if v.Revision < highest {
 					mu.Lock()
-					wrong = append(wrong, fmt.Sprintf("%s went from revision %d back to %d", n.vm, highest, v.Revision))
+					regressions = append(regressions, fmt.Sprintf("%s reverted from revision %d to %d", n.vm, highest, v.Revision))
 					mu.Unlock()
 				}
 				highest = max(highest, v.Revision)
@@ -75,42 +77,42 @@
 		f.t.Helper()
 		cancel()
 		work.Wait()
-		for _, w := range wrong {
+		for _, w := range regressions {
 			f.t.Error(w)
 		}
 	}
 }
 
-// Operators accept documents through one node after the other, while the
-// platform loses the answers to writes. Each accepted document is in force on
-// all nodes, none steps back, and a lost answer is told as accepted only when
-// reading back showed that the document stands.
+// Operators apply documents through different nodes while the platform loses
+// responses to writes. Each accepted document must come into use on all nodes
+// and no node may revert. After a lost response, a document is reported as
+// accepted only if reading it back confirmed the write.
 func TestAcceptedConfigurationIsInForceEverywhere(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, plan{zones: []string{zoneA, zoneB, zoneC}, services: 1})
-	stop := f.neverBack(f.nodes...)
+	f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneB, zoneC}, services: 1})
+	stop := f.watchRevisions(f.nodes...)
 	base := uint64(1)
 	for i := range 6 {
-		doc := f.weighted(20 + i)
-		faults(t, f.store, map[string]any{"lose_answers": i % 3})
-		base = f.accept(f.nodes[i%3], base, doc)
-		f.inForce(base, doc, f.nodes...)
+		doc := f.documentWithWeight(20 + i)
+		setFaults(t, f.platformAddr, map[string]any{"lose_answers": i % 3})
+		base = f.applyDocument(f.nodes[i%3], base, doc)
+		f.awaitRevision(base, doc, f.nodes...)
 	}
 	stop()
 }
 
-// Two operators edit the same base and press accept at once at different nodes.
-// One document wins and is in force everywhere; the other operator is told of
-// the conflict and of what changed since the base, because the head of the
-// revisions is written on condition.
-func TestTwoOperatorsOnOneBase(t *testing.T) {
+// Two operators apply documents on the same base at different nodes at once.
+// One document is accepted and used by all nodes; the other operator gets a
+// conflict with the changes since the base, because the head of the revisions
+// is written conditionally.
+func TestConcurrentApplyOnSameBase(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, plan{zones: []string{zoneA, zoneB, zoneC}, services: 1})
-	// Both read the head before either writes it.
-	faults(t, f.store, map[string]any{"slow": "100ms"})
+	f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneB, zoneC}, services: 1})
+	// Slows the platform so that both read the head before either writes it.
+	setFaults(t, f.platformAddr, map[string]any{"slow": "100ms"})
 	base := uint64(1)
 	for round := range 5 {
-		docs := []string{f.weighted(30 + 2*round), f.weighted(31 + 2*round)}
+		docs := []string{f.documentWithWeight(30 + 2*round), f.documentWithWeight(31 + 2*round)}
 		results := make([]operator.ApplyResult, 2)
 		var work sync.WaitGroup
 		for i, token := range []string{operatorToken, otherToken} {
@@ -132,81 +134,83 @@
 			t.Fatalf("want one accepted and one conflict: %+v", results)
 		}
 		if len(results[loser].Changes) == 0 || !strings.Contains(strings.Join(results[loser].Changes, "\n"), "weight") {
-			t.Errorf("the conflict does not tell what changed: %+v", results[loser])
+			t.Errorf("the conflict does not list the changed weight: %+v", results[loser])
 		}
 		base = results[winner].Revision
-		f.inForce(base, docs[winner], f.nodes...)
+		f.awaitRevision(base, docs[winner], f.nodes...)
 	}
 }
 
-// A node restarts while the platform is down. It knows no revision and is not
-// ready until a peer, found by its seeds, tells it the one in force.
+// A node restarts while the platform is down. It has no revision and is not
+// ready until it gets the current one from a peer, which it finds through its
+// seeds.
 func TestRestartWhilePlatformIsDownLearnsFromPeers(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, plan{zones: []string{zoneA, zoneB, zoneC}, services: 1})
-	doc := f.weighted(40)
-	revision := f.accept(f.nodes[0], 1, doc)
-	f.inForce(revision, doc, f.nodes...)
+	f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneB, zoneC}, services: 1})
+	doc := f.documentWithWeight(40)
+	revision := f.applyDocument(f.nodes[0], 1, doc)
+	f.awaitRevision(revision, doc, f.nodes...)
 	n := f.restartWithoutPlatform()
-	f.inForce(revision, doc, n)
-	f.await(n, "the node is ready", func(s operator.Status) bool { return s.Ready })
+	f.awaitRevision(revision, doc, n)
+	f.awaitStatus(n, "the node is ready", func(s operator.Status) bool { return s.Ready })
 }
 
-// restartWithoutPlatform takes the platform down and kills and starts the last
-// node, which has the others as seeds.
+// restartWithoutPlatform makes the platform unavailable and restarts the last
+// node with the first two nodes as seeds.
 func (f *testFleet) restartWithoutPlatform() *node {
 	f.t.Helper()
-	faults(f.t, f.store, map[string]any{"down": "unavailable"})
+	setFaults(f.t, f.platformAddr, map[string]any{"down": "unavailable"})
 	n := f.nodes[len(f.nodes)-1]
 	n.kill()
 	n.start(f.t, f.nodes[0].peer, f.nodes[1].peer)
 	return n
 }
 
-// A node of a zone without engines restarts while the platform is down. Callers
-// get models through it, because the other zones' nodes tell it of their groups.
-func TestRestartedNodePassesModelsOnWithoutPlatform(t *testing.T) {
+// A node in a zone without engines restarts while the platform is down. It must
+// still serve models to callers, because the nodes of the other zones announce
+// their groups to it.
+func TestRestartedNodeForwardsModelRequestsWithoutPlatform(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, plan{zones: []string{zoneA, zoneB, zoneC}, engines: 4})
+	f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneB, zoneC}, engines: 4})
 	f.restartWithoutPlatform()
-	f.mustAnswer()
+	f.checkNodesAnswer()
 }
 
-// A node of a zone without services restarts while the platform is down, and a
-// node of the zone that has them goes on serving. Callers get lookups through
-// the restarted node: what one node can do, the others can pass on.
-func TestRestartedNodePassesLookupsOnWithoutPlatform(t *testing.T) {
+// A node in a zone without services restarts while the platform is down. It
+// must still serve lookups by forwarding them to a node of the zone that has
+// the service.
+func TestRestartedNodeForwardsLookupsWithoutPlatform(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, plan{zones: []string{zoneA, zoneB, zoneC}, services: 1})
+	f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneB, zoneC}, services: 1})
 	f.awaitLookup(f.restartWithoutPlatform())
 }
 
-// The platform's store is rolled back to a copy of before the newest revisions.
-// No node goes back, a node that restarts meanwhile comes up with the newest,
-// and the next accepted document follows it, never an older number.
-func TestStoreRolledBackNeverReverts(t *testing.T) {
+// The platform's store is rolled back to a copy that lacks the newest
+// revisions. No node may revert, a node that restarts meanwhile must start with
+// the newest revision, and the next accepted document must get a higher number.
+func TestConfigurationSurvivesStoreRollback(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, plan{zones: []string{zoneA, zoneB, zoneC}, services: 1})
-	stop := f.neverBack(f.nodes[:2]...)
-	faults(t, f.store, map[string]any{"save": true})
-	base := f.accept(f.nodes[0], 1, f.weighted(50))
-	doc := f.weighted(51)
-	base = f.accept(f.nodes[1], base, doc)
-	f.inForce(base, doc, f.nodes...)
-
-	faults(t, f.store, map[string]any{"restore": true})
+	f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneB, zoneC}, services: 1})
+	stop := f.watchRevisions(f.nodes[:2]...)
+	setFaults(t, f.platformAddr, map[string]any{"save": true})
+	base := f.applyDocument(f.nodes[0], 1, f.documentWithWeight(50))
+	doc := f.documentWithWeight(51)
+	base = f.applyDocument(f.nodes[1], base, doc)
+	f.awaitRevision(base, doc, f.nodes...)
+
+	setFaults(t, f.platformAddr, map[string]any{"restore": true})
 	rolledBack := f.revisionHead()
 	restarted := f.nodes[2]
 	restarted.kill()
 	restarted.start(t, f.nodes[0].peer, f.nodes[1].peer)
-	until(t, "the nodes have met the older table and healed it",
+	waitUntil(t, "the nodes have restored the newer revisions",
 		func() bool { return f.revisionHead() != rolledBack },
 		func() string { return rolledBack })
-	f.inForce(base, doc, f.nodes...)
+	f.awaitRevision(base, doc, f.nodes...)
 
-	last := f.weighted(52)
+	last := f.documentWithWeight(52)
 	var next uint64
-	until(t, "a document is accepted after the roll-back",
+	waitUntil(t, "a document is accepted after the rollback",
 		func() bool {
 			res, err := restarted.client().Apply(t.Context(), operator.ApplyRequest{Base: base, Document: last})
 			next = res.Revision
@@ -214,13 +218,13 @@
 		},
 		func() string { return fmt.Sprint(next) })
 	if next <= base {
-		t.Errorf("the next revision is %d, after %d", next, base)
+		t.Errorf("the next revision is %d, want one above %d", next, base)
 	}
-	f.inForce(next, last, f.nodes...)
+	f.awaitRevision(next, last, f.nodes...)
 	stop()
 }
 
-// revisionHead returns the row of the newest revision.
+// revisionHead returns the row that names the newest revision.
 func (f *testFleet) revisionHead() string {
 	f.t.Helper()
 	row, err := f.table.Get(f.t.Context(), platform.TableRevisions, "head")
--- a/test/doc.go
+++ b/test/doc.go
@@ -1,5 +1,5 @@
-// Package test proves what must always hold with real processes: nodes and
-// stand-ins of the platform, the engines and the plain services run as
-// processes of their own, with fault-injecting proxies between them. It holds
-// tests only; docs/PROOFS.md lists them.
+// Package test contains end-to-end tests with real processes. Nodes and the
+// stand-ins for the platform, the engines and the plain services run as
+// separate processes, with fault-injecting proxies between them. The package
+// contains only tests; docs/PROOFS.md lists them.
 package test
--- a/test/entry_harm_test.go
+++ b/test/entry_harm_test.go
@@ -16,36 +16,39 @@
 )
 
 const (
-	// harmEnds is how many endpoints a request may end before it is kept from further
-	// ones, and harmMore how many it may reach after that: a node may hear late.
-	harmEnds = 3
-	harmMore = 3
-	// harmTries is how often clients come with it: enough to end far more than that.
-	harmTries = 16
-	// harmBack is the time until an endpoint that ended is replaced.
-	harmBack = 300 * time.Millisecond
+	// quarantineThreshold is how many endpoints a request may crash before it is
+	// quarantined. quarantineOvershoot is how many more it may reach, because
+	// nodes learn of crashes with a delay.
+	quarantineThreshold = 3
+	quarantineOvershoot = 3
+	// harmfulAttempts is how often clients send the request: enough to exceed
+	// both limits by far without quarantine.
+	harmfulAttempts = 16
+	// endpointRestartDelay is the time until a crashed endpoint is replaced.
+	endpointRestartDelay = 300 * time.Millisecond
 )
 
-// askWith sends a request with a body of its own and returns the answer, read to its end or
-// to where it breaks off.
-func (f *entryFleet) askWith(n *entryNode, method, path, id, body string) (*http.Response, string) {
+// sendWithBody sends a request with the given body and returns the response and
+// its text up to the end or the interruption.
+func (f *entryFleet) sendWithBody(n *entryNode, method, path, id, body string) (*http.Response, string) {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	resp, err := http.DefaultClient.Do(f.request(ctx, n, method, path, id, body, textHeader(70)))
 	must(f.t, err)
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(resp.Body) // a stream that breaks off is one of the answers
+	text, _ := io.ReadAll(resp.Body) // an interrupted stream is an expected response
 	return resp, string(text)
 }
 
-// A client sends a request that ends every engine that begins to run it. Each engine
-// takes the streams of others with it and is back under another id a moment later. The
-// client's attempts come with ids of their own, at any node, and each was sent to up to
-// three engines: a node judged one attempt and remembered nothing. On a played day 43
-// engines ended under one request; the logs have 21 times a dozen lines "unexpected EOF"
-// within 4 ms, and in between the same "connection refused".
-func TestEntryStopsARequestThatEndsItsEndpoints(t *testing.T) {
+// A client repeats a request that crashes every engine that runs it. Each crash
+// interrupts the engine's other streams, and the engine returns under a new id.
+// The attempts have different request ids and go to different nodes, each of
+// which may retry at up to three engines. Without shared state each node judged
+// single attempts only: in one simulated day 43 engines crashed under one
+// request, and the logs showed 21 bursts of a dozen "unexpected EOF" lines
+// within 4 ms, with "connection refused" between them.
+func TestEntryQuarantinesRequestThatCrashesEndpoints(t *testing.T) {
 	for _, c := range []struct {
 		name, method, path string
 		events             int
@@ -57,19 +60,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			f := startEntryFleet(t, "a", "a", "b")
-			f.fleet.AddHarm(platformtest.Harm{Body: "crash", Events: c.events, Back: harmBack})
+			f.fleet.AddHarm(platformtest.Harm{Body: "crash", Events: c.events, Back: endpointRestartDelay})
 			var last *http.Response
 			var text string
-			for i := range harmTries {
+			for i := range harmfulAttempts {
 				f.awaitServing()
-				last, text = f.askWith(f.nodes[i%len(f.nodes)], c.method, c.path, fmt.Sprintf("crash%d", i), "crash")
+				last, text = f.sendWithBody(f.nodes[i%len(f.nodes)], c.method, c.path, fmt.Sprintf("crash%d", i), "crash")
 			}
 			ended := f.fleet.Ended("crash")
-			if len(ended) > harmEnds+harmMore {
-				t.Errorf("%d endpoints ended under one request: %v", len(ended), ended)
+			if len(ended) > quarantineThreshold+quarantineOvershoot {
+				t.Errorf("one request crashed %d endpoints: %v", len(ended), ended)
 			}
 			is.Equal(last.StatusCode, http.StatusServiceUnavailable)
-			is.Equal(last.Header.Get("Retry-After"), "") // nothing invites it again
+			is.Equal(last.Header.Get("Retry-After"), "") // the client must not be invited to retry
 			var told struct {
 				Error struct{ Type, Outcome string }
 			}
@@ -78,8 +81,8 @@
 			is.Equal(told.Error.Outcome, "not-run")
 			f.awaitServing()
 			for i, n := range f.nodes {
-				testkit.Eventually(t, "others are served at each node", func() bool {
-					resp, _ := f.askWith(n, c.method, c.path, fmt.Sprintf("other%d", i), "other")
+				testkit.Eventually(t, "other requests are served at each node", func() bool {
+					resp, _ := f.sendWithBody(n, c.method, c.path, fmt.Sprintf("other%d", i), "other")
 					return resp.StatusCode == http.StatusOK
 				})
 			}
@@ -87,13 +90,13 @@
 	}
 }
 
-// awaitServing waits until a group and a plain endpoint could serve, so that what is
-// refused isn't for want of one.
+// awaitServing waits until a group and a plain endpoint serve, so that a later
+// refusal isn't caused by missing capacity.
 func (f *entryFleet) awaitServing() {
 	f.t.Helper()
 	testkit.Eventually(f.t, "a stream and a call are served", func() bool {
-		text, _ := f.askWith(f.nodes[0], "POST", "/text/x", "probe", "harmless")
-		call, _ := f.askWith(f.nodes[0], "GET", "/lookup/x", "probe", "harmless")
+		text, _ := f.sendWithBody(f.nodes[0], "POST", "/text/x", "probe", "harmless")
+		call, _ := f.sendWithBody(f.nodes[0], "GET", "/lookup/x", "probe", "harmless")
 		return text.StatusCode == http.StatusOK && call.StatusCode == http.StatusOK
 	})
 }
--- a/test/entry_logs_test.go
+++ b/test/entry_logs_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// logSchema maps each message of the entry node's log to the fields that
-// docs/LOGS.md names for it.
+// logSchema maps each log message of the entry node to the fields documented
+// for it in docs/LOGS.md.
 var logSchema = sync.OnceValues(func() (map[string]map[string]bool, error) {
 	raw, err := os.ReadFile("../docs/LOGS.md")
 	if err != nil {
@@ -20,7 +20,7 @@
 	schema := map[string]map[string]bool{}
 	for line := range strings.Lines(string(raw)) {
 		cells := strings.Split(line, "|")
-		if len(cells) != 5 { // a row of three cells between bars
+		if len(cells) != 5 { // not a table row of three cells
 			continue
 		}
 		for _, msg := range quoted.FindAllStringSubmatch(cells[1], -1) {
@@ -34,9 +34,9 @@
 	return schema, nil
 })
 
-// checkLogs fails the test for each line that a node wrote and that the page of
-// logs doesn't describe. On-call engineers search by these names; one that is
-// missing there is found by nobody.
+// checkLogs fails the test for each log line of a node that docs/LOGS.md
+// doesn't describe. On-call engineers search by these names, so an undocumented
+// one can't be found.
 func checkLogs(t *testing.T, p *process) {
 	t.Helper()
 	schema, err := logSchema()
@@ -44,27 +44,27 @@
 	p.mu.Lock()
 	lines := p.lines
 	p.mu.Unlock()
-	told := map[string]bool{}
+	reported := map[string]bool{}
 	for _, line := range lines {
 		for _, problem := range logProblems(schema, line) {
-			if !told[problem] {
+			if !reported[problem] {
 				t.Errorf("%s: %s, in %s", p.name, problem, line)
 			}
-			told[problem] = true
+			reported[problem] = true
 		}
 	}
 }
 
-// logProblems returns what the schema doesn't know of a line.
+// logProblems returns the deviations of a line from the schema.
 func logProblems(schema map[string]map[string]bool, line string) []string {
 	var fields map[string]any
 	if err := json.Unmarshal([]byte(line), &fields); err != nil {
-		return []string{"a line is no JSON object"}
+		return []string{"a line is not a JSON object"}
 	}
 	msg, _ := fields["msg"].(string)
 	known, ok := schema[msg]
 	if !ok {
-		return []string{"message " + msg + " is not on the page of logs"}
+		return []string{"message " + msg + " is not documented in docs/LOGS.md"}
 	}
 	var out []string
 	for name := range fields {
@@ -72,14 +72,14 @@
 		case "time", "level", "msg", "vm":
 		default:
 			if !known[name] {
-				out = append(out, "field "+name+" of "+msg+" is not on the page of logs")
+				out = append(out, "field "+name+" of "+msg+" is not documented in docs/LOGS.md")
 			}
 		}
 	}
 	return out
 }
 
-// The check itself finds a message and a field that the page lacks.
+// The check must report an undocumented message and an undocumented field.
 func TestLogProblems(t *testing.T) {
 	schema := map[string]map[string]bool{"known": {"a": true}}
 	for line, want := range map[string]int{
--- a/test/entry_restore_test.go
+++ b/test/entry_restore_test.go
@@ -12,24 +12,25 @@
 	"chervilloom/platform/platformtest"
 )
 
-// restored is a fleet whose table has come back from a copy of before its newest groups and
-// before a key was taken away.
-func restored(t *testing.T) (f *entryFleet, open []string) {
+// startRestoredFleet starts a fleet and restores its table from a copy that
+// predates the newest groups and the revocation of a key. It returns the open
+// group heads as well.
+func startRestoredFleet(t *testing.T) (f *entryFleet, open []string) {
 	t.Helper()
 	f = startEntryFleetOn(t, func(s *platformtest.Store) { s.TellEras(); s.Copy() }, "a", "a", "b")
 	f.keys = f.keys[:1]
-	f.configure()
+	f.writeNextDocument()
 	for _, n := range f.nodes {
 		testkit.Eventually(t, "a node refuses the key", func() bool { return f.keyStatus(n, "k2") == http.StatusUnauthorized })
 	}
-	open = f.heads()
+	open = f.groupHeads()
 	f.store.Restore()
 	f.fleet.RegisterAll()
 	return f, open
 }
 
-// heads returns the engines that lead groups, in order.
-func (f *entryFleet) heads() []string {
+// groupHeads returns the sorted ids of the engines that lead groups.
+func (f *entryFleet) groupHeads() []string {
 	var out []string
 	for _, e := range f.fleet.Open("m") {
 		out = append(out, e.ID)
@@ -40,7 +41,8 @@
 
 var keyRequests int
 
-// keyStatus asks a node for a lookup with a key.
+// keyStatus sends a lookup with the key to a node and returns the response
+// status.
 func (f *entryFleet) keyStatus(n *entryNode, key string) int {
 	keyRequests++
 	id := fmt.Sprintf("key%d", keyRequests)
@@ -48,24 +50,25 @@
 	return code
 }
 
-// The table comes back empty of all that the nodes and the operator wrote: leases, claims,
-// addresses and the document that took a key away. The groups serve on under the claims that
-// are put back, nobody forms them anew, and the key stays refused until the operator has
-// written the document again and after.
-func TestEntryOutlastsARestoreOfTheTable(t *testing.T) {
+// The table loses everything that the nodes and the operator wrote since the
+// copy: leases, claims, addresses and the document that revoked a key. The
+// nodes must write the claims again, the groups must continue without being
+// formed anew, and the key must stay refused before and after the operator
+// writes the document again.
+func TestEntrySurvivesTableRestore(t *testing.T) {
 	is := is.New(t)
-	f, open := restored(t)
-	testkit.Eventually(t, "leases, claims and addresses are put back", func() bool {
+	f, open := startRestoredFleet(t)
+	testkit.Eventually(t, "leases, claims and addresses are written again", func() bool {
 		return f.store.Rows("leases") >= 2+len(f.nodes) && f.store.Rows("groups") >= 1
 	})
 	for _, n := range f.nodes {
 		is.True(f.keyStatus(n, "k2") != http.StatusOK)
 	}
-	is.Equal(f.heads(), open)
-	f.rewrite()
+	is.Equal(f.groupHeads(), open)
+	f.rewriteDocument()
 	for _, n := range f.nodes {
-		testkit.Eventually(t, "a node serves keys", func() bool { return f.keyStatus(n, "k1") == http.StatusOK })
-		testkit.Eventually(t, "a node knows for sure that the key is gone", func() bool {
+		testkit.Eventually(t, "a node accepts the valid key", func() bool { return f.keyStatus(n, "k1") == http.StatusOK })
+		testkit.Eventually(t, "a node refuses the revoked key with 401", func() bool {
 			code := f.keyStatus(n, "k2")
 			is.True(code != http.StatusOK) // 503 until the document is confirmed again
 			return code == http.StatusUnauthorized
@@ -73,19 +76,20 @@
 		code, _ := f.status(n, "POST", "/text/x", fmt.Sprintf("after%d", n.cmd.Process.Pid), textHeader(7))
 		is.Equal(code, http.StatusOK)
 	}
-	is.Equal(f.heads(), open)
+	is.Equal(f.groupHeads(), open)
 }
 
-// All nodes end as the table comes back, so that nobody is left who knows the claims. Nodes
-// that start find the groups by what the engines report, and close none of them.
-func TestGroupsOutlastARestoreAndAllNodes(t *testing.T) {
+// All nodes are killed when the table is restored, so that no node remembers
+// the claims. New nodes must find the groups from the engines' reports and
+// close none of them.
+func TestGroupsSurviveTableRestoreAndNodeRestart(t *testing.T) {
 	is := is.New(t)
-	f, open := restored(t)
+	f, open := startRestoredFleet(t)
 	for _, n := range f.nodes {
 		n.kill()
 	}
 	f.nodes = nil
-	f.rewrite()
+	f.rewriteDocument()
 	f.startNode("front-a-9", "a")
 	f.startNode("front-b-9", "b")
 	for _, n := range f.nodes {
@@ -95,6 +99,6 @@
 			return code == http.StatusOK
 		})
 	}
-	testkit.Eventually(t, "the claims stand again", func() bool { return f.store.Rows("groups") >= 1 })
-	is.Equal(f.heads(), open)
+	testkit.Eventually(t, "the claims are written again", func() bool { return f.store.Rows("groups") >= 1 })
+	is.Equal(f.groupHeads(), open)
 }
--- a/test/entry_soak_test.go
+++ b/test/entry_soak_test.go
@@ -23,32 +23,35 @@
 
 var (
 	soakSeed  = flag.Uint64("soak.seed", 1, "first seed of TestEntrySoak")
-	soakSeeds = flag.Int("soak.seeds", 1, "seeds that TestEntrySoak runs, one after another")
-	soakTime  = flag.Duration("soak.time", 8*time.Second, "time that faults are injected for, a seed")
+	soakSeeds = flag.Int("soak.seeds", 1, "number of consecutive seeds that TestEntrySoak runs")
+	soakTime  = flag.Duration("soak.time", 8*time.Second, "duration of fault injection per seed")
 )
 
-// soak is a fleet under faults, with clients that use it all the while.
+// soak is a fleet under fault injection with clients that send requests
+// throughout.
 type soak struct {
 	*entryFleet
-	rnd *rand.Rand // of the faults
+	rng *rand.Rand // for the faults
 
-	mu     sync.Mutex
-	faults []string
-	wrong  []string
-	served int
+	mu         sync.Mutex
+	faults     []string
+	violations []string
+	served     int
 }
 
-// Faults of every kind come in series and overlap: engines die and arrive, leave
-// in order; nodes are killed, paused, told to stop and start anew; the store is
-// down, loses answers, forgets its history, comes back from an older copy; endpoints lose answers; keys change.
-// Requests that end the endpoints that run them come, before their first event or after
-// some, each time or every other time. Endpoints name a rate limit, ask for rest, or say that
-// they leave. All the while: streams have each piece once and in
-// order, receipts run once at most, what was refused has not run, no group opens without
-// its members, no engine joins a second group that serves, and none of the requests beside
-// is quarantined, all of whose streams have one and the same body; endpoints get no more than
-// they told. Afterwards requests are
-// served again, and one that ends endpoints reaches no more than it may.
+// TestEntrySoak injects random, overlapping faults while clients send requests.
+// Engines crash, leave and are added; nodes are killed, paused, terminated and
+// restarted. The store is down, loses responses or its history, or is restored
+// from an older copy. Endpoints lose responses, set a rate limit, ask for a
+// pause or announce that they are leaving; keys change. Harmful requests crash
+// the endpoints that run them, before the first event or after some, every time
+// or every other time. Throughout: streams contain each event once and in
+// order, receipts run at most once, refused requests did not run, no group
+// opens without its members, no engine joins a second serving group, none of
+// the other requests is quarantined although their streams all have the same
+// body, and endpoints get no more than their pressure signals allow. Afterwards
+// requests are served again and a harmful request reaches no more endpoints
+// than allowed.
 func TestEntrySoak(t *testing.T) {
 	for i := range *soakSeeds {
 		seed := *soakSeed + uint64(i)
@@ -56,9 +59,10 @@
 	}
 }
 
+// runSoak runs the soak test with one seed.
 func runSoak(t *testing.T, seed uint64) {
 	is := is.New(t)
-	s := &soak{entryFleet: startEntryFleetOn(t, (*platformtest.Store).TellEras, "a", "a", "b"), rnd: rand.New(rand.NewPCG(seed, 0))}
+	s := &soak{entryFleet: startEntryFleetOn(t, (*platformtest.Store).TellEras, "a", "a", "b"), rng: rand.New(rand.NewPCG(seed, 0))}
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for c := range 6 {
@@ -69,53 +73,53 @@
 		}()
 	}
 	for end := time.Now().Add(*soakTime); time.Now().Before(end); {
-		s.fault()
-		time.Sleep(time.Duration(100+s.rnd.IntN(500)) * time.Millisecond) // the pace of the faults
+		s.injectFault()
+		time.Sleep(time.Duration(100+s.rng.IntN(500)) * time.Millisecond) // interval between faults
 	}
-	s.heal()
+	s.clearFaults()
 	close(stop)
 	clients.Wait()
 	for i, n := range s.nodes {
-		if s.ended(n) {
+		if s.hasExited(n) {
 			continue
 		}
-		testkit.Eventually(t, "a node serves again", func() bool {
-			code, _, err := s.ask(n, "POST", "/text/x", fmt.Sprintf("after%d-%d", seed, i), textHeader(70))
+		testkit.Eventually(t, "a node serves requests again", func() bool {
+			code, _, err := s.sendAndRead(n, "POST", "/text/x", fmt.Sprintf("after%d-%d", seed, i), textHeader(70))
 			return err == nil && code == http.StatusOK
 		})
 	}
-	s.checkHarm(rand.New(rand.NewPCG(seed, 99)))
-	s.wrong = append(s.wrong, s.fleet.Broken()...)
+	s.checkHarmfulRequest(rand.New(rand.NewPCG(seed, 99)))
+	s.violations = append(s.violations, s.fleet.Broken()...)
 	for _, e := range s.fleet.All() {
 		for _, b := range e.Pressure.Broken() {
-			s.fail("%s got %s", e.ID, b)
+			s.recordViolation("%s: pressure signal violated: %s", e.ID, b)
 		}
 	}
-	if len(s.wrong) > 0 {
+	if len(s.violations) > 0 {
 		t.Logf("faults:\n%s", strings.Join(s.faults, "\n"))
 	}
-	is.Equal(s.wrong, nil)
+	is.Equal(s.violations, nil)
 	is.True(s.served > 0)
 }
 
-// fault injects one fault.
-func (s *soak) fault() {
+// injectFault injects one random fault.
+func (s *soak) injectFault() {
 	engines := s.fleet.Open("m")
-	n := s.nodes[s.rnd.IntN(len(s.nodes))]
-	kind := s.rnd.IntN(15)
+	n := s.nodes[s.rng.IntN(len(s.nodes))]
+	kind := s.rng.IntN(15)
 	s.faults = append(s.faults, fmt.Sprintf("%s kind %d at %s", time.Now().Format(time.TimeOnly), kind, n.name))
 	switch kind {
-	case 0: // a member of a serving group dies, a new engine comes
+	case 0: // a member of a serving group crashes, a new engine is added
 		if len(engines) > 0 {
-			members := engines[s.rnd.IntN(len(engines))].Members()
-			s.fleet.Get(members[s.rnd.IntN(len(members))]).Kill()
-			s.fleet.AddEngine(fmt.Sprintf("i-n%d", s.rnd.Uint64()), "engines", "a", "d0")
+			members := engines[s.rng.IntN(len(engines))].Members()
+			s.fleet.Get(members[s.rng.IntN(len(members))]).Kill()
+			s.fleet.AddEngine(fmt.Sprintf("i-n%d", s.rng.Uint64()), "engines", "a", "d0")
 		}
-	case 1: // a member leaves in order, a new engine comes
+	case 1: // a member drains, a new engine is added
 		if len(engines) > 0 {
-			members := engines[s.rnd.IntN(len(engines))].Members()
+			members := engines[s.rng.IntN(len(engines))].Members()
 			s.fleet.Get(members[len(members)-1]).Drain()
-			s.fleet.AddEngine(fmt.Sprintf("i-n%d", s.rnd.Uint64()), "engines", "a", "d0")
+			s.fleet.AddEngine(fmt.Sprintf("i-n%d", s.rng.Uint64()), "engines", "a", "d0")
 		}
 	case 2:
 		s.restart(n, syscall.SIGKILL)
@@ -123,55 +127,56 @@
 		s.restart(n, syscall.SIGTERM)
 	case 4, 5:
 		s.signal(n, syscall.SIGSTOP)
-		time.Sleep(time.Duration(s.rnd.IntN(2500)) * time.Millisecond) // the pause
+		time.Sleep(time.Duration(s.rng.IntN(2500)) * time.Millisecond) // length of the pause
 		for _, e := range s.fleet.All() {
-			e.Pressure.Excuse(caller(n))
+			e.Pressure.Excuse(callerID(n))
 		}
 		s.signal(n, syscall.SIGCONT)
 	case 6:
-		s.store.SetDown(s.rnd.IntN(2) == 0)
+		s.store.SetDown(s.rng.IntN(2) == 0)
 	case 7:
-		s.store.LoseAnswers(s.rnd.IntN(2) == 0)
+		s.store.LoseAnswers(s.rng.IntN(2) == 0)
 	case 8:
 		s.store.ForgetHistory()
-	case 9: // a plain endpoint loses the answers of what it ran
-		id := []string{"i-p0", "i-p1"}[s.rnd.IntN(2)]
+	case 9: // a plain endpoint loses the responses of requests that it ran
+		id := []string{"i-p0", "i-p1"}[s.rng.IntN(2)]
 		e := s.fleet.Get(id)
-		if s.rnd.IntN(2) == 0 {
-			s.faults = append(s.faults, id+" answers")
+		if s.rng.IntN(2) == 0 {
+			s.faults = append(s.faults, id+" responds again")
 			e.Mangle(nil)
 			break
 		}
-		s.faults = append(s.faults, id+" loses its answers")
+		s.faults = append(s.faults, id+" loses its responses")
 		e.Mangle(func(_ http.ResponseWriter, r *http.Request) {
 			s.fleet.Ran(r.Header.Get("X-Request-Id"), id)
 			panic(http.ErrAbortHandler)
 		})
 	case 10:
 		s.signal(n, syscall.SIGHUP)
-		s.configure()
+		s.writeNextDocument()
 	case 12:
-		s.restore()
+		s.restoreStore()
 	case 13, 14:
-		s.press()
+		s.setRandomPressure()
 	case 11:
-		body := s.addHarm(s.rnd)
+		body := s.addHarmfulRequest(s.rng)
 		for i := range 4 {
-			s.sendHarm(s.nodes[s.rnd.IntN(len(s.nodes))], fmt.Sprintf("%s-%d", body, i), body)
+			s.sendHarmfulRequest(s.nodes[s.rng.IntN(len(s.nodes))], fmt.Sprintf("%s-%d", body, i), body)
 		}
 	}
 }
 
-// restore has the store come back from a copy up to 3 s old, with what nodes, endpoints and
-// the operator wrote since gone; the latter two write it again in any order.
-func (s *soak) restore() {
+// restoreStore restores the store from a copy up to 3 s old. The endpoints and
+// the operator then write their lost records again, in random order; the nodes
+// detect the loss themselves.
+func (s *soak) restoreStore() {
 	s.store.Copy()
-	time.Sleep(time.Duration(s.rnd.IntN(3000)) * time.Millisecond) // the copy's age
+	time.Sleep(time.Duration(s.rng.IntN(3000)) * time.Millisecond) // age of the copy
 	s.store.Restore()
-	pause := func() { time.Sleep(time.Duration(s.rnd.IntN(400)) * time.Millisecond) } // until they notice
-	if s.rnd.IntN(2) == 0 {
+	pause := func() { time.Sleep(time.Duration(s.rng.IntN(400)) * time.Millisecond) } // delay until the loss is noticed
+	if s.rng.IntN(2) == 0 {
 		pause()
-		s.rewrite()
+		s.rewriteDocument()
 		pause()
 		s.fleet.RegisterAll()
 		return
@@ -179,31 +184,32 @@
 	pause()
 	s.fleet.RegisterAll()
 	pause()
-	s.rewrite()
+	s.rewriteDocument()
 }
 
-// press has an endpoint say how much it takes, or nothing any more.
-func (s *soak) press() {
+// setRandomPressure has an endpoint send a random pressure signal, or none.
+func (s *soak) setRandomPressure() {
 	endpoints := append(s.fleet.Open("m"), s.fleet.Get("i-p0"), s.fleet.Get("i-p1"))
-	i := s.rnd.IntN(len(endpoints))
-	signals := []pressure.Signals{{}, {Limit: 0.1 + 4*s.rnd.Float64()}, {RetryAfter: time.Duration(500+s.rnd.IntN(2500)) * time.Millisecond}, {Leaving: true}}
-	w := signals[s.rnd.IntN(len(signals))]
-	if w.Leaving { // for good: an engine, and a new one comes
+	i := s.rng.IntN(len(endpoints))
+	signals := []pressure.Signals{{}, {Limit: 0.1 + 4*s.rng.Float64()}, {RetryAfter: time.Duration(500+s.rng.IntN(2500)) * time.Millisecond}, {Leaving: true}}
+	w := signals[s.rng.IntN(len(signals))]
+	if w.Leaving { // permanent, so only engines leave, and a new one is added
 		if i >= len(endpoints)-2 {
 			return
 		}
-		s.fleet.AddEngine(fmt.Sprintf("i-n%d", s.rnd.Uint64()), "engines", "a", "d0")
+		s.fleet.AddEngine(fmt.Sprintf("i-n%d", s.rng.Uint64()), "engines", "a", "d0")
 	}
-	s.faults = append(s.faults, fmt.Sprintf("%s says %+v", endpoints[i].ID, w))
+	s.faults = append(s.faults, fmt.Sprintf("%s sends pressure signals %+v", endpoints[i].ID, w))
 	endpoints[i].Pressure.Set(w)
 }
 
-// caller is how requests through a node are named to the endpoints: each of its processes by
-// a name of its own.
-func caller(n *entryNode) string { return strings.NewReplacer(".", "_", ":", "_").Replace(n.front) }
+// callerID identifies a node's process to the endpoints: clients put it at the
+// start of the ids of the requests that they send through this node.
+func callerID(n *entryNode) string { return strings.NewReplacer(".", "_", ":", "_").Replace(n.front) }
 
-// addHarm lets another request end the engines that run it.
-func (s *soak) addHarm(rnd *rand.Rand) (body string) {
+// addHarmfulRequest registers a new request body that crashes the engines that
+// run it.
+func (s *soak) addHarmfulRequest(rnd *rand.Rand) (body string) {
 	body = fmt.Sprintf("crash%d", rnd.Uint64())
 	s.fleet.AddHarm(platformtest.Harm{
 		Body: body, Events: rnd.IntN(3), Every: 1 + rnd.IntN(2), Back: time.Duration(100+rnd.IntN(700)) * time.Millisecond,
@@ -211,46 +217,49 @@
 	return body
 }
 
-// sendHarm is a client attempt with a request that ends engines.
-func (s *soak) sendHarm(n *entryNode, id, body string) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// sendHarmfulRequest sends a request whose body crashes engines, and checks
+// that a refused one did not run.
+func (s *soak) sendHarmfulRequest(n *entryNode, id, body string) {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	resp, err := http.DefaultClient.Do(s.request(ctx, n, "POST", "/text/x", id, body, textHeader(70)))
 	if err != nil {
-		return // the node may be gone
+		return // the node may have exited
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, resp.Body) // a stream that breaks off is one of the answers
+	_, _ = io.Copy(io.Discard, resp.Body) // an interrupted stream is an expected response
 	if resp.StatusCode == http.StatusServiceUnavailable && len(s.fleet.Runs(id)) > 0 {
-		s.fail("%s was refused by %s and ran at %v", id, n.name, s.fleet.Runs(id))
+		s.recordViolation("%s was refused by %s but ran at %v", id, n.name, s.fleet.Runs(id))
 	}
 }
 
-// checkHarm sends a harmful request to nodes that are in touch again: it reaches no more
-// endpoints than it may.
-func (s *soak) checkHarm(rnd *rand.Rand) {
-	body := s.addHarm(rnd)
-	for i := range harmTries {
-		for k := range 2 { // engines end and come back meanwhile
+// checkHarmfulRequest sends a harmful request to nodes that are connected again
+// and checks that it reaches no more endpoints than allowed.
+func (s *soak) checkHarmfulRequest(rnd *rand.Rand) {
+	body := s.addHarmfulRequest(rnd)
+	for i := range harmfulAttempts {
+		for k := range 2 { // engines crash and restart meanwhile
 			n := s.nodes[rnd.IntN(len(s.nodes))]
-			if !s.ended(n) {
-				s.sendHarm(n, fmt.Sprintf("%s-%d-%d", body, i, k), body)
+			if !s.hasExited(n) {
+				s.sendHarmfulRequest(n, fmt.Sprintf("%s-%d-%d", body, i, k), body)
 			}
 		}
-		time.Sleep(harmBack) // the pace of clients that come again
+		time.Sleep(endpointRestartDelay) // interval between client retries
 	}
-	if ended := s.fleet.Ended(body); len(ended) > harmEnds+harmMore {
-		s.fail("%d endpoints ended under one request: %v", len(ended), ended)
+	if ended := s.fleet.Ended(body); len(ended) > quarantineThreshold+quarantineOvershoot {
+		s.recordViolation("one request crashed %d endpoints: %v", len(ended), ended)
 	}
 }
 
+// signal sends a signal to a node unless it has exited.
 func (s *soak) signal(n *entryNode, sig syscall.Signal) {
-	if !s.ended(n) {
-		_ = n.cmd.Process.Signal(sig) // it may end in between
+	if !s.hasExited(n) {
+		_ = n.cmd.Process.Signal(sig) // the process may exit in between
 	}
 }
 
-func (s *soak) ended(n *entryNode) bool {
+// hasExited reports whether the node's process has ended.
+func (s *soak) hasExited(n *entryNode) bool {
 	select {
 	case <-n.done:
 		return true
@@ -259,7 +268,8 @@
 	}
 }
 
-// restart ends a node and starts another in its place.
+// restart sends a terminating signal to a node and starts a replacement with
+// the same name and zone.
 func (s *soak) restart(n *entryNode, sig syscall.Signal) {
 	s.signal(n, sig)
 	s.mu.Lock()
@@ -274,7 +284,8 @@
 	s.nodes = s.nodes[:len(s.nodes)-1]
 }
 
-func (s *soak) heal() {
+// clearFaults ends all faults that can be ended.
+func (s *soak) clearFaults() {
 	s.store.SetDown(false)
 	s.store.LoseAnswers(false)
 	for _, id := range []string{"i-p0", "i-p1"} {
@@ -288,7 +299,9 @@
 	}
 }
 
-func (s *soak) ask(n *entryNode, method, path, id string, header map[string]string) (int, string, error) {
+// sendAndRead sends a request and returns the status and the body of the
+// response.
+func (s *soak) sendAndRead(n *entryNode, method, path, id string, header map[string]string) (int, string, error) {
 	resp, err := s.send(n, method, path, id, header)
 	if err != nil {
 		return 0, "", err
@@ -298,7 +311,8 @@
 	return resp.StatusCode, string(body), err
 }
 
-// client sends requests one after another and checks what it can see.
+// client sends random sequential requests until stop is closed, and checks the
+// responses.
 func (s *soak) client(name string, rnd *rand.Rand, stop <-chan struct{}) {
 	for i := 0; ; i++ {
 		select {
@@ -309,7 +323,7 @@
 		s.mu.Lock()
 		n := s.nodes[rnd.IntN(len(s.nodes))]
 		s.mu.Unlock()
-		id := fmt.Sprintf("%s.%s-%d", caller(n), name, i)
+		id := fmt.Sprintf("%s.%s-%d", callerID(n), name, i)
 		switch rnd.IntN(3) {
 		case 0:
 			s.checkStream(n, id, 1+rnd.IntN(60))
@@ -321,39 +335,44 @@
 	}
 }
 
+// checkStream requests a stream of the given number of events and checks the
+// events that arrive.
 func (s *soak) checkStream(n *entryNode, id string, events int) {
-	code, body, err := s.ask(n, "POST", "/text/x", id, textHeader(events*7))
+	code, body, err := s.sendAndRead(n, "POST", "/text/x", id, textHeader(events*7))
 	if strings.Contains(body, "quarantined") {
-		s.fail("stream %s is taken for harmful: %s", id, body)
+		s.recordViolation("stream %s was quarantined: %s", id, body)
 	}
-	got := pieces(body)
+	got := eventIDs(body)
 	switch {
-	case err == nil && code == http.StatusOK && !slices.Equal(got, wantPieces(events)):
-		s.fail("stream %s ended as whole with %v of %d", id, got, events)
-	case code == http.StatusOK && !slices.Equal(got, wantPieces(len(got))):
-		s.fail("stream %s has pieces %v", id, got)
+	case err == nil && code == http.StatusOK && !slices.Equal(got, wantEventIDs(events)):
+		s.recordViolation("stream %s ended without error with events %v of %d", id, got, events)
+	case code == http.StatusOK && !slices.Equal(got, wantEventIDs(len(got))):
+		s.recordViolation("stream %s has events %v", id, got)
 	}
-	s.count(n, id, code, err)
+	s.recordAnswer(n, id, code, err)
 }
 
-func (s *soak) checkCall(n *entryNode, method, path, id string, most int) {
-	code, body, err := s.ask(n, method, path, id, nil)
+// checkCall sends a request to a plain service and checks that it ran at most
+// maxRuns times and got its own response.
+func (s *soak) checkCall(n *entryNode, method, path, id string, maxRuns int) {
+	code, body, err := s.sendAndRead(n, method, path, id, nil)
 	if strings.Contains(body, "quarantined") {
-		s.fail("call %s is taken for harmful: %s", id, body)
+		s.recordViolation("call %s was quarantined: %s", id, body)
 	}
-	if runs := s.fleet.Runs(id); len(runs) > most {
-		s.fail("%s ran at %v", id, runs)
+	if runs := s.fleet.Runs(id); len(runs) > maxRuns {
+		s.recordViolation("%s ran at %v", id, runs)
 	}
 	if err == nil && code == http.StatusOK && !strings.Contains(body, path) {
-		s.fail("%s got the answer %q", id, body)
+		s.recordViolation("%s got the response of another request: %q", id, body)
 	}
-	s.count(n, id, code, err)
+	s.recordAnswer(n, id, code, err)
 }
 
-// count checks what every answer promises.
-func (s *soak) count(n *entryNode, id string, code int, err error) {
+// recordAnswer checks that a refused request did not run, and counts served
+// ones.
+func (s *soak) recordAnswer(n *entryNode, id string, code int, err error) {
 	if err == nil && code == http.StatusServiceUnavailable && len(s.fleet.Runs(id)) > 0 {
-		s.fail("%s was refused by %s and ran at %v", id, n.name, s.fleet.Runs(id))
+		s.recordViolation("%s was refused by %s but ran at %v", id, n.name, s.fleet.Runs(id))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -362,8 +381,9 @@
 	}
 }
 
-func (s *soak) fail(format string, args ...any) {
+// recordViolation adds a violation for the report at the end of the test.
+func (s *soak) recordViolation(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wrong = append(s.wrong, fmt.Sprintf(format, args...))
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
--- a/test/entry_test.go
+++ b/test/entry_test.go
@@ -20,8 +20,8 @@
 	"chervilloom/platform/platformtest"
 )
 
-// entryFleet is a set of entry nodes as processes, before stand-ins of the
-// platform, its engines and a plain service in the test's own process.
+// entryFleet is a set of entry nodes that run as processes, with stand-ins for
+// the platform, the engines and a plain service in the test process.
 type entryFleet struct {
 	t       *testing.T
 	store   *platformtest.Store
@@ -31,6 +31,8 @@
 	keys    []string
 }
 
+// entryNode is the process of an entry node with its client and readiness
+// addresses.
 type entryNode struct {
 	*process
 	front, ready string
@@ -69,12 +71,13 @@
   "loads_per_s":100,"loads_at_once":6,"keeps":1,"form_ms":50}},{"name":"plain"}],
  "limits":{"max_body_bytes":65536},"tenants":[{"name":"org","api_keys":[%s]}]}`
 
+// startEntryFleet starts a fleet with one node in each of the given zones.
 func startEntryFleet(t *testing.T, zones ...string) *entryFleet {
 	t.Helper()
 	return startEntryFleetOn(t, func(*platformtest.Store) {}, zones...)
 }
 
-// startEntryFleetOn starts a fleet on a store that prepare has prepared.
+// startEntryFleetOn starts a fleet on a store that is first passed to prepare.
 func startEntryFleetOn(t *testing.T, prepare func(*platformtest.Store), zones ...string) *entryFleet {
 	t.Helper()
 	f := &entryFleet{t: t, store: platformtest.NewStore(), keys: []string{`"k1"`, `"k2"`}}
@@ -87,7 +90,7 @@
 	}
 	f.fleet.AddService("i-p0", "plain", "a")
 	f.fleet.AddService("i-p1", "plain", "b")
-	f.configure()
+	f.writeNextDocument()
 	for i, zone := range zones {
 		f.startNode(fmt.Sprintf("front-%s-%d", zone, i), zone)
 	}
@@ -96,7 +99,7 @@
 	}
 	testkit.Eventually(t, "two groups serve", func() bool { return len(f.fleet.Open("m")) == 2 })
 	for i, n := range f.nodes {
-		testkit.Eventually(t, "a node knows the groups", func() bool {
+		testkit.Eventually(t, "a node serves streams", func() bool {
 			code, _ := f.status(n, "POST", "/text/x", fmt.Sprintf("first%d", i), textHeader(7))
 			return code == http.StatusOK
 		})
@@ -104,41 +107,43 @@
 	return f
 }
 
-// configure writes the next version of the operator's document.
-func (f *entryFleet) configure() {
+// writeNextDocument writes the operator's document with a higher version.
+func (f *entryFleet) writeNextDocument() {
 	f.version += 3
-	f.rewrite()
+	f.rewriteDocument()
 }
 
-// rewrite writes the operator's newest document again.
-func (f *entryFleet) rewrite() {
+// rewriteDocument writes the operator's document again in its current version.
+func (f *entryFleet) rewriteDocument() {
 	f.store.PutRaw("op", "config", fmt.Appendf(nil, entryDocument, f.version, strings.Join(f.keys, ",")))
 }
 
-// nodesStarted counts the nodes of this process, for their addresses.
+// nodesStarted counts the nodes started by this process, to assign addresses.
 var nodesStarted atomic.Uint32
 
-// loopbackIP returns an address of the loopback range that no other node has,
-// also of a test run beside this one. On a shared address the port that one run
-// has just found free may be taken by the other before its node listens.
+// loopbackIP returns a loopback address that no other node uses, including
+// those of a concurrent test run. On a shared address, another run could bind a
+// port between its selection here and the node's listen call.
 func loopbackIP() string {
 	pid, n := os.Getpid(), nodesStarted.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>8&127, pid&255, 1+n%250)
 }
 
-// freeAddrs returns n free addresses on ip.
+// freeAddrs returns n distinct free addresses on ip.
 func freeAddrs(t *testing.T, ip string, n int) []string {
 	t.Helper()
 	var addrs []string
 	for range n {
 		ln, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 		must(t, err)
-		defer ln.Close() // after all are chosen, so that they differ
+		defer ln.Close() // deferred so that the addresses differ
 		addrs = append(addrs, ln.Addr().String())
 	}
 	return addrs
 }
 
+// startNode starts an entry node and adds it to the fleet. Its log is checked
+// when the test ends.
 func (f *entryFleet) startNode(vm, zone string) {
 	f.t.Helper()
 	ip := loopbackIP()
@@ -154,6 +159,7 @@
 	f.nodes = append(f.nodes, n)
 }
 
+// isReady reports whether the node's readiness check succeeds.
 func (f *entryFleet) isReady(n *entryNode) bool {
 	resp, err := http.Get("http://" + n.ready + "/ready")
 	if err != nil {
@@ -176,14 +182,14 @@
 	return req
 }
 
-// send makes a request at a node.
+// send sends a request to a node.
 func (f *entryFleet) send(n *entryNode, method, path, id string, header map[string]string) (*http.Response, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	f.t.Cleanup(cancel)
 	return http.DefaultClient.Do(f.request(ctx, n, method, path, id, "body", header))
 }
 
-// status sends a request and returns the status of the answer and its body.
+// status sends a request and returns the status and the body of the response.
 func (f *entryFleet) status(n *entryNode, method, path, id string, header map[string]string) (int, string) {
 	f.t.Helper()
 	resp, err := f.send(n, method, path, id, header)
@@ -194,12 +200,14 @@
 	return resp.StatusCode, string(body)
 }
 
+// textHeader returns the headers of a stream request with the given number of
+// output tokens; an event contains seven tokens.
 func textHeader(tokens int) map[string]string {
 	return map[string]string{"X-Model": "m", "X-Token-Counts": fmt.Sprintf("100,%d", tokens)}
 }
 
-// pieces returns the ids of the events of a whole stream.
-func pieces(body string) []string {
+// eventIDs returns the ids of all events in the body of a stream.
+func eventIDs(body string) []string {
 	var ids []string
 	for s := bufio.NewScanner(strings.NewReader(body)); s.Scan(); {
 		if id, ok := strings.CutPrefix(s.Text(), "id: "); ok {
@@ -209,7 +217,8 @@
 	return ids
 }
 
-func wantPieces(n int) []string {
+// wantEventIDs returns the event ids of a complete stream of n events.
+func wantEventIDs(n int) []string {
 	var ids []string
 	for i := range n {
 		ids = append(ids, fmt.Sprint(i+1))
@@ -217,16 +226,16 @@
 	return ids
 }
 
-// The whole path on a calm day: a stream, a receipt and a lookup, at each node;
-// a key and a route that nobody declared.
-func TestEntryServesACalmDay(t *testing.T) {
+// Each node serves a stream, a receipt and a lookup without faults, and refuses
+// an unknown key and an unknown route.
+func TestEntryServesRequestsWithoutFaults(t *testing.T) {
 	is := is.New(t)
 	f := startEntryFleet(t, "a", "b")
 	for i, n := range f.nodes {
 		id := fmt.Sprintf("text%d", i)
 		code, body := f.status(n, "POST", "/text/x", id, textHeader(70))
 		is.Equal(code, 200)
-		is.Equal(pieces(body), wantPieces(10))
+		is.Equal(eventIDs(body), wantEventIDs(10))
 		is.Equal(len(f.fleet.Runs(id)), 1)
 		id = fmt.Sprintf("receipt%d", i)
 		code, body = f.status(n, "POST", "/receipt/a%2Fb?c=%20", id, map[string]string{"X-Tenant": "forged"})
@@ -243,10 +252,11 @@
 	}
 }
 
-// A member of a group dies while the head streams: the head stands still and
-// says nothing. The caller gets every piece once, from another group, and a new
-// group is formed of the survivors and the spare.
-func TestEntryMovesStreamsAndRepairs(t *testing.T) {
+// A group member crashes while the group head streams: the head stops sending
+// without closing the connection. The caller must get every event once, the
+// rest from another group, and a new group must be formed from the survivors
+// and the spare engine.
+func TestEntryResumesStreamAndRepairsGroup(t *testing.T) {
 	is := is.New(t)
 	f := startEntryFleet(t, "a", "b")
 	resp, err := f.send(f.nodes[0], "POST", "/text/x", "moved", textHeader(1400))
@@ -263,7 +273,7 @@
 	}
 	body, err := io.ReadAll(resp.Body)
 	is.NoErr(err)
-	is.Equal(pieces(string(body)), wantPieces(200))
+	is.Equal(eventIDs(string(body)), wantEventIDs(200))
 	is.Equal(len(f.fleet.Runs("moved")), 2)
 	testkit.Eventually(t, "two groups serve again", func() bool {
 		open := f.fleet.Open("m")
@@ -271,10 +281,11 @@
 	})
 }
 
-// A stream broke off after its last event and before its end. The client, which
-// has every event, asks to go on after the last one; the engine has nothing more
-// to say. The answer is the engine's own, empty and signed, and not a bare 200.
-func TestEntryPassesOnAnEmptyRest(t *testing.T) {
+// A stream was interrupted between its last event and its end. The client,
+// which has every event, resumes after the last one, and the engine has no more
+// events. The node must forward the engine's own empty, signed response instead
+// of a bare 200.
+func TestEntryForwardsEmptyResumedStream(t *testing.T) {
 	is := is.New(t)
 	f := startEntryFleet(t, "a")
 	header := textHeader(70)
@@ -289,9 +300,9 @@
 	is.True(strings.HasPrefix(resp.Header.Get("X-Server-Stamp"), "stamp-of-"))
 }
 
-// A receipt's endpoint runs it and its answer is lost. It must not run again,
-// and the caller is not told that it has not run.
-func TestEntryNeverRepeatsAReceipt(t *testing.T) {
+// An endpoint runs a receipt and its response is lost. The node must not run
+// the receipt again, and must not report it as not run.
+func TestEntryNeverRetriesNonIdempotentRequest(t *testing.T) {
 	is := is.New(t)
 	f := startEntryFleet(t, "a")
 	for _, id := range []string{"i-p0", "i-p1"} {
@@ -305,12 +316,12 @@
 	is.Equal(len(f.fleet.Runs("once")), 1)
 	code, _ = f.status(f.nodes[0], "GET", "/lookup/1", "again", nil)
 	is.Equal(code, 502)
-	is.Equal(len(f.fleet.Runs("again")), 2) // a lookup may run at another endpoint
+	is.Equal(len(f.fleet.Runs("again")), 2) // a lookup may be retried at another endpoint
 }
 
-// An endpoint answers with what belongs to another request, and without its
-// signature. Neither reaches the caller.
-func TestEntryPassesOnNobodyElsesAnswer(t *testing.T) {
+// An endpoint returns the response of another request, or one without its
+// signature. Neither may reach the caller.
+func TestEntryRejectsMismatchedResponses(t *testing.T) {
 	is := is.New(t)
 	f := startEntryFleet(t, "a")
 	answers := []http.Header{
@@ -332,14 +343,14 @@
 	}
 }
 
-// A key is taken away. It is refused soon after at each node, and at once on a
-// node that can't read the store any more once the bound is over: there the node
-// doesn't know, so it says that the request has not run.
+// A key is revoked. Each node must refuse it soon afterwards. A node that has
+// been unable to read the store for longer than the revocation bound can't
+// verify any key, so it must refuse all of them as not run.
 func TestEntryStopsServingARevokedKey(t *testing.T) {
 	is := is.New(t)
 	f := startEntryFleet(t, "a", "b")
 	f.keys = f.keys[:1]
-	f.configure()
+	f.writeNextDocument()
 	k2 := map[string]string{"Authorization": "Token k2"}
 	for i, n := range f.nodes {
 		testkit.Eventually(t, "the key is refused", func() bool {
@@ -349,7 +360,7 @@
 	}
 	f.store.SetDown(true)
 	for i, n := range f.nodes {
-		testkit.Eventually(t, "nothing with a key is served any more", func() bool {
+		testkit.Eventually(t, "requests with a valid key are refused", func() bool {
 			code, _ := f.status(n, "GET", "/lookup/1", fmt.Sprintf("k1-%d", i), nil)
 			return code == 503
 		})
@@ -357,16 +368,16 @@
 	}
 	f.store.SetDown(false)
 	for i, n := range f.nodes {
-		testkit.Eventually(t, "keys are served again", func() bool {
+		testkit.Eventually(t, "requests with a valid key are served again", func() bool {
 			code, _ := f.status(n, "GET", "/lookup/1", fmt.Sprintf("k1b-%d", i), nil)
 			return code == 200
 		})
 	}
 }
 
-// A node is told to stop while it streams. It is no longer ready, the stream runs
-// to its end, and the process ends well. The other node takes its duty over.
-func TestEntryLeavesGracefully(t *testing.T) {
+// A node gets SIGTERM while it streams. It must become unready, finish the
+// stream and exit with code 0, and the other node must take over its duty.
+func TestEntryShutsDownGracefully(t *testing.T) {
 	is := is.New(t)
 	f := startEntryFleet(t, "a", "a")
 	n := f.nodes[0]
@@ -378,19 +389,19 @@
 	testkit.Eventually(t, "the node is not ready", func() bool { return !f.isReady(n) })
 	body, err := io.ReadAll(resp.Body)
 	is.NoErr(err)
-	is.Equal(pieces(string(body)), wantPieces(100))
+	is.Equal(eventIDs(string(body)), wantEventIDs(100))
 	<-n.done
 	is.Equal(n.cmd.ProcessState.ExitCode(), 0)
 	f.fleet.Get(f.fleet.Open("m")[0].Members()[1]).Kill()
-	testkit.Eventually(t, "the other node repairs", func() bool {
+	testkit.Eventually(t, "the other node repairs the group", func() bool {
 		open := f.fleet.Open("m")
 		return len(open) == 2 && !open[0].Stalled() && !open[1].Stalled()
 	})
 }
 
-// All nodes are killed and start anew while the groups serve. They read what
-// stands and form nothing anew: the groups go on.
-func TestEntryRestartFindsItsGroups(t *testing.T) {
+// All nodes are killed and restarted while groups serve. The new nodes must
+// read the existing state and keep the groups instead of forming new ones.
+func TestEntryRestartKeepsExistingGroups(t *testing.T) {
 	is := is.New(t)
 	f := startEntryFleet(t, "a")
 	before := map[string]bool{}
@@ -401,7 +412,7 @@
 	f.startNode("front-a-1", "a")
 	n := f.nodes[1]
 	testkit.Eventually(t, "the node is ready", func() bool { return f.isReady(n) })
-	n.line(t, "duty begun")
+	n.awaitLine(t, "duty begun")
 	code, _ := f.status(n, "POST", "/text/x", "after", textHeader(70))
 	is.Equal(code, 200)
 	for _, e := range f.fleet.Open("m") {
@@ -409,12 +420,13 @@
 	}
 }
 
-func TestEntrySaysWhatIsWrongWithItsSettings(t *testing.T) {
+// An entry node with invalid settings must exit with code 1 and log the reason.
+func TestEntryReportsInvalidSettings(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "local.conf")
 	must(t, os.WriteFile(file, []byte("node=x\nbounds.grace_s=soon\n"), 0o600))
 	p := startProcess(t, "wrong", "entry", "--settings", file)
 	<-p.done
 	is.Equal(p.cmd.ProcessState.ExitCode(), 1)
-	p.line(t, "zone is missing")
+	p.awaitLine(t, "zone is missing")
 }
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -12,7 +12,7 @@
 )
 
 // Names and keys of the test fleets. Engines are in zoneA; the nodes of the
-// other zones pass requests on.
+// other zones forward requests to it.
 const (
 	zoneA, zoneB, zoneC = "baneshwor", "lalitpur", "bhaktapur"
 
@@ -50,59 +50,59 @@
 timing: {drain_notice: 1s, revision_poll: 1s}
 `
 
-// plan describes a fleet.
-type plan struct {
-	zones        []string // of the nodes, one each
-	engines      int      // in zoneA, one fabric domain
-	replicas     int      // wanted of the one model; 0: one
-	tokensPerSec int      // of one stream; 0: 200
-	slots        int      // of one engine; 0: 64
+// fleetSpec describes a fleet.
+type fleetSpec struct {
+	zones        []string // zone of each node
+	engines      int      // in zoneA, all in one fabric domain
+	replicas     int      // of the one model; 0: 1
+	tokensPerSec int      // per stream; 0: 200
+	slots        int      // per engine; 0: 64
 	ignoreFences bool
 	proxied      bool   // endpoints are reached through proxies
 	services     int    // in zoneA
-	exitOn       string // path of the call that ends a service; empty: none
+	exitOn       string // path of the call that makes a service exit; empty: none
 }
 
-// endpoint is an engine or service process.
+// endpoint is the process of an engine or a plain service.
 type endpoint struct {
 	*process
 	vm     fleet.VM
-	addr   string // of the process itself
+	addr   string // address of the process, not of its proxy
 	record fleet.Record
-	proxy  *proxy // nil: registered directly
+	proxy  *proxy // nil: the process is registered directly
 }
 
-// node is an entry node's process.
+// node is the process of an entry node.
 type node struct {
 	*process
 	vm, zone               string
 	caller, operator, peer string
 	platform               *proxy
-	writes                 *writeHold // before the platform
+	writeInterceptor       *writeInterceptor // between the node and the platform
 	settings               func(seeds ...string) string
 }
 
 // testFleet is a fleet of processes.
 type testFleet struct {
-	t        *testing.T
-	plan     plan
-	platform *process
-	store    string // address of the platform
-	table    *platform.Client
-	engines  []*endpoint
-	services []*endpoint
-	nodes    []*node
+	t               *testing.T
+	spec            fleetSpec
+	platformProcess *process
+	platformAddr    string // address of the platform
+	table           *platform.Client
+	engines         []*endpoint
+	services        []*endpoint
+	nodes           []*node
 }
 
-// startFleet starts the processes and returns when the document is in force and
-// its groups serve.
-func startFleet(t *testing.T, p plan) *testFleet {
+// startFleet starts the processes and returns when the document is in use and
+// the groups serve.
+func startFleet(t *testing.T, p fleetSpec) *testFleet {
 	t.Helper()
-	f := &testFleet{t: t, plan: p}
-	f.platform = startProcess(t, "platform", "standin", "platform", "--listen", "127.0.0.1:0",
+	f := &testFleet{t: t, spec: p}
+	f.platformProcess = startProcess(t, "platform", "standin", "platform", "--listen", "127.0.0.1:0",
 		"--settings", writeFile(t, "platform.yaml", "no_limits: true\n"))
-	f.store = addrOf(f.platform.line(t, "listening "))
-	f.table = platform.NewClient("http://" + f.store)
+	f.platformAddr = parseListenAddr(f.platformProcess.awaitLine(t, "listening "))
+	f.table = platform.NewClient("http://" + f.platformAddr)
 	t.Cleanup(f.table.Close)
 	for i := range p.engines {
 		f.addEngine(i + 1)
@@ -118,14 +118,17 @@
 	return f
 }
 
-func addrOf(line string) string { return strings.TrimPrefix(line, "listening ") }
+// parseListenAddr returns the address from the line in which a stand-in logs
+// it.
+func parseListenAddr(line string) string { return strings.TrimPrefix(line, "listening ") }
 
+// addEngine starts an engine in zoneA.
 func (f *testFleet) addEngine(i int) *endpoint {
 	f.t.Helper()
 	vm := fmt.Sprintf("engine-%d", i)
 	text := fmt.Sprintf("vm: %s\nzone: %s\ndomain: fabric-a\naccelerators: 8\nslots: %d\ntokens_per_second: %d\n"+
 		"check_fence: %t\nload_time: 50ms\nload_lag: 100ms\n",
-		vm, zoneA, orDefault(f.plan.slots, 64), orDefault(f.plan.tokensPerSec, 200), !f.plan.ignoreFences)
+		vm, zoneA, orDefault(f.spec.slots, 64), orDefault(f.spec.tokensPerSec, 200), !f.spec.ignoreFences)
 	e := f.startEndpoint("engine", text, fleet.Record{
 		VM: fleet.VM(vm), Kind: fleet.KindEngine, Zone: zoneA, Domain: "fabric-a", Accelerators: 8, State: fleet.StateLive,
 	})
@@ -133,10 +136,11 @@
 	return e
 }
 
+// addService starts a plain service in zoneA.
 func (f *testFleet) addService(i int) *endpoint {
 	f.t.Helper()
 	vm := fmt.Sprintf("counter-%d", i)
-	text := fmt.Sprintf("vm: %s\nzone: %s\nname: counter\nexit_on: %q\n", vm, zoneA, f.plan.exitOn)
+	text := fmt.Sprintf("vm: %s\nzone: %s\nname: counter\nexit_on: %q\n", vm, zoneA, f.spec.exitOn)
 	s := f.startEndpoint("service", text, fleet.Record{
 		VM: fleet.VM(vm), Kind: fleet.KindService, Service: "counter", Zone: zoneA, State: fleet.StateLive,
 	})
@@ -144,19 +148,19 @@
 	return s
 }
 
-// startEndpoint starts a stand-in that registers itself, unless it is reached
-// through a proxy: then the proxy's address is registered.
+// startEndpoint starts a stand-in. It registers itself, or, if the fleet uses
+// proxies, the address of its proxy is registered.
 func (f *testFleet) startEndpoint(kind, text string, r fleet.Record) *endpoint {
 	f.t.Helper()
-	if !f.plan.proxied {
-		text += fmt.Sprintf("platform: http://%s\n", f.store)
+	if !f.spec.proxied {
+		text += fmt.Sprintf("platform: http://%s\n", f.platformAddr)
 	}
 	p := startProcess(f.t, string(r.VM), "standin", kind, "--listen", "127.0.0.1:0",
 		"--settings", writeFile(f.t, string(r.VM)+".yaml", text))
-	e := &endpoint{process: p, vm: r.VM, addr: addrOf(p.line(f.t, "listening "))}
+	e := &endpoint{process: p, vm: r.VM, addr: parseListenAddr(p.awaitLine(f.t, "listening "))}
 	e.record = r
 	e.record.Addr = e.addr
-	if f.plan.proxied {
+	if f.spec.proxied {
 		e.proxy = startProxy(f.t, string(r.VM), e.addr)
 		e.record.Addr = e.proxy.addr()
 		f.register(e.record)
@@ -164,17 +168,18 @@
 	return e
 }
 
-// register puts a record on the platform's list of VMs.
+// register adds a record to the platform's list of VMs.
 func (f *testFleet) register(r fleet.Record) {
 	f.t.Helper()
-	post(f.t, f.store, "/admin/vms", r)
+	postJSON(f.t, f.platformAddr, "/admin/vms", r)
 }
 
-// startNode starts a node that reaches the platform through a proxy of its own.
+// startNode starts a node that reaches the platform through its own proxy and
+// write interceptor.
 func (f *testFleet) startNode(vm, zone string) *node {
 	f.t.Helper()
-	hold, addr := startWriteHold(f.t, f.store)
-	n := &node{vm: vm, zone: zone, writes: hold, platform: startProxy(f.t, vm+" to platform", addr)}
+	hold, addr := startWriteInterceptor(f.t, f.platformAddr)
+	n := &node{vm: vm, zone: zone, writeInterceptor: hold, platform: startProxy(f.t, vm+" to platform", addr)}
 	n.settings = func(seeds ...string) string {
 		return fmt.Sprintf(nodeSettings, vm, zone, "127.0.0.1:0", n.platform.addr(), operatorHash, otherHash, quoted(seeds))
 	}
@@ -182,15 +187,17 @@
 	return n
 }
 
-// start starts the node's process, again after an end: the addresses are new.
+// start starts the node's process, also as a restart; the listen addresses
+// change each time.
 func (n *node) start(t *testing.T, seeds ...string) {
 	t.Helper()
 	n.process = startProcess(t, n.vm, "serve", "--settings", writeFile(t, n.vm+".yaml", n.settings(seeds...)))
 	var a struct{ Caller, Operator, Peer string }
-	must(t, json.Unmarshal([]byte(n.line(t, `"msg":"listening"`)), &a))
+	must(t, json.Unmarshal([]byte(n.awaitLine(t, `"msg":"listening"`)), &a))
 	n.caller, n.operator, n.peer = a.Caller, a.Operator, a.Peer
 }
 
+// quoted formats words as a comma-separated list of quoted strings.
 func quoted(words []string) string {
 	var out []string
 	for _, w := range words {
@@ -199,6 +206,7 @@
 	return strings.Join(out, ", ")
 }
 
+// orDefault returns v, or def if v is zero.
 func orDefault(v, def int) int {
 	if v == 0 {
 		return def
@@ -208,14 +216,16 @@
 
 // document returns the fleet's configuration document.
 func (f *testFleet) document() string {
-	n := orDefault(f.plan.replicas, 1)
+	n := orDefault(f.spec.replicas, 1)
 	checked := `"*"`
-	if f.plan.ignoreFences {
+	if f.spec.ignoreFences {
 		checked = ""
 	}
 	return fmt.Sprintf(documentText, n, n, checked)
 }
 
+// acceptDocument applies the fleet's first document and requires that it is
+// accepted.
 func (f *testFleet) acceptDocument() {
 	f.t.Helper()
 	res, err := f.nodes[0].client().Apply(f.t.Context(), operator.ApplyRequest{Document: f.document()})
@@ -225,44 +235,47 @@
 	}
 }
 
-// awaitServing waits until every node believes that all replicas serve, sees
-// every other node, and the zone's services.
+// awaitServing waits until every node reports all replicas as serving, all
+// other nodes and its zone's services as present, and forwards lookups.
 func (f *testFleet) awaitServing() {
 	f.t.Helper()
 	for _, n := range f.nodes {
-		f.await(n, "all groups serve", func(s operator.Status) bool {
-			return s.Ready && f.groupsServe(s) && len(s.Nodes) == len(f.nodes)-1 && servicesSeen(s) >= f.servicesIn(n.zone)
+		f.awaitStatus(n, "all groups serve", func(s operator.Status) bool {
+			return s.Ready && f.hasServingGroups(s) && len(s.Nodes) == len(f.nodes)-1 && countPresentServices(s) >= f.expectedServices(n.zone)
 		})
 		f.awaitLookup(n)
 	}
 }
 
-func (f *testFleet) groupsServe(s operator.Status) bool {
-	if f.plan.engines < replicaSize {
+// hasServingGroups reports whether the status shows all configured groups as
+// serving.
+func (f *testFleet) hasServingGroups(s operator.Status) bool {
+	if f.spec.engines < replicaSize {
 		return true
 	}
-	return len(wholeGroups(s)) >= orDefault(f.plan.replicas, 1)
+	return len(servingGroups(s)) >= orDefault(f.spec.replicas, 1)
 }
 
-// awaitLookup waits until the node passes lookups on: an availability zone
-// without services hears of those of the others a little later.
+// awaitLookup waits until the node serves lookups: nodes of zones without
+// services learn of the other zones' services with a delay.
 func (f *testFleet) awaitLookup(n *node) {
 	f.t.Helper()
-	if f.plan.services == 0 {
+	if f.spec.services == 0 {
 		return
 	}
-	var last told
-	until(f.t, n.vm+" passes lookups on",
+	var last callResult
+	waitUntil(f.t, n.vm+" serves lookups",
 		func() bool {
 			last = n.call(f.t.Context(), "GET", "/first", "", nil)
-			return last.whole()
+			return last.isComplete()
 		},
 		func() string { return last.String() })
 }
 
-func (f *testFleet) servicesIn(zone string) int {
+// expectedServices returns the number of services in the zone.
+func (f *testFleet) expectedServices(zone string) int {
 	if zone != zoneA {
 		return 0
 	}
-	return f.plan.services
+	return f.spec.services
 }
--- a/test/harm_test.go
+++ b/test/harm_test.go
@@ -10,26 +10,26 @@
 	"chervilloom/internal/outcome"
 )
 
-// harmPace is the pause after which callers come again. Without it a dozen attempts take a
-// tenth of a second, and how many of them are under way before the nodes have heard of the
-// first would depend on the machine.
-const harmPace = 150 * time.Millisecond
+// retryInterval is the interval between attempts. Without it, twelve attempts
+// are sent within 100 ms, and the number in flight before the nodes learn of
+// the first crash would depend on the machine.
+const retryInterval = 150 * time.Millisecond
 
-// A caller's lookup ends each service process that begins to run it, and is asked again at
-// another node each time. Every node tried it at up to four processes, for nobody told the
-// others: none of twelve was left. The nodes tell each other now, over their links; after a
-// few ends each of them refuses it, and other lookups are served by the processes that
-// are left.
-func TestNodesTellEachOtherOfACallThatEndsServices(t *testing.T) {
+// A lookup crashes each service process that starts to run it, and the caller
+// retries at another node each time. Without shared state every node tried up
+// to four processes, and none of twelve survived. The nodes must announce the
+// crashes to each other over their links, so that after a few crashes each node
+// refuses the lookup, and the surviving processes serve other lookups.
+func TestNodesShareQuarantineOfCrashingCall(t *testing.T) {
 	is := is.New(t)
 	const harmful, processes = "/licences/crash", 12
-	f := startFleet(t, plan{zones: []string{zoneA, zoneB, zoneA}, services: processes, exitOn: harmful})
-	var last told
+	f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneB, zoneA}, services: processes, exitOn: harmful})
+	var last callResult
 	for i := range 12 {
 		last = f.nodes[i%len(f.nodes)].call(t.Context(), "GET", harmful, "", nil)
-		is.True(!last.whole())
+		is.True(!last.isComplete())
 		f.awaitLookup(f.nodes[(i+1)%len(f.nodes)])
-		time.Sleep(harmPace)
+		time.Sleep(retryInterval)
 	}
 	ended := 0
 	for _, s := range f.services {
@@ -39,8 +39,8 @@
 		default:
 		}
 	}
-	if ended > harmEnds+harmMore {
-		t.Errorf("%d of %d processes ended", ended, processes)
+	if ended > quarantineThreshold+quarantineOvershoot {
+		t.Errorf("%d of %d processes crashed", ended, processes)
 	}
 	for _, n := range f.nodes {
 		last = n.call(t.Context(), "GET", harmful, "", nil)
--- a/test/leaving_test.go
+++ b/test/leaving_test.go
@@ -16,38 +16,40 @@
 	"chervilloom/internal/standin/service"
 )
 
-// leavingBound is how long after the word an endpoint may still get new work.
-const leavingBound = 5 * time.Second
+// leavingGracePeriod is how long an endpoint may still get new work after its
+// leaving was announced.
+const leavingGracePeriod = 5 * time.Second
 
-// countedService is a service in the test's own process that notes when calls
-// arrive, also those that it refuses. mute has it hide that it leaves.
+// countedService is an in-process service that records when calls arrive,
+// including those that it refuses. With hideLeaving set it doesn't report that
+// it is leaving.
 type countedService struct {
 	*service.Service
-	mute bool
+	hideLeaving bool
 
-	mu      sync.Mutex
-	arrived []time.Time
+	mu           sync.Mutex
+	arrivalTimes []time.Time
 }
 
 func (c *countedService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
-	case r.URL.Path == "/leave" && c.mute:
+	case r.URL.Path == "/leave" && c.hideLeaving:
 		w.WriteHeader(http.StatusNoContent)
 		return
 	case r.URL.Path != "/state" && r.URL.Path != "/load" && r.URL.Path != "/leave":
 		c.mu.Lock()
-		c.arrived = append(c.arrived, time.Now())
+		c.arrivalTimes = append(c.arrivalTimes, time.Now())
 		c.mu.Unlock()
 	}
 	c.Service.ServeHTTP(w, r)
 }
 
-// arrivals returns how many calls arrived after the instant.
-func (c *countedService) arrivals(after time.Time) int {
+// arrivalsAfter returns the number of calls that arrived after the given time.
+func (c *countedService) arrivalsAfter(after time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
-	for _, at := range c.arrived {
+	for _, at := range c.arrivalTimes {
 		if at.After(after) {
 			n++
 		}
@@ -55,10 +57,11 @@
 	return n
 }
 
-// addCounted starts a counted service and puts it on the platform's list.
-func (f *testFleet) addCounted(mute bool) (*countedService, fleet.Record) {
+// addCountedService starts a counted service and adds it to the platform's
+// list.
+func (f *testFleet) addCountedService(hideLeaving bool) (*countedService, fleet.Record) {
 	f.t.Helper()
-	c := &countedService{Service: service.New(service.Options{VM: "counted", Zone: zoneA, Name: "counter"}), mute: mute}
+	c := &countedService{Service: service.New(service.Options{VM: "counted", Zone: zoneA, Name: "counter"}), hideLeaving: hideLeaving}
 	s, err := standin.Start("127.0.0.1:0", c)
 	must(f.t, err)
 	f.t.Cleanup(func() { must(f.t, s.Close()) })
@@ -67,24 +70,25 @@
 	return c, r
 }
 
-// A service VM leaves while all nodes send it calls. Whoever says so first, the
-// operator, the VM itself or the platform's list, it gets no new call once
-// leavingBound has passed, though the platform's list shows it live long after:
-// leaving is kept for the life of the endpoint. No caller is refused.
+// A service VM leaves while all nodes send calls to it. Whether the operator,
+// the VM or the platform's list announces it first, the VM must get no new call
+// once leavingGracePeriod has passed, although the platform's list shows it as
+// live again long afterwards: nodes remember the leaving state for the life of
+// the endpoint. No caller may be refused.
 func TestLeavingServiceGetsNoNewCalls(t *testing.T) {
 	t.Parallel()
 	const lag = 3 * time.Second
 	cases := map[string]struct {
-		mute bool // only the nodes' own memory keeps calls away
-		more time.Duration
-		tell func(*testFleet, *countedService, fleet.Record)
+		hideLeaving bool // only the state that nodes remember prevents calls
+		extraTime   time.Duration
+		announce    func(*testFleet, *countedService, fleet.Record)
 	}{
-		"operator": {tell: func(f *testFleet, _ *countedService, r fleet.Record) {
+		"operator": {announce: func(f *testFleet, _ *countedService, r fleet.Record) {
 			must(f.t, f.nodes[0].client().Drain(f.t.Context(), operator.DrainRequest{VM: r.VM}))
 		}},
-		"endpoint": {tell: func(_ *testFleet, c *countedService, _ fleet.Record) { c.Leave() }},
-		"list, late, then stale again": {mute: true, more: lag, tell: func(f *testFleet, _ *countedService, r fleet.Record) {
-			faults(f.t, f.store, map[string]any{"list_lag": lag.String()})
+		"endpoint": {announce: func(_ *testFleet, c *countedService, _ fleet.Record) { c.Leave() }},
+		"list, delayed, then stale": {hideLeaving: true, extraTime: lag, announce: func(f *testFleet, _ *countedService, r fleet.Record) {
+			setFaults(f.t, f.platformAddr, map[string]any{"list_lag": lag.String()})
 			r.State = fleet.StateLeaving
 			f.register(r)
 		}},
@@ -92,40 +96,42 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := startFleet(t, plan{zones: []string{zoneA, zoneB, zoneC}, services: 1})
-			counted, record := f.addCounted(c.mute)
-			stop := f.keepCalling()
-			until(t, "calls reach the new service", func() bool { return counted.arrivals(time.Time{}) > 20 }, func() string { return "" })
+			f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneB, zoneC}, services: 1})
+			counted, record := f.addCountedService(c.hideLeaving)
+			stop := f.startBackgroundCalls()
+			waitUntil(t, "calls reach the new service", func() bool { return counted.arrivalsAfter(time.Time{}) > 20 }, func() string { return "" })
 
-			c.tell(f, counted, record)
-			told := time.Now()
-			f.awaitAll("the endpoint is leaving", func(s operator.Status) bool { return stateOf(s, "counted") == "leaving" || s.Zone != zoneA })
-			if c.mute {
-				faults(t, f.store, map[string]any{"list_lag": "0s"})
-				record.State = fleet.StateLive // the list forgets
+			c.announce(f, counted, record)
+			announced := time.Now()
+			f.awaitStatusOnAll("the endpoint is leaving", func(s operator.Status) bool { return endpointState(s, "counted") == "leaving" || s.Zone != zoneA })
+			if c.hideLeaving {
+				setFaults(t, f.platformAddr, map[string]any{"list_lag": "0s"})
+				record.State = fleet.StateLive // the list shows the VM as live again
 				f.register(record)
 			}
-			end := told.Add(leavingBound + c.more)
-			until(t, "the bound and as long again have passed", func() bool { return time.Since(end) > leavingBound }, func() string { return "" })
+			end := announced.Add(leavingGracePeriod + c.extraTime)
+			waitUntil(t, "the grace period has passed twice", func() bool { return time.Since(end) > leavingGracePeriod }, func() string { return "" })
 			calls, bad := stop()
-			if n := counted.arrivals(end); n > 0 {
-				t.Errorf("%d calls arrived more than %v after the word", n, leavingBound+c.more)
+			if n := counted.arrivalsAfter(end); n > 0 {
+				t.Errorf("%d calls arrived more than %v after the announcement", n, leavingGracePeriod+c.extraTime)
 			}
-			t.Logf("%d calls; the last to the leaving endpoint within %v", calls, counted.last().Sub(told))
+			t.Logf("%d calls; the last one reached the leaving endpoint %v after the announcement", calls, counted.lastArrival().Sub(announced))
 			for _, a := range bad {
-				t.Errorf("a caller was told %v", a)
+				t.Errorf("a caller got %v", a)
 			}
 		})
 	}
 }
 
-func (c *countedService) last() time.Time {
+// lastArrival returns the time of the last call.
+func (c *countedService) lastArrival() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.MaxFunc(c.arrived, time.Time.Compare)
+	return slices.MaxFunc(c.arrivalTimes, time.Time.Compare)
 }
 
-func stateOf(s operator.Status, vm string) string {
+// endpointState returns the state of the VM's endpoint in the status, or "".
+func endpointState(s operator.Status, vm string) string {
 	for _, e := range s.Endpoints {
 		if e.VM == vm {
 			return e.State
@@ -134,14 +140,14 @@
 	return ""
 }
 
-// keepCalling has callers at every node ask for lookups and receipts. The
-// function that it returns stops them and tells how many calls there were and
-// which were not whole.
-func (f *testFleet) keepCalling() func() (int, []told) {
+// startBackgroundCalls starts callers at every node that send lookups and
+// receipts. The returned function stops them and returns the number of calls
+// and the results of the failed ones.
+func (f *testFleet) startBackgroundCalls() func() (int, []callResult) {
 	ctx, cancel := context.WithCancel(f.t.Context())
 	var calls atomic.Int64
 	var mu sync.Mutex
-	var bad []told
+	var failed []callResult
 	var work sync.WaitGroup
 	for i, n := range f.nodes {
 		work.Go(func() {
@@ -152,38 +158,38 @@
 				}
 				a := n.call(context.WithoutCancel(ctx), method, path, body, nil)
 				calls.Add(1)
-				if err := checkCall(method, path, body, a); err != nil || !a.whole() {
+				if err := checkCall(method, path, body, a); err != nil || !a.isComplete() {
 					mu.Lock()
-					bad = append(bad, a)
+					failed = append(failed, a)
 					mu.Unlock()
 				}
-				time.Sleep(5 * time.Millisecond) // paces the callers; proves nothing
+				time.Sleep(5 * time.Millisecond) // interval between calls; no check depends on it
 			}
 		})
 	}
-	return func() (int, []told) {
+	return func() (int, []callResult) {
 		cancel()
 		work.Wait()
-		return int(calls.Load()), bad
+		return int(calls.Load()), failed
 	}
 }
 
-// An operator drains a member VM of a group under long streams. The streams in
-// progress end whole, new requests go to a generation without the VM, which a
-// spare completes.
-func TestLeavingMemberCutsNoStream(t *testing.T) {
+// An operator drains a member VM of a group while long streams run. The streams
+// must finish, and new requests must go to a generation in which a spare
+// replaces the VM.
+func TestDrainingMemberInterruptsNoStream(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, plan{zones: []string{zoneA, zoneB}, engines: 5, tokensPerSec: 50})
-	old := f.group()
-	streams := longStreams(t, f.nodes, 150)
+	f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneB}, engines: 5, tokensPerSec: 50})
+	old := f.awaitGroup()
+	streams := startLongStreams(t, f.nodes, 150)
 	must(t, f.nodes[0].client().Drain(t.Context(), operator.DrainRequest{VM: fleet.VM(old.VMs[1])}))
 	for _, s := range streams() {
-		if err := checkChat(s.body, s.told); err != nil || !s.done {
-			t.Errorf("a stream in progress was cut by the drain: %v %v", err, s.told)
+		if err := checkChat(s.body, s.callResult); err != nil || !s.done {
+			t.Errorf("the drain interrupted a stream: %v %v", err, s.callResult)
 		}
 	}
-	if now := f.repaired(old); slices.Contains(now.VMs, old.VMs[1]) {
-		t.Errorf("the leaving member is in the new generation %v", now.VMs)
+	if now := f.awaitRepaired(old); slices.Contains(now.VMs, old.VMs[1]) {
+		t.Errorf("the leaving member is part of the new generation %v", now.VMs)
 	}
-	f.mustAnswer()
+	f.checkNodesAnswer()
 }
--- a/test/member_test.go
+++ b/test/member_test.go
@@ -14,117 +14,119 @@
 	"chervilloom/internal/outcome"
 )
 
-// A caller reads a long stream when a member VM of its group dies. It is told
-// that the answer is cut: an error event, then a broken connection, never an
-// end marker. Once the death is noticed no request goes to the group, and those
-// asked for meanwhile are told "not run". A spare takes the dead member's place
-// and the model answers again, because a replica is whole or of no use.
+// A group member's VM is killed while callers read long streams. Each caller
+// must get an error event and a broken connection, never an end marker. Once
+// the failure is detected the group must get no requests, and callers are
+// refused as not run. A spare must then replace the member and the model must
+// be served again: a group is usable only with all its members.
 func TestMemberKilledMidStream(t *testing.T) {
 	t.Parallel()
 	for name, rank := range map[string]int{"leader": 0, "other member": 2} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := startFleet(t, plan{zones: []string{zoneA, zoneB}, engines: 5, tokensPerSec: 20})
-			old := f.group()
+			f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneB}, engines: 5, tokensPerSec: 20})
+			old := f.awaitGroup()
 			victim := f.engine(old.VMs[rank])
 
-			cut := longStreams(t, f.nodes, 400)
+			wait := startLongStreams(t, f.nodes, 400)
 			victim.kill()
-			for _, c := range cut() {
-				if err := checkChat(c.body, c.told); err != nil {
+			for _, c := range wait() {
+				if err := checkChat(c.body, c.callResult); err != nil {
 					t.Error(err)
 				}
 				if c.done || c.kind != outcome.AnswerCut || c.outcome == outcome.NotRun {
-					t.Errorf("a stream whose member died must be told as cut: %v", c.told)
+					t.Errorf("a stream of a failed member must be reported as truncated: %v", c.callResult)
 				}
 			}
 
-			spare := f.repaired(old)
+			spare := f.awaitRepaired(old)
 			if slices.Contains(spare.VMs, string(victim.vm)) {
-				t.Errorf("the dead member %s is in the new generation %v", victim.vm, spare.VMs)
+				t.Errorf("the failed member %s is part of the new generation %v", victim.vm, spare.VMs)
 			}
-			f.mustAnswer()
+			f.checkNodesAnswer()
 		})
 	}
 }
 
-// A member restarts on its address and answers probes "as if nothing had
-// happened", but its part of the model is gone. Its new boot id ends the
-// generation: running streams are told as cut, and while the platform is away,
-// so that no other generation can be made, requests are refused "not run". Then
-// a later generation serves: no answer comes from members of two lives.
+// A member restarts on the same address and answers probes, but its part of the
+// model is lost. Its new boot id must end the generation: running streams are
+// reported as truncated, and while the platform is unreachable, so that no new
+// generation can be formed, requests are refused as not run. A later generation
+// must then serve; no response may mix members from before and after the
+// restart.
 func TestMemberRestartedOnItsAddress(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, plan{zones: []string{zoneA, zoneB}, engines: 4, tokensPerSec: 20})
-	old := f.group()
+	f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneB}, engines: 4, tokensPerSec: 20})
+	old := f.awaitGroup()
 	victim := f.engine(old.VMs[2])
 
-	streams := longStreams(t, f.nodes, 400)
+	streams := startLongStreams(t, f.nodes, 400)
 	for _, n := range f.nodes {
-		n.platform.cut()
+		n.platform.disconnect()
 	}
-	faults(t, victim.addr, map[string]any{"restart": true})
+	setFaults(t, victim.addr, map[string]any{"restart": true})
 	for _, s := range streams() {
-		if err := checkChat(s.body, s.told); err != nil || s.done {
-			t.Errorf("a stream of a broken generation must be told as cut: %v %v", err, s.told)
+		if err := checkChat(s.body, s.callResult); err != nil || s.done {
+			t.Errorf("a stream of a broken generation must be reported as truncated: %v %v", err, s.callResult)
 		}
 	}
-	f.refusesWhileBroken(f.engine(old.VMs[0]))
+	f.checkRefusedWhileBroken(f.engine(old.VMs[0]))
 	for _, n := range f.nodes {
-		n.platform.mend()
+		n.platform.reconnect()
 	}
-	f.repaired(old)
-	f.mustAnswer()
+	f.awaitRepaired(old)
+	f.checkNodesAnswer()
 }
 
-// refusesWhileBroken waits until no node believes that a group is whole and
-// then checks that requests are refused and do not reach the leader.
-func (f *testFleet) refusesWhileBroken(leader *endpoint) {
+// checkRefusedWhileBroken waits until no node reports a serving group, and
+// checks that requests are refused and don't reach the leader.
+func (f *testFleet) checkRefusedWhileBroken(leader *endpoint) {
 	f.t.Helper()
-	f.awaitAll("the group takes no requests", func(s operator.Status) bool { return len(wholeGroups(s)) == 0 })
-	before := leader.ran(f.t, "")
+	f.awaitStatusOnAll("no group serves", func(s operator.Status) bool { return len(servingGroups(s)) == 0 })
+	before := leader.countExecutions(f.t, "")
 	for i, n := range f.nodes {
 		body := chatBody(fmt.Sprintf("while broken %d", i), 4, true)
 		a := n.chat(f.t.Context(), body, nil)
 		if err := checkChat(body, a); err != nil || a.outcome != outcome.NotRun || a.status != http.StatusServiceUnavailable {
-			f.t.Errorf("want a refusal that did not run, got %v %v", a, err)
+			f.t.Errorf("want a refusal as not run, got %v %v", a, err)
 		}
 		if a.header.Get("Retry-After") == "" {
-			f.t.Errorf("the refusal does not say when to come back: %v", a)
+			f.t.Errorf("the refusal has no Retry-After header: %v", a)
 		}
 	}
-	if after := leader.ran(f.t, ""); after != before {
-		f.t.Errorf("%d requests ran at the leader of a group that is not whole", after-before)
+	if after := leader.countExecutions(f.t, ""); after != before {
+		f.t.Errorf("%d requests ran at the leader of an incomplete group", after-before)
 	}
 }
 
-// A member is paused and goes on later. While it is silent the group is not
-// whole: requests are refused "not run" and none reaches the leader. When it
-// goes on the model serves again, with this member or with a spare.
+// A member is paused and later resumed. While it is unresponsive the group is
+// incomplete: requests must be refused as not run and none may reach the
+// leader. After it resumes the model must be served again, by this member or a
+// spare.
 func TestMemberPaused(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, plan{zones: []string{zoneA, zoneB}, engines: 4})
-	old := f.group()
+	f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneB}, engines: 4})
+	old := f.awaitGroup()
 	victim, leader := f.engine(old.VMs[3]), f.engine(old.VMs[0])
 
 	victim.signal(t, syscall.SIGSTOP)
-	f.refusesWhileBroken(leader)
+	f.checkRefusedWhileBroken(leader)
 	victim.signal(t, syscall.SIGCONT)
 	f.awaitServing()
-	f.mustAnswer()
+	f.checkNodesAnswer()
 }
 
-// askedStream is one stream with what its caller was told.
-type askedStream struct {
-	told
+// streamResult is the response to a stream request, with the request's body.
+type streamResult struct {
+	callResult
 	body string
 }
 
-// longStreams begins a stream at each node and returns when all have begun. The
-// function that it returns waits for their ends.
-func longStreams(t *testing.T, nodes []*node, tokens int) func() []askedStream {
+// startLongStreams starts a stream at each node and returns when all have
+// begun. The returned function waits for their ends.
+func startLongStreams(t *testing.T, nodes []*node, tokens int) func() []streamResult {
 	t.Helper()
-	out := make([]askedStream, len(nodes))
+	out := make([]streamResult, len(nodes))
 	var begun, ended sync.WaitGroup
 	for i, n := range nodes {
 		begun.Add(1)
@@ -133,25 +135,25 @@
 			defer ended.Done()
 			var once sync.Once
 			out[i].body = chatBody(fmt.Sprintf("%s long stream %d", t.Name(), i), tokens, true)
-			out[i].told = n.chat(t.Context(), out[i].body, func() { once.Do(begun.Done) })
+			out[i].callResult = n.chat(t.Context(), out[i].body, func() { once.Do(begun.Done) })
 			once.Do(begun.Done)
 		}()
 	}
 	begun.Wait()
-	return func() []askedStream {
+	return func() []streamResult {
 		ended.Wait()
 		return out
 	}
 }
 
-// mustAnswer asks through every node for a whole answer. A refusal that did not
-// run is asked again: a node may hear of the group a moment later.
-func (f *testFleet) mustAnswer() {
+// checkNodesAnswer requires a complete response through every node. It retries
+// refusals, because a node may learn of the group with a delay.
+func (f *testFleet) checkNodesAnswer() {
 	f.t.Helper()
 	for i, n := range f.nodes {
 		body := chatBody(fmt.Sprintf("%s at last %d", f.t.Name(), i), 8, true)
-		var last told
-		until(f.t, n.vm+" answers",
+		var last callResult
+		waitUntil(f.t, n.vm+" answers",
 			func() bool {
 				last = n.chat(f.t.Context(), body, nil)
 				if err := checkChat(body, last); err != nil {
@@ -163,16 +165,16 @@
 	}
 }
 
-// load asks all nodes for streams, `each` at a time for each node, until ctx
-// ends, and checks every answer. It returns counts by what callers were told.
-type tally struct {
-	mu     sync.Mutex
-	counts map[string]int
-	wrong  []error
-	whole  atomic.Int64
+// resultCounts counts responses by their result and collects invalid ones.
+type resultCounts struct {
+	mu        sync.Mutex
+	counts    map[string]int
+	failures  []error
+	completed atomic.Int64
 }
 
-func (c *tally) note(err error, what string) {
+// record counts a result and collects its error, if any.
+func (c *resultCounts) record(err error, what string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.counts == nil {
@@ -180,12 +182,13 @@
 	}
 	c.counts[what]++
 	if err != nil {
-		c.wrong = append(c.wrong, err)
+		c.failures = append(c.failures, err)
 	}
 }
 
-// ask runs n callers at each node that ask one stream after the other.
-func (c *tally) ask(ctx context.Context, nodes []*node, n, rounds, tokens int) {
+// runCallers runs n callers at each node, each sending sequential stream
+// requests, until all rounds are done or ctx ends.
+func (c *resultCounts) runCallers(ctx context.Context, nodes []*node, n, rounds, tokens int) {
 	var work sync.WaitGroup
 	for i, nd := range nodes {
 		for j := range n {
@@ -193,9 +196,9 @@
 				for k := 0; k < rounds && ctx.Err() == nil; k++ {
 					body := chatBody(fmt.Sprintf("caller %d.%d asks %d", i, j, k), tokens, true)
 					a := nd.chat(ctx, body, nil)
-					c.note(checkChat(body, a), what(a))
+					c.record(checkChat(body, a), resultLabel(a))
 					if a.done {
-						c.whole.Add(1)
+						c.completed.Add(1)
 					}
 				}
 			})
@@ -204,7 +207,8 @@
 	work.Wait()
 }
 
-func what(a told) string {
+// resultLabel returns the key under which a response is counted.
+func resultLabel(a callResult) string {
 	if a.done && a.err == nil {
 		return "whole"
 	}
--- a/test/page_test.go
+++ b/test/page_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// The page of proofs names tests. One that was renamed or deleted would leave a
-// promise that nothing proves, so each name must be that of a test.
+// Each test named in docs/PROOFS.md must exist. A renamed or deleted test would
+// otherwise leave a documented guarantee without a test.
 func TestProofsPageNamesTests(t *testing.T) {
 	page, err := os.ReadFile("../docs/PROOFS.md")
 	must(t, err)
@@ -27,11 +27,11 @@
 	}))
 	names := regexp.MustCompile(`\bTest[A-Z]\w+`).FindAllString(string(page), -1)
 	if len(names) < 20 {
-		t.Errorf("the page names %d tests only", len(names))
+		t.Errorf("docs/PROOFS.md names only %d tests", len(names))
 	}
 	for _, n := range names {
 		if !known[n] {
-			t.Errorf("docs/PROOFS.md names %s, which is no test", n)
+			t.Errorf("docs/PROOFS.md names %s, which does not exist", n)
 		}
 	}
 }
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -17,36 +17,37 @@
 	"chervilloom/internal/testkit"
 )
 
-// patience bounds each wait for a condition. No test's verdict depends on how
-// much of it is used.
-const patience = 60 * time.Second
+// waitTimeout bounds each wait for a condition. No result depends on how much
+// of it elapses.
+const waitTimeout = 60 * time.Second
 
-// logKept is how many of a process's last lines are shown when a test fails.
-const logKept = 20
+// failureLogLines is how many of a process's last lines are logged when a test
+// fails.
+const failureLogLines = 20
 
-// process is one process of the program under test.
+// process is a process of the program under test.
 type process struct {
 	name string
 	cmd  *exec.Cmd
-	done chan struct{} // closed when it has ended and its output is read
+	done chan struct{} // closed when the process has exited and its output is read
 
-	mu    sync.Mutex
-	lines []string
-	more  chan struct{} // closed and replaced at each line
+	mu        sync.Mutex
+	lines     []string
+	lineAdded chan struct{} // closed and replaced when a line is added
 }
 
 // startProcess runs the program with args. It is killed when the test ends.
 func startProcess(t *testing.T, name string, args ...string) *process {
 	t.Helper()
-	p := &process{name: name, cmd: exec.Command(binary, args...), done: make(chan struct{}), more: make(chan struct{})}
-	// Without this a test run that is killed would leave its processes behind.
+	p := &process{name: name, cmd: exec.Command(binary, args...), done: make(chan struct{}), lineAdded: make(chan struct{})}
+	// Kills the process if the test run itself is killed.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	r, w, err := os.Pipe()
 	must(t, err)
 	p.cmd.Stdout, p.cmd.Stderr = w, w
 	must(t, p.cmd.Start())
 	must(t, w.Close())
-	go p.read(r)
+	go p.readOutput(r)
 	t.Cleanup(func() {
 		p.kill()
 		if t.Failed() {
@@ -57,23 +58,25 @@
 	return p
 }
 
-func (p *process) read(r io.ReadCloser) {
+// readOutput collects the output and waits for the process to exit.
+func (p *process) readOutput(r io.ReadCloser) {
 	defer close(p.done)
 	defer r.Close()
 	for s := bufio.NewScanner(r); s.Scan(); {
 		p.mu.Lock()
 		p.lines = append(p.lines, s.Text())
-		close(p.more)
-		p.more = make(chan struct{})
+		close(p.lineAdded)
+		p.lineAdded = make(chan struct{})
 		p.mu.Unlock()
 	}
-	_ = p.cmd.Wait() // its code is read from ProcessState
+	_ = p.cmd.Wait() // the exit code is read from ProcessState
 }
 
-// line waits for the first line of output that contains text.
-func (p *process) line(t *testing.T, text string) string {
+// awaitLine waits for an output line that contains text and returns the first
+// one.
+func (p *process) awaitLine(t *testing.T, text string) string {
 	t.Helper()
-	deadline := time.After(patience)
+	deadline := time.After(waitTimeout)
 	for {
 		found, more := p.find(text)
 		if found != "" {
@@ -82,37 +85,41 @@
 		select {
 		case <-more:
 		case <-p.done:
-			t.Fatalf("%s ended before it wrote %q:\n%s", p.name, text, p.tail())
+			t.Fatalf("%s exited before writing %q:\n%s", p.name, text, p.tail())
 		case <-deadline:
 			t.Fatalf("%s did not write %q", p.name, text)
 		}
 	}
 }
 
+// find returns the first line that contains text, or a channel that is closed
+// when a line is added.
 func (p *process) find(text string) (string, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, l := range p.lines {
-		if strings.Contains(l, text) {
-			return l, nil
+	for _, line := range p.lines {
+		if strings.Contains(line, text) {
+			return line, nil
 		}
 	}
-	return "", p.more
+	return "", p.lineAdded
 }
 
+// output returns a copy of all lines.
 func (p *process) output() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.lines)
 }
 
+// tail returns the last failureLogLines lines.
 func (p *process) tail() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return strings.Join(p.lines[max(0, len(p.lines)-logKept):], "\n")
+	return strings.Join(p.lines[max(0, len(p.lines)-failureLogLines):], "\n")
 }
 
-// signal sends a signal; a process that has ended gets none.
+// signal sends a signal unless the process has exited.
 func (p *process) signal(t *testing.T, s os.Signal) {
 	t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -120,24 +127,25 @@
 	}
 }
 
-// kill ends the process at once, also a paused one, and waits for its end.
+// kill kills the process, including a paused one, and waits for it to exit.
 func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// exit waits for the process to end by itself and returns its code.
-func (p *process) exit(t *testing.T) int {
+// awaitExit waits for the process to exit and returns its exit code.
+func (p *process) awaitExit(t *testing.T) int {
 	t.Helper()
 	select {
 	case <-p.done:
-	case <-time.After(patience):
-		t.Fatalf("%s did not end", p.name)
+	case <-time.After(waitTimeout):
+		t.Fatalf("%s did not exit", p.name)
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// writeFile writes a file of the test's own and returns its path.
+// writeFile writes a file to a temporary directory of the test and returns its
+// path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -145,6 +153,7 @@
 	return path
 }
 
+// must fails the test if err is not nil.
 func must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -152,13 +161,13 @@
 	}
 }
 
-// until polls a condition. It fails the test when the condition does not hold
-// within patience; detail is asked then for what was seen last.
-func until(t *testing.T, what string, holds func() bool, detail func() string) {
+// waitUntil polls a condition and fails the test if it isn't met within
+// waitTimeout; detail then describes the last observed state.
+func waitUntil(t *testing.T, description string, condition func() bool, detail func() string) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !holds(); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never came true: %s\n%s", what, detail())
+			t.Fatalf("condition not met: %s\n%s", description, detail())
 		}
 	}
 }
--- a/test/proxy_test.go
+++ b/test/proxy_test.go
@@ -7,7 +7,7 @@
 	"github.com/rs/zerolog"
 )
 
-// proxy is a TCP proxy whose link can be broken and mended.
+// proxy is a TCP proxy whose link can be disconnected and reconnected.
 type proxy struct {
 	t     *testing.T
 	proxy *toxiproxy.Proxy
@@ -15,7 +15,7 @@
 
 var proxies = toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
 
-// startProxy starts a proxy to upstream on a port of its own.
+// startProxy starts a proxy to upstream on its own port.
 func startProxy(t *testing.T, name, upstream string) *proxy {
 	t.Helper()
 	p := toxiproxy.NewProxy(proxies, name, "127.0.0.1:0", upstream)
@@ -26,11 +26,11 @@
 
 func (p *proxy) addr() string { return p.proxy.Listen }
 
-// cut closes all connections and refuses new ones.
-func (p *proxy) cut() { p.proxy.Stop() }
+// disconnect closes all connections and refuses new ones.
+func (p *proxy) disconnect() { p.proxy.Stop() }
 
-// mend accepts connections again, at the same address.
-func (p *proxy) mend() {
+// reconnect accepts connections again on the same address.
+func (p *proxy) reconnect() {
 	p.t.Helper()
 	must(p.t, p.proxy.Start())
 }
--- a/test/status_test.go
+++ b/test/status_test.go
@@ -10,17 +10,18 @@
 	"chervilloom/internal/operator"
 )
 
-// Operators of the test fleets besides the first.
+// Credentials of the second operator of the test fleets.
 const (
 	otherToken = "demo-other"
 	otherHash  = "d3fdf8dc66e8fb688df2a29c0c708a4608dab6d2b946e793ced183bf1dad85a1"
 )
 
+// client returns an operator client for the node.
 func (n *node) client() *operator.Client {
 	return operator.NewClient("http://"+n.operator, operatorToken)
 }
 
-// status returns what the node believes.
+// status returns the node's status.
 func (n *node) status(t *testing.T) operator.Status {
 	t.Helper()
 	s, err := n.client().Status(t.Context())
@@ -28,29 +29,32 @@
 	return s
 }
 
-// await polls a node's status until it holds.
-func (f *testFleet) await(n *node, what string, holds func(operator.Status) bool) operator.Status {
+// awaitStatus polls a node's status until it satisfies the condition, and
+// returns it.
+func (f *testFleet) awaitStatus(n *node, description string, condition func(operator.Status) bool) operator.Status {
 	f.t.Helper()
 	var last operator.Status
-	until(f.t, n.vm+": "+what,
+	waitUntil(f.t, n.vm+": "+description,
 		func() bool {
 			s, err := n.client().Status(f.t.Context())
 			last = s
-			return err == nil && holds(s)
+			return err == nil && condition(s)
 		},
-		func() string { return describe(last) })
+		func() string { return formatJSON(last) })
 	return last
 }
 
-// awaitAll polls all nodes' status until it holds at each.
-func (f *testFleet) awaitAll(what string, holds func(operator.Status) bool) {
+// awaitStatusOnAll polls the status of each node until it satisfies the
+// condition.
+func (f *testFleet) awaitStatusOnAll(description string, condition func(operator.Status) bool) {
 	f.t.Helper()
 	for _, n := range f.nodes {
-		f.await(n, what, holds)
+		f.awaitStatus(n, description, condition)
 	}
 }
 
-func describe(v any) string {
+// formatJSON formats v as indented JSON for failure messages.
+func formatJSON(v any) string {
 	b, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
 		return fmt.Sprint(v)
@@ -58,14 +62,15 @@
 	return string(b)
 }
 
-// wholeGroups returns the groups that take requests.
-func wholeGroups(s operator.Status) []operator.GroupStatus {
+// servingGroups returns the groups that accept requests.
+func servingGroups(s operator.Status) []operator.GroupStatus {
 	return slices.DeleteFunc(slices.Clone(s.Groups), func(g operator.GroupStatus) bool {
 		return !g.Whole || g.Phase != string(fleet.PhaseServing)
 	})
 }
 
-func servicesSeen(s operator.Status) int {
+// countPresentServices returns the number of plain services that the node sees.
+func countPresentServices(s operator.Status) int {
 	n := 0
 	for _, e := range s.Endpoints {
 		if e.Kind == string(fleet.KindService) && e.State == "present" {
@@ -75,14 +80,15 @@
 	return n
 }
 
-// group returns the one whole group as the first node believes it.
-func (f *testFleet) group() operator.GroupStatus {
+// awaitGroup waits until the first node reports a serving group, and returns
+// the first one.
+func (f *testFleet) awaitGroup() operator.GroupStatus {
 	f.t.Helper()
-	s := f.await(f.nodes[0], "a group is whole", func(s operator.Status) bool { return len(wholeGroups(s)) > 0 })
-	return wholeGroups(s)[0]
+	s := f.awaitStatus(f.nodes[0], "a group is serving", func(s operator.Status) bool { return len(servingGroups(s)) > 0 })
+	return servingGroups(s)[0]
 }
 
-// engine returns the engine of the VM.
+// engine returns the engine on the VM.
 func (f *testFleet) engine(vm string) *endpoint {
 	f.t.Helper()
 	for _, e := range f.engines {
@@ -94,14 +100,14 @@
 	return nil
 }
 
-// repaired waits until every node believes that a later generation serves
-// without the VM's old life, and returns it.
-func (f *testFleet) repaired(old operator.GroupStatus) operator.GroupStatus {
+// awaitRepaired waits until every node reports a serving group newer than old,
+// and returns it.
+func (f *testFleet) awaitRepaired(old operator.GroupStatus) operator.GroupStatus {
 	f.t.Helper()
-	newer := func(s operator.Status) bool {
-		w := wholeGroups(s)
-		return len(w) > 0 && (w[0].Group != old.Group || w[0].Generation > old.Generation)
+	isNewer := func(s operator.Status) bool {
+		groups := servingGroups(s)
+		return len(groups) > 0 && (groups[0].Group != old.Group || groups[0].Generation > old.Generation)
 	}
-	f.awaitAll("a later generation serves", newer)
-	return f.group()
+	f.awaitStatusOnAll("a later generation serves", isNewer)
+	return f.awaitGroup()
 }
--- a/test/writehold_test.go
+++ b/test/writehold_test.go
@@ -10,80 +10,84 @@
 	"chervilloom/internal/standin"
 )
 
-// writeHold stands between a node and the platform and can hold the node's
-// transactions back. A transaction that was held lands when it is let go, also
-// when its writer has long given up: a write that was under way.
-type writeHold struct {
+// writeInterceptor is a proxy between a node and the platform that can delay
+// the node's transactions. A delayed transaction is applied on release, even if
+// its sender has given up: it simulates a write in flight.
+type writeInterceptor struct {
 	store string
 
-	mu   sync.Mutex
-	gate chan struct{} // closed when transactions are let go; nil: none is held
-	held int
-	work sync.WaitGroup
+	mu            sync.Mutex
+	releaseSignal chan struct{} // closed on release; nil: transactions are not delayed
+	groupWrites   int
+	pending       sync.WaitGroup
 }
 
-// startWriteHold starts one in front of the platform at store.
-func startWriteHold(t *testing.T, store string) (*writeHold, string) {
+// startWriteInterceptor starts an interceptor for the platform at store and
+// returns its address.
+func startWriteInterceptor(t *testing.T, store string) (*writeInterceptor, string) {
 	t.Helper()
-	h := &writeHold{store: store}
+	h := &writeInterceptor{store: store}
 	s, err := standin.Start("127.0.0.1:0", h)
 	must(t, err)
 	t.Cleanup(func() {
 		h.release()
 		_ = s.Close()
-		h.work.Wait()
+		h.pending.Wait()
 	})
 	return h, s.Addr
 }
 
-func (h *writeHold) hold() {
+// hold delays transactions until release is called.
+func (h *writeInterceptor) hold() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.gate = make(chan struct{})
+	h.releaseSignal = make(chan struct{})
 }
 
-// release lets the held transactions go and waits until they have landed.
-func (h *writeHold) release() {
+// release forwards the delayed transactions and waits until they are complete.
+func (h *writeInterceptor) release() {
 	h.mu.Lock()
-	if h.gate != nil {
-		close(h.gate)
-		h.gate = nil
+	if h.releaseSignal != nil {
+		close(h.releaseSignal)
+		h.releaseSignal = nil
 	}
 	h.mu.Unlock()
-	h.work.Wait()
+	h.pending.Wait()
 }
 
-// holding returns how many transactions of the groups are held.
-func (h *writeHold) holding() int {
+// heldGroupWrites returns the number of transactions on the group table that
+// have been delayed.
+func (h *writeInterceptor) heldGroupWrites() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.held
+	return h.groupWrites
 }
 
-func (h *writeHold) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *writeInterceptor) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	h.mu.Lock()
-	gate := h.gate
-	write := r.Method == http.MethodPost && gate != nil
+	released := h.releaseSignal
+	write := r.Method == http.MethodPost && released != nil
 	if write {
-		h.work.Add(1)
+		h.pending.Add(1)
 		if bytes.Contains(body, []byte(`"table":"groups"`)) {
-			h.held++
+			h.groupWrites++
 		}
 	}
 	h.mu.Unlock()
 	if write {
-		defer h.work.Done()
-		<-gate
+		defer h.pending.Done()
+		<-released
 	}
-	h.pass(w, r, body)
+	h.forward(w, r, body)
 }
 
-// pass hands the request on, whether or not its sender still waits.
-func (h *writeHold) pass(w http.ResponseWriter, r *http.Request, body []byte) {
+// forward sends the request to the platform, even if its sender no longer
+// waits.
+func (h *writeInterceptor) forward(w http.ResponseWriter, r *http.Request, body []byte) {
 	req, err := http.NewRequest(r.Method, "http://"+h.store+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		panic(http.ErrAbortHandler)
