--- a/test/claims_test.go
+++ b/test/claims_test.go
@@ -154,14 +154,14 @@
 	holder, other := f.leaseHolder()
 	groups := servingGroups(other.status(t))
 
-	holder.writeInterceptor.hold()
+	holder.interceptor.hold()
 	f.engine(groups[0].VMs[1]).kill()
 	f.engine(groups[1].VMs[2]).kill()
-	waitUntil(t, "the holder has sent a repair transaction", func() bool { return holder.writeInterceptor.heldGroupWrites() > 0 }, func() string { return "" })
+	waitUntil(t, "the holder has sent a repair transaction", func() bool { return holder.interceptor.heldGroupWrites() > 0 }, func() string { return "" })
 	f.awaitStatus(other, "the other node holds the lease", holdsLease)
 	f.awaitStatus(other, "both groups are repaired", func(s operator.Status) bool { return repairedSince(s, groups) })
 	before := f.groupRows()
-	holder.writeInterceptor.release()
+	holder.interceptor.release()
 	if after := f.groupRows(); after != before {
 		t.Errorf("a delayed write took effect:\n%s\nbefore:\n%s", after, before)
 	}
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -78,7 +78,7 @@
 	vm, zone               string
 	caller, operator, peer string
 	platform               *proxy
-	writeInterceptor       *writeInterceptor // between the node and the platform
+	interceptor            *writeInterceptor // between the node and the platform
 	settings               func(seeds ...string) string
 }
 
@@ -179,7 +179,7 @@
 func (f *testFleet) startNode(vm, zone string) *node {
 	f.t.Helper()
 	hold, addr := startWriteInterceptor(f.t, f.platformAddr)
-	n := &node{vm: vm, zone: zone, writeInterceptor: hold, platform: startProxy(f.t, vm+" to platform", addr)}
+	n := &node{vm: vm, zone: zone, interceptor: hold, platform: startProxy(f.t, vm+" to platform", addr)}
 	n.settings = func(seeds ...string) string {
 		return fmt.Sprintf(nodeSettings, vm, zone, "127.0.0.1:0", n.platform.addr(), operatorHash, otherHash, quoted(seeds))
 	}
--- a/test/writehold_test.go
+++ b/test/writehold_test.go
@@ -69,8 +69,8 @@
 		return
 	}
 	h.mu.Lock()
-	released := h.releaseSignal
-	write := r.Method == http.MethodPost && released != nil
+	releaseSignal := h.releaseSignal
+	write := r.Method == http.MethodPost && releaseSignal != nil
 	if write {
 		h.pending.Add(1)
 		if bytes.Contains(body, []byte(`"table":"groups"`)) {
@@ -80,7 +80,7 @@
 	h.mu.Unlock()
 	if write {
 		defer h.pending.Done()
-		<-released
+		<-releaseSignal
 	}
 	h.forward(w, r, body)
 }
