--- a/test/cut/caller_test.go
+++ b/test/cut/caller_test.go
@@ -18,7 +18,7 @@
 )
 
 // told is what a caller is told of one request.
-type told struct {
+type callResult struct {
 	status  int
 	header  http.Header
 	outcome outcome.Outcome // of the header, or of the trailer
@@ -31,40 +31,40 @@
 }
 
 // whole reports whether a caller would take it for a whole answer.
-func (a told) whole() bool { return a.err == nil && a.status == http.StatusOK }
+func (a callResult) isComplete() bool { return a.err == nil && a.status == http.StatusOK }
 
-func (a told) String() string {
+func (a callResult) String() string {
 	return fmt.Sprintf("status %d, outcome %q, kind %q, %d tokens, done %t, error %v, body %.300q",
 		a.status, a.outcome, a.kind, len(a.tokens), a.done, a.err, a.body)
 }
 
-// callers is the client of all callers; it does not follow or resend anything
+// callerClient is the client of all callers; it does not follow or resend anything
 // by itself that net/http would not.
-var callers = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
+var callerClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
 
 // send sends one request and reads its whole answer.
-func send(ctx context.Context, method, url, body string, header map[string]string, onData func()) told {
+func send(ctx context.Context, method, url, body string, header map[string]string, onData func()) callResult {
 	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
-		return told{err: err}
+		return callResult{err: err}
 	}
 	req.Header.Set("Authorization", "Bearer "+callerKey)
 	for k, v := range header {
 		req.Header.Set(k, v)
 	}
 	req.GetBody = nil // net/http must not send a body twice: the tests count runs
-	res, err := callers.Do(req)
+	res, err := callerClient.Do(req)
 	if err != nil {
-		return told{err: err}
+		return callResult{err: err}
 	}
 	defer res.Body.Close()
-	a := told{status: res.StatusCode, header: res.Header}
-	var body2 bytes.Buffer
+	a := callResult{status: res.StatusCode, header: res.Header}
+	var content bytes.Buffer
 	r := bufio.NewReader(res.Body)
 	for err == nil {
 		var line []byte
 		line, err = r.ReadBytes('\n')
-		body2.Write(line)
+		content.Write(line)
 		if onData != nil && bytes.HasPrefix(line, []byte("data: ")) {
 			onData()
 		}
@@ -72,18 +72,18 @@
 	if err != io.EOF {
 		a.err = err
 	}
-	a.body = body2.Bytes()
+	a.body = content.Bytes()
 	a.outcome = outcome.Outcome(res.Header.Get(outcome.Header))
 	if a.outcome == "" {
 		a.outcome = outcome.Outcome(res.Trailer.Get(outcome.Header))
 	}
-	a.readKind()
+	a.parseErrorKind()
 	return a
 }
 
-// readKind reads the kind of an error answer, or of the error event of a
+// parseErrorKind reads the kind of an error answer, or of the error event of a
 // stream.
-func (a *told) readKind() {
+func (a *callResult) parseErrorKind() {
 	text := a.body
 	if i := bytes.Index(text, []byte("event: error\ndata: ")); i >= 0 {
 		text, _, _ = bytes.Cut(text[i+len("event: error\ndata: "):], []byte("\n"))
@@ -111,17 +111,17 @@
 }
 
 // chat sends a chat request to a node.
-func (n *node) chat(ctx context.Context, body string, header map[string]string, onToken func()) told {
+func (n *node) chat(ctx context.Context, body string, header map[string]string, onToken func()) callResult {
 	a := send(ctx, http.MethodPost, "http://"+n.caller+"/v1/chat/completions", body, header, onToken)
-	a.readTokens()
+	a.parseTokens()
 	return a
 }
 
-func (a *told) readTokens() {
+func (a *callResult) parseTokens() {
 	if !strings.HasPrefix(a.header.Get("Content-Type"), "text/event-stream") {
-		var whole engine.ChatAnswer
-		if json.Unmarshal(a.body, &whole) == nil && len(whole.Choices) > 0 && whole.Choices[0].Message != nil {
-			a.tokens, a.done = []string{whole.Choices[0].Message.Content}, true
+		var answer engine.ChatAnswer
+		if json.Unmarshal(a.body, &answer) == nil && len(answer.Choices) > 0 && answer.Choices[0].Message != nil {
+			a.tokens, a.done = []string{answer.Choices[0].Message.Content}, true
 		}
 		return
 	}
@@ -146,7 +146,7 @@
 // checkChat returns what is wrong with an answer: a whole one must be the
 // request's own to the last token, a cut one must be its beginning and told as
 // cut, and a refusal must name its outcome.
-func checkChat(body string, a told) error {
+func checkChat(body string, a callResult) error {
 	want := standin.ExpectedTokens([]byte(body))
 	switch {
 	case a.done && a.err == nil && a.status == http.StatusOK:
@@ -158,7 +158,7 @@
 		}
 		return nil
 	case a.status == http.StatusOK:
-		return checkCut(want, a)
+		return checkTruncatedAnswer(want, a)
 	case a.status == 0:
 		return fmt.Errorf("no answer at all: %v", a.err)
 	case a.outcome == "" || a.kind == "":
@@ -167,7 +167,7 @@
 	return nil
 }
 
-func checkCut(want []string, a told) error {
+func checkTruncatedAnswer(want []string, a callResult) error {
 	if a.done || a.err == nil {
 		return fmt.Errorf("cut answer that looks whole: %v", a)
 	}
@@ -186,13 +186,13 @@
 }
 
 // call sends a call of a plain service to a node.
-func (n *node) call(ctx context.Context, service, method, path, body string, header map[string]string) told {
+func (n *node) call(ctx context.Context, service, method, path, body string, header map[string]string) callResult {
 	return send(ctx, method, "http://"+n.caller+"/services/"+service+path, body, header, nil)
 }
 
 // checkCall returns what is wrong with an answer of the plain service.
-func checkCall(method, path, body string, a told) error {
-	if !a.whole() {
+func checkCall(method, path, body string, a callResult) error {
+	if !a.isComplete() {
 		if a.status != 0 && (a.outcome == "" || a.kind == "") {
 			return fmt.Errorf("failure without outcome or kind: %v", a)
 		}
@@ -208,8 +208,8 @@
 	return nil
 }
 
-// post sends v to a stand-in's control path.
-func post(t *testing.T, addr, path string, v any) {
+// postJSON sends v to a stand-in's control path.
+func postJSON(t *testing.T, addr, path string, v any) {
 	t.Helper()
 	b, err := json.Marshal(v)
 	must(t, err)
@@ -222,14 +222,14 @@
 	}
 }
 
-// faults sets faults of a stand-in; those left out stay.
-func faults(t *testing.T, addr string, set map[string]any) {
+// setFaults sets faults of a stand-in; those left out stay.
+func setFaults(t *testing.T, addr string, set map[string]any) {
 	t.Helper()
-	post(t, addr, "/faults", set)
+	postJSON(t, addr, "/faults", set)
 }
 
-// get reads JSON from a stand-in.
-func get(t *testing.T, addr, path string, v any) {
+// getJSON reads JSON from a stand-in.
+func getJSON(t *testing.T, addr, path string, v any) {
 	t.Helper()
 	res, err := http.Get("http://" + addr + path)
 	must(t, err)
@@ -241,12 +241,12 @@
 func (e *endpoint) executions(t *testing.T) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
-	get(t, e.addr, "/executions", &counts)
+	getJSON(t, e.addr, "/executions", &counts)
 	return counts
 }
 
-// ran sums the executions whose id holds text.
-func (e *endpoint) ran(t *testing.T, text string) int {
+// countExecutions sums the executions whose id holds text.
+func (e *endpoint) countExecutions(t *testing.T, text string) int {
 	t.Helper()
 	n := 0
 	for id, c := range e.executions(t) {
--- a/test/cut/fleet_test.go
+++ b/test/cut/fleet_test.go
@@ -57,8 +57,8 @@
 `
 
 // plan describes a fleet of one node in each of two availability zones.
-type plan struct {
-	groupsIn     []string // availability zones that have a group
+type fleetSpec struct {
+	groupZones   []string // availability zones that have a group
 	tokensPerSec int      // of one stream
 }
 
@@ -78,23 +78,23 @@
 
 // testFleet is a fleet of processes.
 type testFleet struct {
-	t        *testing.T
-	plan     plan
-	store    string // address of the platform
-	engines  []*endpoint
-	services []*endpoint
-	a, b     *node // of zoneA and zoneB
+	t            *testing.T
+	spec         fleetSpec
+	platformAddr string // address of the platform
+	engines      []*endpoint
+	services     []*endpoint
+	a, b         *node // of zoneA and zoneB
 }
 
 // startFleet starts the processes and returns when the document is in force,
 // all groups serve and the nodes see each other.
-func startFleet(t *testing.T, p plan) *testFleet {
+func startFleet(t *testing.T, p fleetSpec) *testFleet {
 	t.Helper()
-	f := &testFleet{t: t, plan: p}
+	f := &testFleet{t: t, spec: p}
 	store := startProcess(t, "platform", "standin", "platform", "--listen", "127.0.0.1:0",
 		"--settings", writeFile(t, "platform.yaml", "no_limits: true\n"))
-	f.store = addrOf(store.line(t, "listening "))
-	for _, zone := range p.groupsIn {
+	f.platformAddr = parseListenAddr(store.awaitLine(t, "listening "))
+	for _, zone := range p.groupZones {
 		for i := range replicaSize {
 			f.addEngine(fmt.Sprintf("engine-%s-%d", zone, i+1), zone)
 		}
@@ -103,17 +103,17 @@
 	f.addService("counter-b", zoneB, counter)
 	f.addService("ledger-a", zoneA, ledger)
 	f.a, f.b = f.startNode("entry-a", zoneA), f.startNode("entry-b", zoneB)
-	f.accept(f.a, 0, f.document(10))
-	f.awaitTogether()
+	f.applyDocument(f.a, 0, f.document(10))
+	f.awaitConnected()
 	return f
 }
 
-func addrOf(line string) string { return strings.TrimPrefix(line, "listening ") }
+func parseListenAddr(line string) string { return strings.TrimPrefix(line, "listening ") }
 
 func (f *testFleet) addEngine(vm, zone string) {
 	f.t.Helper()
 	text := fmt.Sprintf("vm: %s\nzone: %s\ndomain: fabric-%s\naccelerators: 8\nslots: 64\ntokens_per_second: %d\n"+
-		"check_fence: true\nload_time: 50ms\nload_lag: 100ms\n", vm, zone, zone, f.plan.tokensPerSec)
+		"check_fence: true\nload_time: 50ms\nload_lag: 100ms\n", vm, zone, zone, f.spec.tokensPerSec)
 	f.engines = append(f.engines, f.startEndpoint("engine", vm, zone, text))
 }
 
@@ -126,21 +126,21 @@
 // startEndpoint starts a stand-in that registers itself.
 func (f *testFleet) startEndpoint(kind, vm, zone, text string) *endpoint {
 	f.t.Helper()
-	text += fmt.Sprintf("platform: http://%s\n", f.store)
+	text += fmt.Sprintf("platform: http://%s\n", f.platformAddr)
 	p := startProcess(f.t, vm, "standin", kind, "--listen", "127.0.0.1:0", "--settings", writeFile(f.t, vm+".yaml", text))
-	return &endpoint{process: p, vm: vm, zone: zone, addr: addrOf(p.line(f.t, "listening "))}
+	return &endpoint{process: p, vm: vm, zone: zone, addr: parseListenAddr(p.awaitLine(f.t, "listening "))}
 }
 
-// startTries bounds the ports that a node is tried on.
-const startTries = 5
+// maxStartAttempts bounds the ports that a node is tried on.
+const maxStartAttempts = 5
 
 // startNode starts a node behind a relay. Its port is free when it is chosen;
 // another process may take it before the node does, so the start is tried with
 // another one then.
 func (f *testFleet) startNode(vm, zone string) *node {
 	f.t.Helper()
-	for range startTries {
-		if n := f.tryNode(vm, zone); n != nil {
+	for range maxStartAttempts {
+		if n := f.tryStartNode(vm, zone); n != nil {
 			return n
 		}
 	}
@@ -148,16 +148,16 @@
 	return nil
 }
 
-func (f *testFleet) tryNode(vm, zone string) *node {
+func (f *testFleet) tryStartNode(vm, zone string) *node {
 	f.t.Helper()
 	port := freePort(f.t)
 	relay, err := netfault.NewRelay(port)
 	must(f.t, err)
 	f.t.Cleanup(func() { _ = relay.Close() }) // its sockets may have met errors of the ended node
 	n := &node{vm: vm, zone: zone, relay: relay}
-	text := fmt.Sprintf(nodeSettings, vm, zone, port, f.store, relay.Addr(), operatorHash)
+	text := fmt.Sprintf(nodeSettings, vm, zone, port, f.platformAddr, relay.Addr(), operatorHash)
 	n.process = startProcess(f.t, vm, "serve", "--settings", writeFile(f.t, vm+".yaml", text))
-	line, ended := n.lineOrEnd(f.t, `"msg":"listening"`)
+	line, ended := n.awaitLineOrExit(f.t, `"msg":"listening"`)
 	if ended {
 		if !strings.Contains(n.tail(), "can't be bound") {
 			f.t.Fatalf("%s ended:\n%s", vm, n.tail())
@@ -183,19 +183,19 @@
 // the organisation's weight.
 func (f *testFleet) document(weight int) string {
 	text := fmt.Sprintf(documentHead, weight)
-	for _, zone := range f.plan.groupsIn {
+	for _, zone := range f.spec.groupZones {
 		text += fmt.Sprintf(groupLine, zone, replicaSize)
 	}
 	return text
 }
 
-// awaitTogether waits until the nodes see each other alive, all groups and
+// awaitConnected waits until the nodes see each other alive, all groups and
 // services of their zones, and pass calls on to the other zone.
-func (f *testFleet) awaitTogether() {
+func (f *testFleet) awaitConnected() {
 	f.t.Helper()
 	for _, n := range f.nodes() {
-		f.await(n, "sees the whole fleet", func(s operator.Status) bool {
-			return s.Ready && sees(s, f.other(n)) && len(wholeGroups(s)) == len(f.plan.groupsIn) && servicesSeen(s) == f.servicesIn(n.zone)
+		f.awaitStatus(n, "sees the whole fleet", func(s operator.Status) bool {
+			return s.Ready && seesAlive(s, f.other(n)) && len(servingGroups(s)) == len(f.spec.groupZones) && countPresentServices(s) == f.expectedServices(n.zone)
 		})
 		f.awaitCall(n, counter)
 		f.awaitCall(n, ledger)
@@ -206,16 +206,16 @@
 // node.
 func (f *testFleet) awaitCall(n *node, service string) {
 	f.t.Helper()
-	var last told
-	until(f.t, n.vm+" passes lookups of "+service+" on",
+	var last callResult
+	waitUntil(f.t, n.vm+" passes lookups of "+service+" on",
 		func() bool {
 			last = n.call(f.t.Context(), service, "GET", "/first", "", nil)
-			return last.whole()
+			return last.isComplete()
 		},
 		func() string { return last.String() })
 }
 
-func (f *testFleet) servicesIn(zone string) int {
+func (f *testFleet) expectedServices(zone string) int {
 	n := 0
 	for _, s := range f.services {
 		if s.zone == zone {
@@ -234,36 +234,36 @@
 	return f.a
 }
 
-// cut cuts the nodes from each other in both directions.
-func (f *testFleet) cut() { f.cutDirections(true, true) }
+// disconnect cuts the nodes from each other in both directions.
+func (f *testFleet) disconnect() { f.setLinkLoss(true, true) }
 
-// heal passes all datagrams again.
-func (f *testFleet) heal() { f.cutDirections(false, false) }
+// reconnect passes all datagrams again.
+func (f *testFleet) reconnect() { f.setLinkLoss(false, false) }
 
-// cutDirections drops what goes from zoneA to zoneB and what goes back. Each
+// setLinkLoss drops what goes from zoneA to zoneB and what goes back. Each
 // node dials the other's relay, so a direction has a part in both relays.
-func (f *testFleet) cutDirections(aToB, bToA bool) {
+func (f *testFleet) setLinkLoss(aToB, bToA bool) {
 	f.b.relay.Cut(aToB, bToA)
 	f.a.relay.Cut(bToA, aToB)
 }
 
-// sees reports whether the node whose status it is believes that the other one
+// seesAlive reports whether the node whose status it is believes that the other one
 // is alive.
-func sees(s operator.Status, other *node) bool {
+func seesAlive(s operator.Status, other *node) bool {
 	return slices.ContainsFunc(s.Nodes, func(n operator.NodeStatus) bool {
 		return strings.HasPrefix(n.Node, other.vm+"#") && n.State == "alive"
 	})
 }
 
-// awaitApart waits until neither node believes that the other is alive.
-func (f *testFleet) awaitApart() {
+// awaitDisconnected waits until neither node believes that the other is alive.
+func (f *testFleet) awaitDisconnected() {
 	f.t.Helper()
 	for _, n := range f.nodes() {
-		f.await(n, "misses the other node", func(s operator.Status) bool { return !sees(s, f.other(n)) })
+		f.awaitStatus(n, "misses the other node", func(s operator.Status) bool { return !seesAlive(s, f.other(n)) })
 	}
 }
 
-func servicesSeen(s operator.Status) int {
+func countPresentServices(s operator.Status) int {
 	n := 0
 	for _, e := range s.Endpoints {
 		if e.Kind == string(fleet.KindService) && e.State == "present" {
@@ -273,8 +273,8 @@
 	return n
 }
 
-// wholeGroups returns the groups that take requests.
-func wholeGroups(s operator.Status) []operator.GroupStatus {
+// servingGroups returns the groups that take requests.
+func servingGroups(s operator.Status) []operator.GroupStatus {
 	return slices.DeleteFunc(slices.Clone(s.Groups), func(g operator.GroupStatus) bool {
 		return !g.Whole || g.Phase != string(fleet.PhaseServing)
 	})
--- a/test/cut/links_test.go
+++ b/test/cut/links_test.go
@@ -17,16 +17,16 @@
 // answers are lost. Such a caller is told that the outcome is unknown, never
 // "not run" and never a whole answer; repeats of a key through both nodes, during
 // the cut and after it, never run it again.
-func TestOneWayCut(t *testing.T) {
+func TestOneWayLinkFailure(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, plan{groupsIn: []string{zoneA}, tokensPerSec: 20})
-	f.relaysReceipt("/receipts/warm") // the link stands
-	stream := f.beginStream(f.b, "one way", 200)
+	f := startFleet(t, fleetSpec{groupZones: []string{zoneA}, tokensPerSec: 20})
+	f.awaitReceiptRelayed("/receipts/warm") // the link stands
+	stream := f.startStream(f.b, "one way", 200)
 	slow := f.service("ledger-a")
-	faults(t, slow.addr, map[string]any{"slow": "3s"})
+	setFaults(t, slow.addr, map[string]any{"slow": "3s"})
 
 	const sent = 12
-	calls := make([]told, sent)
+	calls := make([]callResult, sent)
 	var work sync.WaitGroup
 	for i := range calls {
 		work.Go(func() {
@@ -34,15 +34,15 @@
 		})
 	}
 	f.awaitRunning(slow, sent)
-	f.cutDirections(true, false)
+	f.setLinkLoss(true, false)
 	work.Wait()
-	faults(t, slow.addr, map[string]any{"slow": "0s"})
-	ran, told := 0, map[outcome.Kind]int{}
+	setFaults(t, slow.addr, map[string]any{"slow": "0s"})
+	ran, kindCounts := 0, map[outcome.Kind]int{}
 	for i, a := range calls {
-		told[a.kind]++
-		ran += f.runs(oneWayPath(i))
-		f.isTrue(oneWayPath(i), a)
-		if a.whole() || a.outcome != outcome.Unknown {
+		kindCounts[a.kind]++
+		ran += f.countReceiptRuns(oneWayPath(i))
+		f.checkOutcome(oneWayPath(i), a)
+		if a.isComplete() || a.outcome != outcome.Unknown {
 			t.Errorf("%s reached the service and its answer was lost, but it was told %v", oneWayPath(i), a)
 		}
 	}
@@ -50,22 +50,22 @@
 		t.Errorf("no receipt ran to its end, so the test met no lost answer: %v", calls)
 	}
 	cut := <-stream
-	if err := checkChat(cut.body, cut.told); err != nil || cut.done || cut.outcome == outcome.NotRun {
-		t.Errorf("a stream over the cut link must be told as cut: %v %v", err, cut.told)
+	if err := checkChat(cut.body, cut.callResult); err != nil || cut.done || cut.outcome == outcome.NotRun {
+		t.Errorf("a stream over the cut link must be told as cut: %v %v", err, cut.callResult)
 	}
 
-	f.repeatKeys(sent)
-	f.await(f.b, "misses the other node", func(s operator.Status) bool { return !sees(s, f.a) })
-	f.repeatKeys(sent)
-	f.mustServe(f.a, "cut one way")
+	f.checkKeyedRepeats(sent)
+	f.awaitStatus(f.b, "misses the other node", func(s operator.Status) bool { return !seesAlive(s, f.a) })
+	f.checkKeyedRepeats(sent)
+	f.checkZoneServed(f.a, "cut one way")
 	a := f.b.call(t.Context(), ledger, "POST", "/receipts/beyond", receipt, nil)
-	if a.outcome != outcome.NotRun || f.runs("/receipts/beyond") != 0 {
-		t.Errorf("a receipt that no link can carry ran %d times and was told %v", f.runs("/receipts/beyond"), a)
+	if a.outcome != outcome.NotRun || f.countReceiptRuns("/receipts/beyond") != 0 {
+		t.Errorf("a receipt that no link can carry ran %d times and was told %v", f.countReceiptRuns("/receipts/beyond"), a)
 	}
-	f.heal()
-	f.awaitTogether()
-	f.repeatKeys(sent)
-	t.Logf("%d of %d receipts ran at first, told %v", ran, sent, told)
+	f.reconnect()
+	f.awaitConnected()
+	f.checkKeyedRepeats(sent)
+	t.Logf("%d of %d receipts ran at first, told %v", ran, sent, kindCounts)
 }
 
 func oneWayPath(i int) string { return fmt.Sprintf("/receipts/one-way/%d", i) }
@@ -75,7 +75,7 @@
 func oneWayHeader(i int) map[string]string {
 	h := map[string]string{}
 	if i%2 == 0 {
-		h = keyed(oneWayPath(i))
+		h = keyHeader(oneWayPath(i))
 	}
 	if i%4 < 2 {
 		h["Chervilloom-Deadline-Ms"] = "2000"
@@ -83,29 +83,29 @@
 	return h
 }
 
-// repeatKeys repeats the keyed receipts through both nodes.
-func (f *testFleet) repeatKeys(sent int) {
+// checkKeyedRepeats repeats the keyed receipts through both nodes.
+func (f *testFleet) checkKeyedRepeats(sent int) {
 	f.t.Helper()
 	var work sync.WaitGroup
 	for i := 0; i < sent; i += 2 {
 		for _, n := range f.nodes() {
 			work.Go(func() {
-				f.isTrue(oneWayPath(i), n.call(f.t.Context(), ledger, "POST", oneWayPath(i), receipt, keyed(oneWayPath(i))))
+				f.checkOutcome(oneWayPath(i), n.call(f.t.Context(), ledger, "POST", oneWayPath(i), receipt, keyHeader(oneWayPath(i))))
 			})
 		}
 	}
 	work.Wait()
 	for i := range sent {
-		if runs := f.runs(oneWayPath(i)); runs > 1 {
+		if runs := f.countReceiptRuns(oneWayPath(i)); runs > 1 {
 			f.t.Errorf("%s ran %d times", oneWayPath(i), runs)
 		}
 	}
 }
 
-// isTrue checks what a caller was told against the services' counts.
-func (f *testFleet) isTrue(path string, a told) {
+// checkOutcome checks what a caller was told against the services' counts.
+func (f *testFleet) checkOutcome(path string, a callResult) {
 	f.t.Helper()
-	runs := f.runs(path)
+	runs := f.countReceiptRuns(path)
 	switch {
 	case a.outcome == "":
 		f.t.Errorf("%s: no outcome was told: %v", path, a)
@@ -121,22 +121,22 @@
 	}
 }
 
-// askedStream is one stream with what its caller was told.
-type askedStream struct {
-	told
+// streamResult is one stream with what its caller was told.
+type streamResult struct {
+	callResult
 	body string
 }
 
-// beginStream asks a node for a stream and returns when some tokens have come.
+// startStream asks a node for a stream and returns when some tokens have come.
 // The channel gets what the caller was told in the end.
-func (f *testFleet) beginStream(n *node, prompt string, tokens int) <-chan askedStream {
+func (f *testFleet) startStream(n *node, prompt string, tokens int) <-chan streamResult {
 	f.t.Helper()
 	const firstTokens = 5
-	s := askedStream{body: chatBody(f.t.Name()+" "+prompt, tokens, true)}
-	begun, ended := make(chan struct{}), make(chan askedStream, 1)
+	s := streamResult{body: chatBody(f.t.Name()+" "+prompt, tokens, true)}
+	begun, ended := make(chan struct{}), make(chan streamResult, 1)
 	go func() {
 		seen := 0
-		s.told = n.chat(f.t.Context(), s.body, nil, func() {
+		s.callResult = n.chat(f.t.Context(), s.body, nil, func() {
 			if seen++; seen == firstTokens {
 				close(begun)
 			}
@@ -146,8 +146,8 @@
 	select {
 	case <-begun:
 	case s := <-ended:
-		f.t.Fatalf("the stream ended before its %dth token: %v", firstTokens, s.told)
-	case <-time.After(patience):
+		f.t.Fatalf("the stream ended before its %dth token: %v", firstTokens, s.callResult)
+	case <-time.After(waitTimeout):
 		f.t.Fatal("the stream did not begin")
 	}
 	return ended
@@ -158,23 +158,23 @@
 // that the answer is cut, by an error event and a broken connection, never by an
 // end marker. After healing it resumes by the id of its last event and has every
 // token exactly once, because the engine keeps the stream.
-func TestRelayedStreamCutAndResumed(t *testing.T) {
+func TestRelayedStreamInterruptedAndResumed(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, plan{groupsIn: []string{zoneA}, tokensPerSec: 20})
-	stream := f.beginStream(f.b, "resumed", 100)
-	f.cut()
+	f := startFleet(t, fleetSpec{groupZones: []string{zoneA}, tokensPerSec: 20})
+	stream := f.startStream(f.b, "resumed", 100)
+	f.disconnect()
 	s := <-stream
-	if err := checkChat(s.body, s.told); err != nil {
+	if err := checkChat(s.body, s.callResult); err != nil {
 		t.Fatal(err)
 	}
 	if s.done || s.kind != outcome.AnswerCut || s.outcome == outcome.NotRun || s.lastID == "" {
-		t.Fatalf("a stream whose link is cut must be told as cut, with a place to resume at: %v, last id %q", s.told, s.lastID)
+		t.Fatalf("a stream whose link is cut must be told as cut, with a place to resume at: %v, last id %q", s.callResult, s.lastID)
 	}
 	got := len(s.tokens)
 
-	f.heal()
-	f.awaitTogether()
-	rest := f.resume(f.b, s)
+	f.reconnect()
+	f.awaitConnected()
+	rest := f.resumeStream(f.b, s)
 	all := strings.Join(append(s.tokens, rest.tokens...), "")
 	if want := strings.Join(standin.ExpectedTokens([]byte(s.body)), ""); all != want {
 		t.Errorf("%d tokens before the cut and %d after it make\n%q, want\n%q", got, len(rest.tokens), all, want)
@@ -182,11 +182,11 @@
 	t.Logf("%d tokens before the cut, %d after it", got, len(rest.tokens))
 }
 
-// resume asks for the rest of a stream, again while it is told that nothing ran.
-func (f *testFleet) resume(n *node, s askedStream) told {
+// resumeStream asks for the rest of a stream, again while it is told that nothing ran.
+func (f *testFleet) resumeStream(n *node, s streamResult) callResult {
 	f.t.Helper()
-	var a told
-	until(f.t, "the stream is resumed",
+	var a callResult
+	waitUntil(f.t, "the stream is resumed",
 		func() bool {
 			a = n.chat(f.t.Context(), s.body, map[string]string{"Last-Event-ID": s.lastID}, nil)
 			return a.outcome != outcome.NotRun
@@ -204,7 +204,7 @@
 // a cut one.
 func TestLossyAndSlowLinks(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, plan{groupsIn: []string{zoneA}, tokensPerSec: 100})
+	f := startFleet(t, fleetSpec{groupZones: []string{zoneA}, tokensPerSec: 100})
 	for i, n := range f.nodes() {
 		n.relay.Seed(uint64(i) + 1)
 		n.relay.Loss(0.15)
@@ -215,19 +215,19 @@
 	for i := range callersEach {
 		work.Go(func() {
 			for r := range rounds {
-				f.wholeStream(f.b, fmt.Sprintf("caller %d, stream %d", i, r))
+				f.checkCompleteStream(f.b, fmt.Sprintf("caller %d, stream %d", i, r))
 			}
 		})
 		work.Go(func() {
 			for r := range rounds {
-				f.wholeReceipt(f.b, fmt.Sprintf("/receipts/lossy/%d/%d", i, r))
+				f.checkCompleteReceipt(f.b, fmt.Sprintf("/receipts/lossy/%d/%d", i, r))
 			}
 		})
 	}
 	work.Wait()
 }
 
-func (f *testFleet) wholeStream(n *node, prompt string) {
+func (f *testFleet) checkCompleteStream(n *node, prompt string) {
 	f.t.Helper()
 	body := chatBody(f.t.Name()+" "+prompt, 32, true)
 	a := n.chat(f.t.Context(), body, nil, nil)
@@ -236,10 +236,10 @@
 	}
 }
 
-func (f *testFleet) wholeReceipt(n *node, path string) {
+func (f *testFleet) checkCompleteReceipt(n *node, path string) {
 	f.t.Helper()
-	a := n.call(f.t.Context(), ledger, "POST", path, receipt, keyed(path))
-	if err := checkCall("POST", path, receipt, a); err != nil || !a.whole() || f.runs(path) != 1 {
-		f.t.Errorf("%s ran %d times: %v %v", path, f.runs(path), err, a)
+	a := n.call(f.t.Context(), ledger, "POST", path, receipt, keyHeader(path))
+	if err := checkCall("POST", path, receipt, a); err != nil || !a.isComplete() || f.countReceiptRuns(path) != 1 {
+		f.t.Errorf("%s ran %d times: %v %v", path, f.countReceiptRuns(path), err, a)
 	}
 }
--- a/test/cut/process_test.go
+++ b/test/cut/process_test.go
@@ -16,12 +16,12 @@
 	"chervilloom/internal/testkit"
 )
 
-// patience bounds each wait for a condition. No test's verdict depends on how
+// waitTimeout bounds each wait for a condition. No test's verdict depends on how
 // much of it is used.
-const patience = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
-// logKept is how many of a process's last lines are shown when a test fails.
-const logKept = 20
+// failureLogLines is how many of a process's last lines are shown when a test fails.
+const failureLogLines = 20
 
 // process is one process of the program under test.
 type process struct {
@@ -29,15 +29,15 @@
 	cmd  *exec.Cmd
 	done chan struct{} // closed when it has ended and its output is read
 
-	mu    sync.Mutex
-	lines []string
-	more  chan struct{} // closed and replaced at each line
+	mu        sync.Mutex
+	lines     []string
+	lineAdded chan struct{} // closed and replaced at each line
 }
 
 // startProcess runs the program with args. It is killed when the test ends.
 func startProcess(t *testing.T, name string, args ...string) *process {
 	t.Helper()
-	p := &process{name: name, cmd: exec.Command(binary, args...), done: make(chan struct{}), more: make(chan struct{})}
+	p := &process{name: name, cmd: exec.Command(binary, args...), done: make(chan struct{}), lineAdded: make(chan struct{})}
 	// Without this a test run that is killed would leave its processes behind.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	r, w, err := os.Pipe()
@@ -45,7 +45,7 @@
 	p.cmd.Stdout, p.cmd.Stderr = w, w
 	must(t, p.cmd.Start())
 	must(t, w.Close())
-	go p.read(r)
+	go p.readOutput(r)
 	t.Cleanup(func() {
 		p.kill()
 		if t.Failed() {
@@ -56,33 +56,33 @@
 	return p
 }
 
-func (p *process) read(r io.ReadCloser) {
+func (p *process) readOutput(r io.ReadCloser) {
 	defer close(p.done)
 	defer r.Close()
 	for s := bufio.NewScanner(r); s.Scan(); {
 		p.mu.Lock()
 		p.lines = append(p.lines, s.Text())
-		close(p.more)
-		p.more = make(chan struct{})
+		close(p.lineAdded)
+		p.lineAdded = make(chan struct{})
 		p.mu.Unlock()
 	}
 	_ = p.cmd.Wait() // its code is read from ProcessState
 }
 
-// line waits for the first line of output that contains text.
-func (p *process) line(t *testing.T, text string) string {
+// awaitLine waits for the first line of output that contains text.
+func (p *process) awaitLine(t *testing.T, text string) string {
 	t.Helper()
-	found, ended := p.lineOrEnd(t, text)
+	found, ended := p.awaitLineOrExit(t, text)
 	if ended {
 		t.Fatalf("%s ended before it wrote %q:\n%s", p.name, text, p.tail())
 	}
 	return found
 }
 
-// lineOrEnd is line, but reports whether the process ended before.
-func (p *process) lineOrEnd(t *testing.T, text string) (line string, ended bool) {
+// awaitLineOrExit is line, but reports whether the process ended before.
+func (p *process) awaitLineOrExit(t *testing.T, text string) (line string, ended bool) {
 	t.Helper()
-	deadline := time.After(patience)
+	deadline := time.After(waitTimeout)
 	for {
 		found, more := p.find(text)
 		if found != "" {
@@ -101,12 +101,12 @@
 func (p *process) find(text string) (string, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, l := range p.lines {
-		if strings.Contains(l, text) {
-			return l, nil
+	for _, line := range p.lines {
+		if strings.Contains(line, text) {
+			return line, nil
 		}
 	}
-	return "", p.more
+	return "", p.lineAdded
 }
 
 func (p *process) output() []string {
@@ -118,7 +118,7 @@
 func (p *process) tail() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return strings.Join(p.lines[max(0, len(p.lines)-logKept):], "\n")
+	return strings.Join(p.lines[max(0, len(p.lines)-failureLogLines):], "\n")
 }
 
 // kill ends the process at once, also a paused one, and waits for its end.
@@ -142,13 +142,13 @@
 	}
 }
 
-// until polls a condition. It fails the test when the condition does not hold
+// waitUntil polls a condition. It fails the test when the condition does not hold
 // within patience; detail is asked then for what was seen last.
-func until(t *testing.T, what string, holds func() bool, detail func() string) {
+func waitUntil(t *testing.T, description string, condition func() bool, detail func() string) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !holds(); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never came true: %s\n%s", what, detail())
+			t.Fatalf("never came true: %s\n%s", description, detail())
 		}
 	}
 }
--- a/test/cut/status_test.go
+++ b/test/cut/status_test.go
@@ -18,21 +18,21 @@
 	return operator.NewClient("http://"+n.operator, operatorToken)
 }
 
-// await polls a node's status until it holds.
-func (f *testFleet) await(n *node, what string, holds func(operator.Status) bool) operator.Status {
+// awaitStatus polls a node's status until it holds.
+func (f *testFleet) awaitStatus(n *node, description string, condition func(operator.Status) bool) operator.Status {
 	f.t.Helper()
 	var last operator.Status
-	until(f.t, n.vm+": "+what,
+	waitUntil(f.t, n.vm+": "+description,
 		func() bool {
 			s, err := n.client().Status(f.t.Context())
 			last = s
-			return err == nil && holds(s)
+			return err == nil && condition(s)
 		},
-		func() string { return describe(last) })
+		func() string { return formatJSON(last) })
 	return last
 }
 
-func describe(v any) string {
+func formatJSON(v any) string {
 	b, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
 		return fmt.Sprint(v)
@@ -40,8 +40,8 @@
 	return string(b)
 }
 
-// accept has a node accept a document and returns its revision.
-func (f *testFleet) accept(n *node, base uint64, doc string) uint64 {
+// applyDocument has a node accept a document and returns its revision.
+func (f *testFleet) applyDocument(n *node, base uint64, doc string) uint64 {
 	f.t.Helper()
 	res, err := n.client().Apply(f.t.Context(), operator.ApplyRequest{Base: base, Document: doc})
 	must(f.t, err)
@@ -51,31 +51,31 @@
 	return res.Revision
 }
 
-// inForce waits until the document of the revision is in force on all nodes.
-func (f *testFleet) inForce(revision uint64, doc string) {
+// awaitRevision waits until the document of the revision is in force on all nodes.
+func (f *testFleet) awaitRevision(revision uint64, doc string) {
 	f.t.Helper()
 	for _, n := range f.nodes() {
 		var last operator.ConfigView
-		until(f.t, fmt.Sprintf("revision %d is in force on %s", revision, n.vm),
+		waitUntil(f.t, fmt.Sprintf("revision %d is in force on %s", revision, n.vm),
 			func() bool {
 				v, err := n.client().Config(f.t.Context())
 				last = v
 				return err == nil && v.Revision >= revision
 			},
-			func() string { return describe(last) })
+			func() string { return formatJSON(last) })
 		if last.Revision != revision || last.Document != doc {
 			f.t.Errorf("%s has revision %d in force, want %d with its own document:\n%s", n.vm, last.Revision, revision, last.Document)
 		}
 	}
 }
 
-// neverBack watches the revisions in force; the function that it returns ends
+// watchRevisions watches the revisions in force; the function that it returns ends
 // the watch and tells of each step back.
-func (f *testFleet) neverBack() func() {
+func (f *testFleet) watchRevisions() func() {
 	ctx, cancel := context.WithCancel(f.t.Context())
 	var work sync.WaitGroup
 	var mu sync.Mutex
-	var wrong []string
+	var regressions []string
 	for _, n := range f.nodes() {
 		c := n.client()
 		work.Go(func() {
@@ -86,7 +86,7 @@
 				}
 				if v.Revision < highest {
 					mu.Lock()
-					wrong = append(wrong, fmt.Sprintf("%s went from revision %d back to %d", n.vm, highest, v.Revision))
+					regressions = append(regressions, fmt.Sprintf("%s went from revision %d back to %d", n.vm, highest, v.Revision))
 					mu.Unlock()
 				}
 				highest = max(highest, v.Revision)
@@ -97,7 +97,7 @@
 		f.t.Helper()
 		cancel()
 		work.Wait()
-		for _, w := range wrong {
+		for _, w := range regressions {
 			f.t.Error(w)
 		}
 	}
@@ -105,14 +105,14 @@
 
 const receipt = `{"fee":1500}`
 
-func keyed(key string) map[string]string { return map[string]string{"Idempotency-Key": key} }
+func keyHeader(key string) map[string]string { return map[string]string{"Idempotency-Key": key} }
 
-// settled repeats a receipt through a node until it is told something else than
+// awaitSettled repeats a receipt through a node until it is told something else than
 // "still running".
-func (f *testFleet) settled(n *node, service, path string, header map[string]string) told {
+func (f *testFleet) awaitSettled(n *node, service, path string, header map[string]string) callResult {
 	f.t.Helper()
-	var a told
-	until(f.t, path+" is settled",
+	var a callResult
+	waitUntil(f.t, path+" is settled",
 		func() bool {
 			a = n.call(f.t.Context(), service, "POST", path, receipt, header)
 			return a.kind != outcome.StillRunning
@@ -121,12 +121,12 @@
 	return a
 }
 
-// runs returns how often the receipt ran, by the counts of all services.
-func (f *testFleet) runs(path string) int {
+// countReceiptRuns returns how often the receipt ran, by the counts of all services.
+func (f *testFleet) countReceiptRuns(path string) int {
 	f.t.Helper()
 	n := 0
 	for _, s := range f.services {
-		n += s.ran(f.t, " "+path+" ")
+		n += s.countExecutions(f.t, " "+path+" ")
 	}
 	return n
 }
@@ -147,16 +147,16 @@
 func (f *testFleet) awaitRunning(s *endpoint, calls int) {
 	f.t.Helper()
 	var l fleet.Load
-	until(f.t, fmt.Sprintf("%d calls run at %s", calls, s.vm),
+	waitUntil(f.t, fmt.Sprintf("%d calls run at %s", calls, s.vm),
 		func() bool {
-			get(f.t, s.addr, "/load", &l)
+			getJSON(f.t, s.addr, "/load", &l)
 			return l.Running == calls
 		},
-		func() string { return describe(l) })
+		func() string { return formatJSON(l) })
 }
 
-// ticket asks a node for a ticket.
-func (f *testFleet) ticket(n *node) map[string]string {
+// requestTicket asks a node for a ticket.
+func (f *testFleet) requestTicket(n *node) map[string]string {
 	f.t.Helper()
 	a := send(f.t.Context(), "POST", "http://"+n.caller+"/tickets", "", nil, nil)
 	ticket := a.header.Get("Chervilloom-Ticket")
@@ -167,7 +167,7 @@
 }
 
 // serialOf returns the serial that the service drew for the run.
-func serialOf(t *testing.T, a told) uint64 {
+func serialOf(t *testing.T, a callResult) uint64 {
 	t.Helper()
 	var got service.Answer
 	if err := json.Unmarshal(a.body, &got); err != nil {
@@ -176,9 +176,9 @@
 	return got.Serial
 }
 
-// mustServe asks the node for a stream and a lookup, both of its own zone, and
+// checkZoneServed asks the node for a stream and a lookup, both of its own zone, and
 // wants them whole.
-func (f *testFleet) mustServe(n *node, when string) {
+func (f *testFleet) checkZoneServed(n *node, when string) {
 	f.t.Helper()
 	body := chatBody(fmt.Sprintf("%s %s asks %s", f.t.Name(), n.vm, when), 8, true)
 	a := n.chat(f.t.Context(), body, nil, nil)
@@ -186,7 +186,7 @@
 		f.t.Errorf("%s, %s: a stream of the own zone: %v %v", when, n.vm, err, a)
 	}
 	a = n.call(f.t.Context(), counter, "GET", "/licences/7", "", nil)
-	if err := checkCall("GET", "/licences/7", "", a); err != nil || !a.whole() {
+	if err := checkCall("GET", "/licences/7", "", a); err != nil || !a.isComplete() {
 		f.t.Errorf("%s, %s: a lookup of the own zone: %v %v", when, n.vm, err, a)
 	}
 }
--- a/test/cut/zones_test.go
+++ b/test/cut/zones_test.go
@@ -14,50 +14,50 @@
 // check of members is made within the zone. A receipt for the other zone's
 // service is refused as not run and did not run. What an operator has one side
 // accept comes into force on both, for the table carries it.
-func TestZonesCutFromEachOther(t *testing.T) {
+func TestZonesDisconnectedFromEachOther(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, plan{groupsIn: []string{zoneA, zoneB}, tokensPerSec: 200})
-	stop := f.neverBack()
-	f.cut()
-	f.awaitApart()
+	f := startFleet(t, fleetSpec{groupZones: []string{zoneA, zoneB}, tokensPerSec: 200})
+	stop := f.watchRevisions()
+	f.disconnect()
+	f.awaitDisconnected()
 	for _, n := range f.nodes() {
-		f.mustServe(n, "cut")
+		f.checkZoneServed(n, "cut")
 	}
 	a := f.b.call(t.Context(), ledger, "POST", "/receipts/beyond", receipt, nil)
-	if a.outcome != outcome.NotRun || f.runs("/receipts/beyond") != 0 {
-		t.Errorf("a receipt beyond the cut ran %d times and was told %v", f.runs("/receipts/beyond"), a)
+	if a.outcome != outcome.NotRun || f.countReceiptRuns("/receipts/beyond") != 0 {
+		t.Errorf("a receipt beyond the cut ran %d times and was told %v", f.countReceiptRuns("/receipts/beyond"), a)
 	}
 
 	base := uint64(1)
 	for i, n := range f.nodes() {
 		doc := f.document(20 + i)
-		base = f.accept(n, base, doc)
-		f.inForce(base, doc)
+		base = f.applyDocument(n, base, doc)
+		f.awaitRevision(base, doc)
 	}
 	for _, n := range f.nodes() {
-		f.await(n, "is still cut", func(s operator.Status) bool { return !sees(s, f.other(n)) })
-		f.mustServe(n, "cut, with a new configuration")
+		f.awaitStatus(n, "is still cut", func(s operator.Status) bool { return !seesAlive(s, f.other(n)) })
+		f.checkZoneServed(n, "cut, with a new configuration")
 	}
 
-	f.heal()
-	f.awaitTogether()
-	f.relaysReceipt("/receipts/healed")
+	f.reconnect()
+	f.awaitConnected()
+	f.awaitReceiptRelayed("/receipts/healed")
 	stop()
 }
 
-// relaysReceipt sends a receipt through zoneB to zoneA's service, again while it
+// awaitReceiptRelayed sends a receipt through zoneB to zoneA's service, again while it
 // is told not to have run.
-func (f *testFleet) relaysReceipt(path string) {
+func (f *testFleet) awaitReceiptRelayed(path string) {
 	f.t.Helper()
-	var a told
-	until(f.t, path+" is relayed",
+	var a callResult
+	waitUntil(f.t, path+" is relayed",
 		func() bool {
 			a = f.b.call(f.t.Context(), ledger, "POST", path, receipt, nil)
 			return a.outcome != outcome.NotRun
 		},
 		func() string { return a.String() })
-	if err := checkCall("POST", path, receipt, a); err != nil || !a.whole() || f.runs(path) != 1 {
-		f.t.Errorf("%s ran %d times and was told %v %v", path, f.runs(path), a, err)
+	if err := checkCall("POST", path, receipt, a); err != nil || !a.isComplete() || f.countReceiptRuns(path) != 1 {
+		f.t.Errorf("%s ran %d times and was told %v %v", path, f.countReceiptRuns(path), a, err)
 	}
 }
 
@@ -66,85 +66,85 @@
 // refused and does not run, because nothing can claim the key; one with a ticket
 // runs once, and the side that can't reach the ticket's holder tells a repeat
 // that its outcome is unknown. After healing nothing has gone back.
-func TestZonesCutWhilePlatformIsDown(t *testing.T) {
+func TestZonesDisconnectedWhilePlatformIsDown(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, plan{groupsIn: []string{zoneA, zoneB}, tokensPerSec: 200})
-	stop := f.neverBack()
+	f := startFleet(t, fleetSpec{groupZones: []string{zoneA, zoneB}, tokensPerSec: 200})
+	stop := f.watchRevisions()
 	doc := f.document(30)
-	revision := f.accept(f.b, 1, doc)
-	f.inForce(revision, doc)
-	before := f.generations()
+	revision := f.applyDocument(f.b, 1, doc)
+	f.awaitRevision(revision, doc)
+	before := f.servingGenerations()
 
-	faults(t, f.store, map[string]any{"down": "close"})
-	f.cut()
-	f.awaitApart()
-	held := map[*node]map[string]string{}
+	setFaults(t, f.platformAddr, map[string]any{"down": "close"})
+	f.disconnect()
+	f.awaitDisconnected()
+	tickets := map[*node]map[string]string{}
 	serials := map[*node]uint64{}
 	for _, n := range f.nodes() {
-		f.mustServe(n, "cut and without the platform")
-		f.keyIsRefused(n)
-		held[n] = f.ticket(n)
-		serials[n] = f.ticketRunsOnce(n, held[n])
+		f.checkZoneServed(n, "cut and without the platform")
+		f.checkKeyRefused(n)
+		tickets[n] = f.requestTicket(n)
+		serials[n] = f.checkTicketRunsOnce(n, tickets[n])
 	}
 	for _, n := range f.nodes() {
 		path := ticketPath(f.other(n))
-		a := f.settled(n, counter, path, held[f.other(n)])
-		if a.whole() || a.outcome != outcome.Unknown {
+		a := f.awaitSettled(n, counter, path, tickets[f.other(n)])
+		if a.isComplete() || a.outcome != outcome.Unknown {
 			t.Errorf("a repeat of %s beyond the cut through %s was told %v", path, n.vm, a)
 		}
 	}
 
-	faults(t, f.store, map[string]any{"down": ""})
-	f.heal()
-	f.awaitTogether()
-	f.inForce(revision, doc)
-	if after := f.generations(); !slices.Equal(after, before) {
+	setFaults(t, f.platformAddr, map[string]any{"down": ""})
+	f.reconnect()
+	f.awaitConnected()
+	f.awaitRevision(revision, doc)
+	if after := f.servingGenerations(); !slices.Equal(after, before) {
 		t.Errorf("groups were %v and are %v", before, after)
 	}
 	for _, n := range f.nodes() {
-		f.firstAnswerThrough(f.other(n), ticketPath(n), held[n], serials[n])
+		f.awaitFirstAnswer(f.other(n), ticketPath(n), tickets[n], serials[n])
 	}
 	stop()
 }
 
-// firstAnswerThrough repeats a receipt through a node until it gets the first
+// awaitFirstAnswer repeats a receipt through a node until it gets the first
 // answer. Until the node's next dial of the holder is due it may only be told
 // that the outcome is unknown.
-func (f *testFleet) firstAnswerThrough(n *node, path string, ticket map[string]string, serial uint64) {
+func (f *testFleet) awaitFirstAnswer(n *node, path string, ticket map[string]string, serial uint64) {
 	f.t.Helper()
-	var a told
-	until(f.t, n.vm+" gets the first answer of "+path,
+	var a callResult
+	waitUntil(f.t, n.vm+" gets the first answer of "+path,
 		func() bool {
-			a = f.settled(n, counter, path, ticket)
-			if !a.whole() && a.outcome != outcome.Unknown {
+			a = f.awaitSettled(n, counter, path, ticket)
+			if !a.isComplete() && a.outcome != outcome.Unknown {
 				f.t.Fatalf("a repeat of %s through %s was told %v", path, n.vm, a)
 			}
-			return a.whole()
+			return a.isComplete()
 		},
 		func() string { return a.String() })
-	if serialOf(f.t, a) != serial || f.runs(path) != 1 {
-		f.t.Errorf("%s ran %d times; a repeat through %s was told %v", path, f.runs(path), n.vm, a)
+	if serialOf(f.t, a) != serial || f.countReceiptRuns(path) != 1 {
+		f.t.Errorf("%s ran %d times; a repeat through %s was told %v", path, f.countReceiptRuns(path), n.vm, a)
 	}
 }
 
-// generations returns the groups that serve, as zoneA's node believes.
-func (f *testFleet) generations() []string {
+// servingGenerations returns the groups that serve, as zoneA's node believes.
+func (f *testFleet) servingGenerations() []string {
 	f.t.Helper()
-	s := f.await(f.a, "all groups serve", func(s operator.Status) bool {
-		return len(wholeGroups(s)) == len(f.plan.groupsIn)
+	s := f.awaitStatus(f.a, "all groups serve", func(s operator.Status) bool {
+		return len(servingGroups(s)) == len(f.spec.groupZones)
 	})
 	var out []string
-	for _, g := range wholeGroups(s) {
+	for _, g := range servingGroups(s) {
 		out = append(out, fmt.Sprintf("%s/%d", g.Group, g.Generation))
 	}
 	slices.Sort(out)
 	return out
 }
 
-func (f *testFleet) keyIsRefused(n *node) {
+func (f *testFleet) checkKeyRefused(n *node) {
 	f.t.Helper()
 	path := "/receipts/keyed/" + n.vm
-	header := keyed(path)
+	header := keyHeader(path)
 	if a := n.call(f.t.Context(), counter, "POST", path, receipt, header); a.outcome != outcome.Unknown || a.kind != outcome.PlatformDown {
 		f.t.Errorf("%s: a key without the table was told %v", n.vm, a)
 	}
@@ -152,27 +152,27 @@
 	if a := n.call(f.t.Context(), counter, "POST", path, receipt, header); a.outcome != outcome.NotRun || a.kind != outcome.PlatformDown {
 		f.t.Errorf("%s: the first try of a key without the table was told %v", n.vm, a)
 	}
-	if runs := f.runs(path); runs != 0 {
+	if runs := f.countReceiptRuns(path); runs != 0 {
 		f.t.Errorf("%s ran %d times", path, runs)
 	}
 }
 
 func ticketPath(holder *node) string { return "/receipts/ticket/" + holder.vm }
 
-// ticketRunsOnce sends a receipt twice with the node's own ticket.
-func (f *testFleet) ticketRunsOnce(n *node, ticket map[string]string) uint64 {
+// checkTicketRunsOnce sends a receipt twice with the node's own ticket.
+func (f *testFleet) checkTicketRunsOnce(n *node, ticket map[string]string) uint64 {
 	f.t.Helper()
 	path := ticketPath(n)
 	var serials []uint64
 	for range 2 {
-		a := f.settled(n, counter, path, ticket)
-		if err := checkCall("POST", path, receipt, a); err != nil || !a.whole() {
+		a := f.awaitSettled(n, counter, path, ticket)
+		if err := checkCall("POST", path, receipt, a); err != nil || !a.isComplete() {
 			f.t.Fatalf("%s: %v %v", path, err, a)
 		}
 		serials = append(serials, serialOf(f.t, a))
 	}
-	if serials[0] != serials[1] || f.runs(path) != 1 {
-		f.t.Errorf("%s ran %d times, serials %v", path, f.runs(path), serials)
+	if serials[0] != serials[1] || f.countReceiptRuns(path) != 1 {
+		f.t.Errorf("%s ran %d times, serials %v", path, f.countReceiptRuns(path), serials)
 	}
 	return serials[0]
 }
--- a/test/once_test.go
+++ b/test/once_test.go
@@ -13,10 +13,8 @@
 
 const receipt = `{"fee":1500}`
 
-// idempotencyKeyHeader returns the request headers for an idempotency key.
-func idempotencyKeyHeader(key string) map[string]string {
-	return map[string]string{"Idempotency-Key": key}
-}
+// keyHeader returns the request headers for an idempotency key.
+func keyHeader(key string) map[string]string { return map[string]string{"Idempotency-Key": key} }
 
 // A client sends one receipt through all nodes at once and repeats it
 // afterwards. It must run once, because the key is claimed in the table before
@@ -29,7 +27,7 @@
 	setFaults(t, svc.addr, map[string]any{"slow": "300ms"})
 	for round := range 5 {
 		path := fmt.Sprintf("/receipts/%d", round)
-		answers := f.sendThroughAllNodes(path, idempotencyKeyHeader(path), 4)
+		answers := f.sendThroughAllNodes(path, keyHeader(path), 4)
 		serials := map[uint64]int{}
 		for _, a := range answers {
 			switch {
@@ -41,7 +39,7 @@
 			}
 		}
 		for _, n := range f.nodes {
-			a := f.awaitSettled(n, path, idempotencyKeyHeader(path))
+			a := f.awaitSettled(n, path, keyHeader(path))
 			if !a.isComplete() {
 				t.Errorf("%s: a repeat did not get the first response: %v", path, a)
 				continue
@@ -65,7 +63,7 @@
 			t.Parallel()
 			f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneB, zoneC}, services: 1})
 			svc, holder, path := f.services[0], f.nodes[1], "/receipts/held"
-			header := idempotencyKeyHeader("held")
+			header := keyHeader("held")
 			if by == "ticket" {
 				header = map[string]string{"Chervilloom-Ticket": f.requestTicket(holder)}
 			}
@@ -99,7 +97,7 @@
 		setFaults(t, f.platformAddr, map[string]any{"down": down})
 		for _, n := range f.nodes {
 			path := fmt.Sprintf("/receipts/keyed/%s/%s", down, n.vm)
-			header := idempotencyKeyHeader(path)
+			header := keyHeader(path)
 			if a := n.call(t.Context(), "POST", path, receipt, header); a.outcome != outcome.Unknown || a.kind != outcome.PlatformDown {
 				t.Errorf("%s: a keyed call without the platform got %v", path, a)
 			}
@@ -140,7 +138,7 @@
 	for _, lost := range []int{1, 3, -1} {
 		path := fmt.Sprintf("/receipts/lost/%d", lost)
 		setFaults(t, f.platformAddr, map[string]any{"lose_answers": lost})
-		answers := f.sendThroughAllNodes(path, idempotencyKeyHeader(path), 2)
+		answers := f.sendThroughAllNodes(path, keyHeader(path), 2)
 		setFaults(t, f.platformAddr, map[string]any{"lose_answers": 0})
 		for _, a := range answers {
 			if a.outcome == "" {
@@ -148,7 +146,7 @@
 			}
 		}
 		for _, n := range f.nodes {
-			if a := f.awaitSettled(n, path, idempotencyKeyHeader(path)); a.isComplete() {
+			if a := f.awaitSettled(n, path, keyHeader(path)); a.isComplete() {
 				serialOf(t, a)
 			}
 		}
