--- a/test/cut/caller_test.go
+++ b/test/cut/caller_test.go
@@ -17,20 +17,20 @@
 	"chervilloom/internal/standin/service"
 )
 
-// told is what a caller is told of one request.
+// callResult is the response to one request as the caller received it.
 type callResult struct {
 	status  int
 	header  http.Header
-	outcome outcome.Outcome // of the header, or of the trailer
+	outcome outcome.Outcome // from the header or the trailer
 	body    []byte
-	err     error // of the connection: no answer, or one that was cut
+	err     error // connection error: no response, or an interrupted one
 	kind    outcome.Kind
-	tokens  []string // of a chat answer
-	lastID  string   // of the last event of a stream that has one
-	done    bool     // the stream had its end marker
+	tokens  []string // of a chat response
+	lastID  string   // of the last stream event with an id
+	done    bool     // the stream ended with its end marker
 }
 
-// whole reports whether a caller would take it for a whole answer.
+// isComplete reports whether a caller would accept the response as complete.
 func (a callResult) isComplete() bool { return a.err == nil && a.status == http.StatusOK }
 
 func (a callResult) String() string {
@@ -38,11 +38,11 @@
 		a.status, a.outcome, a.kind, len(a.tokens), a.done, a.err, a.body)
 }
 
-// callerClient is the client of all callers; it does not follow or resend anything
-// by itself that net/http would not.
+// callerClient is the HTTP client shared by all callers. It adds no redirects
+// or retries to those of net/http.
 var callerClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
 
-// send sends one request and reads its whole answer.
+// send sends one request and reads the entire response.
 func send(ctx context.Context, method, url, body string, header map[string]string, onData func()) callResult {
 	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
@@ -52,7 +52,7 @@
 	for k, v := range header {
 		req.Header.Set(k, v)
 	}
-	req.GetBody = nil // net/http must not send a body twice: the tests count runs
+	req.GetBody = nil // prevents net/http from resending the body: the tests count executions
 	res, err := callerClient.Do(req)
 	if err != nil {
 		return callResult{err: err}
@@ -81,8 +81,8 @@
 	return a
 }
 
-// parseErrorKind reads the kind of an error answer, or of the error event of a
-// stream.
+// parseErrorKind reads the error kind, and the outcome if it is still unset,
+// from an error body or from the error event of a stream.
 func (a *callResult) parseErrorKind() {
 	text := a.body
 	if i := bytes.Index(text, []byte("event: error\ndata: ")); i >= 0 {
@@ -98,7 +98,8 @@
 	}
 }
 
-// chatBody returns a chat request whose answer no other prompt has.
+// chatBody returns a chat request; each prompt has a different expected
+// response.
 func chatBody(prompt string, tokens int, stream bool) string {
 	b, err := json.Marshal(engine.ChatRequest{
 		Model: "clerk", MaxTokens: tokens, Stream: stream,
@@ -117,6 +118,7 @@
 	return a
 }
 
+// parseTokens reads the tokens and the end marker from a chat response.
 func (a *callResult) parseTokens() {
 	if !strings.HasPrefix(a.header.Get("Content-Type"), "text/event-stream") {
 		var answer engine.ChatAnswer
@@ -143,39 +145,40 @@
 	}
 }
 
-// checkChat returns what is wrong with an answer: a whole one must be the
-// request's own to the last token, a cut one must be its beginning and told as
-// cut, and a refusal must name its outcome.
+// checkChat validates a chat response. A complete response must contain exactly
+// the expected tokens, a truncated one a prefix of them and an error event, and
+// a refusal an outcome and a kind.
 func checkChat(body string, a callResult) error {
 	want := standin.ExpectedTokens([]byte(body))
 	switch {
 	case a.done && a.err == nil && a.status == http.StatusOK:
 		if strings.Join(a.tokens, "") != strings.Join(want, "") {
-			return fmt.Errorf("whole answer of another request or with tokens missing: %v", a)
+			return fmt.Errorf("complete response belongs to another request or lacks tokens: %v", a)
 		}
 		if a.outcome != outcome.Ran {
-			return fmt.Errorf("whole answer told as %q", a.outcome)
+			return fmt.Errorf("complete response has outcome %q", a.outcome)
 		}
 		return nil
 	case a.status == http.StatusOK:
 		return checkTruncatedAnswer(want, a)
 	case a.status == 0:
-		return fmt.Errorf("no answer at all: %v", a.err)
+		return fmt.Errorf("no response: %v", a.err)
 	case a.outcome == "" || a.kind == "":
 		return fmt.Errorf("failure without outcome or kind: %v", a)
 	}
 	return nil
 }
 
+// checkTruncatedAnswer validates a stream that ended before its end marker.
 func checkTruncatedAnswer(want []string, a callResult) error {
 	if a.done || a.err == nil {
-		return fmt.Errorf("cut answer that looks whole: %v", a)
+		return fmt.Errorf("truncated response looks complete: %v", a)
 	}
 	if a.kind == "" {
-		return fmt.Errorf("cut answer without an error event: %v", a)
+		return fmt.Errorf("truncated response without an error event: %v", a)
 	}
 	if len(a.tokens) > len(want) {
-		return fmt.Errorf("more tokens than the answer has: %v", a)
+		return fmt.Errorf("more tokens than expected: %v", a)
 	}
 	for i, tok := range a.tokens {
 		if tok != want[i] {
@@ -185,12 +188,12 @@
 	return nil
 }
 
-// call sends a call of a plain service to a node.
+// call sends a request for a plain service to a node.
 func (n *node) call(ctx context.Context, service, method, path, body string, header map[string]string) callResult {
 	return send(ctx, method, "http://"+n.caller+"/services/"+service+path, body, header, nil)
 }
 
-// checkCall returns what is wrong with an answer of the plain service.
+// checkCall validates a response of the plain service.
 func checkCall(method, path, body string, a callResult) error {
 	if !a.isComplete() {
 		if a.status != 0 && (a.outcome == "" || a.kind == "") {
@@ -200,15 +203,15 @@
 	}
 	var got service.Answer
 	if err := json.Unmarshal(a.body, &got); err != nil {
-		return fmt.Errorf("answer is not whole: %w: %v", err, a)
+		return fmt.Errorf("response is incomplete: %w: %v", err, a)
 	}
 	if got.Check != service.CheckOf(method, path, []byte(body)) {
-		return fmt.Errorf("answer of another request: %v", a)
+		return fmt.Errorf("response belongs to another request: %v", a)
 	}
 	return nil
 }
 
-// postJSON sends v to a stand-in's control path.
+// postJSON sends v to a control path of a stand-in.
 func postJSON(t *testing.T, addr, path string, v any) {
 	t.Helper()
 	b, err := json.Marshal(v)
@@ -222,13 +225,13 @@
 	}
 }
 
-// setFaults sets faults of a stand-in; those left out stay.
+// setFaults sets the given faults of a stand-in; other faults are unchanged.
 func setFaults(t *testing.T, addr string, set map[string]any) {
 	t.Helper()
 	postJSON(t, addr, "/faults", set)
 }
 
-// getJSON reads JSON from a stand-in.
+// getJSON reads JSON from a stand-in into v.
 func getJSON(t *testing.T, addr, path string, v any) {
 	t.Helper()
 	res, err := http.Get("http://" + addr + path)
@@ -237,7 +240,7 @@
 	must(t, json.NewDecoder(res.Body).Decode(v))
 }
 
-// executions returns the counts of what ran at an endpoint.
+// executions returns how often each request ran at the endpoint, by request id.
 func (e *endpoint) executions(t *testing.T) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
@@ -245,7 +248,7 @@
 	return counts
 }
 
-// countExecutions sums the executions whose id holds text.
+// countExecutions sums the executions whose id contains text.
 func (e *endpoint) countExecutions(t *testing.T, text string) int {
 	t.Helper()
 	n := 0
--- a/test/cut/doc.go
+++ b/test/cut/doc.go
@@ -1,5 +1,6 @@
-// Package cut proves what holds when the nodes' links to each other are cut,
-// lossy or slow: each node's peer listener stands behind a relay of datagrams
+// Package cut contains end-to-end tests in which the links between nodes are
+// blocked, lossy or slow. Each node's peer listener is behind a datagram relay
 // (internal/standin/netfault) whose address the node advertises. Nodes and
-// stand-ins are processes. It holds tests only; docs/PROOFS.md lists them.
+// stand-ins run as processes. The package contains only tests; docs/PROOFS.md
+// lists them.
 package cut
--- a/test/cut/fleet_test.go
+++ b/test/cut/fleet_test.go
@@ -22,8 +22,8 @@
 	operatorHash  = "9437e87fae95c03d3778f2575bb18ce30e647e51d86a8c37963364e1fc4f374e"
 	replicaSize   = 2
 
-	counter = "counter" // a service of each availability zone
-	ledger  = "ledger"  // a service of zoneA alone: zoneB's node relays its calls
+	counter = "counter" // a service in both availability zones
+	ledger  = "ledger"  // a service in zoneA only: zoneB's node relays its calls
 )
 
 const documentHead = `version: 1
@@ -56,19 +56,20 @@
 timing: {drain_notice: 1s, revision_poll: 1s}
 `
 
-// plan describes a fleet of one node in each of two availability zones.
+// fleetSpec describes a fleet of one node in each of two availability zones.
 type fleetSpec struct {
-	groupZones   []string // availability zones that have a group
-	tokensPerSec int      // of one stream
+	groupZones   []string // availability zones with a group
+	tokensPerSec int      // per stream
 }
 
-// endpoint is an engine or service process.
+// endpoint is the process of an engine or a plain service.
 type endpoint struct {
 	*process
 	vm, zone, addr string
 }
 
-// node is an entry node's process, which the others reach through its relay.
+// node is the process of an entry node, which other nodes reach through its
+// relay.
 type node struct {
 	*process
 	vm, zone         string
@@ -83,11 +84,11 @@
 	platformAddr string // address of the platform
 	engines      []*endpoint
 	services     []*endpoint
-	a, b         *node // of zoneA and zoneB
+	a, b         *node // nodes of zoneA and zoneB
 }
 
-// startFleet starts the processes and returns when the document is in force,
-// all groups serve and the nodes see each other.
+// startFleet starts the processes and returns when the document is in use, all
+// groups serve and the nodes are connected.
 func startFleet(t *testing.T, p fleetSpec) *testFleet {
 	t.Helper()
 	f := &testFleet{t: t, spec: p}
@@ -108,8 +109,11 @@
 	return f
 }
 
+// parseListenAddr returns the address from the line in which a stand-in logs
+// it.
 func parseListenAddr(line string) string { return strings.TrimPrefix(line, "listening ") }
 
+// addEngine starts an engine in the zone.
 func (f *testFleet) addEngine(vm, zone string) {
 	f.t.Helper()
 	text := fmt.Sprintf("vm: %s\nzone: %s\ndomain: fabric-%s\naccelerators: 8\nslots: 64\ntokens_per_second: %d\n"+
@@ -117,13 +121,14 @@
 	f.engines = append(f.engines, f.startEndpoint("engine", vm, zone, text))
 }
 
+// addService starts a plain service in the zone.
 func (f *testFleet) addService(vm, zone, name string) {
 	f.t.Helper()
 	text := fmt.Sprintf("vm: %s\nzone: %s\nname: %s\n", vm, zone, name)
 	f.services = append(f.services, f.startEndpoint("service", vm, zone, text))
 }
 
-// startEndpoint starts a stand-in that registers itself.
+// startEndpoint starts a stand-in that registers itself with the platform.
 func (f *testFleet) startEndpoint(kind, vm, zone, text string) *endpoint {
 	f.t.Helper()
 	text += fmt.Sprintf("platform: http://%s\n", f.platformAddr)
@@ -131,12 +136,11 @@
 	return &endpoint{process: p, vm: vm, zone: zone, addr: parseListenAddr(p.awaitLine(f.t, "listening "))}
 }
 
-// maxStartAttempts bounds the ports that a node is tried on.
+// maxStartAttempts bounds the ports that are tried for a node.
 const maxStartAttempts = 5
 
-// startNode starts a node behind a relay. Its port is free when it is chosen;
-// another process may take it before the node does, so the start is tried with
-// another one then.
+// startNode starts a node behind a relay. Another process may bind the selected
+// port before the node does; the start is then retried on another port.
 func (f *testFleet) startNode(vm, zone string) *node {
 	f.t.Helper()
 	for range maxStartAttempts {
@@ -144,23 +148,25 @@
 			return n
 		}
 	}
-	f.t.Fatalf("%s found no free port", vm)
+	f.t.Fatalf("%s: no free port found", vm)
 	return nil
 }
 
+// tryStartNode starts a node on a free port. It returns nil if the port was in
+// use.
 func (f *testFleet) tryStartNode(vm, zone string) *node {
 	f.t.Helper()
 	port := freePort(f.t)
 	relay, err := netfault.NewRelay(port)
 	must(f.t, err)
-	f.t.Cleanup(func() { _ = relay.Close() }) // its sockets may have met errors of the ended node
+	f.t.Cleanup(func() { _ = relay.Close() }) // its sockets may have errors because the node has exited
 	n := &node{vm: vm, zone: zone, relay: relay}
 	text := fmt.Sprintf(nodeSettings, vm, zone, port, f.platformAddr, relay.Addr(), operatorHash)
 	n.process = startProcess(f.t, vm, "serve", "--settings", writeFile(f.t, vm+".yaml", text))
 	line, ended := n.awaitLineOrExit(f.t, `"msg":"listening"`)
 	if ended {
 		if !strings.Contains(n.tail(), "can't be bound") {
-			f.t.Fatalf("%s ended:\n%s", vm, n.tail())
+			f.t.Fatalf("%s exited:\n%s", vm, n.tail())
 		}
 		return nil
 	}
@@ -170,7 +176,7 @@
 	return n
 }
 
-// freePort returns an address of the loopback whose UDP port was free just now.
+// freePort returns a loopback address whose UDP port is currently free.
 func freePort(t *testing.T) string {
 	t.Helper()
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -179,8 +185,8 @@
 	return c.LocalAddr().String()
 }
 
-// document returns the fleet's configuration document; two of them differ in
-// the organisation's weight.
+// document returns the fleet's configuration document with the organisation's
+// weight.
 func (f *testFleet) document(weight int) string {
 	text := fmt.Sprintf(documentHead, weight)
 	for _, zone := range f.spec.groupZones {
@@ -189,12 +195,12 @@
 	return text
 }
 
-// awaitConnected waits until the nodes see each other alive, all groups and
-// services of their zones, and pass calls on to the other zone.
+// awaitConnected waits until each node reports the other as alive, all groups
+// and its zone's services, and serves lookups of both services.
 func (f *testFleet) awaitConnected() {
 	f.t.Helper()
 	for _, n := range f.nodes() {
-		f.awaitStatus(n, "sees the whole fleet", func(s operator.Status) bool {
+		f.awaitStatus(n, "sees all nodes, groups and services", func(s operator.Status) bool {
 			return s.Ready && seesAlive(s, f.other(n)) && len(servingGroups(s)) == len(f.spec.groupZones) && countPresentServices(s) == f.expectedServices(n.zone)
 		})
 		f.awaitCall(n, counter)
@@ -202,12 +208,11 @@
 	}
 }
 
-// awaitCall waits until lookups of the service are answered whole through the
-// node.
+// awaitCall waits until the node serves lookups of the service.
 func (f *testFleet) awaitCall(n *node, service string) {
 	f.t.Helper()
 	var last callResult
-	waitUntil(f.t, n.vm+" passes lookups of "+service+" on",
+	waitUntil(f.t, n.vm+" serves lookups of "+service,
 		func() bool {
 			last = n.call(f.t.Context(), service, "GET", "/first", "", nil)
 			return last.isComplete()
@@ -215,6 +220,7 @@
 		func() string { return last.String() })
 }
 
+// expectedServices returns the number of services in the zone.
 func (f *testFleet) expectedServices(zone string) int {
 	n := 0
 	for _, s := range f.services {
@@ -227,6 +233,7 @@
 
 func (f *testFleet) nodes() []*node { return []*node{f.a, f.b} }
 
+// other returns the node of the other zone.
 func (f *testFleet) other(n *node) *node {
 	if n == f.a {
 		return f.b
@@ -234,35 +241,36 @@
 	return f.a
 }
 
-// disconnect cuts the nodes from each other in both directions.
-func (f *testFleet) disconnect() { f.setLinkLoss(true, true) }
+// disconnect blocks the link between the nodes in both directions.
+func (f *testFleet) disconnect() { f.setBlockedDirections(true, true) }
 
-// reconnect passes all datagrams again.
-func (f *testFleet) reconnect() { f.setLinkLoss(false, false) }
+// reconnect forwards all datagrams again.
+func (f *testFleet) reconnect() { f.setBlockedDirections(false, false) }
 
-// setLinkLoss drops what goes from zoneA to zoneB and what goes back. Each
-// node dials the other's relay, so a direction has a part in both relays.
-func (f *testFleet) setLinkLoss(aToB, bToA bool) {
+// setBlockedDirections drops the datagrams from zoneA to zoneB, from zoneB to
+// zoneA, or both. Each node dials the other's relay, so each direction is set
+// on both relays.
+func (f *testFleet) setBlockedDirections(aToB, bToA bool) {
 	f.b.relay.Cut(aToB, bToA)
 	f.a.relay.Cut(bToA, aToB)
 }
 
-// seesAlive reports whether the node whose status it is believes that the other one
-// is alive.
+// seesAlive reports whether the status shows the other node as alive.
 func seesAlive(s operator.Status, other *node) bool {
 	return slices.ContainsFunc(s.Nodes, func(n operator.NodeStatus) bool {
 		return strings.HasPrefix(n.Node, other.vm+"#") && n.State == "alive"
 	})
 }
 
-// awaitDisconnected waits until neither node believes that the other is alive.
+// awaitDisconnected waits until neither node reports the other as alive.
 func (f *testFleet) awaitDisconnected() {
 	f.t.Helper()
 	for _, n := range f.nodes() {
-		f.awaitStatus(n, "misses the other node", func(s operator.Status) bool { return !seesAlive(s, f.other(n)) })
+		f.awaitStatus(n, "does not see the other node as alive", func(s operator.Status) bool { return !seesAlive(s, f.other(n)) })
 	}
 }
 
+// countPresentServices returns the number of plain services that the node sees.
 func countPresentServices(s operator.Status) int {
 	n := 0
 	for _, e := range s.Endpoints {
@@ -273,7 +281,7 @@
 	return n
 }
 
-// servingGroups returns the groups that take requests.
+// servingGroups returns the groups that accept requests.
 func servingGroups(s operator.Status) []operator.GroupStatus {
 	return slices.DeleteFunc(slices.Clone(s.Groups), func(g operator.GroupStatus) bool {
 		return !g.Whole || g.Phase != string(fleet.PhaseServing)
--- a/test/cut/links_test.go
+++ b/test/cut/links_test.go
@@ -12,15 +12,16 @@
 	standin "chervilloom/internal/standin/engine"
 )
 
-// A one-way cut: zoneA's node hears zoneB's, but nothing of it gets back. The
-// receipts of zoneB's callers run at the service when the cut begins, and their
-// answers are lost. Such a caller is told that the outcome is unknown, never
-// "not run" and never a whole answer; repeats of a key through both nodes, during
-// the cut and after it, never run it again.
+// The link fails in one direction: zoneA's node receives zoneB's datagrams, but
+// its own are lost. Receipts of zoneB's callers are running at the service when
+// the failure begins, and their responses are lost. Such a caller must get an
+// unknown outcome, never "not run" and never a complete response. Repeats of a
+// key through both nodes, during the failure and after it, must not run the
+// receipt again.
 func TestOneWayLinkFailure(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, fleetSpec{groupZones: []string{zoneA}, tokensPerSec: 20})
-	f.awaitReceiptRelayed("/receipts/warm") // the link stands
+	f.awaitReceiptRelayed("/receipts/warm") // establishes the link
 	stream := f.startStream(f.b, "one way", 200)
 	slow := f.service("ledger-a")
 	setFaults(t, slow.addr, map[string]any{"slow": "3s"})
@@ -34,7 +35,7 @@
 		})
 	}
 	f.awaitRunning(slow, sent)
-	f.setLinkLoss(true, false)
+	f.setBlockedDirections(true, false)
 	work.Wait()
 	setFaults(t, slow.addr, map[string]any{"slow": "0s"})
 	ran, kindCounts := 0, map[outcome.Kind]int{}
@@ -43,35 +44,35 @@
 		ran += f.countReceiptRuns(oneWayPath(i))
 		f.checkOutcome(oneWayPath(i), a)
 		if a.isComplete() || a.outcome != outcome.Unknown {
-			t.Errorf("%s reached the service and its answer was lost, but it was told %v", oneWayPath(i), a)
+			t.Errorf("%s reached the service and its response was lost, but the caller got %v", oneWayPath(i), a)
 		}
 	}
 	if ran == 0 {
-		t.Errorf("no receipt ran to its end, so the test met no lost answer: %v", calls)
+		t.Errorf("no receipt completed, so no response was lost: %v", calls)
 	}
-	cut := <-stream
-	if err := checkChat(cut.body, cut.callResult); err != nil || cut.done || cut.outcome == outcome.NotRun {
-		t.Errorf("a stream over the cut link must be told as cut: %v %v", err, cut.callResult)
+	interrupted := <-stream
+	if err := checkChat(interrupted.body, interrupted.callResult); err != nil || interrupted.done || interrupted.outcome == outcome.NotRun {
+		t.Errorf("a stream over the failed link must be reported as truncated: %v %v", err, interrupted.callResult)
 	}
 
 	f.checkKeyedRepeats(sent)
-	f.awaitStatus(f.b, "misses the other node", func(s operator.Status) bool { return !seesAlive(s, f.a) })
+	f.awaitStatus(f.b, "does not see the other node as alive", func(s operator.Status) bool { return !seesAlive(s, f.a) })
 	f.checkKeyedRepeats(sent)
-	f.checkZoneServed(f.a, "cut one way")
+	f.checkZoneServed(f.a, "one-way link failure")
 	a := f.b.call(t.Context(), ledger, "POST", "/receipts/beyond", receipt, nil)
 	if a.outcome != outcome.NotRun || f.countReceiptRuns("/receipts/beyond") != 0 {
-		t.Errorf("a receipt that no link can carry ran %d times and was told %v", f.countReceiptRuns("/receipts/beyond"), a)
+		t.Errorf("a receipt that no link can carry ran %d times and got %v", f.countReceiptRuns("/receipts/beyond"), a)
 	}
 	f.reconnect()
 	f.awaitConnected()
 	f.checkKeyedRepeats(sent)
-	t.Logf("%d of %d receipts ran at first, told %v", ran, sent, kindCounts)
+	t.Logf("%d of %d receipts ran at first; results %v", ran, sent, kindCounts)
 }
 
 func oneWayPath(i int) string { return fmt.Sprintf("/receipts/one-way/%d", i) }
 
-// oneWayHeader names every second receipt by a key; the others have none. Half
-// of each end by their deadline, the others when the link is found broken.
+// oneWayHeader gives every second receipt a key. Two of each four receipts have
+// a deadline; the others end when the link failure is detected.
 func oneWayHeader(i int) map[string]string {
 	h := map[string]string{}
 	if i%2 == 0 {
@@ -83,7 +84,8 @@
 	return h
 }
 
-// checkKeyedRepeats repeats the keyed receipts through both nodes.
+// checkKeyedRepeats repeats the keyed receipts through both nodes, and checks
+// that no receipt has run more than once.
 func (f *testFleet) checkKeyedRepeats(sent int) {
 	f.t.Helper()
 	var work sync.WaitGroup
@@ -102,17 +104,18 @@
 	}
 }
 
-// checkOutcome checks what a caller was told against the services' counts.
+// checkOutcome compares the outcome of a receipt with the services' execution
+// counts.
 func (f *testFleet) checkOutcome(path string, a callResult) {
 	f.t.Helper()
 	runs := f.countReceiptRuns(path)
 	switch {
 	case a.outcome == "":
-		f.t.Errorf("%s: no outcome was told: %v", path, a)
+		f.t.Errorf("%s: response without outcome: %v", path, a)
 	case a.outcome == outcome.Ran && runs == 0:
-		f.t.Errorf("%s: told ran, never ran: %v", path, a)
+		f.t.Errorf("%s: reported as ran, never ran: %v", path, a)
 	case a.outcome == outcome.NotRun && runs > 0:
-		f.t.Errorf("%s: told not-run, ran %d times: %v", path, runs, a)
+		f.t.Errorf("%s: reported as not-run, ran %d times: %v", path, runs, a)
 	case runs > 1:
 		f.t.Errorf("%s: ran %d times: %v", path, runs, a)
 	}
@@ -121,14 +124,14 @@
 	}
 }
 
-// streamResult is one stream with what its caller was told.
+// streamResult is the response to a stream request, with the request's body.
 type streamResult struct {
 	callResult
 	body string
 }
 
-// startStream asks a node for a stream and returns when some tokens have come.
-// The channel gets what the caller was told in the end.
+// startStream requests a stream from a node and returns when its first tokens
+// have arrived. The channel receives the result when the stream ends.
 func (f *testFleet) startStream(n *node, prompt string, tokens int) <-chan streamResult {
 	f.t.Helper()
 	const firstTokens = 5
@@ -146,7 +149,7 @@
 	select {
 	case <-begun:
 	case s := <-ended:
-		f.t.Fatalf("the stream ended before its %dth token: %v", firstTokens, s.callResult)
+		f.t.Fatalf("the stream ended before token %d: %v", firstTokens, s.callResult)
 	case <-time.After(waitTimeout):
 		f.t.Fatal("the stream did not begin")
 	}
@@ -154,9 +157,9 @@
 }
 
 // A caller of zoneB reads a stream of zoneA's group when the link between the
-// nodes is cut. Nothing ends the connection, it falls silent. The caller is told
-// that the answer is cut, by an error event and a broken connection, never by an
-// end marker. After healing it resumes by the id of its last event and has every
+// nodes fails. The connection is not closed, it just becomes silent. The caller
+// must get an error event and a broken connection, never an end marker. After
+// the link recovers it resumes by the id of its last event and must get every
 // token exactly once, because the engine keeps the stream.
 func TestRelayedStreamInterruptedAndResumed(t *testing.T) {
 	t.Parallel()
@@ -168,7 +171,7 @@
 		t.Fatal(err)
 	}
 	if s.done || s.kind != outcome.AnswerCut || s.outcome == outcome.NotRun || s.lastID == "" {
-		t.Fatalf("a stream whose link is cut must be told as cut, with a place to resume at: %v, last id %q", s.callResult, s.lastID)
+		t.Fatalf("a stream over a failed link must be reported as truncated, with an event id to resume from: %v, last id %q", s.callResult, s.lastID)
 	}
 	got := len(s.tokens)
 
@@ -177,12 +180,13 @@
 	rest := f.resumeStream(f.b, s)
 	all := strings.Join(append(s.tokens, rest.tokens...), "")
 	if want := strings.Join(standin.ExpectedTokens([]byte(s.body)), ""); all != want {
-		t.Errorf("%d tokens before the cut and %d after it make\n%q, want\n%q", got, len(rest.tokens), all, want)
+		t.Errorf("%d tokens before the failure and %d after it make\n%q, want\n%q", got, len(rest.tokens), all, want)
 	}
-	t.Logf("%d tokens before the cut, %d after it", got, len(rest.tokens))
+	t.Logf("%d tokens before the failure, %d after it", got, len(rest.tokens))
 }
 
-// resumeStream asks for the rest of a stream, again while it is told that nothing ran.
+// resumeStream requests the rest of a stream, and retries while the request is
+// refused as not run.
 func (f *testFleet) resumeStream(n *node, s streamResult) callResult {
 	f.t.Helper()
 	var a callResult
@@ -193,15 +197,15 @@
 		},
 		func() string { return a.String() })
 	if !a.done || a.err != nil || a.outcome != outcome.Ran {
-		f.t.Fatalf("the rest of the stream is not whole: %v", a)
+		f.t.Fatalf("the rest of the stream is incomplete: %v", a)
 	}
 	return a
 }
 
-// All links between the nodes lose 15 % of the datagrams and delay each by
-// 50 ms. Callers of zoneB get streams and receipts of zoneA's endpoints, all
-// whole and their own: loss is for the transport to mend, and a slow link is not
-// a cut one.
+// All links between the nodes lose 15 % of the datagrams and delay each by 50
+// ms. Callers of zoneB request streams and receipts from zoneA's endpoints, and
+// must get complete responses of their own: the transport recovers lost
+// datagrams, and a slow link must not be treated as failed.
 func TestLossyAndSlowLinks(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, fleetSpec{groupZones: []string{zoneA}, tokensPerSec: 100})
@@ -227,6 +231,7 @@
 	work.Wait()
 }
 
+// checkCompleteStream requires a complete stream through the node.
 func (f *testFleet) checkCompleteStream(n *node, prompt string) {
 	f.t.Helper()
 	body := chatBody(f.t.Name()+" "+prompt, 32, true)
@@ -236,6 +241,8 @@
 	}
 }
 
+// checkCompleteReceipt requires that a receipt through the node runs once and
+// gets a complete response.
 func (f *testFleet) checkCompleteReceipt(n *node, path string) {
 	f.t.Helper()
 	a := n.call(f.t.Context(), ledger, "POST", path, receipt, keyHeader(path))
--- a/test/cut/main_test.go
+++ b/test/cut/main_test.go
@@ -7,13 +7,14 @@
 	"path/filepath"
 	"testing"
 
-	// The go command keeps a verdict until what a test imports changes. The program
-	// under test is built by a command; this import has its code count as well.
+	// The go command caches test results until an import of the test changes.
+	// The program under test is built by a separate command; this import makes
+	// the cache depend on its code.
 	_ "chervilloom/internal/node"
 	"chervilloom/internal/testkit"
 )
 
-// binary is the program under test, built once for all tests.
+// binary is the path of the program under test, built once for all tests.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -29,7 +30,7 @@
 	defer os.RemoveAll(dir)
 	binary = filepath.Join(dir, "chervilloom")
 	if out, err := exec.Command("go", "build", "-o", binary, "chervilloom/cmd/chervilloom").CombinedOutput(); err != nil {
-		fmt.Fprintf(os.Stderr, "the program does not build: %v\n%s", err, out)
+		fmt.Fprintf(os.Stderr, "building the program failed: %v\n%s", err, out)
 		return 1
 	}
 	return m.Run()
--- a/test/cut/process_test.go
+++ b/test/cut/process_test.go
@@ -16,29 +16,30 @@
 	"chervilloom/internal/testkit"
 )
 
-// waitTimeout bounds each wait for a condition. No test's verdict depends on how
-// much of it is used.
+// waitTimeout bounds each wait for a condition. No result depends on how much
+// of it elapses.
 const waitTimeout = 60 * time.Second
 
-// failureLogLines is how many of a process's last lines are shown when a test fails.
+// failureLogLines is how many of a process's last lines are logged when a test
+// fails.
 const failureLogLines = 20
 
-// process is one process of the program under test.
+// process is a process of the program under test.
 type process struct {
 	name string
 	cmd  *exec.Cmd
-	done chan struct{} // closed when it has ended and its output is read
+	done chan struct{} // closed when the process has exited and its output is read
 
 	mu        sync.Mutex
 	lines     []string
-	lineAdded chan struct{} // closed and replaced at each line
+	lineAdded chan struct{} // closed and replaced when a line is added
 }
 
 // startProcess runs the program with args. It is killed when the test ends.
 func startProcess(t *testing.T, name string, args ...string) *process {
 	t.Helper()
 	p := &process{name: name, cmd: exec.Command(binary, args...), done: make(chan struct{}), lineAdded: make(chan struct{})}
-	// Without this a test run that is killed would leave its processes behind.
+	// Kills the process if the test run itself is killed.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	r, w, err := os.Pipe()
 	must(t, err)
@@ -56,6 +57,7 @@
 	return p
 }
 
+// readOutput collects the output and waits for the process to exit.
 func (p *process) readOutput(r io.ReadCloser) {
 	defer close(p.done)
 	defer r.Close()
@@ -66,20 +68,22 @@
 		p.lineAdded = make(chan struct{})
 		p.mu.Unlock()
 	}
-	_ = p.cmd.Wait() // its code is read from ProcessState
+	_ = p.cmd.Wait() // the exit code is read from ProcessState
 }
 
-// awaitLine waits for the first line of output that contains text.
+// awaitLine waits for an output line that contains text and returns the first
+// one. It fails the test if the process exits before.
 func (p *process) awaitLine(t *testing.T, text string) string {
 	t.Helper()
 	found, ended := p.awaitLineOrExit(t, text)
 	if ended {
-		t.Fatalf("%s ended before it wrote %q:\n%s", p.name, text, p.tail())
+		t.Fatalf("%s exited before writing %q:\n%s", p.name, text, p.tail())
 	}
 	return found
 }
 
-// awaitLineOrExit is line, but reports whether the process ended before.
+// awaitLineOrExit is like awaitLine, but reports whether the process exited
+// before.
 func (p *process) awaitLineOrExit(t *testing.T, text string) (line string, ended bool) {
 	t.Helper()
 	deadline := time.After(waitTimeout)
@@ -98,6 +102,8 @@
 	}
 }
 
+// find returns the first line that contains text, or a channel that is closed
+// when a line is added.
 func (p *process) find(text string) (string, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,25 +115,28 @@
 	return "", p.lineAdded
 }
 
+// output returns a copy of all lines.
 func (p *process) output() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.lines)
 }
 
+// tail returns the last failureLogLines lines.
 func (p *process) tail() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.Join(p.lines[max(0, len(p.lines)-failureLogLines):], "\n")
 }
 
-// kill ends the process at once, also a paused one, and waits for its end.
+// kill kills the process, including a paused one, and waits for it to exit.
 func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// writeFile writes a file of the test's own and returns its path.
+// writeFile writes a file to a temporary directory of the test and returns its
+// path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -135,6 +144,7 @@
 	return path
 }
 
+// must fails the test if err is not nil.
 func must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -142,13 +152,13 @@
 	}
 }
 
-// waitUntil polls a condition. It fails the test when the condition does not hold
-// within patience; detail is asked then for what was seen last.
+// waitUntil polls a condition and fails the test if it isn't met within
+// waitTimeout; detail then describes the last observed state.
 func waitUntil(t *testing.T, description string, condition func() bool, detail func() string) {
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never came true: %s\n%s", description, detail())
+			t.Fatalf("condition not met: %s\n%s", description, detail())
 		}
 	}
 }
--- a/test/cut/status_test.go
+++ b/test/cut/status_test.go
@@ -14,11 +14,13 @@
 	"chervilloom/internal/standin/service"
 )
 
+// client returns an operator client for the node.
 func (n *node) client() *operator.Client {
 	return operator.NewClient("http://"+n.operator, operatorToken)
 }
 
-// awaitStatus polls a node's status until it holds.
+// awaitStatus polls a node's status until it satisfies the condition, and
+// returns it.
 func (f *testFleet) awaitStatus(n *node, description string, condition func(operator.Status) bool) operator.Status {
 	f.t.Helper()
 	var last operator.Status
@@ -32,6 +34,7 @@
 	return last
 }
 
+// formatJSON formats v as indented JSON for failure messages.
 func formatJSON(v any) string {
 	b, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
@@ -40,23 +43,25 @@
 	return string(b)
 }
 
-// applyDocument has a node accept a document and returns its revision.
+// applyDocument applies a document through a node, requires that it is
+// accepted, and returns its revision.
 func (f *testFleet) applyDocument(n *node, base uint64, doc string) uint64 {
 	f.t.Helper()
 	res, err := n.client().Apply(f.t.Context(), operator.ApplyRequest{Base: base, Document: doc})
 	must(f.t, err)
 	if res.State != operator.ApplyAccepted {
-		f.t.Fatalf("through %s on base %d: %+v", n.vm, base, res)
+		f.t.Fatalf("applying through %s on base %d: %+v", n.vm, base, res)
 	}
 	return res.Revision
 }
 
-// awaitRevision waits until the document of the revision is in force on all nodes.
+// awaitRevision waits until all nodes use the revision, and checks that its
+// document is doc.
 func (f *testFleet) awaitRevision(revision uint64, doc string) {
 	f.t.Helper()
 	for _, n := range f.nodes() {
 		var last operator.ConfigView
-		waitUntil(f.t, fmt.Sprintf("revision %d is in force on %s", revision, n.vm),
+		waitUntil(f.t, fmt.Sprintf("revision %d is in use on %s", revision, n.vm),
 			func() bool {
 				v, err := n.client().Config(f.t.Context())
 				last = v
@@ -64,13 +69,13 @@
 			},
 			func() string { return formatJSON(last) })
 		if last.Revision != revision || last.Document != doc {
-			f.t.Errorf("%s has revision %d in force, want %d with its own document:\n%s", n.vm, last.Revision, revision, last.Document)
+			f.t.Errorf("%s uses revision %d, want %d with its document; got:\n%s", n.vm, last.Revision, revision, last.Document)
 		}
 	}
 }
 
-// watchRevisions watches the revisions in force; the function that it returns ends
-// the watch and tells of each step back.
+// watchRevisions polls the revisions that the nodes use. The returned function
+// stops polling and fails the test for each decrease.
 func (f *testFleet) watchRevisions() func() {
 	ctx, cancel := context.WithCancel(f.t.Context())
 	var work sync.WaitGroup
@@ -86,7 +91,7 @@
 				}
 				if v.Revision < highest {
 					mu.Lock()
-					regressions = append(regressions, fmt.Sprintf("%s went from revision %d back to %d", n.vm, highest, v.Revision))
+					regressions = append(regressions, fmt.Sprintf("%s reverted from revision %d to %d", n.vm, highest, v.Revision))
 					mu.Unlock()
 				}
 				highest = max(highest, v.Revision)
@@ -105,9 +110,10 @@
 
 const receipt = `{"fee":1500}`
 
+// keyHeader returns the request headers for an idempotency key.
 func keyHeader(key string) map[string]string { return map[string]string{"Idempotency-Key": key} }
 
-// awaitSettled repeats a receipt through a node until it is told something else than
+// awaitSettled repeats a receipt through a node until the response is no longer
 // "still running".
 func (f *testFleet) awaitSettled(n *node, service, path string, header map[string]string) callResult {
 	f.t.Helper()
@@ -121,7 +127,7 @@
 	return a
 }
 
-// countReceiptRuns returns how often the receipt ran, by the counts of all services.
+// countReceiptRuns returns how often the receipt ran, summed over all services.
 func (f *testFleet) countReceiptRuns(path string) int {
 	f.t.Helper()
 	n := 0
@@ -131,7 +137,7 @@
 	return n
 }
 
-// service returns the service of the VM.
+// service returns the service on the VM.
 func (f *testFleet) service(vm string) *endpoint {
 	f.t.Helper()
 	for _, s := range f.services {
@@ -143,7 +149,7 @@
 	return nil
 }
 
-// awaitRunning waits until the service runs so many calls at once.
+// awaitRunning waits until the given number of calls run at the service.
 func (f *testFleet) awaitRunning(s *endpoint, calls int) {
 	f.t.Helper()
 	var l fleet.Load
@@ -155,7 +161,8 @@
 		func() string { return formatJSON(l) })
 }
 
-// requestTicket asks a node for a ticket.
+// requestTicket requests a ticket from a node and returns it as request
+// headers.
 func (f *testFleet) requestTicket(n *node) map[string]string {
 	f.t.Helper()
 	a := send(f.t.Context(), "POST", "http://"+n.caller+"/tickets", "", nil, nil)
@@ -166,27 +173,28 @@
 	return map[string]string{"Chervilloom-Ticket": ticket}
 }
 
-// serialOf returns the serial that the service drew for the run.
+// serialOf returns the serial number that the service assigned to the
+// execution.
 func serialOf(t *testing.T, a callResult) uint64 {
 	t.Helper()
 	var got service.Answer
 	if err := json.Unmarshal(a.body, &got); err != nil {
-		t.Fatalf("no answer of the service: %v", a)
+		t.Fatalf("not a response of the service: %v", a)
 	}
 	return got.Serial
 }
 
-// checkZoneServed asks the node for a stream and a lookup, both of its own zone, and
-// wants them whole.
+// checkZoneServed requires a complete stream and lookup from the node, both
+// served in its own zone.
 func (f *testFleet) checkZoneServed(n *node, when string) {
 	f.t.Helper()
 	body := chatBody(fmt.Sprintf("%s %s asks %s", f.t.Name(), n.vm, when), 8, true)
 	a := n.chat(f.t.Context(), body, nil, nil)
 	if err := checkChat(body, a); err != nil || !a.done {
-		f.t.Errorf("%s, %s: a stream of the own zone: %v %v", when, n.vm, err, a)
+		f.t.Errorf("%s, %s: a stream of its own zone: %v %v", when, n.vm, err, a)
 	}
 	a = n.call(f.t.Context(), counter, "GET", "/licences/7", "", nil)
 	if err := checkCall("GET", "/licences/7", "", a); err != nil || !a.isComplete() {
-		f.t.Errorf("%s, %s: a lookup of the own zone: %v %v", when, n.vm, err, a)
+		f.t.Errorf("%s, %s: a lookup of its own zone: %v %v", when, n.vm, err, a)
 	}
 }
--- a/test/cut/zones_test.go
+++ b/test/cut/zones_test.go
@@ -9,11 +9,12 @@
 	"chervilloom/internal/outcome"
 )
 
-// The availability zones are cut from each other, the platform is not. Callers
-// of each zone go on getting its groups' and services' answers, because the
-// check of members is made within the zone. A receipt for the other zone's
-// service is refused as not run and did not run. What an operator has one side
-// accept comes into force on both, for the table carries it.
+// The availability zones are disconnected from each other but not from the
+// platform. Callers of each zone must still get responses from its groups and
+// services, because members are probed within the zone. A receipt for the other
+// zone's service must be refused as not run and must not run. A configuration
+// applied in either zone must come into use in both, because the nodes read it
+// from the platform's table.
 func TestZonesDisconnectedFromEachOther(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, fleetSpec{groupZones: []string{zoneA, zoneB}, tokensPerSec: 200})
@@ -21,11 +22,11 @@
 	f.disconnect()
 	f.awaitDisconnected()
 	for _, n := range f.nodes() {
-		f.checkZoneServed(n, "cut")
+		f.checkZoneServed(n, "disconnected")
 	}
 	a := f.b.call(t.Context(), ledger, "POST", "/receipts/beyond", receipt, nil)
 	if a.outcome != outcome.NotRun || f.countReceiptRuns("/receipts/beyond") != 0 {
-		t.Errorf("a receipt beyond the cut ran %d times and was told %v", f.countReceiptRuns("/receipts/beyond"), a)
+		t.Errorf("a receipt for the unreachable zone ran %d times and got %v", f.countReceiptRuns("/receipts/beyond"), a)
 	}
 
 	base := uint64(1)
@@ -35,8 +36,8 @@
 		f.awaitRevision(base, doc)
 	}
 	for _, n := range f.nodes() {
-		f.awaitStatus(n, "is still cut", func(s operator.Status) bool { return !seesAlive(s, f.other(n)) })
-		f.checkZoneServed(n, "cut, with a new configuration")
+		f.awaitStatus(n, "is still disconnected", func(s operator.Status) bool { return !seesAlive(s, f.other(n)) })
+		f.checkZoneServed(n, "disconnected, with a new configuration")
 	}
 
 	f.reconnect()
@@ -45,8 +46,8 @@
 	stop()
 }
 
-// awaitReceiptRelayed sends a receipt through zoneB to zoneA's service, again while it
-// is told not to have run.
+// awaitReceiptRelayed sends a receipt through zoneB to zoneA's service, and
+// retries while it is refused as not run.
 func (f *testFleet) awaitReceiptRelayed(path string) {
 	f.t.Helper()
 	var a callResult
@@ -57,15 +58,16 @@
 		},
 		func() string { return a.String() })
 	if err := checkCall("POST", path, receipt, a); err != nil || !a.isComplete() || f.countReceiptRuns(path) != 1 {
-		f.t.Errorf("%s ran %d times and was told %v %v", path, f.countReceiptRuns(path), a, err)
+		f.t.Errorf("%s ran %d times and got %v %v", path, f.countReceiptRuns(path), a, err)
 	}
 }
 
-// The availability zones are cut from each other and the platform is down as
-// well. Formed groups go on serving in each zone. A receipt with a key is
-// refused and does not run, because nothing can claim the key; one with a ticket
-// runs once, and the side that can't reach the ticket's holder tells a repeat
-// that its outcome is unknown. After healing nothing has gone back.
+// The availability zones are disconnected from each other and the platform is
+// down. Existing groups must still be served in each zone. A receipt with a key
+// must be refused and not run, because the key can't be claimed. A receipt with
+// a ticket must run once, and a node that can't reach the ticket's holder must
+// report a repeat's outcome as unknown. After recovery no configuration or
+// group may have reverted.
 func TestZonesDisconnectedWhilePlatformIsDown(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, fleetSpec{groupZones: []string{zoneA, zoneB}, tokensPerSec: 200})
@@ -81,7 +83,7 @@
 	tickets := map[*node]map[string]string{}
 	serials := map[*node]uint64{}
 	for _, n := range f.nodes() {
-		f.checkZoneServed(n, "cut and without the platform")
+		f.checkZoneServed(n, "disconnected and without the platform")
 		f.checkKeyRefused(n)
 		tickets[n] = f.requestTicket(n)
 		serials[n] = f.checkTicketRunsOnce(n, tickets[n])
@@ -90,7 +92,7 @@
 		path := ticketPath(f.other(n))
 		a := f.awaitSettled(n, counter, path, tickets[f.other(n)])
 		if a.isComplete() || a.outcome != outcome.Unknown {
-			t.Errorf("a repeat of %s beyond the cut through %s was told %v", path, n.vm, a)
+			t.Errorf("a repeat of %s through the disconnected node %s got %v", path, n.vm, a)
 		}
 	}
 
@@ -99,7 +101,7 @@
 	f.awaitConnected()
 	f.awaitRevision(revision, doc)
 	if after := f.servingGenerations(); !slices.Equal(after, before) {
-		t.Errorf("groups were %v and are %v", before, after)
+		t.Errorf("serving groups changed from %v to %v", before, after)
 	}
 	for _, n := range f.nodes() {
 		f.awaitFirstAnswer(f.other(n), ticketPath(n), tickets[n], serials[n])
@@ -108,26 +110,27 @@
 }
 
 // awaitFirstAnswer repeats a receipt through a node until it gets the first
-// answer. Until the node's next dial of the holder is due it may only be told
-// that the outcome is unknown.
+// response. Until the node redials the ticket's holder, only an unknown outcome
+// is allowed.
 func (f *testFleet) awaitFirstAnswer(n *node, path string, ticket map[string]string, serial uint64) {
 	f.t.Helper()
 	var a callResult
-	waitUntil(f.t, n.vm+" gets the first answer of "+path,
+	waitUntil(f.t, n.vm+" returns the first response of "+path,
 		func() bool {
 			a = f.awaitSettled(n, counter, path, ticket)
 			if !a.isComplete() && a.outcome != outcome.Unknown {
-				f.t.Fatalf("a repeat of %s through %s was told %v", path, n.vm, a)
+				f.t.Fatalf("a repeat of %s through %s got %v", path, n.vm, a)
 			}
 			return a.isComplete()
 		},
 		func() string { return a.String() })
 	if serialOf(f.t, a) != serial || f.countReceiptRuns(path) != 1 {
-		f.t.Errorf("%s ran %d times; a repeat through %s was told %v", path, f.countReceiptRuns(path), n.vm, a)
+		f.t.Errorf("%s ran %d times; a repeat through %s got %v", path, f.countReceiptRuns(path), n.vm, a)
 	}
 }
 
-// servingGenerations returns the groups that serve, as zoneA's node believes.
+// servingGenerations returns the groups and generations that serve according to
+// zoneA's node.
 func (f *testFleet) servingGenerations() []string {
 	f.t.Helper()
 	s := f.awaitStatus(f.a, "all groups serve", func(s operator.Status) bool {
@@ -141,16 +144,18 @@
 	return out
 }
 
+// checkKeyRefused requires that a receipt with a key is refused without running
+// while the platform is down.
 func (f *testFleet) checkKeyRefused(n *node) {
 	f.t.Helper()
 	path := "/receipts/keyed/" + n.vm
 	header := keyHeader(path)
 	if a := n.call(f.t.Context(), counter, "POST", path, receipt, header); a.outcome != outcome.Unknown || a.kind != outcome.PlatformDown {
-		f.t.Errorf("%s: a key without the table was told %v", n.vm, a)
+		f.t.Errorf("%s: a keyed call without the platform got %v", n.vm, a)
 	}
 	header["Chervilloom-Key-State"] = "first"
 	if a := n.call(f.t.Context(), counter, "POST", path, receipt, header); a.outcome != outcome.NotRun || a.kind != outcome.PlatformDown {
-		f.t.Errorf("%s: the first try of a key without the table was told %v", n.vm, a)
+		f.t.Errorf("%s: the first attempt of a keyed call without the platform got %v", n.vm, a)
 	}
 	if runs := f.countReceiptRuns(path); runs != 0 {
 		f.t.Errorf("%s ran %d times", path, runs)
@@ -159,7 +164,8 @@
 
 func ticketPath(holder *node) string { return "/receipts/ticket/" + holder.vm }
 
-// checkTicketRunsOnce sends a receipt twice with the node's own ticket.
+// checkTicketRunsOnce sends a receipt twice with the node's ticket, requires
+// the same response, and returns its serial number.
 func (f *testFleet) checkTicketRunsOnce(n *node, ticket map[string]string) uint64 {
 	f.t.Helper()
 	path := ticketPath(n)
