--- a/test/entry_harm_test.go
+++ b/test/entry_harm_test.go
@@ -73,12 +73,12 @@
 			}
 			is.Equal(last.StatusCode, http.StatusServiceUnavailable)
 			is.Equal(last.Header.Get("Retry-After"), "") // the client must not be invited to retry
-			var told struct {
+			var refusal struct {
 				Error struct{ Type, Outcome string }
 			}
-			is.NoErr(json.Unmarshal([]byte(text), &told))
-			is.Equal(told.Error.Type, "quarantined")
-			is.Equal(told.Error.Outcome, "not-run")
+			is.NoErr(json.Unmarshal([]byte(text), &refusal))
+			is.Equal(refusal.Error.Type, "quarantined")
+			is.Equal(refusal.Error.Outcome, "not-run")
 			f.awaitServing()
 			for i, n := range f.nodes {
 				testkit.Eventually(t, "other requests are served at each node", func() bool {
--- a/test/leaving_test.go
+++ b/test/leaving_test.go
@@ -111,12 +111,12 @@
 			}
 			end := announced.Add(leavingGracePeriod + c.extraTime)
 			waitUntil(t, "the grace period has passed twice", func() bool { return time.Since(end) > leavingGracePeriod }, func() string { return "" })
-			calls, bad := stop()
+			calls, failed := stop()
 			if n := counted.arrivalsAfter(end); n > 0 {
 				t.Errorf("%d calls arrived more than %v after the announcement", n, leavingGracePeriod+c.extraTime)
 			}
 			t.Logf("%d calls; the last one reached the leaving endpoint %v after the announcement", calls, counted.lastArrival().Sub(announced))
-			for _, a := range bad {
+			for _, a := range failed {
 				t.Errorf("a caller got %v", a)
 			}
 		})
