--- a/test/cut/fleet_test.go
+++ b/test/cut/fleet_test.go
@@ -212,7 +212,7 @@
 func (f *testFleet) awaitCall(n *node, service string) {
 	f.t.Helper()
 	var last callResult
-	waitUntil(f.t, n.vm+" serves lookups of "+service,
+	waitUntil(f.t, n.vm+": lookups of "+service+" are served",
 		func() bool {
 			last = n.call(f.t.Context(), service, "GET", "/first", "", nil)
 			return last.isComplete()
