--- a/test/scale/fleet_test.go
+++ b/test/scale/fleet_test.go
@@ -21,40 +21,40 @@
 	operatorToken = "demo-operator"
 	operatorHash  = "9437e87fae95c03d3778f2575bb18ce30e647e51d86a8c37963364e1fc4f374e"
 
-	replicaSize     = 8
-	perDomain       = 2 * replicaSize // engines of a fabric domain
-	servicesPerZone = 2
-	patience        = 50 * time.Second
-	pollEvery       = 200 * time.Millisecond
+	replicaSize      = 8
+	enginesPerDomain = 2 * replicaSize // engines in a fabric domain
+	servicesPerZone  = 2
+	waitTimeout      = 50 * time.Second
+	pollInterval     = 200 * time.Millisecond
 )
 
 var zones = []string{"zone-a", "zone-b", "zone-c", "zone-d"}
 
-// shape describes a fleet.
-type shape struct {
-	nodes   int // spread over the zones
-	zones   int // up to four
-	engines int // spread over the zones
-	slots   int // of an engine; 0: 64
-	tokens  float64
+// fleetSpec describes a fleet.
+type fleetSpec struct {
+	nodes   int     // distributed over the zones
+	zones   int     // up to four
+	engines int     // distributed over the zones
+	slots   int     // per engine; 0: 64
+	tokens  float64 // per second of a stream; 0: the default of the stand-in
 }
 
 // testFleet is a running fleet.
 type testFleet struct {
-	b        *testing.B
-	shape    shape
-	platform *platform.Platform
-	store    string // address of the platform
-	services []string
-	nodes    []*node
+	b            *testing.B
+	spec         fleetSpec
+	platform     *platform.Platform
+	platformAddr string // address of the platform
+	services     []string
+	nodes        []*node
 }
 
-// startFleet returns when every node knows every other node and all replicas
-// serve.
-func startFleet(b *testing.B, s shape) *testFleet {
+// startFleet starts a fleet and returns when every node reports every other
+// node and all replicas as serving.
+func startFleet(b *testing.B, s fleetSpec) *testFleet {
 	b.Helper()
-	f := &testFleet{b: b, shape: s, platform: platform.New(platform.Options{})}
-	f.store = f.serve(f.platform)
+	f := &testFleet{b: b, spec: s, platform: platform.New(platform.Options{})}
+	f.platformAddr = f.serve(f.platform)
 	for i := range s.engines {
 		f.addEngine(i)
 	}
@@ -64,13 +64,14 @@
 		}
 	}
 	for i := range s.nodes {
-		f.nodes = append(f.nodes, startNode(b, fmt.Sprintf("entry-%d", i), zones[i%s.zones], f.store))
+		f.nodes = append(f.nodes, startNode(b, fmt.Sprintf("entry-%d", i), zones[i%s.zones], f.platformAddr))
 	}
 	f.apply(0)
 	f.awaitSettled()
 	return f
 }
 
+// serve starts a server for the handler and returns its address.
 func (f *testFleet) serve(h http.Handler) string {
 	f.b.Helper()
 	s, err := standin.Start("127.0.0.1:0", h)
@@ -79,22 +80,24 @@
 	return s.Addr
 }
 
+// addEngine starts the i-th engine and registers it with the platform.
 func (f *testFleet) addEngine(i int) {
-	zone := i * f.shape.zones / f.shape.engines
-	within := i - zone*f.shape.engines/f.shape.zones
+	zone := i * f.spec.zones / f.spec.engines
+	within := i - zone*f.spec.engines/f.spec.zones
 	e := engine.New(engine.Options{
 		VM: fleet.VM(fmt.Sprintf("engine-%d", i)), Zone: fleet.AvailabilityZone(zones[zone]),
-		Domain:       fleet.FabricDomain(fmt.Sprintf("%s-%d", zones[zone], within/perDomain)),
+		Domain:       fleet.FabricDomain(fmt.Sprintf("%s-%d", zones[zone], within/enginesPerDomain)),
 		Accelerators: 8, CheckFence: true, LoadTime: engine.Immediately,
-		Slots: f.shape.slots, TokensPerSecond: f.shape.tokens,
-		// The members' checks of each other are the engines' own load, which is
-		// not measured here.
+		Slots: f.spec.slots, TokensPerSecond: f.spec.tokens,
+		// Long intervals, because the load of the members' probes of each other
+		// is not measured here.
 		PeerInterval: config.Duration(2 * time.Second), PeerLost: config.Duration(time.Minute),
 	})
 	f.b.Cleanup(e.Close)
 	f.platform.AddVM(e.Record(f.serve(e)))
 }
 
+// addService starts a plain service and registers it with the platform.
 func (f *testFleet) addService(zone string, i int) {
 	s := service.New(service.Options{
 		VM: fleet.VM(fmt.Sprintf("counter-%s-%d", zone, i)), Zone: fleet.AvailabilityZone(zone), Name: "counter",
@@ -104,31 +107,31 @@
 	f.platform.AddVM(s.Record(addr))
 }
 
-// replicas is how many groups the engines make.
+// replicas returns the number of groups that the engines can form.
 func (f *testFleet) replicas() int {
 	n := 0
-	for z := range f.shape.zones {
-		of := (z+1)*f.shape.engines/f.shape.zones - z*f.shape.engines/f.shape.zones
-		n += of/perDomain*(perDomain/replicaSize) + of%perDomain/replicaSize
+	for z := range f.spec.zones {
+		engines := (z+1)*f.spec.engines/f.spec.zones - z*f.spec.engines/f.spec.zones
+		n += engines/enginesPerDomain*(enginesPerDomain/replicaSize) + engines%enginesPerDomain/replicaSize
 	}
 	return n
 }
 
-const organisation = `  - name: %s
+const organisationText = `  - name: %s
     key_hashes: ["%s"]
     weight: %d
 `
 
-// counters is the SHA-256 of callerKey.
-const counters = "0eb7fef755d6bb1a5f44c2d121d8fee01463b82e569cdffa118d1681f2d3dd02"
+// callerKeyHash is the SHA-256 hash of callerKey.
+const callerKeyHash = "0eb7fef755d6bb1a5f44c2d121d8fee01463b82e569cdffa118d1681f2d3dd02"
 
-// document returns a configuration of ten organisations; change makes it differ
-// from others.
+// document returns a configuration with ten organisations; each change number
+// gives a different document.
 func (f *testFleet) document(change int) string {
 	var d strings.Builder
-	fmt.Fprintf(&d, "version: 1\norganisations:\n"+organisation, "counters", counters, 10+change)
+	fmt.Fprintf(&d, "version: 1\norganisations:\n"+organisationText, "counters", callerKeyHash, 10+change)
 	for i := range 9 {
-		fmt.Fprintf(&d, organisation, fmt.Sprintf("club-%d", i), fmt.Sprintf("%064x", i+1), 10)
+		fmt.Fprintf(&d, organisationText, fmt.Sprintf("club-%d", i), fmt.Sprintf("%064x", i+1), 10)
 	}
 	fmt.Fprintf(&d, `models:
   - {name: clerk, current: "1", versions: ["1"]}
@@ -142,7 +145,8 @@
 	return d.String()
 }
 
-// apply has the first node accept the document and returns its revision.
+// apply applies the document through the first node, requires that it is
+// accepted, and returns its revision.
 func (f *testFleet) apply(change int) uint64 {
 	f.b.Helper()
 	base, err := f.nodes[0].client().Config(f.b.Context())
@@ -155,25 +159,28 @@
 	return res.Revision
 }
 
+// awaitSettled waits until every node is ready and reports all other nodes and
+// all groups as complete.
 func (f *testFleet) awaitSettled() {
 	f.b.Helper()
 	began, last := time.Now(), ""
 	for _, n := range f.nodes {
-		for c := n.client(); ; time.Sleep(pollEvery) {
+		for c := n.client(); ; time.Sleep(pollInterval) {
 			s, err := c.Status(f.b.Context())
-			if err == nil && s.Ready && len(s.Nodes) == len(f.nodes)-1 && whole(s) >= f.replicas() {
+			if err == nil && s.Ready && len(s.Nodes) == len(f.nodes)-1 && countCompleteGroups(s) >= f.replicas() {
 				break
 			}
-			last = fmt.Sprintf("%s: err %v, ready %v, %d nodes, %d of %d groups whole",
-				n.vm, err, s.Ready, len(s.Nodes), whole(s), f.replicas())
-			if time.Since(began) > patience {
+			last = fmt.Sprintf("%s: err %v, ready %v, %d nodes, %d of %d groups complete",
+				n.vm, err, s.Ready, len(s.Nodes), countCompleteGroups(s), f.replicas())
+			if time.Since(began) > waitTimeout {
 				f.b.Fatal("the fleet did not settle: ", last)
 			}
 		}
 	}
 }
 
-func whole(s operator.Status) int {
+// countCompleteGroups returns the number of groups with all their members.
+func countCompleteGroups(s operator.Status) int {
 	n := 0
 	for _, g := range s.Groups {
 		if g.Whole {
--- a/test/scale/idle_test.go
+++ b/test/scale/idle_test.go
@@ -7,52 +7,54 @@
 )
 
 const (
-	settle   = 4 * time.Second
-	measured = 12 * time.Second
+	settleTime  = 4 * time.Second
+	measureTime = 12 * time.Second
 )
 
-// BenchmarkIdle gives what control costs a node when no caller asks for
-// anything: by nodes, and by endpoints.
+// BenchmarkIdle measures the resources that a node uses without requests, by
+// the number of nodes and of endpoints.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{3, 6, 12, 24, 48} {
 		b.Run(fmt.Sprintf("nodes=%d,engines=48,zones=1", n), func(b *testing.B) {
-			idle(b, shape{nodes: n, zones: 1, engines: 48})
+			measureIdle(b, fleetSpec{nodes: n, zones: 1, engines: 48})
 		})
 	}
 	for _, n := range []int{12, 24, 48} {
 		b.Run(fmt.Sprintf("nodes=%d,engines=64,zones=4", n), func(b *testing.B) {
-			idle(b, shape{nodes: n, zones: 4, engines: 64})
+			measureIdle(b, fleetSpec{nodes: n, zones: 4, engines: 64})
 		})
 	}
 	for _, e := range []int{24, 96, 192} {
 		b.Run(fmt.Sprintf("nodes=6,engines=%d,zones=1", e), func(b *testing.B) {
-			idle(b, shape{nodes: 6, zones: 1, engines: e})
+			measureIdle(b, fleetSpec{nodes: 6, zones: 1, engines: e})
 		})
 	}
 }
 
-func idle(b *testing.B, s shape) {
+// measureIdle measures an idle fleet for measureTime.
+func measureIdle(b *testing.B, s fleetSpec) {
 	for b.Loop() {
 		f := startFleet(b, s)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		before := f.platform.Stats()
-		spans := f.watch(func() { time.Sleep(measured) })
+		spans := f.sampleDuring(func() { time.Sleep(measureTime) })
 		after := f.platform.Stats()
 		reportIdle(b, spans)
-		took := spans[0].seconds()
-		b.ReportMetric(float64(after.Reads-before.Reads)/took, "platform-reads/s")
-		b.ReportMetric(float64(after.Writes-before.Writes)/took, "platform-writes/s")
+		seconds := spans[0].seconds()
+		b.ReportMetric(float64(after.Reads-before.Reads)/seconds, "platform-reads/s")
+		b.ReportMetric(float64(after.Writes-before.Writes)/seconds, "platform-writes/s")
 	}
 	b.ReportMetric(0, "ns/op")
 }
 
+// reportIdle reports the mean and maximum usage of the nodes.
 func reportIdle(b *testing.B, spans []span) {
 	b.Helper()
-	b.ReportMetric(mean(spans, span.core), "core%")
-	b.ReportMetric(most(spans, span.core), "core%-most")
-	memory := func(s span) float64 { return s.to.memory / 1e6 }
+	b.ReportMetric(mean(spans, span.corePercent), "core%")
+	b.ReportMetric(maximum(spans, span.corePercent), "core%-most")
+	memory := func(s span) float64 { return s.to.memoryBytes / 1e6 }
 	b.ReportMetric(mean(spans, memory), "MB")
-	b.ReportMetric(most(spans, memory), "MB-most")
+	b.ReportMetric(maximum(spans, memory), "MB-most")
 	rate := func(unit string, scale float64, prefix string, parts ...string) {
 		b.ReportMetric(mean(spans, func(s span) float64 { return s.rate(prefix, parts...) / scale }), unit)
 	}
--- a/test/scale/main_test.go
+++ b/test/scale/main_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// workDir holds the program under test, built once by the first benchmark.
+// workDir contains the program under test, built once by the first benchmark.
 var (
-	workDir string
-	build   = sync.OnceValues(buildProgram)
+	workDir   string
+	buildOnce = sync.OnceValues(buildProgram)
 )
 
 func TestMain(m *testing.M) {
@@ -33,7 +33,7 @@
 	path := filepath.Join(workDir, "chervilloom")
 	out, err := exec.Command("go", "build", "-o", path, "chervilloom/cmd/chervilloom").CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("the program does not build: %w\n%s", err, out)
+		return "", fmt.Errorf("building the program failed: %w\n%s", err, out)
 	}
 	return path, nil
 }
--- a/test/scale/node_test.go
+++ b/test/scale/node_test.go
@@ -14,7 +14,7 @@
 	"chervilloom/internal/operator"
 )
 
-// nodeProcs is the cores a node may use at once: entry VMs are small.
+// nodeProcs limits a node to two cores, because entry VMs are small.
 const nodeProcs = "GOMAXPROCS=2"
 
 const nodeSettings = `vm: %s
@@ -28,25 +28,26 @@
 timing: {drain_notice: 100ms}
 `
 
-// node is an entry node's process.
+// node is the process of an entry node.
 type node struct {
 	vm, zone                       string
 	caller, operatorAddr, peerAddr string
-	began                          time.Time
+	startedAt                      time.Time
 	cmd                            *exec.Cmd
-	done                           chan struct{} // closed when the process has ended
+	done                           chan struct{} // closed when the process has exited
 }
 
+// startNode starts a node and returns when it listens.
 func startNode(b *testing.B, vm, zone, platform string) *node {
 	b.Helper()
-	program, err := build()
+	program, err := buildOnce()
 	must(b, err)
 	file := filepath.Join(b.TempDir(), vm+".yaml")
 	must(b, os.WriteFile(file, fmt.Appendf(nil, nodeSettings, vm, zone, platform, operatorHash), 0o600))
-	n := &node{vm: vm, zone: zone, began: time.Now(), done: make(chan struct{})}
+	n := &node{vm: vm, zone: zone, startedAt: time.Now(), done: make(chan struct{})}
 	n.cmd = exec.Command(program, "serve", "--settings", file)
 	n.cmd.Env = append(os.Environ(), nodeProcs)
-	// Without this a run that is killed would leave its processes behind.
+	// Kills the process if the benchmark run itself is killed.
 	n.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := n.cmd.StderrPipe()
 	must(b, err)
@@ -66,6 +67,7 @@
 	return n
 }
 
+// readAddresses reads the node's addresses from its log.
 func (n *node) readAddresses(b *testing.B, lines *bufio.Scanner) {
 	b.Helper()
 	for lines.Scan() {
@@ -76,25 +78,27 @@
 		}
 	}
 	close(n.done)
-	b.Fatalf("%s ended before it listened", n.vm)
+	b.Fatalf("%s exited before listening", n.vm)
 }
 
-// stop ends the node gracefully and returns how long it lived.
+// stop shuts the node down gracefully and returns its lifetime.
 func (n *node) stop(b *testing.B) time.Duration {
 	b.Helper()
 	must(b, n.cmd.Process.Signal(syscall.SIGTERM))
 	select {
 	case <-n.done:
-	case <-time.After(patience):
-		b.Fatalf("%s did not end", n.vm)
+	case <-time.After(waitTimeout):
+		b.Fatalf("%s did not exit", n.vm)
 	}
-	return time.Since(n.began)
+	return time.Since(n.startedAt)
 }
 
+// client returns an operator client for the node.
 func (n *node) client() *operator.Client {
 	return operator.NewClient("http://"+n.operatorAddr, operatorToken)
 }
 
+// must fails the benchmark if err is not nil.
 func must(b *testing.B, err error) {
 	b.Helper()
 	if err != nil {
--- a/test/scale/path_test.go
+++ b/test/scale/path_test.go
@@ -11,14 +11,15 @@
 
 const loadTime = 10 * time.Second
 
-// onPath is a fleet whose cost is that of requests: one node asked, two others
-// idle beside it.
-func onPath(b *testing.B) *testFleet {
+// startRequestFleet starts a fleet to measure the cost of requests: one node
+// gets requests and two other nodes are idle.
+func startRequestFleet(b *testing.B) *testFleet {
 	b.Helper()
-	return startFleet(b, shape{nodes: 3, zones: 1, engines: 16, slots: 2048, tokens: 500})
+	return startFleet(b, fleetSpec{nodes: 3, zones: 1, engines: 16, slots: 2048, tokens: 500})
 }
 
-func plan(rate float64, r load.Request) *load.Plan {
+// newLoadPlan returns a load plan for one kind of request at a rate per second.
+func newLoadPlan(rate float64, r load.Request) *load.Plan {
 	return &load.Plan{
 		Version: 1, Rate: rate, Duration: config.Duration(loadTime), Arrivals: load.ArrivalsPoisson,
 		InFlight: load.MaxInFlight, Timeout: config.Duration(30 * time.Second),
@@ -35,8 +36,9 @@
 	return load.Request{Name: "chat", Type: load.TypeChat, Weight: 1, Model: "clerk", Words: words, MaxTokens: tokens, Stream: true}
 }
 
-// answered returns how many requests of the first kind got a whole answer.
-func answered(r *load.Report) int {
+// countAnswered returns how many requests of the first kind got a complete
+// response.
+func countAnswered(r *load.Report) int {
 	for _, c := range r.Kinds[0].Outcomes {
 		if c.Name == "whole" {
 			return c.Count
@@ -45,35 +47,38 @@
 	return 0
 }
 
-// unanswered logs what became of the requests that got no whole answer, and
-// returns their number.
-func unanswered(b *testing.B, r *load.Report) int {
+// countUnanswered returns the number of requests without a complete response,
+// and logs their outcomes.
+func countUnanswered(b *testing.B, r *load.Report) int {
 	b.Helper()
-	n := r.Sent + r.NotSent - answered(r)
+	n := r.Sent + r.NotSent - countAnswered(r)
 	if n > 0 {
 		b.Logf("outcomes %v, details %v", r.Kinds[0].Outcomes, r.Kinds[0].Details)
 	}
 	return n
 }
 
-// BenchmarkAdded compares lookups through a node with lookups at the service
-// itself, in turn and in one run; each side gets the rate.
+// BenchmarkAdded compares the latency of lookups through a node with that of
+// lookups sent directly to the service. Both sides alternate in one run, each
+// at the given rate.
 func BenchmarkAdded(b *testing.B) {
 	for _, rate := range []float64{100, 500, 1000} {
 		b.Run(fmt.Sprintf("rate=%g", rate), func(b *testing.B) {
-			f := onPath(b)
+			f := startRequestFleet(b)
 			for b.Loop() {
-				c, err := load.Compare(b.Context(), plan(2*rate, lookup()),
+				c, err := load.Compare(b.Context(), newLoadPlan(2*rate, lookup()),
 					load.Side{Name: "node", Targets: []string{f.nodes[0].caller}},
 					load.Side{Name: "direct", Targets: f.services[:1], Bare: true})
 				must(b, err)
-				reportAdded(b, c)
+				reportAddedLatency(b, c)
 			}
 		})
 	}
 }
 
-func reportAdded(b *testing.B, c *load.Comparison) {
+// reportAddedLatency reports the difference between both sides and the direct
+// latency.
+func reportAddedLatency(b *testing.B, c *load.Comparison) {
 	b.Helper()
 	node, direct := c.Sides[0], c.Sides[1]
 	for _, d := range c.Added {
@@ -84,46 +89,48 @@
 	}
 	b.ReportMetric(float64(direct.Kinds[0].Total.P50), "direct-p50-us")
 	b.ReportMetric(float64(direct.Kinds[0].Total.P99), "direct-p99-us")
-	b.ReportMetric(float64(unanswered(b, node)), "not-ok")
-	b.ReportMetric(float64(unanswered(b, direct)), "direct-not-ok")
+	b.ReportMetric(float64(countUnanswered(b, node)), "not-ok")
+	b.ReportMetric(float64(countUnanswered(b, direct)), "direct-not-ok")
 	b.ReportMetric(loadAverage(b), "machine-load")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkRequests gives the processor time of a node for one request: its
-// growth with the rate is the cost of a lookup, its growth with the length of
-// the answers that of a token.
+// BenchmarkRequests measures the processor time of a node per request. Its
+// growth with the rate is the cost of a lookup, its growth with the response
+// length the cost of a token.
 func BenchmarkRequests(b *testing.B) {
 	for _, rate := range []float64{250, 500, 1000, 2000} {
-		b.Run(fmt.Sprintf("lookups=%g", rate), func(b *testing.B) { requests(b, plan(rate, lookup())) })
+		b.Run(fmt.Sprintf("lookups=%g", rate), func(b *testing.B) { measureRequests(b, newLoadPlan(rate, lookup())) })
 	}
 	for _, tokens := range []int{8, 64, 256} {
-		b.Run(fmt.Sprintf("streams=50,tokens=%d", tokens), func(b *testing.B) { requests(b, plan(50, chat(100, tokens))) })
+		b.Run(fmt.Sprintf("streams=50,tokens=%d", tokens), func(b *testing.B) { measureRequests(b, newLoadPlan(50, chat(100, tokens))) })
 	}
 	for _, words := range []int{10, 500, 2000} {
-		b.Run(fmt.Sprintf("streams=50,tokens=8,words=%d", words), func(b *testing.B) { requests(b, plan(50, chat(words, 8))) })
+		b.Run(fmt.Sprintf("streams=50,tokens=8,words=%d", words), func(b *testing.B) { measureRequests(b, newLoadPlan(50, chat(words, 8))) })
 	}
 }
 
-func requests(b *testing.B, p *load.Plan) {
+// measureRequests runs a load plan and reports the node's usage above that of
+// an idle node.
+func measureRequests(b *testing.B, p *load.Plan) {
 	b.Helper()
-	f := onPath(b)
-	time.Sleep(settle)
-	idle := f.watch(func() { time.Sleep(settle) })[0].core()
+	f := startRequestFleet(b)
+	time.Sleep(settleTime)
+	idle := f.sampleDuring(func() { time.Sleep(settleTime) })[0].corePercent()
 	for b.Loop() {
 		var r *load.Report
-		s := f.watch(func() {
+		s := f.sampleDuring(func() {
 			var err error
 			r, err = load.Run(b.Context(), load.Options{Plan: p, Targets: []string{f.nodes[0].caller}})
 			must(b, err)
 		})[0]
-		ok := answered(r)
-		core := (s.core() - idle) / 100 * s.seconds()
+		ok := countAnswered(r)
+		core := (s.corePercent() - idle) / 100 * s.seconds()
 		b.ReportMetric(1e6*core/float64(max(ok, 1)), "cpu-us/request")
-		b.ReportMetric(s.core(), "core%")
-		b.ReportMetric(s.to.memory/1e6, "MB")
+		b.ReportMetric(s.corePercent(), "core%")
+		b.ReportMetric(s.to.memoryBytes/1e6, "MB")
 		b.ReportMetric(float64(ok)/loadTime.Seconds(), "answered/s")
-		b.ReportMetric(float64(unanswered(b, r)), "not-ok")
+		b.ReportMetric(float64(countUnanswered(b, r)), "not-ok")
 		b.ReportMetric(float64(r.Kinds[0].Tokens)/float64(max(ok, 1)), "tokens/request")
 		b.ReportMetric(float64(r.Kinds[0].Total.P50), "p50-us")
 		b.ReportMetric(float64(r.Kinds[0].Total.P99), "p99-us")
@@ -132,36 +139,38 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkOpenStreams gives the memory that a node holds while so many streams
-// are open.
+// BenchmarkOpenStreams measures the memory that a node uses per open stream.
 func BenchmarkOpenStreams(b *testing.B) {
 	for _, open := range []int{100, 400, 800, 1600} {
-		b.Run(fmt.Sprintf("open=%d", open), func(b *testing.B) { openStreams(b, open) })
+		b.Run(fmt.Sprintf("open=%d", open), func(b *testing.B) { measureOpenStreams(b, open) })
 	}
 }
 
-// slowTokens is the speed of a stream that stays open for long.
-const slowTokens = 4
+// slowTokenRate, in tokens per second, makes streams stay open for the whole
+// measurement.
+const slowTokenRate = 4
 
-func openStreams(b *testing.B, open int) {
+// measureOpenStreams measures a node's memory with the given number of open
+// streams.
+func measureOpenStreams(b *testing.B, open int) {
 	for b.Loop() {
-		f := startFleet(b, shape{nodes: 3, zones: 1, engines: 16, slots: 2048, tokens: slowTokens})
-		time.Sleep(settle)
-		before := f.nodes[0].take(b)
-		p := plan(float64(open)/loadTime.Seconds(), chat(100, slowTokens*20))
+		f := startFleet(b, fleetSpec{nodes: 3, zones: 1, engines: 16, slots: 2048, tokens: slowTokenRate})
+		time.Sleep(settleTime)
+		before := f.nodes[0].takeSample(b)
+		p := newLoadPlan(float64(open)/loadTime.Seconds(), chat(100, slowTokenRate*20))
 		done := make(chan *load.Report, 1)
 		go func() {
 			r, _ := load.Run(b.Context(), load.Options{Plan: p, Targets: []string{f.nodes[0].caller}})
 			done <- r
 		}()
 		time.Sleep(loadTime + 2*time.Second)
-		at := f.nodes[0].take(b)
-		held := at.sum("chervilloom_accept_in_flight_requests")
+		during := f.nodes[0].takeSample(b)
+		openCount := during.sum("chervilloom_accept_in_flight_requests")
 		r := <-done
-		b.ReportMetric(held, "held")
-		b.ReportMetric((at.memory-before.memory)/1e3/max(held, 1), "KB/stream")
-		b.ReportMetric(at.memory/1e6, "MB")
-		b.ReportMetric(float64(unanswered(b, r)), "not-ok")
+		b.ReportMetric(openCount, "held")
+		b.ReportMetric((during.memoryBytes-before.memoryBytes)/1e3/max(openCount, 1), "KB/stream")
+		b.ReportMetric(during.memoryBytes/1e6, "MB")
+		b.ReportMetric(float64(countUnanswered(b, r)), "not-ok")
 		b.ReportMetric(loadAverage(b), "machine-load")
 	}
 	b.ReportMetric(0, "ns/op")
--- a/test/scale/profile_test.go
+++ b/test/scale/profile_test.go
@@ -10,26 +10,26 @@
 )
 
 var (
-	// profileTo names the files that BenchmarkProfile writes, with .cpu and
-	// .heap after it.
-	profileTo    = flag.String("profile", "", "where to write a node's profiles")
-	profileNodes = flag.Int("profile-nodes", 6, "nodes of the fleet whose profiles are written")
+	// profilePath is the path prefix of the files that BenchmarkProfile writes;
+	// .cpu and .heap are appended.
+	profilePath  = flag.String("profile", "", "path prefix of the profiles of a node")
+	profileNodes = flag.Int("profile-nodes", 6, "number of nodes in the profiled fleet")
 )
 
-// BenchmarkProfile writes what an idle node spends its processor time and
-// memory on.
+// BenchmarkProfile writes the processor and heap profiles of an idle node.
 func BenchmarkProfile(b *testing.B) {
-	if *profileTo == "" {
-		b.Skip("-profile FILE is not given")
+	if *profilePath == "" {
+		b.Skip("-profile FILE is not set")
 	}
 	for b.Loop() {
-		f := startFleet(b, shape{nodes: *profileNodes, zones: 1, engines: 48})
-		time.Sleep(settle)
-		f.nodes[1].profile(b, "profile?seconds=20", *profileTo+".cpu")
-		f.nodes[1].profile(b, "heap", *profileTo+".heap")
+		f := startFleet(b, fleetSpec{nodes: *profileNodes, zones: 1, engines: 48})
+		time.Sleep(settleTime)
+		f.nodes[1].profile(b, "profile?seconds=20", *profilePath+".cpu")
+		f.nodes[1].profile(b, "heap", *profilePath+".heap")
 	}
 }
 
+// profile writes a profile of the node to a file.
 func (n *node) profile(b *testing.B, what, file string) {
 	b.Helper()
 	req, err := http.NewRequestWithContext(b.Context(), http.MethodGet, "http://"+n.operatorAddr+"/debug/pprof/"+what, nil)
--- a/test/scale/sample_test.go
+++ b/test/scale/sample_test.go
@@ -19,42 +19,45 @@
 	pageSize       = 4096
 )
 
-// sample is what a node has used so far.
+// sample is a node's cumulative usage at one time.
 type sample struct {
-	at     time.Time
-	cpu    time.Duration
-	memory float64 // resident bytes
-	counts map[string]float64
+	at          time.Time
+	cpu         time.Duration
+	memoryBytes float64 // resident set size
+	counts      map[string]float64
 }
 
-// take reads a node's counters. The scrape itself costs the node a few
-// milliseconds, once in each span that is measured.
-func (n *node) take(b *testing.B) sample {
+// takeSample reads a node's usage and counters. The scrape costs the node a few
+// milliseconds, once in each measured span.
+func (n *node) takeSample(b *testing.B) sample {
 	b.Helper()
 	s := sample{at: time.Now(), counts: n.scrape(b)}
-	s.cpu, s.memory = n.usage(b)
+	s.cpu, s.memoryBytes = n.processUsage(b)
 	return s
 }
 
-func (n *node) usage(b *testing.B) (cpu time.Duration, memory float64) {
+// processUsage returns the processor time and the resident memory in bytes of
+// the node's process.
+func (n *node) processUsage(b *testing.B) (cpu time.Duration, memory float64) {
 	b.Helper()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", n.cmd.Process.Pid))
 	must(b, err)
-	// The name in parentheses may hold spaces; utime and stime are the 12th and
-	// 13th words after it, the resident pages the 22nd.
+	// The name in parentheses may contain spaces; utime and stime are the 12th
+	// and 13th fields after it, the resident pages the 22nd.
 	words := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
-	ticks := number(b, words[11]) + number(b, words[12])
-	return time.Duration(ticks / ticksPerSecond * float64(time.Second)), number(b, words[21]) * pageSize
+	ticks := parseFloat(b, words[11]) + parseFloat(b, words[12])
+	return time.Duration(ticks / ticksPerSecond * float64(time.Second)), parseFloat(b, words[21]) * pageSize
 }
 
-func number(b *testing.B, word string) float64 {
+// parseFloat parses a number and fails the benchmark if it is invalid.
+func parseFloat(b *testing.B, word string) float64 {
 	b.Helper()
 	v, err := strconv.ParseFloat(word, 64)
 	must(b, err)
 	return v
 }
 
-// scrape returns the node's counters and gauges, by name and labels.
+// scrape returns the node's counters and gauges by name and labels.
 func (n *node) scrape(b *testing.B) map[string]float64 {
 	b.Helper()
 	res, err := http.Get("http://" + n.operatorAddr + "/metrics")
@@ -85,8 +88,8 @@
 	return s.String()
 }
 
-// sum adds up the counters whose name and labels begin with prefix and contain
-// all parts.
+// sum adds up the counters and gauges whose name and labels start with prefix
+// and contain all parts.
 func (s sample) sum(prefix string, parts ...string) float64 {
 	total := 0.0
 next:
@@ -104,54 +107,56 @@
 	return total
 }
 
-// span is what one node used between two samples.
+// span is the usage of one node between two samples.
 type span struct{ from, to sample }
 
 func (s span) seconds() float64 { return s.to.at.Sub(s.from.at).Seconds() }
 
-// core returns the part of a core used, in percent.
-func (s span) core() float64 { return 100 * (s.to.cpu - s.from.cpu).Seconds() / s.seconds() }
+// corePercent returns the average processor usage in percent of one core.
+func (s span) corePercent() float64 { return 100 * (s.to.cpu - s.from.cpu).Seconds() / s.seconds() }
 
-// rate returns the growth a second of the counters.
+// rate returns the growth of the matching counters per second.
 func (s span) rate(prefix string, parts ...string) float64 {
 	return (s.to.sum(prefix, parts...) - s.from.sum(prefix, parts...)) / s.seconds()
 }
 
-// watch samples all nodes before and after f.
-func (f *testFleet) watch(do func()) []span {
+// sampleDuring samples all nodes before and after work runs.
+func (f *testFleet) sampleDuring(work func()) []span {
 	f.b.Helper()
 	spans := make([]span, len(f.nodes))
 	for i, n := range f.nodes {
-		spans[i].from = n.take(f.b)
+		spans[i].from = n.takeSample(f.b)
 	}
-	do()
+	work()
 	for i, n := range f.nodes {
-		spans[i].to = n.take(f.b)
+		spans[i].to = n.takeSample(f.b)
 	}
 	return spans
 }
 
-// mean and most of a figure over nodes.
-func mean(spans []span, of func(span) float64) float64 {
+// mean returns the mean value over nodes.
+func mean(spans []span, value func(span) float64) float64 {
 	total := 0.0
 	for _, s := range spans {
-		total += of(s)
+		total += value(s)
 	}
 	return total / float64(len(spans))
 }
 
-func most(spans []span, of func(span) float64) float64 {
-	top := 0.0
+// maximum returns the highest value over nodes, or 0 if none is positive.
+func maximum(spans []span, value func(span) float64) float64 {
+	result := 0.0
 	for _, s := range spans {
-		top = max(top, of(s))
+		result = max(result, value(s))
 	}
-	return top
+	return result
 }
 
-// loadAverage is what else the machine did.
+// loadAverage returns the one-minute load average of the machine, to detect
+// other load.
 func loadAverage(b *testing.B) float64 {
 	b.Helper()
 	text, err := os.ReadFile("/proc/loadavg")
 	must(b, err)
-	return number(b, strings.Fields(string(text))[0])
+	return parseFloat(b, strings.Fields(string(text))[0])
 }
