--- a/test/experiment/client_test.go
+++ b/test/experiment/client_test.go
@@ -16,28 +16,29 @@
 )
 
 const (
-	triesOfStream = 40 // after this many a caller gives up
-	pauseOfCaller = 100 * time.Millisecond
+	maxStreamAttempts = 40 // limit per stream
+	retryInterval     = 100 * time.Millisecond
 )
 
-// reading is one stream as its caller reads it, over all its connections.
-type reading struct {
-	body   string
-	tokens []string
-	lastID string
-	done   bool
-	cuts   int             // connections that ended before the answer did
-	gaps   []time.Duration // from each cut to the next token
-	told   []string        // refusals and error events
-	cutAt  time.Time       // of the last cut; zero once tokens came again
-	lastAt time.Time       // of the last token
-	pause  time.Duration   // the longest between two tokens
-	fault  string
+// streamReader reads one stream as a caller does, over one or more connections.
+type streamReader struct {
+	body          string
+	tokens        []string
+	lastID        string
+	done          bool
+	interruptions int             // connections that ended before the response was complete
+	gaps          []time.Duration // from each interruption to the next token
+	errors        []string        // refusals, connection errors and error events
+	interruptedAt time.Time       // time of the last interruption; zero once tokens arrive again
+	lastTokenAt   time.Time       // time of the last token
+	longestPause  time.Duration   // longest time between two tokens
+	failure       string
 }
 
-// client keeps connections apart from those of other experiments.
+// client doesn't share connections with other HTTP clients.
 var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 
+// chatBody returns a streamed chat request.
 func chatBody(prompt string, tokens int) string {
 	b, err := json.Marshal(engine.ChatRequest{
 		Model: "clerk", MaxTokens: tokens, Stream: true, Messages: []engine.Message{{Role: "user", Content: prompt}},
@@ -48,24 +49,26 @@
 	return string(b)
 }
 
-// readStream asks the targets in turn, from the given one on, until the stream
-// is whole: after a cut the next one, with the id of the last event.
-func readStream(ctx context.Context, targets []string, first int, body string, onToken func()) *reading {
-	s := &reading{body: body}
-	for try := range triesOfStream {
-		s.ask(ctx, targets[(first+try)%len(targets)], onToken)
-		if s.done || s.fault != "" || ctx.Err() != nil {
+// readStream requests a stream from the targets in turn, starting at the given
+// one, until it is complete. After an interruption it resumes at the next
+// target with the id of the last event.
+func readStream(ctx context.Context, targets []string, first int, body string, onToken func()) *streamReader {
+	s := &streamReader{body: body}
+	for try := range maxStreamAttempts {
+		s.request(ctx, targets[(first+try)%len(targets)], onToken)
+		if s.done || s.failure != "" || ctx.Err() != nil {
 			break
 		}
-		time.Sleep(pauseOfCaller)
+		time.Sleep(retryInterval)
 	}
 	return s
 }
 
-func (s *reading) ask(ctx context.Context, target string, onToken func()) {
+// request sends one request for the stream or its rest, and reads the response.
+func (s *streamReader) request(ctx context.Context, target string, onToken func()) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target+"/v1/chat/completions", strings.NewReader(s.body))
 	if err != nil {
-		s.fault = err.Error()
+		s.failure = err.Error()
 		return
 	}
 	req.Header.Set("Authorization", "Bearer "+keyA)
@@ -74,24 +77,25 @@
 	}
 	res, err := client.Do(req)
 	if err != nil {
-		s.told = append(s.told, "no connection")
+		s.errors = append(s.errors, "connection failed")
 		return
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
 		var b outcome.Body
-		_ = json.NewDecoder(res.Body).Decode(&b) // an unreadable one is told as such
-		s.told = append(s.told, fmt.Sprintf("%d %s %s", res.StatusCode, b.Error.Type, b.Error.Outcome))
+		_ = json.NewDecoder(res.Body).Decode(&b) // an undecodable body is recorded with empty fields
+		s.errors = append(s.errors, fmt.Sprintf("%d %s %s", res.StatusCode, b.Error.Type, b.Error.Outcome))
 		return
 	}
-	s.read(bufio.NewScanner(res.Body), onToken)
+	s.readEvents(bufio.NewScanner(res.Body), onToken)
 	if !s.done {
-		s.cuts++
-		s.cutAt = time.Now()
+		s.interruptions++
+		s.interruptedAt = time.Now()
 	}
 }
 
-func (s *reading) read(lines *bufio.Scanner, onToken func()) {
+// readEvents reads server-sent events until the connection ends.
+func (s *streamReader) readEvents(lines *bufio.Scanner, onToken func()) {
 	event, id := "", ""
 	for lines.Scan() {
 		name, v, _ := strings.Cut(lines.Text(), ": ")
@@ -101,11 +105,11 @@
 		case name == "id":
 			id = v
 		case name == "data" && event == "error":
-			s.told = append(s.told, "error event "+v)
+			s.errors = append(s.errors, "error event "+v)
 		case name == "data" && v == "[DONE]":
 			s.done = true
 		case name == "data":
-			s.chunk(v, onToken)
+			s.addChunk(v, onToken)
 		case name == "":
 			if id != "" {
 				s.lastID = id
@@ -115,40 +119,41 @@
 	}
 }
 
-func (s *reading) chunk(data string, onToken func()) {
+// addChunk records the token of a chunk, and the time since the previous one.
+func (s *streamReader) addChunk(data string, onToken func()) {
 	var c engine.ChatChunk
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
-		s.fault = err.Error()
+		s.failure = err.Error()
 		return
 	}
 	if len(c.Choices) == 0 || c.Choices[0].Delta == nil || c.Choices[0].Delta.Content == "" {
 		return
 	}
-	if !s.cutAt.IsZero() {
-		s.gaps = append(s.gaps, time.Since(s.cutAt))
-		s.cutAt = time.Time{}
+	if !s.interruptedAt.IsZero() {
+		s.gaps = append(s.gaps, time.Since(s.interruptedAt))
+		s.interruptedAt = time.Time{}
 	}
-	if now := time.Now(); s.lastAt.IsZero() {
-		s.lastAt = now
+	if now := time.Now(); s.lastTokenAt.IsZero() {
+		s.lastTokenAt = now
 	} else {
-		s.pause = max(s.pause, now.Sub(s.lastAt))
-		s.lastAt = now
+		s.longestPause = max(s.longestPause, now.Sub(s.lastTokenAt))
+		s.lastTokenAt = now
 	}
 	s.tokens = append(s.tokens, c.Choices[0].Delta.Content)
 	onToken()
 }
 
-// whole reports whether the answer came to its end with each token once and in
-// order.
-func (s *reading) whole() bool {
-	return s.done && s.fault == "" && slices.Equal(s.tokens, standin.ExpectedTokens([]byte(s.body)))
+// isComplete reports whether the response ended normally with each token once
+// and in order.
+func (s *streamReader) isComplete() bool {
+	return s.done && s.failure == "" && slices.Equal(s.tokens, standin.ExpectedTokens([]byte(s.body)))
 }
 
-func (s *reading) String() string {
-	told := map[string]int{}
-	for _, t := range s.told {
-		told[t]++
+func (s *streamReader) String() string {
+	counts := map[string]int{}
+	for _, t := range s.errors {
+		counts[t]++
 	}
-	return fmt.Sprintf("%d of %d tokens, done %t, %d cuts, told %v, fault %q",
-		len(s.tokens), len(standin.ExpectedTokens([]byte(s.body))), s.done, s.cuts, told, s.fault)
+	return fmt.Sprintf("%d of %d tokens, done %t, %d interruptions, errors %v, failure %q",
+		len(s.tokens), len(standin.ExpectedTokens([]byte(s.body))), s.done, s.interruptions, counts, s.failure)
 }
--- a/test/experiment/fleet_test.go
+++ b/test/experiment/fleet_test.go
@@ -19,7 +19,7 @@
 
 const (
 	operatorToken = "experiment-operator"
-	keyA, keyB    = "experiment-a", "experiment-b" // of the two organisations
+	keyA, keyB    = "experiment-a", "experiment-b" // caller keys of the two organisations
 	replicaSize   = 2
 )
 
@@ -62,48 +62,50 @@
 platform: http://%s
 `
 
-// shape describes a fleet. Each domain holds one replica; the domains, the
-// nodes and the services are spread over the zones in turn.
-type shape struct {
+// fleetSpec describes a fleet. Each domain contains one replica. Domains, nodes
+// and services are assigned to the zones in turn.
+type fleetSpec struct {
 	nodes, zones, domains, services int
-	slots, tokens                   int    // of an engine: requests at once, tokens a second of each
-	limitsA                         string // further settings of organisation A
+	slots, tokens                   int    // per engine: concurrent requests, tokens per second of each
+	limitsA                         string // additional document settings of organisation A
 }
 
-// endpoint is an engine's or a service's process.
+// endpoint is the process of an engine or a plain service.
 type endpoint struct {
 	*process
 	addr, zone, domain string
 }
 
-// node is an entry node's process.
+// node is the process of an entry node.
 type node struct {
 	*process
 	vm, zone             string
 	caller, operatorAddr string
 }
 
+// client returns an operator client for the node.
 func (n *node) client() *operator.Client {
 	return operator.NewClient("http://"+n.operatorAddr, operatorToken)
 }
 
 // testFleet is a running fleet.
 type testFleet struct {
-	tb       testing.TB
-	shape    shape
-	platform *endpoint
-	store    string // address of the platform
-	engines  []*endpoint
-	services []*endpoint
-	nodes    []*node
+	tb           testing.TB
+	spec         fleetSpec
+	platform     *endpoint
+	platformAddr string // address of the platform
+	engines      []*endpoint
+	services     []*endpoint
+	nodes        []*node
 }
 
-// startFleet returns when every node knows all nodes and groups.
-func startFleet(tb testing.TB, s shape) *testFleet {
+// startFleet starts a fleet and returns when every node reports all nodes and
+// groups as serving.
+func startFleet(tb testing.TB, s fleetSpec) *testFleet {
 	tb.Helper()
-	f := &testFleet{tb: tb, shape: s}
-	f.platform = f.standin("platform", "platform", "no_limits: true\n")
-	f.store = f.platform.addr
+	f := &testFleet{tb: tb, spec: s}
+	f.platform = f.startStandin("platform", "platform", "no_limits: true\n")
+	f.platformAddr = f.platform.addr
 	for d := range s.domains {
 		for i := range replicaSize {
 			f.addEngine(d, i)
@@ -111,7 +113,7 @@
 	}
 	for i := range s.services {
 		zone, vm := zones[i%s.zones], fmt.Sprintf("counter-%d", i)
-		e := f.standin("service", vm, fmt.Sprintf("vm: %s\nzone: %s\nname: counter\nplatform: http://%s\n", vm, zone, f.store))
+		e := f.startStandin("service", vm, fmt.Sprintf("vm: %s\nzone: %s\nname: counter\nplatform: http://%s\n", vm, zone, f.platformAddr))
 		e.zone = zone
 		f.services = append(f.services, e)
 	}
@@ -123,34 +125,38 @@
 	return f
 }
 
-func (f *testFleet) standin(kind, name, settings string) *endpoint {
+// startStandin starts a stand-in process and returns it with its address.
+func (f *testFleet) startStandin(kind, name, settings string) *endpoint {
 	f.tb.Helper()
 	p := startProcess(f.tb, name, settings, "standin", kind, "--listen", "127.0.0.1:0")
-	return &endpoint{process: p, addr: strings.TrimPrefix(p.line(f.tb, "listening "), "listening ")}
+	return &endpoint{process: p, addr: strings.TrimPrefix(p.awaitLine(f.tb, "listening "), "listening ")}
 }
 
+// addEngine starts the i-th engine of the domain.
 func (f *testFleet) addEngine(d, i int) {
 	f.tb.Helper()
-	vm, zone, domain := fmt.Sprintf("engine-%d-%d", d, i), zones[d%f.shape.zones], fmt.Sprintf("fabric-%d", d)
-	e := f.standin("engine", vm, fmt.Sprintf(engineSettings, vm, zone, domain, f.shape.slots, f.shape.tokens, f.store))
+	vm, zone, domain := fmt.Sprintf("engine-%d-%d", d, i), zones[d%f.spec.zones], fmt.Sprintf("fabric-%d", d)
+	e := f.startStandin("engine", vm, fmt.Sprintf(engineSettings, vm, zone, domain, f.spec.slots, f.spec.tokens, f.platformAddr))
 	e.zone, e.domain = zone, domain
 	f.engines = append(f.engines, e)
 }
 
+// addNode starts an entry node.
 func (f *testFleet) addNode(vm, zone string) {
 	f.tb.Helper()
-	settings := fmt.Sprintf(nodeSettings, vm, zone, f.store, sha256.Sum256([]byte(operatorToken)))
+	settings := fmt.Sprintf(nodeSettings, vm, zone, f.platformAddr, sha256.Sum256([]byte(operatorToken)))
 	n := &node{process: startProcess(f.tb, vm, settings, "serve"), vm: vm, zone: zone}
 	var a struct{ Caller, Operator string }
-	must(f.tb, json.Unmarshal([]byte(n.line(f.tb, `"msg":"listening"`)), &a))
+	must(f.tb, json.Unmarshal([]byte(n.awaitLine(f.tb, `"msg":"listening"`)), &a))
 	n.caller, n.operatorAddr = a.Caller, a.Operator
 	f.nodes = append(f.nodes, n)
 }
 
+// apply applies the fleet's document and requires that it is accepted.
 func (f *testFleet) apply() {
 	f.tb.Helper()
-	d := fmt.Sprintf(documentText, sha256.Sum256([]byte(keyA)), f.shape.limitsA, sha256.Sum256([]byte(keyB)),
-		replicaSize, f.shape.domains, f.shape.domains)
+	d := fmt.Sprintf(documentText, sha256.Sum256([]byte(keyA)), f.spec.limitsA, sha256.Sum256([]byte(keyB)),
+		replicaSize, f.spec.domains, f.spec.domains)
 	res, err := f.nodes[0].client().Apply(f.tb.Context(), operator.ApplyRequest{Document: d})
 	must(f.tb, err)
 	if res.State != operator.ApplyAccepted {
@@ -158,25 +164,27 @@
 	}
 }
 
+// awaitSettled waits until every node is ready, reports all other nodes and
+// groups, and serves lookups.
 func (f *testFleet) awaitSettled() {
 	f.tb.Helper()
 	for _, n := range f.nodes {
 		var last operator.Status
-		until(f.tb, n.vm+" sees all groups and nodes", func() bool {
+		waitUntil(f.tb, n.vm+" sees all groups and nodes", func() bool {
 			var err error
 			last, err = n.client().Status(f.tb.Context())
-			return err == nil && last.Ready && len(last.Nodes) == len(f.nodes)-1 && len(serving(last)) == f.shape.domains
+			return err == nil && last.Ready && len(last.Nodes) == len(f.nodes)-1 && len(servingGroups(last)) == f.spec.domains
 		}, func() string { return fmt.Sprintf("%+v", last) })
-		if f.shape.services > 0 {
+		if f.spec.services > 0 {
 			f.awaitLookup(n)
 		}
 	}
 }
 
-// awaitLookup waits until the node passes lookups on.
+// awaitLookup waits until the node serves lookups.
 func (f *testFleet) awaitLookup(n *node) {
 	f.tb.Helper()
-	until(f.tb, n.vm+" passes lookups on", func() bool {
+	waitUntil(f.tb, n.vm+" serves lookups", func() bool {
 		req, err := http.NewRequestWithContext(f.tb.Context(), http.MethodGet, "http://"+n.caller+"/services/counter/first", nil)
 		must(f.tb, err)
 		req.Header.Set("Authorization", "Bearer "+keyB)
@@ -186,18 +194,18 @@
 		}
 		defer res.Body.Close()
 		return res.StatusCode == http.StatusOK
-	}, func() string { return "no answer with 200" })
+	}, func() string { return "no response with status 200" })
 }
 
-// serving returns the groups that take requests.
-func serving(s operator.Status) []operator.GroupStatus {
+// servingGroups returns the groups that accept requests.
+func servingGroups(s operator.Status) []operator.GroupStatus {
 	return slices.DeleteFunc(s.Groups, func(g operator.GroupStatus) bool {
 		return !g.Whole || g.Phase != string(fleet.PhaseServing)
 	})
 }
 
-// callers returns the addresses that callers know.
-func callers(nodes []*node) []string {
+// callerAddrs returns the addresses that the nodes serve callers on.
+func callerAddrs(nodes []*node) []string {
 	var out []string
 	for _, n := range nodes {
 		out = append(out, n.caller)
@@ -205,7 +213,7 @@
 	return out
 }
 
-// setFaults sets faults of a stand-in; those left out stay.
+// setFaults sets the given faults of a stand-in; other faults are unchanged.
 func (e *endpoint) setFaults(tb testing.TB, set map[string]any) {
 	tb.Helper()
 	b, err := json.Marshal(set)
@@ -214,11 +222,11 @@
 	must(tb, err)
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		tb.Fatalf("faults of %s: %s", e.name, res.Status)
+		tb.Fatalf("setting faults of %s: %s", e.name, res.Status)
 	}
 }
 
-// executions returns how often each request ran at the engines.
+// executions returns how often each request ran, summed over the engines.
 func (f *testFleet) executions() map[string]int {
 	f.tb.Helper()
 	all := map[string]int{}
@@ -236,9 +244,9 @@
 	return all
 }
 
-// counter adds up, over all nodes, the counters whose name and labels contain
-// every part.
-func (f *testFleet) counter(parts ...string) float64 {
+// sumCounters adds up, over all nodes, the metrics whose name and labels
+// contain all parts.
+func (f *testFleet) sumCounters(parts ...string) float64 {
 	f.tb.Helper()
 	total := 0.0
 	for _, n := range f.nodes {
@@ -248,13 +256,15 @@
 		must(f.tb, res.Body.Close())
 		must(f.tb, err)
 		for line := range strings.Lines(string(text)) {
-			total += value(strings.TrimSpace(line), parts)
+			total += matchingValue(strings.TrimSpace(line), parts)
 		}
 	}
 	return total
 }
 
-func value(line string, parts []string) float64 {
+// matchingValue returns the value of a metrics line that contains all parts,
+// else 0.
+func matchingValue(line string, parts []string) float64 {
 	if strings.HasPrefix(line, "#") {
 		return 0
 	}
@@ -270,7 +280,8 @@
 	return v
 }
 
-// loadAverage is what else the machine did.
+// loadAverage returns the one-minute load average of the machine, to detect
+// other load.
 func loadAverage(tb testing.TB) float64 {
 	tb.Helper()
 	text, err := os.ReadFile("/proc/loadavg")
--- a/test/experiment/load_test.go
+++ b/test/experiment/load_test.go
@@ -8,13 +8,14 @@
 	"chervilloom/internal/load"
 )
 
-// timeoutOfCaller is how long a caller waits when its request has no deadline.
-const timeoutOfCaller = 10 * time.Second
+// callerTimeout is the timeout of requests without a deadline.
+const callerTimeout = 10 * time.Second
 
-func planOf(key string, rate float64, d time.Duration, requests ...load.Request) *load.Plan {
+// newLoadPlan returns a load plan for one organisation at a rate per second.
+func newLoadPlan(key string, rate float64, d time.Duration, requests ...load.Request) *load.Plan {
 	return &load.Plan{
 		Version: 1, Seed: 1, Rate: rate, Duration: config.Duration(d), Arrivals: load.ArrivalsPoisson,
-		InFlight: load.MaxInFlight, Timeout: config.Duration(timeoutOfCaller),
+		InFlight: load.MaxInFlight, Timeout: config.Duration(callerTimeout),
 		Organisations: []load.Organisation{{Name: key, Key: key, Weight: 1}}, Requests: requests,
 	}
 }
@@ -32,8 +33,9 @@
 	}
 }
 
-// begin starts a load; the function that it returns waits for its report.
-func begin(tb testing.TB, p *load.Plan, nodes []*node) func() *load.Report {
+// startLoad starts a load on the nodes. The returned function waits for the
+// report.
+func startLoad(tb testing.TB, p *load.Plan, nodes []*node) func() *load.Report {
 	tb.Helper()
 	type result struct {
 		report *load.Report
@@ -41,7 +43,7 @@
 	}
 	done := make(chan result, 1)
 	go func() {
-		r, err := load.Run(tb.Context(), load.Options{Plan: p, Targets: callers(nodes)})
+		r, err := load.Run(tb.Context(), load.Options{Plan: p, Targets: callerAddrs(nodes)})
 		done <- result{r, err}
 	}()
 	return func() *load.Report {
@@ -52,9 +54,9 @@
 	}
 }
 
-// notWhole is the number of requests without a whole answer; what became of
-// them is logged.
-func notWhole(tb testing.TB, name string, r *load.Report) int {
+// countIncomplete returns the number of requests without a complete response,
+// and logs the outcomes if there are any.
+func countIncomplete(tb testing.TB, name string, r *load.Report) int {
 	tb.Helper()
 	n := r.Sent + r.NotSent - r.Whole()
 	if n == 0 {
--- a/test/experiment/main_test.go
+++ b/test/experiment/main_test.go
@@ -8,16 +8,17 @@
 	"sync"
 	"testing"
 
-	// The go command keeps a verdict until what a test imports changes. The program
-	// under test is built by a command; this import has its code count as well.
+	// The go command caches test results until an import of the test changes.
+	// The program under test is built by a separate command; this import makes
+	// the cache depend on its code.
 	_ "chervilloom/internal/node"
 	"chervilloom/internal/testkit"
 )
 
-// workDir holds the program under test, built once by the first experiment.
+// workDir contains the program under test, built once by the first experiment.
 var (
-	workDir string
-	build   = sync.OnceValues(buildProgram)
+	workDir   string
+	buildOnce = sync.OnceValues(buildProgram)
 )
 
 func TestMain(m *testing.M) {
@@ -38,7 +39,7 @@
 	path := filepath.Join(workDir, "chervilloom")
 	out, err := exec.Command("go", "build", "-o", path, "chervilloom/cmd/chervilloom").CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("the program does not build: %w\n%s", err, out)
+		return "", fmt.Errorf("building the program failed: %w\n%s", err, out)
 	}
 	return path, nil
 }
--- a/test/experiment/process_test.go
+++ b/test/experiment/process_test.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	patience  = 45 * time.Second
-	pollEvery = 50 * time.Millisecond
+	waitTimeout  = 45 * time.Second
+	pollInterval = 50 * time.Millisecond
 )
 
-// process is one process of the program under test.
+// process is a process of the program under test.
 type process struct {
 	name  string
 	cmd   *exec.Cmd
-	lines chan string   // its first lines; later ones are dropped
-	done  chan struct{} // closed when it has ended and its output is read
+	lines chan string   // buffered output; lines that exceed the buffer are dropped
+	done  chan struct{} // closed when the process has exited and its output is read
 }
 
-// startProcess runs the program with args and the text as its settings. It is
-// killed when the experiment ends.
+// startProcess runs the program with args and the given settings. It is killed
+// when the experiment ends.
 func startProcess(tb testing.TB, name, settings string, args ...string) *process {
 	tb.Helper()
-	program, err := build()
+	program, err := buildOnce()
 	must(tb, err)
 	file := filepath.Join(tb.TempDir(), name+".yaml")
 	must(tb, os.WriteFile(file, []byte(settings), 0o600))
@@ -36,19 +36,20 @@
 		name: name, cmd: exec.Command(program, append(args, "--settings", file)...),
 		lines: make(chan string, 64), done: make(chan struct{}),
 	}
-	// Without this a run that is killed would leave its processes behind.
+	// Kills the process if the run itself is killed.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	r, w, err := os.Pipe()
 	must(tb, err)
 	p.cmd.Stdout, p.cmd.Stderr = w, w
 	must(tb, p.cmd.Start())
 	must(tb, w.Close())
-	go p.read(r)
+	go p.readOutput(r)
 	tb.Cleanup(p.kill)
 	return p
 }
 
-func (p *process) read(r *os.File) {
+// readOutput reads the output and waits for the process to exit.
+func (p *process) readOutput(r *os.File) {
 	defer close(p.done)
 	defer r.Close()
 	for s := bufio.NewScanner(r); s.Scan(); {
@@ -60,10 +61,10 @@
 	_ = p.cmd.Wait()
 }
 
-// line waits for the first line of output that contains text.
-func (p *process) line(tb testing.TB, text string) string {
+// awaitLine waits for an output line that contains text and returns it.
+func (p *process) awaitLine(tb testing.TB, text string) string {
 	tb.Helper()
-	deadline := time.After(patience)
+	deadline := time.After(waitTimeout)
 	for {
 		select {
 		case l := <-p.lines:
@@ -71,7 +72,7 @@
 				return l
 			}
 		case <-p.done:
-			tb.Fatalf("%s ended before it wrote %q", p.name, text)
+			tb.Fatalf("%s exited before writing %q", p.name, text)
 		case <-deadline:
 			tb.Fatalf("%s did not write %q", p.name, text)
 		}
@@ -88,12 +89,13 @@
 	must(tb, p.cmd.Process.Signal(syscall.SIGCONT))
 }
 
-// kill ends the process at once, also a paused one, and waits for its end.
+// kill kills the process, including a paused one, and waits for it to exit.
 func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
+// must fails the test if err is not nil.
 func must(tb testing.TB, err error) {
 	tb.Helper()
 	if err != nil {
@@ -101,13 +103,13 @@
 	}
 }
 
-// until polls a condition; detail is asked for what was seen last when it does
-// not hold within patience.
-func until(tb testing.TB, what string, holds func() bool, detail func() string) {
+// waitUntil polls a condition and fails the test if it isn't met within
+// waitTimeout; detail then describes the last observed state.
+func waitUntil(tb testing.TB, description string, condition func() bool, detail func() string) {
 	tb.Helper()
-	for deadline := time.Now().Add(patience); !holds(); time.Sleep(pollEvery) {
+	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			tb.Fatalf("never came true: %s\n%s", what, detail())
+			tb.Fatalf("condition not met: %s\n%s", description, detail())
 		}
 	}
 }
--- a/test/experiment/resume_test.go
+++ b/test/experiment/resume_test.go
@@ -9,125 +9,134 @@
 )
 
 const (
-	streams      = 30
-	streamTokens = 150
-	streamSpeed  = 50 // tokens a second
-	beforeTheCut = 20 // tokens that each caller has when the cut comes
-	engineCutAt  = 40 // tokens after which an engine cuts
+	streamCount         = 30
+	streamTokens        = 150
+	streamTokenRate     = 50 // tokens per second
+	tokensBeforeFailure = 20 // tokens that each caller has before the failure
+	engineCutAfter      = 40 // tokens after which an engine closes the connection
 )
 
-// threeNodes are in one availability zone; sixNodes are two in each of three.
+// Fleets with all three nodes in one availability zone, with two nodes in each
+// of three zones, and with one node in each of three zones.
 var (
-	threeNodes = shape{nodes: 3, zones: 1, domains: 3, slots: 64, tokens: streamSpeed}
-	sixNodes   = shape{nodes: 6, zones: 3, domains: 3, slots: 64, tokens: streamSpeed}
-	aloneNodes = shape{nodes: 3, zones: 3, domains: 3, slots: 64, tokens: streamSpeed}
+	oneZoneSpec        = fleetSpec{nodes: 3, zones: 1, domains: 3, slots: 64, tokens: streamTokenRate}
+	threeZoneSpec      = fleetSpec{nodes: 6, zones: 3, domains: 3, slots: 64, tokens: streamTokenRate}
+	oneNodePerZoneSpec = fleetSpec{nodes: 3, zones: 3, domains: 3, slots: 64, tokens: streamTokenRate}
 )
 
-// Callers read long streams through three nodes; one node is killed in the
-// middle. Its callers see their connections break, and ask another node for the
-// rest with the id of their last event. The engine has kept the stream, so each
-// gets every token once and in order.
-func TestStreamsOutliveTheirNode(t *testing.T) {
-	for name, s := range map[string]shape{"three nodes": threeNodes, "six nodes": sixNodes} {
+// Callers read long streams through several nodes, one of which is killed. Its
+// callers' connections break, and they request the rest from another node with
+// the id of their last event. Because the engine has kept the stream, each
+// caller must get every token once and in order.
+func TestStreamsResumeAfterNodeFailure(t *testing.T) {
+	for name, s := range map[string]fleetSpec{"three nodes": oneZoneSpec, "six nodes": threeZoneSpec} {
 		t.Run(name, func(t *testing.T) {
 			f := startFleet(t, s)
-			all := f.killUnderStreams()
-			checkWhole(t, all)
-			if cut := cutOnly(all); len(cut) < streams/s.nodes {
-				t.Errorf("%d streams were cut, want the %d of the killed node", len(cut), streams/s.nodes)
+			all := f.killNodeDuringStreams()
+			checkComplete(t, all)
+			if interrupted := interruptedStreams(all); len(interrupted) < streamCount/s.nodes {
+				t.Errorf("%d streams were interrupted, want at least the %d of the killed node", len(interrupted), streamCount/s.nodes)
 			}
 		})
 	}
 }
 
-// An engine cuts the connections of streams to their node. The node asks the
-// engine for the rest, and the callers see nothing but a pause.
-func TestNodeResumesCutStreams(t *testing.T) {
+// An engine closes the connections of streams to their node. The node must
+// request the rest from the engine, and callers must see no interruption, only
+// a pause.
+func TestNodeResumesInterruptedStreams(t *testing.T) {
 	for name, clean := range map[string]bool{"broken connection": false, "clean end": true} {
 		t.Run(name, func(t *testing.T) {
-			f := startFleet(t, sixNodes)
-			all := f.cutUnderStreams(clean)
-			checkWhole(t, all)
-			if cut := cutOnly(all); len(cut) > 0 {
-				t.Errorf("%d callers saw a cut: %v", len(cut), cut[0])
+			f := startFleet(t, threeZoneSpec)
+			all := f.interruptStreams(clean)
+			checkComplete(t, all)
+			if interrupted := interruptedStreams(all); len(interrupted) > 0 {
+				t.Errorf("%d callers saw an interruption: %v", len(interrupted), interrupted[0])
 			}
-			if n := f.counter("chervilloom_dispatch_resumes_total"); n < streams {
-				t.Errorf("nodes resumed %v times, want one for each of %d streams", n, streams)
+			if n := f.sumCounters("chervilloom_dispatch_resumes_total"); n < streamCount {
+				t.Errorf("nodes resumed %v times, want at least once for each of %d streams", n, streamCount)
 			}
 		})
 	}
 }
 
-func checkWhole(t *testing.T, all []*reading) {
+// checkComplete requires that all streams are complete.
+func checkComplete(t *testing.T, all []*streamReader) {
 	t.Helper()
 	for i, s := range all {
-		if !s.whole() {
+		if !s.isComplete() {
 			t.Errorf("stream %d: %v", i, s)
 		}
 	}
 }
 
-// killUnderStreams kills the first node once every caller has some tokens.
-func (f *testFleet) killUnderStreams() []*reading {
+// killNodeDuringStreams kills the first node once every caller has received
+// some tokens.
+func (f *testFleet) killNodeDuringStreams() []*streamReader {
 	return f.readStreams(func() { f.nodes[0].kill() })
 }
 
-func (f *testFleet) cutUnderStreams(clean bool) []*reading {
+// interruptStreams reads streams while the engines close the connections, with
+// or without a clean EOF.
+func (f *testFleet) interruptStreams(clean bool) []*streamReader {
 	for _, e := range f.engines {
-		e.setFaults(f.tb, map[string]any{"cut_streams": streams, "cut_after": engineCutAt, "clean_eof": clean})
+		e.setFaults(f.tb, map[string]any{"cut_streams": streamCount, "cut_after": engineCutAfter, "clean_eof": clean})
 	}
 	return f.readStreams(func() {})
 }
 
-// readStreams has the callers read, and calls midway when all have begun.
-func (f *testFleet) readStreams(midway func()) []*reading {
+// readStreams has callers read streams, and calls afterStart once all have
+// received some tokens.
+func (f *testFleet) readStreams(afterStart func()) []*streamReader {
 	f.tb.Helper()
-	all := make([]*reading, streams)
+	all := make([]*streamReader, streamCount)
 	var begun, ended sync.WaitGroup
-	begun.Add(streams)
+	begun.Add(streamCount)
 	for i := range all {
 		ended.Go(func() {
 			n := 0
 			once := sync.OnceFunc(begun.Done)
 			defer once()
 			body := chatBody(fmt.Sprintf("%s stream %d", f.tb.Name(), i), streamTokens)
-			all[i] = readStream(f.tb.Context(), callers(f.nodes), i, body, func() {
-				if n++; n == beforeTheCut {
+			all[i] = readStream(f.tb.Context(), callerAddrs(f.nodes), i, body, func() {
+				if n++; n == tokensBeforeFailure {
 					once()
 				}
 			})
 		})
 	}
 	begun.Wait()
-	midway()
+	afterStart()
 	ended.Wait()
 	return all
 }
 
-func cutOnly(all []*reading) []*reading {
-	return slices.DeleteFunc(slices.Clone(all), func(s *reading) bool { return s.cuts == 0 })
+// interruptedStreams returns the streams whose callers saw an interruption.
+func interruptedStreams(all []*streamReader) []*streamReader {
+	return slices.DeleteFunc(slices.Clone(all), func(s *streamReader) bool { return s.interruptions == 0 })
 }
 
-// BenchmarkStreamsOutliveTheirNode gives the time from the death of a node to
-// the next token of its callers, who wait 100 ms before they ask again. A node
-// that is alone in its availability zone takes the way to the zone's engines
-// with it.
+// BenchmarkStreamsOutliveTheirNode measures the time from a node failure to the
+// next token of its callers, who wait 100 ms before each retry. If the node is
+// the only one in its availability zone, the failure also makes the zone's
+// engines unreachable.
 func BenchmarkStreamsOutliveTheirNode(b *testing.B) {
-	for name, s := range map[string]shape{"nodes=3,zones=1": threeNodes, "nodes=6,zones=3": sixNodes, "nodes=3,zones=3": aloneNodes} {
-		b.Run(name, func(b *testing.B) { outlive(b, s) })
+	for name, s := range map[string]fleetSpec{"nodes=3,zones=1": oneZoneSpec, "nodes=6,zones=3": threeZoneSpec, "nodes=3,zones=3": oneNodePerZoneSpec} {
+		b.Run(name, func(b *testing.B) { measureNodeFailure(b, s) })
 	}
 }
 
-func outlive(b *testing.B, s shape) {
+// measureNodeFailure kills a node during streams and reports the results.
+func measureNodeFailure(b *testing.B, s fleetSpec) {
 	for b.Loop() {
 		f := startFleet(b, s)
-		all := f.killUnderStreams()
-		cut := cutOnly(all)
+		all := f.killNodeDuringStreams()
+		interrupted := interruptedStreams(all)
 		reportStreams(b, all)
-		b.ReportMetric(100*share(cut), "cut-whole-%")
-		b.ReportMetric(float64(len(cut)), "cut")
+		b.ReportMetric(100*completeShare(interrupted), "cut-whole-%")
+		b.ReportMetric(float64(len(interrupted)), "cut")
 		var gaps []time.Duration
-		for _, s := range cut {
+		for _, s := range interrupted {
 			gaps = append(gaps, s.gaps...)
 		}
 		b.ReportMetric(quantile(gaps, 0.5), "gap-p50-ms")
@@ -136,20 +145,19 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkNodeResumesCutStreams gives the longest pauses between two tokens
-// BenchmarkNodeResumesCutStreams gives the streams that nodes resume by
-// themselves, the longest pause between two tokens, and the cuts that callers
-// see all the same.
+// BenchmarkNodeResumesCutStreams measures the number of streams that nodes
+// resume, the longest pause between two tokens, and the interruptions that
+// callers still see.
 func BenchmarkNodeResumesCutStreams(b *testing.B) {
 	for b.Loop() {
-		f := startFleet(b, sixNodes)
-		all := f.cutUnderStreams(false)
+		f := startFleet(b, threeZoneSpec)
+		all := f.interruptStreams(false)
 		reportStreams(b, all)
-		b.ReportMetric(f.counter("chervilloom_dispatch_resumes_total"), "resumes")
-		b.ReportMetric(float64(len(cutOnly(all))), "cut")
+		b.ReportMetric(f.sumCounters("chervilloom_dispatch_resumes_total"), "resumes")
+		b.ReportMetric(float64(len(interruptedStreams(all))), "cut")
 		var pauses []time.Duration
 		for _, s := range all {
-			pauses = append(pauses, s.pause)
+			pauses = append(pauses, s.longestPause)
 		}
 		b.ReportMetric(quantile(pauses, 0.5), "pause-p50-ms")
 		b.ReportMetric(quantile(pauses, 1), "pause-most-ms")
@@ -157,29 +165,30 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-func reportStreams(b *testing.B, all []*reading) {
+// reportStreams reports the share of complete streams and logs the others.
+func reportStreams(b *testing.B, all []*streamReader) {
 	b.Helper()
 	for i, s := range all {
-		if !s.whole() {
+		if !s.isComplete() {
 			b.Logf("stream %d: %v", i, s)
 		}
 	}
-	b.ReportMetric(100*share(all), "whole-%")
+	b.ReportMetric(100*completeShare(all), "whole-%")
 	b.ReportMetric(loadAverage(b), "machine-load")
 }
 
-// share is the part of the streams that ended whole.
-func share(all []*reading) float64 {
+// completeShare returns the share of the streams that are complete.
+func completeShare(all []*streamReader) float64 {
 	n := 0
 	for _, s := range all {
-		if s.whole() {
+		if s.isComplete() {
 			n++
 		}
 	}
 	return float64(n) / float64(max(len(all), 1))
 }
 
-// quantile returns it in milliseconds; 0 when there are no times.
+// quantile returns the q-quantile in milliseconds, or 0 if times is empty.
 func quantile(times []time.Duration, q float64) float64 {
 	if len(times) == 0 {
 		return 0
