--- a/test/cut/zones_test.go
+++ b/test/cut/zones_test.go
@@ -22,7 +22,7 @@
 	f.disconnect()
 	f.awaitDisconnected()
 	for _, n := range f.nodes() {
-		f.checkZoneServed(n, "disconnected")
+		f.checkZoneServed(n, "cut")
 	}
 	a := f.b.call(t.Context(), ledger, "POST", "/receipts/beyond", receipt, nil)
 	if a.outcome != outcome.NotRun || f.countReceiptRuns("/receipts/beyond") != 0 {
