--- a/test/cut/links_test.go
+++ b/test/cut/links_test.go
@@ -202,9 +202,9 @@
 	return a
 }
 
-// All links between the nodes lose 15 % of the datagrams and delay each by 50
-// ms. Callers of zoneB request streams and receipts from zoneA's endpoints, and
-// must get complete responses of their own: the transport recovers lost
+// All links between the nodes lose 15 % of the datagrams and delay each by
+// 50 ms. Callers of zoneB request streams and receipts from zoneA's endpoints,
+// and must get complete responses of their own: the transport recovers lost
 // datagrams, and a slow link must not be treated as failed.
 func TestLossyAndSlowLinks(t *testing.T) {
 	t.Parallel()
--- a/test/entry_soak_test.go
+++ b/test/entry_soak_test.go
@@ -284,7 +284,8 @@
 	s.nodes = s.nodes[:len(s.nodes)-1]
 }
 
-// clearFaults ends all faults that can be ended.
+// clearFaults clears the faults of the store and the endpoints and resumes
+// paused nodes.
 func (s *soak) clearFaults() {
 	s.store.SetDown(false)
 	s.store.LoseAnswers(false)
--- a/test/experiment/client_test.go
+++ b/test/experiment/client_test.go
@@ -30,8 +30,8 @@
 	gaps          []time.Duration // from each interruption to the next token
 	errors        []string        // refusals, connection errors and error events
 	interruptedAt time.Time       // time of the last interruption; zero once tokens arrive again
-	lastTokenAt   time.Time       // time of the last token
-	longestPause  time.Duration   // longest time between two tokens
+	lastTokenAt   time.Time
+	longestPause  time.Duration // longest time between two tokens
 	failure       string
 }
 
--- a/test/experiment/fleet_test.go
+++ b/test/experiment/fleet_test.go
@@ -99,8 +99,8 @@
 	nodes        []*node
 }
 
-// startFleet starts a fleet and returns when every node reports all nodes and
-// groups as serving.
+// startFleet starts a fleet and returns when every node reports all other nodes
+// and all groups.
 func startFleet(tb testing.TB, s fleetSpec) *testFleet {
 	tb.Helper()
 	f := &testFleet{tb: tb, spec: s}
--- a/test/experiment/overload_test.go
+++ b/test/experiment/overload_test.go
@@ -13,7 +13,7 @@
 const (
 	engineCapacity  = 2 * 16 * 50 / 25
 	deadline        = 3 * time.Second
-	overloadSeconds = 20 // seconds
+	overloadSeconds = 20
 	steadyFrom      = 5  // start of the evaluated seconds: the queues fill up before
 	steadyTo        = 18 // end of the evaluated seconds: the queues drain afterwards
 )
--- a/test/pressure_test.go
+++ b/test/pressure_test.go
@@ -53,10 +53,10 @@
 // after the signals end.
 func TestNodesShareEndpointPressureSignals(t *testing.T) {
 	f := startFleet(t, fleetSpec{zones: []string{zoneA, zoneA, zoneA, zoneA}})
-	pressed, other := f.startInProcessService("counter-1"), f.startInProcessService("counter-2")
+	target, other := f.startInProcessService("counter-1"), f.startInProcessService("counter-2")
 	for _, n := range f.nodes {
 		testkit.Eventually(t, "lookups are served", func() bool {
-			return n.call(t.Context(), "GET", "/first", "", nil).isComplete() && pressed.Pressure.Arrivals() > 0 && other.Pressure.Arrivals() > 0
+			return n.call(t.Context(), "GET", "/first", "", nil).isComplete() && target.Pressure.Arrivals() > 0 && other.Pressure.Arrivals() > 0
 		})
 	}
 	for _, c := range []struct {
@@ -67,24 +67,24 @@
 		{"rest", pressure.Signals{RetryAfter: 2250 * time.Millisecond}},
 		{"leaving", pressure.Signals{Leaving: true}},
 	} {
-		before := pressed.Pressure.Arrivals()
-		pressed.Pressure.Set(c.signals)
+		before := target.Pressure.Arrivals()
+		target.Pressure.Set(c.signals)
 		failed := f.sendLookupsFor(trafficDuration, c.name)
-		if broken := pressed.Pressure.Broken(); len(broken) > 0 {
+		if broken := target.Pressure.Broken(); len(broken) > 0 {
 			t.Fatalf("%s: %d violations, first: %s", c.name, len(broken), broken[0])
 		}
 		if len(failed) > 0 {
 			t.Errorf("%s: %d lookups failed, first: %s", c.name, len(failed), failed[0])
 		}
-		t.Logf("%s: %d arrivals", c.name, pressed.Pressure.Arrivals()-before)
+		t.Logf("%s: %d arrivals", c.name, target.Pressure.Arrivals()-before)
 		if c.signals.Leaving {
 			break // leaving is permanent
 		}
-		pressed.Pressure.Set(pressure.Signals{})
-		used := pressed.Pressure.Arrivals()
+		target.Pressure.Set(pressure.Signals{})
+		used := target.Pressure.Arrivals()
 		testkit.Eventually(t, "the endpoint gets calls again", func() bool {
 			f.sendLookupsFor(requestInterval, c.name+"-after")
-			return pressed.Pressure.Arrivals() > used+20
+			return target.Pressure.Arrivals() > used+20
 		})
 	}
 }
--- a/test/scale/fleet_test.go
+++ b/test/scale/fleet_test.go
@@ -49,8 +49,8 @@
 	nodes        []*node
 }
 
-// startFleet starts a fleet and returns when every node reports every other
-// node and all replicas as serving.
+// startFleet starts a fleet and returns when every node reports all other nodes
+// and all replicas.
 func startFleet(b *testing.B, s fleetSpec) *testFleet {
 	b.Helper()
 	f := &testFleet{b: b, spec: s, platform: platform.New(platform.Options{})}
@@ -111,8 +111,8 @@
 func (f *testFleet) replicas() int {
 	n := 0
 	for z := range f.spec.zones {
-		engines := (z+1)*f.spec.engines/f.spec.zones - z*f.spec.engines/f.spec.zones
-		n += engines/enginesPerDomain*(enginesPerDomain/replicaSize) + engines%enginesPerDomain/replicaSize
+		zoneEngines := (z+1)*f.spec.engines/f.spec.zones - z*f.spec.engines/f.spec.zones
+		n += zoneEngines/enginesPerDomain*(enginesPerDomain/replicaSize) + zoneEngines%enginesPerDomain/replicaSize
 	}
 	return n
 }
--- a/test/scale/idle_test.go
+++ b/test/scale/idle_test.go
@@ -40,9 +40,9 @@
 		spans := f.sampleDuring(func() { time.Sleep(measureTime) })
 		after := f.platform.Stats()
 		reportIdle(b, spans)
-		seconds := spans[0].seconds()
-		b.ReportMetric(float64(after.Reads-before.Reads)/seconds, "platform-reads/s")
-		b.ReportMetric(float64(after.Writes-before.Writes)/seconds, "platform-writes/s")
+		elapsedSeconds := spans[0].seconds()
+		b.ReportMetric(float64(after.Reads-before.Reads)/elapsedSeconds, "platform-reads/s")
+		b.ReportMetric(float64(after.Writes-before.Writes)/elapsedSeconds, "platform-writes/s")
 	}
 	b.ReportMetric(0, "ns/op")
 }
--- a/test/truth_test.go
+++ b/test/truth_test.go
@@ -103,7 +103,7 @@
 		runs += svc.countExecutions(t, " "+a.path+" ")
 	}
 	id := fmt.Sprintf("%s %s, %s %d times", a.call.method, a.path, a.stage, a.times)
-	once := strings.HasPrefix(a.call.path, "/receipts")
+	nonIdempotent := strings.HasPrefix(a.call.path, "/receipts")
 	switch {
 	case a.status == 0 && a.err == nil, a.status != 0 && a.outcome == "" && a.err == nil:
 		t.Errorf("%s: response without outcome: %v", id, a.callResult)
@@ -111,7 +111,7 @@
 		t.Errorf("%s: reported as not-run, ran %d times: %v", id, runs, a.callResult)
 	case a.outcome == outcome.Ran && runs == 0:
 		t.Errorf("%s: reported as ran, never ran: %v", id, a.callResult)
-	case once && runs > 1:
+	case nonIdempotent && runs > 1:
 		t.Errorf("%s: ran %d times: %v", id, runs, a.callResult)
 	case a.stage == "refuse_not_run" && a.times == fault.Always && a.outcome != outcome.NotRun:
 		t.Errorf("%s: the endpoint refused it as not run, but the caller got another outcome: %v", id, a.callResult)
