--- a/cmd/chervilloom/check.go
+++ b/cmd/chervilloom/check.go
@@ -19,14 +19,14 @@
 func newCheck() command {
 	var file string
 	sub := flaggy.NewSubcommand("check")
-	sub.Description = "check settings or a configuration document; every error with line and remedy, exit 1. Example: chervilloom check fleet.yaml"
+	sub.Description = "validate settings or a configuration document; report every error with its line and remedy and exit with 1. Example: chervilloom check fleet.yaml"
 	sub.AddPositionalValue(&file, "FILE", 1, true, "settings of a node, the platform's settings file, or a configuration document")
-	return command{sub, func(context.Context) error { return check(file) }}
+	return command{sub, func(context.Context) error { return checkFile(file) }}
 }
 
-// check takes a file for a configuration document unless it has the key that
-// only settings have.
-func check(file string) error {
+// checkFile validates a file and returns all its errors. The content decides between
+// platform settings, node settings and a configuration document, the default.
+func checkFile(file string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -47,50 +47,52 @@
 	return err
 }
 
+// looksLikeSettings reports whether the file has a key that only node settings
+// have.
 func looksLikeSettings(data []byte) bool {
 	var keys struct {
 		Listen any `yaml:"listen"`
 		VM     any `yaml:"vm"`
 	}
-	// Faults are found and told by the strict reading that follows.
+	// Errors are ignored here; the strict parser that runs next reports them.
 	_ = yaml.Unmarshal(data, &keys)
 	return keys.Listen != nil || keys.VM != nil
 }
 
-// assignment is a line of the platform's settings file.
-var assignment = regexp.MustCompile(`^[a-z][a-z0-9_.-]*=`)
+// assignmentPattern matches a key=value line of the platform's settings file.
+var assignmentPattern = regexp.MustCompile(`^[a-z][a-z0-9_.-]*=`)
 
-// looksLikePlatformSettings reports whether the first line that says something is
-// an assignment; neither YAML format has such lines.
+// looksLikePlatformSettings reports whether the first line that is neither blank
+// nor a comment is an assignment; neither YAML format has such lines.
 func looksLikePlatformSettings(data []byte) bool {
 	for line := range bytes.Lines(data) {
 		line = bytes.TrimSpace(line)
 		if len(line) > 0 && line[0] != '#' {
-			return assignment.Match(line)
+			return assignmentPattern.Match(line)
 		}
 	}
 	return false
 }
 
-// checkPlatformSettings reads the file as the entry command does and tells what
-// it makes of it.
+// checkPlatformSettings parses the file as the entry command does and prints a
+// summary of the settings.
 func checkPlatformSettings(file string) error {
 	s, err := platform.ReadSettings(file)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: valid platform settings\n%s", file, describe(s))
+	fmt.Printf("%s: valid platform settings\n%s", file, describeSettings(s))
 	return nil
 }
 
-func describe(s *entry.Settings) string {
-	keys := "keys are served by the last configuration known"
+func describeSettings(s *entry.Settings) string {
+	keys := "caller keys are checked against the last known configuration, however old"
 	if s.Strict {
-		keys = fmt.Sprintf("keys are served for less than %v after the configuration was confirmed", s.RevokeAfter)
+		keys = fmt.Sprintf("caller keys are accepted for less than %v after the configuration was last confirmed", s.RevokeAfter)
 	}
-	return fmt.Sprintf(`  VM %s in availability zone %s of %v, first start of the system: %t
+	return fmt.Sprintf(`  VM %s in availability zone %s of %v, bootstrap of the system: %t
   clients %s, readiness %s, other nodes %s, store %s
   %s
-  %v from SIGTERM to the end; repeats %v of the requests and %v more in %v
+  grace period %v after SIGTERM; retry budget: %v of the requests plus %v in each window of %v
 `, s.VM, s.Zone, s.Zones, s.Bootstrap, s.Front, s.Ready, s.Peer, s.Store, keys, s.Grace, s.RetryRatio, s.RetrySlack, s.RetryWindow)
 }
--- a/cmd/chervilloom/check_test.go
+++ b/cmd/chervilloom/check_test.go
@@ -11,7 +11,7 @@
 	"chervilloom/platform"
 )
 
-const platformSettings = `# laid by the platform
+const platformSettings = `# written by the platform
 node=front-a-1
 zone=a
 zones.a=r
@@ -34,26 +34,26 @@
 platform.address=10.200.1.7:8223
 `
 
-// An operator checks the file that the platform lays before a node starts with it:
-// what is understood is told, and a wrong value by its key.
-func TestCheckTakesPlatformSettings(t *testing.T) {
+// An operator validates the platform's settings file before a node starts with it:
+// the summary shows the parsed values, and an error names the key of a wrong value.
+func TestCheckAcceptsPlatformSettings(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "local.conf")
 	is.NoErr(os.WriteFile(file, []byte(platformSettings), 0o600))
-	is.NoErr(check(file))
+	is.NoErr(checkFile(file))
 	s, err := platform.ReadSettings(file)
 	is.NoErr(err)
 	for _, want := range []string{"front-a-1", "10.1.0.40:8227", "10.200.1.7:8223", "5s"} {
-		is.True(strings.Contains(describe(s), want))
+		is.True(strings.Contains(describeSettings(s), want))
 	}
 	wrong := strings.Replace(platformSettings, "revoke_ms=5000", "revoke_ms=soon", 1)
 	is.NoErr(os.WriteFile(file, []byte(wrong), 0o600))
-	err = check(file)
+	err = checkFile(file)
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "bounds.revoke_ms"))
 }
 
-func TestKindsOfFilesAreToldApart(t *testing.T) {
+func TestPlatformSettingsAreDetected(t *testing.T) {
 	is := is.New(t)
 	is.True(looksLikePlatformSettings([]byte("\n# a comment\nnode=x\n")))
 	is.True(!looksLikePlatformSettings([]byte("vm: x\nlisten:\n  clients: a=b\n")))
--- a/cmd/chervilloom/demo.go
+++ b/cmd/chervilloom/demo.go
@@ -14,14 +14,14 @@
 	"chervilloom/internal/demo"
 )
 
-// demoStart bounds the start of the demonstration's fleet.
-const demoStart = time.Minute
+// demoStartTimeout limits how long the demo fleet may take to become ready.
+const demoStartTimeout = time.Minute
 
 func newDemo() command {
 	var smoke, verbose bool
 	sub := flaggy.NewSubcommand("demo")
 	sub.Description = "run a small fleet with stand-ins in one process. Example: chervilloom demo --smoke"
-	sub.Bool(&smoke, "", "smoke", "send one request of each kind, print the answers and end")
+	sub.Bool(&smoke, "", "smoke", "send one request of each kind, print the answers and exit")
 	sub.Bool(&verbose, "v", "verbose", "show the nodes' logs")
 	return command{sub, func(ctx context.Context) error { return runDemo(ctx, smoke, verbose) }}
 }
@@ -32,21 +32,21 @@
 		level = slog.LevelInfo
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	startCtx, cancel := context.WithTimeout(ctx, demoStart)
+	startCtx, cancel := context.WithTimeout(ctx, demoStartTimeout)
 	defer cancel()
 	f, err := demo.Start(startCtx, log)
 	if err != nil {
 		return err
 	}
 	if smoke {
-		return errors.Join(printSmoke(f.Smoke(ctx)), f.Close())
+		return errors.Join(printSmokeAnswers(f.Smoke(ctx)), f.Close())
 	}
-	printAddrs(f)
+	printAddressesAndExamples(f)
 	<-ctx.Done()
 	return f.Close()
 }
 
-func printSmoke(answers []demo.Answer) error {
+func printSmokeAnswers(answers []demo.Answer) error {
 	var failed error
 	for _, a := range answers {
 		fmt.Printf("%-15s %d  outcome=%s  %s\n", a.Name, a.Status, a.Outcome, a.Text)
@@ -57,7 +57,7 @@
 	return failed
 }
 
-func printAddrs(f *demo.Fleet) {
+func printAddressesAndExamples(f *demo.Fleet) {
 	fmt.Printf("platform (stand-in)  http://%s\n", f.Platform.Addr)
 	for _, n := range f.Nodes {
 		a := n.Addrs()
@@ -68,10 +68,10 @@
 A streamed chat:
   curl -N http://%s/v1/chat/completions -H 'Authorization: Bearer %s' \
     -d '{"model":"clerk","stream":true,"messages":[{"role":"user","content":"hello"}]}'
-The console, operator's token %s:
+The console (operator token %s):
   http://%s/console/
-What the node believes:
+The node's view of the fleet:
   %s=%s go run ./cmd/chervilloom status --node http://%s
-End with Ctrl-C.
+Stop with Ctrl-C.
 `, a.Caller, demo.CallerKey, demo.OperatorToken, a.Operator, envToken, demo.OperatorToken, a.Operator)
 }
--- a/cmd/chervilloom/entry.go
+++ b/cmd/chervilloom/entry.go
@@ -23,7 +23,7 @@
 	metricsPort := 0
 	sub := flaggy.NewSubcommand("entry")
 	sub.Description = "run a node on the users' platform. Example: chervilloom entry --settings local.conf"
-	sub.String(&file, "s", "settings", "the platform's settings file; default: the one that the environment names")
+	sub.String(&file, "s", "settings", "the platform's settings file; default: the path from the environment")
 	sub.Bool(&verbose, "v", "verbose", "log each attempt of each request")
 	sub.Int(&metricsPort, "m", "metrics", "port on the clients' address that serves metrics under /metrics; 0: none")
 	return command{sub, func(ctx context.Context) error {
@@ -61,8 +61,9 @@
 	return err
 }
 
-// reloadOnHangup reads the settings again at SIGHUP. Their addresses and bounds
-// hold from the start of a process; a changed file is told and cuts nothing.
+// reloadOnHangup validates the settings file on SIGHUP and logs the result. The
+// process keeps the addresses and bounds that it read at its start, so a changed
+// file interrupts no request.
 func reloadOnHangup(ctx context.Context, file string, log *slog.Logger) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -73,7 +74,7 @@
 			return
 		case <-hangup:
 			_, err := platform.ReadSettings(file)
-			log.Info("settings read again; they take effect at the next start", "err", err)
+			log.Info("settings file read on SIGHUP; changes take effect at the next start", "err", err)
 		}
 	}
 }
--- a/cmd/chervilloom/load.go
+++ b/cmd/chervilloom/load.go
@@ -12,7 +12,7 @@
 	"chervilloom/internal/load"
 )
 
-// loadFlags are the flags of the load command.
+// loadFlags holds the flags of the load command.
 type loadFlags struct {
 	plan    string
 	targets []string
@@ -24,16 +24,16 @@
 	f := loadFlags{output: "text"}
 	sub := flaggy.NewSubcommand("load")
 	sub.Description = "send a bounded open-loop load to entry nodes on loopback and report latencies and outcomes. Example: chervilloom load --plan mix.yaml --target 127.0.0.1:8080"
-	sub.String(&f.plan, "p", "plan", "the load, YAML")
-	sub.StringSlice(&f.targets, "a", "target", "caller address of an entry node, ip:port; may be given several times")
+	sub.String(&f.plan, "p", "plan", "load plan, YAML")
+	sub.StringSlice(&f.targets, "a", "target", "caller address of an entry node, ip:port; may be repeated")
 	sub.String(&f.output, "o", "output", "text or json")
-	sub.String(&f.svg, "", "svg", "file to write a plot to")
+	sub.String(&f.svg, "", "svg", "output file for an SVG plot")
 	return command{sub, func(ctx context.Context) error { return runLoad(ctx, f) }}
 }
 
 func runLoad(ctx context.Context, f loadFlags) error {
 	if f.plan == "" || len(f.targets) == 0 {
-		return &exitError{exitUsage, errors.New("a load needs --plan FILE and at least one --target IP:PORT")}
+		return &exitError{exitUsage, errors.New("load requires --plan FILE and at least one --target IP:PORT")}
 	}
 	data, err := os.ReadFile(f.plan)
 	if err != nil {
@@ -62,7 +62,7 @@
 	case "text":
 		return report.WriteTable(os.Stdout)
 	}
-	return &exitError{exitUsage, merry.Errorf("output %q is not known: write text or json", f.output)}
+	return &exitError{exitUsage, merry.Errorf("unknown output format %q: use text or json", f.output)}
 }
 
 func writeFile(name string, write func(io.Writer) error) error {
--- a/cmd/chervilloom/main.go
+++ b/cmd/chervilloom/main.go
@@ -1,6 +1,6 @@
-// Command chervilloom is the whole system in one binary: the node that runs on
-// every entry VM, the operators' commands, the load tool, and a demonstration
-// with stand-ins for the outside systems.
+// Command chervilloom contains the node that runs on every entry VM, the
+// operators' commands, the load tool, and a demo with stand-ins for the external
+// systems.
 package main
 
 import (
@@ -14,19 +14,19 @@
 	"github.com/integrii/flaggy"
 )
 
-// version is set by the linker: -ldflags "-X main.version=1.2.3".
+// version is set at link time: -ldflags "-X main.version=1.2.3".
 var version = "development"
 
 // Exit codes.
 const (
 	exitOK       = 0
-	exitFailed   = 1 // the command failed, or what it checked is wrong
-	exitUsage    = 2 // the command line is wrong
-	exitConflict = 3 // another operator was first
-	exitUnknown  = 4 // whether it took effect is not known; look before trying again
+	exitFailed   = 1 // the command failed, or the checked file is invalid
+	exitUsage    = 2 // the command line is invalid
+	exitConflict = 3 // another revision was accepted first
+	exitUnknown  = 4 // the change may have taken effect; check before retrying
 )
 
-// exitError carries an exit code other than exitFailed.
+// exitError is an error with an exit code other than exitFailed.
 type exitError struct {
 	code int
 	err  error
@@ -35,7 +35,7 @@
 func (e *exitError) Error() string { return e.err.Error() }
 func (e *exitError) Unwrap() error { return e.err }
 
-// command is one subcommand with what it runs.
+// command is a subcommand and the function that executes it.
 type command struct {
 	sub *flaggy.Subcommand
 	run func(ctx context.Context) error
@@ -50,17 +50,17 @@
 		newConfigGet(), newConfigApply(), newConfigHistory(),
 		newDemo(), newLoad(), newStandin(), newVersion(),
 	}
-	attach(parser, commands)
+	attachCommands(parser, commands)
 	if err := parser.Parse(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(exitUsage)
 	}
-	os.Exit(run(parser, commands))
+	os.Exit(runUsedCommand(parser, commands))
 }
 
-// attach puts the commands under the parser; those of the configuration
-// document go one level down.
-func attach(parser *flaggy.Parser, commands []command) {
+// attachCommands adds the commands to the parser. Those for configuration documents
+// become subcommands of "config".
+func attachCommands(parser *flaggy.Parser, commands []command) {
 	config := flaggy.NewSubcommand("config")
 	config.Description = "get, apply or list configuration documents"
 	for _, c := range commands {
@@ -77,12 +77,13 @@
 	return name == "get" || name == "apply" || name == "history"
 }
 
-func run(parser *flaggy.Parser, commands []command) int {
+func runUsedCommand(parser *flaggy.Parser, commands []command) int {
 	for _, c := range commands {
 		if !c.sub.Used {
 			continue
 		}
-		// The first signal asks for a graceful end; a second one kills as usual.
+		// The first signal cancels ctx for a graceful shutdown. Notification then
+		// stops, so a second signal terminates the process.
 		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 		context.AfterFunc(ctx, stop)
 		defer stop()
--- a/cmd/chervilloom/remote.go
+++ b/cmd/chervilloom/remote.go
@@ -17,43 +17,45 @@
 	"chervilloom/internal/operator"
 )
 
-// Environment variables that stand for flags.
+// Environment variables used when the corresponding flag is not set.
 const (
 	envNode  = "CHERVILLOOM_NODE"
 	envToken = "CHERVILLOOM_TOKEN"
 )
 
-// remote holds the flags of a command that asks a node.
-type remote struct {
-	node   string
-	token  string
-	output string
+// remoteFlags holds the flags of a command that sends requests to a node.
+type remoteFlags struct {
+	nodeURL   string
+	tokenFile string
+	output    string
 }
 
-func (r *remote) addFlags(sub *flaggy.Subcommand) {
-	r.node, r.output = os.Getenv(envNode), "text"
-	sub.String(&r.node, "n", "node", "operator address of any node, http://IP:PORT (or "+envNode+")")
-	sub.String(&r.token, "t", "token-file", "file with the operator's token (or the token in "+envToken+")")
+func (r *remoteFlags) addFlags(sub *flaggy.Subcommand) {
+	r.nodeURL, r.output = os.Getenv(envNode), "text"
+	sub.String(&r.nodeURL, "n", "node", "operator address of any node, http://IP:PORT (or "+envNode+")")
+	sub.String(&r.tokenFile, "t", "token-file", "file with the operator's token (or the token itself in "+envToken+")")
 	sub.String(&r.output, "o", "output", "text or json")
 }
 
-func (r *remote) client() (*operator.Client, error) {
-	if r.node == "" {
+// newClient returns an operator client for the node. The token file takes precedence
+// over the environment.
+func (r *remoteFlags) newClient() (*operator.Client, error) {
+	if r.nodeURL == "" {
 		return nil, &exitError{exitUsage, errors.New("no node given: add --node http://IP:PORT or set " + envNode)}
 	}
 	token := os.Getenv(envToken)
-	if r.token != "" {
-		b, err := os.ReadFile(r.token)
+	if r.tokenFile != "" {
+		b, err := os.ReadFile(r.tokenFile)
 		if err != nil {
-			return nil, merry.Errorf("the token file cannot be read, give one with --token-file: %w", err)
+			return nil, merry.Errorf("cannot read the token file, give one with --token-file: %w", err)
 		}
 		token = strings.TrimSpace(string(b))
 	}
-	return operator.NewClient(r.node, token), nil
+	return operator.NewClient(r.nodeURL, token), nil
 }
 
-// print writes v as JSON, or as text by the given function.
-func (r *remote) print(v any, text func()) error {
+// printResult writes v to standard output as JSON, or calls text for the text format.
+func (r *remoteFlags) printResult(v any, text func()) error {
 	switch r.output {
 	case "json":
 		e := json.NewEncoder(os.Stdout)
@@ -63,16 +65,16 @@
 		text()
 		return nil
 	}
-	return &exitError{exitUsage, merry.Errorf("output %q is not known: write text or json", r.output)}
+	return &exitError{exitUsage, merry.Errorf("unknown output format %q: use text or json", r.output)}
 }
 
 func newStatus() command {
-	var r remote
+	var r remoteFlags
 	sub := flaggy.NewSubcommand("status")
-	sub.Description = "show groups, endpoints, nodes and duties as one node believes them. Example: chervilloom status --node http://10.0.0.5:8081"
+	sub.Description = "show groups, endpoints, nodes and duties as known to one node. Example: chervilloom status --node http://10.0.0.5:8081"
 	r.addFlags(sub)
 	return command{sub, func(ctx context.Context) error {
-		c, err := r.client()
+		c, err := r.newClient()
 		if err != nil {
 			return err
 		}
@@ -80,31 +82,31 @@
 		if err != nil {
 			return err
 		}
-		return r.print(s, func() { operator.WriteStatus(os.Stdout, s) })
+		return r.printResult(s, func() { operator.WriteStatus(os.Stdout, s) })
 	}}
 }
 
 func newExplain() command {
-	var r remote
+	var r remoteFlags
 	var id, logs string
 	var losses bool
 	sub := flaggy.NewSubcommand("explain")
-	sub.Description = "show what was decided about a request, a group, a duty or a VM, and why. Example: chervilloom explain 3f2a..."
+	sub.Description = "show the decisions about a request, a group, a duty or a VM and their reasons. Example: chervilloom explain 3f2a..."
 	r.addFlags(sub)
-	sub.Bool(&losses, "", "losses", "with --logs: a table of lost and late requests by window of 2 s, reason, route and zone")
+	sub.Bool(&losses, "", "losses", "with --logs: print a table of lost and late requests by 2 s window, reason, route and zone")
 	sub.AddPositionalValue(&id, "ID", 1, false, "request id (header Chervilloom-Request), group id, duty or VM")
-	sub.String(&logs, "l", "logs", "folder with the collected logs of all entry nodes: explain a request from them instead of asking a node")
+	sub.String(&logs, "l", "logs", "directory with the collected logs of all entry nodes: explain the request from these logs instead of querying a node")
 	return command{sub, func(ctx context.Context) error {
 		if losses {
 			return explainLosses(logs)
 		}
 		if id == "" {
-			return merry.New("no id is named: give one, or --logs DIR --losses for a table of what was lost")
+			return merry.New("no ID given: add one, or use --logs DIR --losses for a table of lost requests")
 		}
 		if logs != "" {
 			return explainFromLogs(logs, id)
 		}
-		c, err := r.client()
+		c, err := r.newClient()
 		if err != nil {
 			return err
 		}
@@ -113,47 +115,47 @@
 			return err
 		}
 		if len(e.Steps) == 0 {
-			return merry.Errorf("no node that answered remembers %q: it may be older than the nodes' memory; not asked: %v", id, e.Unreached)
+			return merry.Errorf("no node has a record of %q: it may have been evicted; nodes that did not answer: %v", id, e.Unreached)
 		}
-		return r.print(e, func() { operator.WriteExplanation(os.Stdout, e) })
+		return r.printResult(e, func() { operator.WriteExplanation(os.Stdout, e) })
 	}}
 }
 
 func explainFromLogs(dir, id string) error {
 	lines, err := logwalk.ReadDir(dir)
 	if err != nil {
-		return merry.Prepend(err, "the logs cannot be read; give the folder with --logs DIR")
+		return merry.Prepend(err, "cannot read the logs; give their directory with --logs DIR")
 	}
 	ex := logwalk.Walk(lines, id)
 	if len(ex.Own) == 0 {
-		return merry.Errorf("no line of %d names request %q: check the id, and that the logs of all nodes are there", len(lines), id)
+		return merry.Errorf("none of %d log lines names request %q: check the ID, and that the directory has the logs of all nodes", len(lines), id)
 	}
 	return ex.Print(os.Stdout)
 }
 
-// lossWindow is the length of the windows of the table of losses.
+// lossWindow is the window length of the loss table.
 const lossWindow = 2 * time.Second
 
 func explainLosses(dir string) error {
 	if dir == "" {
-		return merry.New("--losses reads collected logs: give their folder with --logs DIR")
+		return merry.New("--losses reads collected logs: give their directory with --logs DIR")
 	}
 	lines, err := logwalk.ReadDir(dir)
 	if err != nil {
-		return merry.Prepend(err, "the logs cannot be read; give the folder with --logs DIR")
+		return merry.Prepend(err, "cannot read the logs; give their directory with --logs DIR")
 	}
 	return logwalk.PrintLosses(os.Stdout, logwalk.Losses(lines, lossWindow))
 }
 
 func newDrain() command {
-	var r remote
+	var r remoteFlags
 	var vm string
 	sub := flaggy.NewSubcommand("drain")
-	sub.Description = "give an endpoint no new request; those in progress end. Example: chervilloom drain engine-7"
+	sub.Description = "stop sending new requests to an endpoint; requests in flight complete. Example: chervilloom drain engine-7"
 	r.addFlags(sub)
 	sub.AddPositionalValue(&vm, "ENDPOINT", 1, true, "VM id of the endpoint")
 	return command{sub, func(ctx context.Context) error {
-		c, err := r.client()
+		c, err := r.newClient()
 		if err != nil {
 			return err
 		}
@@ -162,12 +164,12 @@
 }
 
 func newConfigGet() command {
-	var r remote
+	var r remoteFlags
 	sub := flaggy.NewSubcommand("get")
-	sub.Description = "print the document in force. Example: chervilloom config get > fleet.yaml"
+	sub.Description = "print the current configuration document. Example: chervilloom config get > fleet.yaml"
 	r.addFlags(sub)
 	return command{sub, func(ctx context.Context) error {
-		c, err := r.client()
+		c, err := r.newClient()
 		if err != nil {
 			return err
 		}
@@ -175,7 +177,7 @@
 		if err != nil {
 			return err
 		}
-		return r.print(v, func() {
+		return r.printResult(v, func() {
 			fmt.Fprintf(os.Stderr, "revision %d\n", v.Revision)
 			fmt.Print(v.Document)
 		})
@@ -183,16 +185,16 @@
 }
 
 func newConfigApply() command {
-	var r remote
+	var r remoteFlags
 	var file string
 	var base uint64
 	sub := flaggy.NewSubcommand("apply")
-	sub.Description = "accept a document edited from revision --base. Example: chervilloom config apply --base 12 fleet.yaml"
+	sub.Description = "submit a document edited from revision --base. Example: chervilloom config apply --base 12 fleet.yaml"
 	r.addFlags(sub)
-	sub.UInt64(&base, "b", "base", "revision that the document was edited from")
-	sub.AddPositionalValue(&file, "FILE", 1, true, "the document")
+	sub.UInt64(&base, "b", "base", "revision that the edit is based on")
+	sub.AddPositionalValue(&file, "FILE", 1, true, "configuration document")
 	return command{sub, func(ctx context.Context) error {
-		c, err := r.client()
+		c, err := r.newClient()
 		if err != nil {
 			return err
 		}
@@ -204,32 +206,34 @@
 		if err != nil {
 			return err
 		}
-		if err := r.print(res, func() { operator.WriteApply(os.Stdout, res) }); err != nil {
+		if err := r.printResult(res, func() { operator.WriteApply(os.Stdout, res) }); err != nil {
 			return err
 		}
 		return applyError(res)
 	}}
 }
 
+// applyError returns nil if the document was accepted; otherwise the error has
+// the exit code for the result.
 func applyError(res operator.ApplyResult) error {
 	switch res.State {
 	case operator.ApplyAccepted:
 		return nil
 	case operator.ApplyConflict:
-		return &exitError{exitConflict, merry.Errorf("not accepted: revision %d came first; get it, make the change again and apply with --base %d", res.Revision, res.Revision)}
+		return &exitError{exitConflict, merry.Errorf("not accepted: revision %d was accepted first; get it, repeat the change and apply with --base %d", res.Revision, res.Revision)}
 	case operator.ApplyUnknown:
-		return &exitError{exitUnknown, errors.New("not known whether it was accepted: look at the history before trying again")}
+		return &exitError{exitUnknown, errors.New("unknown whether the document was accepted: check the history before retrying")}
 	}
 	return merry.Errorf("not accepted: %s", res.Message)
 }
 
 func newConfigHistory() command {
-	var r remote
+	var r remoteFlags
 	sub := flaggy.NewSubcommand("history")
 	sub.Description = "list accepted revisions, newest first"
 	r.addFlags(sub)
 	return command{sub, func(ctx context.Context) error {
-		c, err := r.client()
+		c, err := r.newClient()
 		if err != nil {
 			return err
 		}
@@ -237,6 +241,6 @@
 		if err != nil {
 			return err
 		}
-		return r.print(h, func() { operator.WriteHistory(os.Stdout, h) })
+		return r.printResult(h, func() { operator.WriteHistory(os.Stdout, h) })
 	}}
 }
--- a/cmd/chervilloom/serve.go
+++ b/cmd/chervilloom/serve.go
@@ -17,7 +17,7 @@
 	var file string
 	sub := flaggy.NewSubcommand("serve")
 	sub.Description = "run a node. Example: chervilloom serve --settings /etc/chervilloom/node.yaml"
-	sub.String(&file, "s", "settings", "the node's settings, YAML")
+	sub.String(&file, "s", "settings", "node settings, YAML")
 	return command{sub, func(ctx context.Context) error {
 		if file == "" {
 			return &exitError{exitUsage, errors.New("no settings given: add --settings FILE")}
