--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -12,15 +12,15 @@
 	"chervilloom/internal/config"
 )
 
-// BenchmarkScheduling runs five seconds of Poisson arrivals against a server
-// that answers at once, and reports how much later than intended requests were
-// sent, and their whole latency.
+// BenchmarkScheduling sends five seconds of Poisson arrivals to a server that
+// answers immediately. It reports the send delay and the total latency of the
+// requests.
 func BenchmarkScheduling(b *testing.B) {
 	for _, rate := range []float64{500, 2000} {
 		b.Run(fmt.Sprint("rate=", rate), func(b *testing.B) {
 			server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 			defer server.Close()
-			p := lookups(1)
+			p := lookupPlan(1)
 			p.Rate, p.Duration, p.Arrivals, p.InFlight = rate, config.Duration(5*time.Second), ArrivalsPoisson, 512
 			for i := 0; b.Loop(); i++ {
 				p.Seed = i
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -15,41 +15,43 @@
 	"chervilloom/internal/outcome"
 )
 
-// The outcomes of a request, besides the kinds of refusal.
+// Outcomes of a request, in addition to the types of error responses.
 const (
-	outcomeWhole     = "whole"     // answered, and the answer is what it should be
-	outcomeWrong     = "wrong"     // answered whole, but not with what was asked for
-	outcomeCut       = "cut"       // the answer began and did not end
-	outcomeTransport = "transport" // no answer: the connection failed
-	outcomeTimeout   = "timeout"   // no whole answer within the plan's timeout
-	outcomeNotSent   = "not sent"  // too many were in flight
+	outcomeWhole     = "whole"     // complete answer that passed all checks
+	outcomeWrong     = "wrong"     // complete answer that failed a check
+	outcomeCut       = "cut"       // the answer started but is incomplete
+	outcomeTransport = "transport" // no answer because the connection failed
+	outcomeTimeout   = "timeout"   // no complete answer within the plan's timeout
+	outcomeNotSent   = "not sent"  // the in-flight limit was reached
 )
 
 const (
-	doneMarker = "[DONE]"
-	maxEvent   = 1 << 20 // bytes of one line of a stream
+	endMarker    = "[DONE]"
+	maxLineBytes = 1 << 20 // bytes per line of a stream
 )
 
-// read takes an answer and checks it.
-func (c *client) read(ctx context.Context, resp *http.Response, s *shot, intended time.Time) result {
-	k := &c.plan.Requests[s.request]
+// readAnswer reads a successful response to its end and checks it against the request.
+func (c *client) readAnswer(ctx context.Context, resp *http.Response, s *scheduledRequest, intended time.Time) result {
+	k := &c.plan.Requests[s.kindIndex]
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		return readStream(ctx, resp.Body, k, fill(k.Contains, s), intended)
+		return readStream(ctx, resp.Body, k, expandTemplate(k.Contains, s), intended)
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
-	r := result{total: time.Since(intended)}
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	r := result{totalLatency: time.Since(intended)}
 	if err != nil {
-		return cut(ctx, r, err.Error())
+		return cutResult(ctx, r, err.Error())
 	}
 	r.outcome = outcomeWhole
 	if k.Type == TypeChat {
 		r.checkChat(data, k)
 	}
-	r.checkContains(string(data), fill(k.Contains, s))
+	r.checkContains(string(data), expandTemplate(k.Contains, s))
 	return r
 }
 
-func cut(ctx context.Context, r result, detail string) result {
+// cutResult sets the outcome of an incomplete answer: a timeout if ctx exceeded its
+// deadline, a cut otherwise.
+func cutResult(ctx context.Context, r result, detail string) result {
 	r.outcome, r.detail = outcomeCut, detail
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		r.outcome = outcomeTimeout
@@ -57,63 +59,63 @@
 	return r
 }
 
-func (r *result) wrong(format string, args ...any) {
+func (r *result) markWrong(format string, args ...any) {
 	r.outcome, r.detail = outcomeWrong, fmt.Sprintf(format, args...)
 }
 
 func (r *result) checkChat(data []byte, k *Request) {
 	var a engine.ChatAnswer
 	if err := json.Unmarshal(data, &a); err != nil {
-		r.wrong("the answer is not a chat answer: %v", err)
+		r.markWrong("the answer is not a chat completion: %v", err)
 		return
 	}
 	if k.Stream {
-		r.wrong("a stream was asked for")
+		r.markWrong("got a chat completion, want a stream")
 		return
 	}
 	r.tokens = a.Usage.CompletionTokens
 	r.checkTokens(k)
 	if len(a.Choices) == 0 || a.Choices[0].Message == nil || a.Choices[0].FinishReason == nil {
-		r.wrong("the answer has no message or no finish reason")
+		r.markWrong("the answer has no message or no finish reason")
 	}
 }
 
 func (r *result) checkTokens(k *Request) {
 	if r.tokens < 1 || r.tokens > k.MaxTokens {
-		r.wrong("%d tokens where 1 to %d were asked for", r.tokens, k.MaxTokens)
+		r.markWrong("got %d tokens, want 1 to %d", r.tokens, k.MaxTokens)
 	}
 }
 
 func (r *result) checkContains(text, want string) {
 	if r.outcome == outcomeWhole && !strings.Contains(text, want) {
-		r.wrong("the answer does not contain %q", want)
+		r.markWrong("the answer does not contain %q", want)
 	}
 }
 
-// stream is the state of a stream that is read.
+// stream is the state of reading one event stream.
 type stream struct {
 	result
-	kind     *Request
-	intended time.Time
-	last     time.Time // of the last token
-	text     strings.Builder
-	usage    *engine.Usage
-	finished bool // the last chunk has come
-	done     bool // the end marker has come
-	fault    string
+	kind             *Request
+	intended         time.Time // intended start of the request
+	lastTokenAt      time.Time // arrival of the latest token
+	text             strings.Builder
+	usage            *engine.Usage
+	finishReasonSeen bool   // a chunk with a finish reason was received
+	endMarkerSeen    bool   // the end marker was received
+	violation        string // protocol violation; empty: none
 }
 
-// readStream takes server-sent events until the end marker. A stream that ends
-// without it is cut, also when the connection ends cleanly.
+// readStream reads server-sent events to the end of the body. A stream without
+// the end marker is cut even if the connection was closed cleanly.
 func readStream(ctx context.Context, body io.Reader, k *Request, contains string, intended time.Time) result {
 	s := &stream{kind: k, intended: intended}
 	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 0, 4096), maxEvent)
+	lines.Buffer(make([]byte, 0, 4096), maxLineBytes)
 	event, data := "", []string(nil)
 	for lines.Scan() {
-		if lines.Text() == "" { // ends an event; one that is cut within is none
+		if lines.Text() == "" { // end of an event; an incomplete event is dropped
 			if data != nil {
-				s.data(event, strings.Join(data, "\n"))
+				s.handleData(event, strings.Join(data, "\n"))
 			}
 			event, data = "", nil
 			continue
@@ -127,55 +129,56 @@
 			data = append(data, value)
 		}
 	}
-	s.total = time.Since(intended)
-	if s.fault != "" {
-		s.wrong("%s", s.fault)
+	s.totalLatency = time.Since(intended)
+	if s.violation != "" {
+		s.markWrong("%s", s.violation)
 		return s.result
 	}
-	if !s.done {
-		detail := "the stream ended without " + doneMarker
+	if !s.endMarkerSeen {
+		detail := "the stream ended without " + endMarker
 		if err := lines.Err(); err != nil {
 			detail += ": " + err.Error()
 		}
 		if s.detail != "" {
 			detail = s.detail
 		}
-		return cut(ctx, s.result, detail)
+		return cutResult(ctx, s.result, detail)
 	}
 	s.outcome = outcomeWhole
-	s.checkEnd()
+	s.checkCompletion()
 	s.checkContains(s.text.String(), contains)
 	return s.result
 }
 
-// data takes the data of one event.
-func (s *stream) data(event, value string) {
+// handleData processes the data of one event.
+func (s *stream) handleData(event, value string) {
 	switch {
-	case s.done:
-		s.fault = "data came after " + doneMarker
-	case value == doneMarker:
-		s.done = true
+	case s.endMarkerSeen:
+		s.violation = "data after " + endMarker
+	case value == endMarker:
+		s.endMarkerSeen = true
 	case event == "error":
-		s.cutWith(value)
+		s.recordErrorEvent(value)
 	default:
-		s.chunk(value)
+		s.handleChunk(value)
 	}
 }
 
-// cutWith keeps why the system says that the stream ends early.
-func (s *stream) cutWith(value string) {
+// recordErrorEvent stores the reason from an error event as the detail of the cut.
+func (s *stream) recordErrorEvent(value string) {
 	var body outcome.Body
 	if err := json.Unmarshal([]byte(value), &body); err != nil {
-		s.detail = "an error that cannot be read"
+		s.detail = "unreadable error event"
 		return
 	}
 	s.detail = fmt.Sprintf("%s (%s): %s", body.Error.Type, body.Error.Outcome, body.Error.Message)
 }
 
-func (s *stream) chunk(value string) {
+// handleChunk processes one chat completion chunk.
+func (s *stream) handleChunk(value string) {
 	var c engine.ChatChunk
 	if err := json.Unmarshal([]byte(value), &c); err != nil {
-		s.fault = "an event that is not a chat chunk"
+		s.violation = "an event is not a chat completion chunk"
 		return
 	}
 	if c.Usage != nil {
@@ -186,36 +189,37 @@
 	}
 	choice := &c.Choices[0]
 	if choice.Delta != nil && choice.Delta.Content != "" {
-		s.token(choice.Delta.Content)
+		s.recordToken(choice.Delta.Content)
 	}
 	if choice.FinishReason != nil {
-		s.finished = true
+		s.finishReasonSeen = true
 	}
 }
 
-func (s *stream) token(text string) {
+// recordToken records the arrival time and the text of a token.
+func (s *stream) recordToken(text string) {
 	now := time.Now()
-	if s.finished {
-		s.fault = "a token came after the last one"
+	if s.finishReasonSeen {
+		s.violation = "a token after the finish reason"
 	}
 	if s.tokens == 0 {
-		s.first = now.Sub(s.intended)
+		s.firstTokenLatency = now.Sub(s.intended)
 	} else {
-		s.gaps = append(s.gaps, now.Sub(s.last))
+		s.tokenGaps = append(s.tokenGaps, now.Sub(s.lastTokenAt))
 	}
-	s.last = now
+	s.lastTokenAt = now
 	s.tokens++
 	s.text.WriteString(text)
 }
 
-// checkEnd holds the number of tokens against what the stream announced and
-// what was asked for.
-func (s *stream) checkEnd() {
+// checkCompletion checks for a finish reason and compares the number of tokens with the
+// stream's usage and with the requested maximum.
+func (s *stream) checkCompletion() {
 	switch {
-	case !s.finished:
-		s.wrong("%s came without a finish reason", doneMarker)
+	case !s.finishReasonSeen:
+		s.markWrong("%s without a finish reason", endMarker)
 	case s.usage != nil && s.usage.CompletionTokens != s.tokens:
-		s.wrong("%d tokens came where the stream announced %d", s.tokens, s.usage.CompletionTokens)
+		s.markWrong("got %d tokens, the usage of the stream reports %d", s.tokens, s.usage.CompletionTokens)
 	default:
 		s.checkTokens(s.kind)
 	}
--- a/internal/load/compare.go
+++ b/internal/load/compare.go
@@ -8,14 +8,14 @@
 	"text/tabwriter"
 )
 
-// Comparison is two runs of one plan in one: every other request went to the
-// second side, so that both saw the same machine at the same time.
+// Comparison is the result of one plan sent to two sides in alternation, so that
+// both were measured on the same machine at the same time.
 type Comparison struct {
 	Sides [2]*Report   `json:"sides"`
 	Added []Difference `json:"added"`
 }
 
-// Difference is what the first side's latency is above the second's, in
+// Difference is the latency of the first side minus that of the second, in
 // microseconds.
 type Difference struct {
 	Kind string `json:"kind"`
@@ -26,8 +26,8 @@
 	P99  int64  `json:"p99_us"`
 }
 
-// Compare sends the plan's requests to two sides in turn. Each side gets half
-// of the rate.
+// Compare sends the plan's requests to two sides in alternation, half of the rate
+// to each. It returns a comparison also if ctx is cancelled, with ctx's error.
 func Compare(ctx context.Context, p *Plan, first, second Side) (*Comparison, error) {
 	if first.Name == second.Name {
 		return nil, errors.New("load: both sides of the comparison have the same name; give each its own")
@@ -46,6 +46,7 @@
 	return c, err
 }
 
+// add appends the difference of a and b, unless one of them has no values.
 func (c *Comparison) add(kind, what string, a, b *Latency) {
 	if a.Count == 0 || b.Count == 0 {
 		return
@@ -58,7 +59,7 @@
 // WriteJSON writes the comparison as JSON.
 func (c *Comparison) WriteJSON(w io.Writer) error { return writeJSON(w, c) }
 
-// WriteTable writes the comparison for a person.
+// WriteTable writes the comparison as text tables.
 func (c *Comparison) WriteTable(w io.Writer) error {
 	for _, r := range c.Sides {
 		if err := r.WriteTable(w); err != nil {
@@ -69,7 +70,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "%s above %s\tmean\tp50\tp90\tp99\t\n", c.Sides[0].Name, c.Sides[1].Name)
 	for _, d := range c.Added {
-		fmt.Fprintf(t, "%s %s\t%s\t%s\t%s\t%s\t\n", d.Kind, d.What, micros(d.Mean), micros(d.P50), micros(d.P90), micros(d.P99))
+		fmt.Fprintf(t, "%s %s\t%s\t%s\t%s\t%s\t\n", d.Kind, d.What, formatMicros(d.Mean), formatMicros(d.P50), formatMicros(d.P90), formatMicros(d.P99))
 	}
 	return t.Flush()
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,15 +1,14 @@
-// Package load is the load tool behind "chervilloom load". It sends a mix of
-// requests, described by a plan in YAML, to entry nodes on loopback addresses,
-// at times that are fixed before the run starts.
+// Package load implements the load generator behind "chervilloom load". It sends
+// a mix of requests, described by a YAML plan, to entry nodes on loopback
+// addresses, on a schedule computed before the run starts.
 //
 // The load is open-loop: a slow answer delays no other request. Latencies are
-// taken from the intended start, so that a request that could not be sent in
-// time counts with the time it lost (no coordinated omission). Every answer is
-// checked: a stream must have its end marker and the number of tokens it
-// announces.
+// measured from the intended start, so the delay of a request that was sent late
+// is included (no coordinated omission). Every answer is checked: a stream must
+// have its end marker and the number of tokens reported in its usage.
 //
-// The load is bounded in rate, length and requests in flight, and refuses
-// targets that are not loopback addresses.
+// Rate, duration and requests in flight are limited. Targets other than loopback
+// addresses are rejected.
 package load
 
 import (
@@ -22,14 +21,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Options describe a run.
+// Options are the plan and the targets of a run.
 type Options struct {
 	Plan    *Plan
-	Targets []string // ip:port of entry nodes, used in turn as a balancer would
+	Targets []string // ip:port of entry nodes, used round robin
 }
 
-// Run carries out the plan against the targets. It returns a report also when
-// ctx ends early; the error is then ctx's.
+// Run sends the plan's requests to the targets. If ctx is cancelled during the
+// run, it returns the report so far with ctx's error. If the plan or a target is
+// invalid, the report is nil.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	sides := []Side{{Targets: o.Targets}}
 	reports, err := run(ctx, o.Plan, sides)
@@ -39,17 +39,18 @@
 	return reports[0], err
 }
 
-// Side is one of the target sets of a comparison.
+// Side is a set of targets that is measured together.
 type Side struct {
 	Name    string
-	Targets []string          // ip:port, used in turn
+	Targets []string          // ip:port, used round robin
 	Header  map[string]string // sent with every request
-	// Bare is set when the targets are a plain service itself: its paths come
-	// without the prefix that nodes know services by.
+	// Bare is true if the targets are instances of a plain service and not nodes:
+	// request paths then have no /services/NAME prefix.
 	Bare bool
 }
 
-// run sends request i of the schedule to side i modulo the number of sides.
+// run validates the plan and the targets and sends request i of the schedule to
+// side i modulo the number of sides. It returns one report per side.
 func run(ctx context.Context, p *Plan, sides []Side) ([]*Report, error) {
 	if problems := p.Check(nil, nil); problems != nil {
 		return nil, problems
@@ -63,12 +64,12 @@
 		defer c.close()
 		clients[i] = c
 	}
-	shots := schedule(p)
+	requests := buildSchedule(p)
 	tallies := make([]*tally, len(sides))
 	for i := range tallies {
 		tallies[i] = newTally(p)
 	}
-	err := fire(ctx, p, shots, clients, tallies)
+	err := sendSchedule(ctx, p, requests, clients, tallies)
 	reports := make([]*Report, len(sides))
 	for i, t := range tallies {
 		reports[i] = t.report(p, &sides[i])
@@ -76,22 +77,22 @@
 	return reports, err
 }
 
-// resultsSize is how many results may wait for the tally. A request that ends
-// while it is full waits, after its latency was taken.
-const resultsSize = 1024
+// resultBufferSize is the buffer size of the channel of results. When it is full,
+// sends block, but only after the latency of the request was measured.
+const resultBufferSize = 1024
 
 type sideResult struct {
 	side   int
 	result result
 }
 
-// fire sends the shots at their times. At most InFlight requests are in
-// progress; what comes due beyond that is counted as not sent.
-func fire(ctx context.Context, p *Plan, shots []shot, clients []*client, tallies []*tally) error {
-	results := make(chan sideResult, resultsSize)
-	counted := make(chan struct{})
+// sendSchedule sends the requests at their scheduled times. A request that is due while
+// InFlight others are in flight is not sent, and counted as such.
+func sendSchedule(ctx context.Context, p *Plan, requests []scheduledRequest, clients []*client, tallies []*tally) error {
+	results := make(chan sideResult, resultBufferSize)
+	tallied := make(chan struct{})
 	go func() {
-		defer close(counted)
+		defer close(tallied)
 		for r := range results {
 			tallies[r.side].add(&r.result)
 		}
@@ -99,40 +100,40 @@
 	slots := make(chan struct{}, p.InFlight)
 	var wg sync.WaitGroup
 	began := time.Now()
-	for i := range shots {
-		s := &shots[i]
-		if !sleepUntil(ctx, began.Add(s.at)) {
+	for i := range requests {
+		s := &requests[i]
+		if !sleepUntil(ctx, began.Add(s.offset)) {
 			break
 		}
 		side := i % len(clients)
 		select {
 		case slots <- struct{}{}:
 		default:
-			results <- sideResult{side, result{request: s.request, at: s.at, outcome: outcomeNotSent}}
+			results <- sideResult{side, result{kindIndex: s.kindIndex, offset: s.offset, outcome: outcomeNotSent}}
 			continue
 		}
-		late := time.Since(began) - s.at
+		sendDelay := time.Since(began) - s.offset
 		wg.Go(func() {
-			r := clients[side].send(ctx, s, began.Add(s.at))
+			r := clients[side].send(ctx, s, began.Add(s.offset))
 			<-slots
-			r.late = late
+			r.sendDelay = sendDelay
 			results <- sideResult{side, r}
 		})
 	}
 	wg.Wait()
 	close(results)
-	<-counted
+	<-tallied
 	return ctx.Err()
 }
 
-// fineSleep is the last part of a sleep, which the kernel is asked for. Timers
-// of the Go runtime are up to a millisecond late when the process is idle,
-// because it then waits in epoll, which counts in milliseconds; that is many
-// times what a node adds to a lookup.
-const fineSleep = 2 * time.Millisecond
+// preciseSleep is the last part of a sleep, for which clock_nanosleep is used. In an
+// idle process, Go timers are up to 1 ms late because the runtime waits in epoll
+// with a resolution of 1 ms; that is many times the latency that a node adds to a
+// lookup.
+const preciseSleep = 2 * time.Millisecond
 
-// pause sleeps for d and reports false when ctx ends first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep sleeps for d. It returns false if ctx is done first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -146,32 +147,32 @@
 	}
 }
 
-// sleepUntil reports false when ctx ends first. One goroutine uses it: the last
-// part of the sleep holds a thread.
+// sleepUntil sleeps until the given time. It returns false if ctx is done first.
+// Only one goroutine may use it, since the last part of the sleep blocks a thread.
 func sleepUntil(ctx context.Context, at time.Time) bool {
-	if !pause(ctx, time.Until(at)-fineSleep) {
+	if !sleep(ctx, time.Until(at)-preciseSleep) {
 		return false
 	}
 	for d := time.Until(at); d > 0 && ctx.Err() == nil; d = time.Until(at) {
 		ts := unix.NsecToTimespec(int64(d))
-		_ = unix.ClockNanosleep(unix.CLOCK_MONOTONIC, 0, &ts, nil) // cut short by a signal: goes on
+		_ = unix.ClockNanosleep(unix.CLOCK_MONOTONIC, 0, &ts, nil) // interrupted by a signal: the loop sleeps for the rest
 	}
 	return ctx.Err() == nil
 }
 
-// checkTargets refuses what is not a loopback address: a load that goes out by
-// mistake is an attack on whoever gets it.
+// checkTargets rejects targets that are not loopback addresses: load sent by
+// mistake to another machine is an attack on it.
 func checkTargets(targets []string) error {
 	if len(targets) == 0 {
-		return fmt.Errorf("load: no target; give the ip:port of at least one entry node")
+		return fmt.Errorf("load: no target given; add the ip:port of at least one entry node")
 	}
 	for _, t := range targets {
 		a, err := netip.ParseAddrPort(t)
 		if err != nil {
-			return fmt.Errorf("load: target %q is not an IP number and port; write it like 127.0.0.1:8080: %w", t, err)
+			return fmt.Errorf("load: target %q is not an IP address and port such as 127.0.0.1:8080: %w", t, err)
 		}
 		if !a.Addr().Unmap().IsLoopback() {
-			return fmt.Errorf("load: target %s is not a loopback address; run the load tool on the machine of the node", t)
+			return fmt.Errorf("load: target %s is not a loopback address; run the load tool on the node's machine", t)
 		}
 	}
 	return nil
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -22,34 +22,34 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// node stands in for an entry node. serve, when set, replaces its behaviour.
-type node struct {
+// fakeNode is a fake entry node. serve, if set, replaces its handler.
+type fakeNode struct {
 	*httptest.Server
 	serve func(w http.ResponseWriter, r *http.Request, body string)
 
-	mu       sync.Mutex
-	requests []string // "METHOD path key ticket"
-	organisa map[string]int
-	keys     map[string]int
-	issued   int
+	mu                     sync.Mutex
+	requests               []string       // "METHOD path"
+	requestsByOrganisation map[string]int // requests by Authorization header
+	requestsByKey          map[string]int // requests by idempotency key or ticket
+	ticketsIssued          int            // tickets
 }
 
-func startNode(t *testing.T, serve func(w http.ResponseWriter, r *http.Request, body string)) *node {
-	n := &node{serve: serve, organisa: map[string]int{}, keys: map[string]int{}}
+func startFakeNode(t *testing.T, serve func(w http.ResponseWriter, r *http.Request, body string)) *fakeNode {
+	n := &fakeNode{serve: serve, requestsByOrganisation: map[string]int{}, requestsByKey: map[string]int{}}
 	n.Server = httptest.NewServer(n)
 	t.Cleanup(n.Close)
 	return n
 }
 
-func (n *node) target() string { return strings.TrimPrefix(n.URL, "http://") }
+func (n *fakeNode) target() string { return strings.TrimPrefix(n.URL, "http://") }
 
-func (n *node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (n *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	n.mu.Lock()
 	n.requests = append(n.requests, r.Method+" "+r.URL.Path)
-	n.organisa[r.Header.Get("Authorization")]++
-	if k := r.Header.Get(headerKey) + r.Header.Get(headerTicket); k != "" {
-		n.keys[k]++
+	n.requestsByOrganisation[r.Header.Get("Authorization")]++
+	if k := r.Header.Get(headerIdempotencyKey) + r.Header.Get(headerTicket); k != "" {
+		n.requestsByKey[k]++
 	}
 	n.mu.Unlock()
 	switch {
@@ -57,8 +57,8 @@
 		n.serve(w, r, string(body))
 	case r.URL.Path == pathTickets:
 		n.mu.Lock()
-		n.issued++
-		fmt.Fprintf(w, `{"tickets":["t%d"]}`, n.issued)
+		n.ticketsIssued++
+		fmt.Fprintf(w, `{"tickets":["t%d"]}`, n.ticketsIssued)
 		n.mu.Unlock()
 	case r.URL.Path == pathChat:
 		serveChat(w, string(body))
@@ -67,7 +67,7 @@
 	}
 }
 
-func (n *node) seen() int {
+func (n *fakeNode) requestCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.requests)
@@ -87,7 +87,7 @@
 	io.WriteString(w, streamText(req.MaxTokens, req.MaxTokens))
 }
 
-// streamText is a stream of n tokens that announces announced.
+// streamText returns a stream of n tokens whose usage reports the number announced.
 func streamText(n, announced int) string {
 	var b strings.Builder
 	for i := range n {
@@ -98,7 +98,7 @@
 	return b.String()
 }
 
-const mixText = `version: 1
+const mixPlanText = `version: 1
 seed: 3
 rate: 400
 duration: 250ms
@@ -115,17 +115,17 @@
   - {name: summary, type: chat, model: m, max_tokens: 7}
 `
 
-func readMix(t *testing.T) *Plan {
+func readMixPlan(t *testing.T) *Plan {
 	t.Helper()
-	p, err := ReadPlan("mix.yaml", []byte(mixText))
+	p, err := ReadPlan("mix.yaml", []byte(mixPlanText))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-// lookups is a plan of n lookups, all due at about the same time.
-func lookups(n int) *Plan {
+// lookupPlan returns a plan of n lookups at the maximum rate.
+func lookupPlan(n int) *Plan {
 	return &Plan{
 		Version: 1, Rate: MaxRate, Duration: config.Duration(time.Duration(n) * time.Second / MaxRate),
 		Arrivals: ArrivalsConstant, InFlight: n, Timeout: config.Duration(time.Minute),
@@ -134,64 +134,63 @@
 	}
 }
 
-// Two nodes answer a mix of all kinds: every request of the schedule is sent
-// once, in turn to both, every answer is whole, and each receipt has a key or a
-// ticket of its own.
-func TestMix(t *testing.T) {
+// With two nodes and a mix of all kinds, every scheduled request is sent once,
+// every answer is whole, and each receipt has a unique key or ticket.
+func TestMixedLoad(t *testing.T) {
 	is := is.New(t)
-	a, b := startNode(t, nil), startNode(t, nil)
-	p := readMix(t)
+	a, b := startFakeNode(t, nil), startFakeNode(t, nil)
+	p := readMixPlan(t)
 	r, err := Run(t.Context(), Options{Plan: p, Targets: []string{a.target(), b.target()}})
 	is.NoErr(err)
-	want := schedule(p)
+	want := buildSchedule(p)
 	is.Equal(r.Sent, len(want))
 	is.Equal(r.Whole(), len(want))
 	is.Equal(r.NotSent, 0)
-	tickets := a.issued + b.issued
-	is.Equal(a.seen()+b.seen(), len(want)+tickets)
-	for _, n := range []*node{a, b} {
-		for key, count := range n.keys {
+	tickets := a.ticketsIssued + b.ticketsIssued
+	is.Equal(a.requestCount()+b.requestCount(), len(want)+tickets)
+	for _, n := range []*fakeNode{a, b} {
+		for key, count := range n.requestsByKey {
 			if count != 1 {
-				t.Errorf("key %s came %d times", key, count)
+				t.Errorf("key %s was received %d times", key, count)
 			}
 		}
 	}
-	is.True(a.organisa["Bearer k-north"] > a.organisa["Bearer k-south"])
+	is.True(a.requestsByOrganisation["Bearer k-north"] > a.requestsByOrganisation["Bearer k-south"])
 	chat := r.Kinds[3]
 	is.Equal(chat.Tokens, 7*int(chat.Total.Count))
 	is.Equal(chat.BetweenTokens.Count, 6*chat.Total.Count)
 	is.Equal(chat.FirstToken.Count, chat.Total.Count)
 }
 
-// The node answers nothing until every request has come. The tool sends them
-// all at their times all the same: a slow answer holds nothing back, as it
-// would if the next request waited for it.
-func TestSlowAnswerDelaysNoRequest(t *testing.T) {
+// The node answers no request until it has received all of them. If a request
+// waited for the answer to an earlier one, the requests would time out.
+func TestSlowAnswersDelayNoRequest(t *testing.T) {
 	is := is.New(t)
 	const n = 50
-	var come sync.WaitGroup
-	come.Add(n)
-	slow := startNode(t, func(http.ResponseWriter, *http.Request, string) {
-		come.Done()
-		come.Wait()
+	var received sync.WaitGroup
+	received.Add(n)
+	slow := startFakeNode(t, func(http.ResponseWriter, *http.Request, string) {
+		received.Done()
+		received.Wait()
 	})
-	r, err := Run(t.Context(), Options{Plan: lookups(n), Targets: []string{slow.target()}})
+	r, err := Run(t.Context(), Options{Plan: lookupPlan(n), Targets: []string{slow.target()}})
 	is.NoErr(err)
 	is.Equal(r.Whole(), n)
 }
 
-// The node stalls and the bound on requests in flight is reached. What comes
-// due then is counted as not sent, and the tool holds no more than the bound.
-func TestInFlightBound(t *testing.T) {
+// The node stalls until the limit on requests in flight is reached. Requests that
+// are due from then on are counted as not sent, so no more than the limit are in
+// flight.
+func TestInFlightLimit(t *testing.T) {
 	is := is.New(t)
-	const n, bound = 50, 5
-	let := make(chan struct{})
-	stalled := startNode(t, func(http.ResponseWriter, *http.Request, string) { <-let })
-	p := lookups(n)
-	p.InFlight = bound
+	const n, limit = 50, 5
+	release := make(chan struct{})
+	stalled := startFakeNode(t, func(http.ResponseWriter, *http.Request, string) { <-release })
+	p := lookupPlan(n)
+	p.InFlight = limit
 	go func() {
-		time.Sleep(time.Duration(p.Duration)) // the node wakes some time after the last arrival
-		close(let)
+		time.Sleep(time.Duration(p.Duration)) // ends the stall after the last arrival
+		close(release)
 	}()
 	r, err := Run(t.Context(), Options{Plan: p, Targets: []string{stalled.target()}})
 	is.NoErr(err)
@@ -200,17 +199,17 @@
 	is.Equal(r.Whole(), r.Sent)
 }
 
-// A kept connection breaks after the node has read a receipt. net/http would
-// send a request with an Idempotency-Key and no body again by itself; the tool
-// must not, or a doubled run at the node would be the tool's own doing.
-func TestNoHiddenResend(t *testing.T) {
+// A reused connection breaks after the node has read a receipt. net/http would
+// resend a request with an Idempotency-Key and no body by itself. The tool must
+// prevent that, or it would itself cause a duplicate run at the node.
+func TestBrokenConnectionIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	runs := map[string]int{}
 	served := 0
-	breaking := startNode(t, func(w http.ResponseWriter, r *http.Request, _ string) {
+	breaking := startFakeNode(t, func(w http.ResponseWriter, r *http.Request, _ string) {
 		mu.Lock()
-		runs[r.Header.Get(headerKey)]++
+		runs[r.Header.Get(headerIdempotencyKey)]++
 		served++
 		broken := served > 1
 		mu.Unlock()
@@ -218,29 +217,30 @@
 			panic(http.ErrAbortHandler)
 		}
 	})
-	p := lookups(1)
+	p := lookupPlan(1)
 	p.Requests[0].Type, p.Requests[0].Method, p.Requests[0].Once = TypeReceipt, "POST", OnceKey
 	c, err := newClient(p, &Side{Targets: []string{breaking.target()}})
 	is.NoErr(err)
 	defer c.close()
-	shots := schedule(p)
-	first := c.send(t.Context(), &shots[0], time.Now())
+	requests := buildSchedule(p)
+	first := c.send(t.Context(), &requests[0], time.Now())
 	is.Equal(first.outcome, outcomeWhole)
-	second := c.send(t.Context(), &shots[0], time.Now())
+	second := c.send(t.Context(), &requests[0], time.Now())
 	is.Equal(second.outcome, outcomeTransport)
 	mu.Lock()
 	defer mu.Unlock()
 	for key, n := range runs {
 		if n != 1 {
-			t.Errorf("receipt %s came %d times", key, n)
+			t.Errorf("receipt %s was received %d times", key, n)
 		}
 	}
 	is.Equal(len(runs), 2)
 }
 
-// A node refuses with Retry-After. Without retries in the plan the tool counts
-// the refusal; with them it comes back after that time with the same key.
-func TestRetriesOnlyWhenAsked(t *testing.T) {
+// A node rejects requests with Retry-After. Without retries in the plan, the tool
+// counts the rejection; with retries, it resends the request after that delay
+// with the same key.
+func TestRetriesOnlyIfPlanned(t *testing.T) {
 	is := is.New(t)
 	refusing := func() func(w http.ResponseWriter, r *http.Request, _ string) {
 		var mu sync.Mutex
@@ -248,7 +248,7 @@
 		return func(w http.ResponseWriter, r *http.Request, _ string) {
 			mu.Lock()
 			defer mu.Unlock()
-			key := r.Header.Get(headerKey)
+			key := r.Header.Get(headerIdempotencyKey)
 			tries[key]++
 			if tries[key] > 1 {
 				return
@@ -259,42 +259,42 @@
 			w.Write(e.JSON("id"))
 		}
 	}
-	p := lookups(4)
+	p := lookupPlan(4)
 	p.Requests[0].Type, p.Requests[0].Method, p.Requests[0].Once = TypeReceipt, "POST", OnceKey
-	r, err := Run(t.Context(), Options{Plan: p, Targets: []string{startNode(t, refusing()).target()}})
+	r, err := Run(t.Context(), Options{Plan: p, Targets: []string{startFakeNode(t, refusing()).target()}})
 	is.NoErr(err)
 	is.Equal(r.Kinds[0].Outcomes, []Count{{"overloaded (not-run)", 4}})
 	is.Equal(r.Retries, 0)
 	p.Retries = 1
-	r, err = Run(t.Context(), Options{Plan: p, Targets: []string{startNode(t, refusing()).target()}})
+	r, err = Run(t.Context(), Options{Plan: p, Targets: []string{startFakeNode(t, refusing()).target()}})
 	is.NoErr(err)
 	is.Equal(r.Whole(), 4)
 	is.Equal(r.Retries, 4)
 }
 
-// The run is ended early: no more requests are sent, those in progress end, and
-// the report holds what was sent.
-func TestRunEndedEarly(t *testing.T) {
+// ctx is cancelled during the run: no more requests are sent, those in flight
+// complete, and the report counts the requests sent so far.
+func TestRunCancelled(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	n := startNode(t, func(http.ResponseWriter, *http.Request, string) { cancel() })
-	p := lookups(1000)
+	n := startFakeNode(t, func(http.ResponseWriter, *http.Request, string) { cancel() })
+	p := lookupPlan(1000)
 	p.Duration, p.Rate = config.Duration(time.Minute), 10
 	r, err := Run(ctx, Options{Plan: p, Targets: []string{n.target()}})
 	is.Equal(err, context.Canceled)
 	is.True(r.Sent >= 1 && r.Sent < 100)
 }
 
-// A comparison sends every other request to the second side, there without the
-// prefix of services and with the side's own headers.
+// A comparison sends every other request to the second side, without the
+// /services/NAME prefix and with that side's headers.
 func TestCompare(t *testing.T) {
 	is := is.New(t)
-	through, direct := startNode(t, nil), startNode(t, func(w http.ResponseWriter, r *http.Request, _ string) {
+	through, direct := startFakeNode(t, nil), startFakeNode(t, func(w http.ResponseWriter, r *http.Request, _ string) {
 		if r.Header.Get("Engine-Generation") != "g/1" {
 			w.WriteHeader(http.StatusPreconditionFailed)
 		}
 	})
-	c, err := Compare(t.Context(), lookups(20),
+	c, err := Compare(t.Context(), lookupPlan(20),
 		Side{Name: "node", Targets: []string{through.target()}},
 		Side{Name: "direct", Targets: []string{direct.target()}, Bare: true, Header: map[string]string{"Engine-Generation": "g/1"}})
 	is.NoErr(err)
@@ -307,11 +307,11 @@
 	is.Equal(len(c.Added), 1)
 	is.NoErr(c.WriteTable(io.Discard))
 	is.NoErr(c.WriteJSON(io.Discard))
-	_, err = Compare(t.Context(), lookups(1), Side{Name: "x", Targets: []string{"127.0.0.1:1"}}, Side{Name: "x"})
+	_, err = Compare(t.Context(), lookupPlan(1), Side{Name: "x", Targets: []string{"127.0.0.1:1"}}, Side{Name: "x"})
 	is.True(err != nil)
 }
 
-func TestTargets(t *testing.T) {
+func TestCheckTargets(t *testing.T) {
 	for target, good := range map[string]bool{
 		"127.0.0.1:80": true, "[::1]:80": true, "127.8.8.8:1": true, "[::ffff:127.0.0.1]:80": true,
 		"10.0.0.1:80": false, "0.0.0.0:80": false, "localhost:80": false, "127.0.0.1": false, "[::]:80": false,
@@ -319,13 +319,13 @@
 	} {
 		_, err := Run(t.Context(), Options{Plan: &Plan{}, Targets: []string{target}})
 		if err == nil {
-			t.Fatal("a plan without anything ran")
+			t.Fatal("an empty plan was accepted")
 		}
 		if err := checkTargets([]string{target}); (err == nil) != good {
 			t.Errorf("target %q: %v", target, err)
 		}
 	}
 	if checkTargets(nil) == nil {
-		t.Error("no target was taken")
+		t.Error("an empty list of targets was accepted")
 	}
 }
--- a/internal/load/plan_test.go
+++ b/internal/load/plan_test.go
@@ -11,7 +11,7 @@
 	"chervilloom/internal/config"
 )
 
-const faultyText = `version: 2
+const invalidPlanText = `version: 2
 rate: 9000
 duration: 10m
 arrivals: bursts
@@ -31,43 +31,43 @@
   - {type: dance, weight: 2000, deadline: -5s}
 `
 
-// All faults of a plan are told at once, each with its place and its remedy.
-func TestFaultyPlan(t *testing.T) {
-	_, err := ReadPlan("faulty.yaml", []byte(faultyText))
+// All problems of a plan are reported together, each with its position and remedy.
+func TestReadPlanReportsAllProblems(t *testing.T) {
+	_, err := ReadPlan("faulty.yaml", []byte(invalidPlanText))
 	if err == nil {
-		t.Fatal("the plan was taken")
+		t.Fatal("an invalid plan was accepted")
 	}
 	goldie.New(t).Assert(t, "faulty", []byte(err.Error()+"\n"))
 }
 
-// The same seed gives the same schedule; Poisson arrivals come at the rate and
-// with the spread of a Poisson process; the mix follows the weights.
-func TestSchedule(t *testing.T) {
+// The same seed gives the same schedule; Poisson arrivals have the rate and the
+// standard deviation of a Poisson process; the mix follows the weights.
+func TestBuildSchedule(t *testing.T) {
 	is := is.New(t)
-	p := readMix(t)
+	p := readMixPlan(t)
 	p.Rate, p.Duration = 1000, config.Duration(20*time.Second)
-	shots := schedule(p)
-	is.Equal(shots, schedule(p))
-	n := float64(len(shots))
+	requests := buildSchedule(p)
+	is.Equal(requests, buildSchedule(p))
+	n := float64(len(requests))
 	is.True(math.Abs(n-20000) < 4*math.Sqrt(20000))
 	var gaps, squares, status float64
-	for i := 1; i < len(shots); i++ {
-		is.True(shots[i].at >= shots[i-1].at)
-		g := (shots[i].at - shots[i-1].at).Seconds()
+	for i := 1; i < len(requests); i++ {
+		is.True(requests[i].offset >= requests[i-1].offset)
+		g := (requests[i].offset - requests[i-1].offset).Seconds()
 		gaps += g
 		squares += g * g
-		if shots[i].request == 0 {
+		if requests[i].kindIndex == 0 {
 			status++
 		}
 	}
 	mean := gaps / n
-	is.True(math.Abs(math.Sqrt(squares/n-mean*mean)/mean-1) < 0.05) // as large as the mean
+	is.True(math.Abs(math.Sqrt(squares/n-mean*mean)/mean-1) < 0.05) // the standard deviation equals the mean
 	is.True(math.Abs(status/n-4.0/9) < 0.02)
 	p.Seed++
-	is.True(schedule(p)[0] != shots[0])
+	is.True(buildSchedule(p)[0] != requests[0])
 
 	p.Arrivals = ArrivalsConstant
-	shots = schedule(p)
-	is.Equal(len(shots), 20000)
-	is.Equal(shots[1500].at, 1500*time.Millisecond)
+	requests = buildSchedule(p)
+	is.Equal(len(requests), 20000)
+	is.Equal(requests[1500].offset, 1500*time.Millisecond)
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -9,40 +9,40 @@
 	"time"
 )
 
-// Report is what a run measured.
+// Report is the result of a run for one side.
 type Report struct {
-	Name    string   `json:"name,omitempty"` // of the side of a comparison
+	Name    string   `json:"name,omitempty"` // of the side in a comparison
 	Targets []string `json:"targets"`
-	Plan    *Plan    `json:"plan"` // without keys
+	Plan    *Plan    `json:"plan"` // its JSON has no caller keys
 	Sent    int      `json:"sent"`
-	// NotSent counts the requests that came due while InFlight others were in
-	// progress.
+	// NotSent is the number of requests that were due while InFlight others were
+	// in flight.
 	NotSent int      `json:"not_sent"`
 	Retries int      `json:"retries"`
-	Late    Latency  `json:"late"` // from intended to real start: the tool's own error
+	Late    Latency  `json:"late"` // from intended to actual start: the error of the load tool itself
 	Kinds   []Kind   `json:"kinds"`
 	Seconds []Second `json:"seconds"`
 }
 
-// Kind is the results of one kind of request.
+// Kind has the results of one kind of request.
 type Kind struct {
 	Name          string  `json:"name"`
 	Type          Type    `json:"type"`
-	Outcomes      []Count `json:"outcomes"`          // the most frequent first
-	Details       []Count `json:"details,omitempty"` // what was wrong or failed; not all are kept
+	Outcomes      []Count `json:"outcomes"`          // most frequent first
+	Details       []Count `json:"details,omitempty"` // explanations of failures; the number of different ones is limited
 	Tokens        int     `json:"tokens,omitempty"`
-	Total         Latency `json:"total"` // of whole answers
+	Total         Latency `json:"total"` // whole answers only
 	FirstToken    Latency `json:"first_token"`
 	BetweenTokens Latency `json:"between_tokens"`
 }
 
-// Count is how often something was seen.
+// Count is the number of occurrences of an outcome or detail.
 type Count struct {
 	Name  string `json:"name"`
 	Count int    `json:"count"`
 }
 
-// Latency is a distribution, in microseconds.
+// Latency is a latency distribution, in microseconds.
 type Latency struct {
 	Count int64   `json:"count"`
 	Mean  int64   `json:"mean_us,omitempty"`
@@ -54,22 +54,22 @@
 	Curve []Point `json:"curve,omitempty"`
 }
 
-// Point is one point of a distribution.
+// Point is one point of a latency distribution.
 type Point struct {
 	Percentile float64 `json:"percentile"`
 	Micros     int64   `json:"us"`
 }
 
-// Second is what became of the requests that were due in one second.
+// Second counts the requests that were due in one second, by outcome.
 type Second struct {
 	Second  int `json:"second"` // from the start of the run
 	Whole   int `json:"whole"`
-	Refused int `json:"refused"` // told as not run
-	Failed  int `json:"failed"`  // all else: wrong, cut, unknown, without answer or too late
+	Refused int `json:"refused"` // rejected as not run
+	Failed  int `json:"failed"`  // other outcomes: wrong, cut, unknown, no answer or timeout
 	NotSent int `json:"not_sent"`
 }
 
-// Count returns how often an outcome was seen over all kinds.
+// Count returns the number of requests of all kinds with the given outcome.
 func (r *Report) Count(outcome string) (n int) {
 	for i := range r.Kinds {
 		for _, c := range r.Kinds[i].Outcomes {
@@ -81,7 +81,7 @@
 	return n
 }
 
-// Whole returns the number of answers that were whole and right.
+// Whole returns the number of complete answers that passed all checks.
 func (r *Report) Whole() int { return r.Count(outcomeWhole) }
 
 // WriteJSON writes the report as JSON.
@@ -93,7 +93,7 @@
 	return e.Encode(v)
 }
 
-// WriteTable writes the report for a person.
+// WriteTable writes the report as text tables.
 func (r *Report) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	title := strings.Join(r.Targets, " ")
@@ -104,11 +104,11 @@
 	fmt.Fprintln(t, "kind\tcount\tmean\tp50\tp90\tp99\tp99.9\tmax\t")
 	for i := range r.Kinds {
 		k := &r.Kinds[i]
-		latencyRow(t, k.Name, &k.Total)
-		latencyRow(t, k.Name+" first token", &k.FirstToken)
-		latencyRow(t, k.Name+" between tokens", &k.BetweenTokens)
+		writeLatencyRow(t, k.Name, &k.Total)
+		writeLatencyRow(t, k.Name+" first token", &k.FirstToken)
+		writeLatencyRow(t, k.Name+" between tokens", &k.BetweenTokens)
 	}
-	latencyRow(t, "sent late by", &r.Late)
+	writeLatencyRow(t, "send delay", &r.Late)
 	if err := t.Flush(); err != nil {
 		return err
 	}
@@ -117,16 +117,16 @@
 
 func (r *Report) summary() string {
 	p := r.Plan
-	return fmt.Sprintf("%s arrivals, %g a second for %s, seed %d: %d sent, %d not sent, %d retries",
+	return fmt.Sprintf("%s arrivals, %g per second for %s, seed %d: %d sent, %d not sent, %d retries",
 		p.Arrivals, p.Rate, time.Duration(p.Duration), p.Seed, r.Sent, r.NotSent, r.Retries)
 }
 
-func latencyRow(w io.Writer, name string, l *Latency) {
+func writeLatencyRow(w io.Writer, name string, l *Latency) {
 	if l.Count == 0 {
 		return
 	}
 	fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t\n", name, l.Count,
-		micros(l.Mean), micros(l.P50), micros(l.P90), micros(l.P99), micros(l.P999), micros(l.Max))
+		formatMicros(l.Mean), formatMicros(l.P50), formatMicros(l.P90), formatMicros(l.P99), formatMicros(l.P999), formatMicros(l.Max))
 }
 
 func (r *Report) writeOutcomes(w io.Writer) error {
@@ -147,8 +147,9 @@
 	return t.Flush()
 }
 
-// micros writes microseconds with three figures or so.
-func micros(us int64) string {
+// formatMicros formats microseconds as a duration, rounded to 100 µs from 10 ms and to
+// 10 ms from 10 s.
+func formatMicros(us int64) string {
 	switch d := time.Duration(us) * time.Microsecond; {
 	case d < 10*time.Millisecond:
 		return d.String()
--- a/internal/load/report_test.go
+++ b/internal/load/report_test.go
@@ -12,7 +12,7 @@
 	"chervilloom/internal/config"
 )
 
-// fixedReport is a report of made-up results.
+// fixedReport returns a report of constant synthetic results.
 func fixedReport() *Report {
 	p := &Plan{
 		Version: 1, Seed: 7, Rate: 20, Duration: config.Duration(5 * time.Second), Arrivals: ArrivalsConstant,
@@ -25,17 +25,17 @@
 	}
 	t := newTally(p)
 	for i := range 100 {
-		r := result{request: i % 2, at: time.Duration(i) * 50 * time.Millisecond, late: 40 * time.Microsecond, tries: 1, outcome: outcomeWhole}
-		r.total = time.Duration(1+i*i) * time.Millisecond
+		r := result{kindIndex: i % 2, offset: time.Duration(i) * 50 * time.Millisecond, sendDelay: 40 * time.Microsecond, attempts: 1, outcome: outcomeWhole}
+		r.totalLatency = time.Duration(1+i*i) * time.Millisecond
 		if i%2 == 1 {
-			r.tokens, r.first = 4, r.total/3
-			r.gaps = []time.Duration{time.Millisecond, 2 * time.Millisecond, 3 * time.Millisecond}
+			r.tokens, r.firstTokenLatency = 4, r.totalLatency/3
+			r.tokenGaps = []time.Duration{time.Millisecond, 2 * time.Millisecond, 3 * time.Millisecond}
 		}
 		switch {
 		case i%10 == 3:
 			r.outcome, r.detail = outcomeCut, "the stream ended without [DONE]"
 		case i%10 == 4:
-			r.outcome, r.refused, r.tries = "overloaded (not-run)", true, 2
+			r.outcome, r.notRun, r.attempts = "overloaded (not-run)", true, 2
 		case i > 90:
 			r.outcome = outcomeNotSent
 		}
@@ -44,9 +44,9 @@
 	return t.report(p, &Side{Targets: []string{"127.0.0.1:8080"}})
 }
 
-// Whoever reads the report of a run finds the same figures as a table, as JSON
-// and as a plot; the callers' keys are in none of them.
-func TestReportGolden(t *testing.T) {
+// The table, the JSON and the plot of a report match their golden files, and none
+// of them contains a caller key.
+func TestReportFormats(t *testing.T) {
 	is := is.New(t)
 	r := fixedReport()
 	var table, doc, plot bytes.Buffer
@@ -58,6 +58,6 @@
 		is.True(!bytes.Contains(b, []byte("secret")))
 		g.Assert(t, name, b)
 	}
-	is.NoErr(xml.Unmarshal(plot.Bytes(), new(struct{}))) // a name with < in it is escaped
-	is.NoErr((&Report{Plan: r.Plan}).WriteSVG(&plot))    // a run in which nothing was answered
+	is.NoErr(xml.Unmarshal(plot.Bytes(), new(struct{}))) // fails unless the < in a name is escaped
+	is.NoErr((&Report{Plan: r.Plan}).WriteSVG(&plot))    // a run without any answers
 }
--- a/internal/load/schedule.go
+++ b/internal/load/schedule.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// shot is one request of the schedule.
-type shot struct {
-	at      time.Duration // from the start of the run
-	number  int           // from 0; stands for {n}
-	request int           // index into Plan.Requests
-	org     int           // index into Plan.Organisations
+// scheduledRequest is one scheduled request.
+type scheduledRequest struct {
+	offset            time.Duration // intended start, from the start of the run
+	number            int           // from 0; replaces {n}
+	kindIndex         int           // index into Plan.Requests
+	organisationIndex int           // index into Plan.Organisations
 }
 
-// scheduleStream is the second half of the seed of arrivals and mix.
-const scheduleStream = 0x10ad
+// scheduleSeed is the second half of the PCG seed of arrivals and mix.
+const scheduleSeed = 0x10ad
 
-// schedule works out all requests of the run from the plan's seed.
-func schedule(p *Plan) []shot {
-	r := rand.New(rand.NewPCG(uint64(p.Seed), scheduleStream))
-	kinds := make([]int, len(p.Requests))
+// buildSchedule computes all requests of the run from the plan and its seed.
+func buildSchedule(p *Plan) []scheduledRequest {
+	r := rand.New(rand.NewPCG(uint64(p.Seed), scheduleSeed))
+	kindWeights := make([]int, len(p.Requests))
 	for i := range p.Requests {
-		kinds[i] = p.Requests[i].Weight
+		kindWeights[i] = p.Requests[i].Weight
 	}
-	orgs := make([]int, len(p.Organisations))
+	organisationWeights := make([]int, len(p.Organisations))
 	for i := range p.Organisations {
-		orgs[i] = p.Organisations[i].Weight
+		organisationWeights[i] = p.Organisations[i].Weight
 	}
-	mean := float64(time.Second) / p.Rate
-	var shots []shot
-	at := 0.0
+	meanInterval := float64(time.Second) / p.Rate
+	var requests []scheduledRequest
+	offset := 0.0
 	for n := 0; ; n++ {
 		if p.Arrivals == ArrivalsConstant {
-			at = float64(n) * mean
+			offset = float64(n) * meanInterval
 		} else {
-			at += r.ExpFloat64() * mean
+			offset += r.ExpFloat64() * meanInterval
 		}
-		if time.Duration(at) >= time.Duration(p.Duration) {
-			return shots
+		if time.Duration(offset) >= time.Duration(p.Duration) {
+			return requests
 		}
-		shots = append(shots, shot{at: time.Duration(at), number: n, request: draw(r, kinds), org: draw(r, orgs)})
+		requests = append(requests, scheduledRequest{offset: time.Duration(offset), number: n, kindIndex: weightedIndex(r, kindWeights), organisationIndex: weightedIndex(r, organisationWeights)})
 	}
 }
 
-// draw returns an index with a chance in proportion to its weight.
-func draw(r *rand.Rand, weights []int) int {
+// weightedIndex returns a random index, with probabilities in proportion to the weights.
+func weightedIndex(r *rand.Rand, weights []int) int {
 	sum := 0
 	for _, w := range weights {
 		sum += w
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -8,42 +8,43 @@
 )
 
 const (
-	// lowestLatency and highestLatency bound the histograms, in microseconds;
-	// precision is the number of significant digits.
-	lowestLatency  = 1
-	highestLatency = int64(10 * time.Minute / time.Microsecond)
-	precision      = 3
-	// detailsKept is how many different explanations of failures are kept for
-	// each kind of request.
-	detailsKept = 8
+	// minLatencyMicros and maxLatencyMicros are the range of the histograms, in
+	// microseconds, with significantDigits decimal digits.
+	minLatencyMicros  = 1
+	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
+	// maxDetails limits the number of different failure details that are counted
+	// per kind of request.
+	maxDetails = 8
 )
 
-// tally counts the results of one side. One goroutine owns it.
+// tally aggregates the results of one side. It is used by one goroutine.
 type tally struct {
-	plan    *Plan
-	kinds   []kindTally
-	late    *hdrhistogram.Histogram
-	seconds []Second
-	sent    int
-	notSent int
-	retries int
+	plan      *Plan
+	kinds     []kindTally
+	sendDelay *hdrhistogram.Histogram
+	seconds   []Second // by second of the intended start
+	sent      int
+	notSent   int
+	retries   int
 }
 
+// kindTally aggregates the results of one kind of request.
 type kindTally struct {
 	outcomes map[string]int
 	details  map[string]int
 	total    *hdrhistogram.Histogram // of whole answers
 	first    *hdrhistogram.Histogram // of streams with a token
-	gap      *hdrhistogram.Histogram
+	gap      *hdrhistogram.Histogram // between consecutive tokens
 	tokens   int
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(lowestLatency, highestLatency, precision)
+	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits)
 }
 
 func newTally(p *Plan) *tally {
-	t := &tally{plan: p, late: newHistogram(), kinds: make([]kindTally, len(p.Requests))}
+	t := &tally{plan: p, sendDelay: newHistogram(), kinds: make([]kindTally, len(p.Requests))}
 	for i := range t.kinds {
 		t.kinds[i] = kindTally{
 			outcomes: make(map[string]int), details: make(map[string]int),
@@ -57,73 +58,75 @@
 	return t
 }
 
-// record adds a latency; one beyond the bounds counts as the bound.
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	us := min(max(d.Microseconds(), lowestLatency), highestLatency)
-	_ = h.RecordValue(us) // within the bounds
+// recordLatency adds a latency to the histogram, limited to the histogram's range.
+func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
+	us := min(max(d.Microseconds(), minLatencyMicros), maxLatencyMicros)
+	_ = h.RecordValue(us) // cannot fail within the range
 }
 
+// add counts one result.
 func (t *tally) add(r *result) {
-	k := &t.kinds[r.request]
+	k := &t.kinds[r.kindIndex]
 	k.outcomes[r.outcome]++
-	t.second(r)
+	t.countSecond(r)
 	if r.outcome == outcomeNotSent {
 		t.notSent++
 		return
 	}
 	t.sent++
-	t.retries += r.tries - 1
-	record(t.late, r.late)
+	t.retries += r.attempts - 1
+	recordLatency(t.sendDelay, r.sendDelay)
 	k.tokens += r.tokens
 	switch {
 	case r.outcome == outcomeWhole:
-		record(k.total, r.total)
-	case r.refused: // counted by kind; its text holds times that differ each time
-	case len(k.details) < detailsKept || k.details[r.detail] > 0:
+		recordLatency(k.total, r.totalLatency)
+	case r.notRun: // only its outcome is counted: the message contains varying times
+	case len(k.details) < maxDetails || k.details[r.detail] > 0:
 		k.details[r.detail]++
 	}
-	if r.first > 0 {
-		record(k.first, r.first)
+	if r.firstTokenLatency > 0 {
+		recordLatency(k.first, r.firstTokenLatency)
 	}
-	for _, g := range r.gaps {
-		record(k.gap, g)
+	for _, g := range r.tokenGaps {
+		recordLatency(k.gap, g)
 	}
 }
 
-// second counts the result in the second of its intended start.
-func (t *tally) second(r *result) {
-	s := &t.seconds[min(int(r.at/time.Second), len(t.seconds)-1)]
+// countSecond counts the outcome of the result in the second of its intended start.
+func (t *tally) countSecond(r *result) {
+	s := &t.seconds[min(int(r.offset/time.Second), len(t.seconds)-1)]
 	switch {
 	case r.outcome == outcomeWhole:
 		s.Whole++
 	case r.outcome == outcomeNotSent:
 		s.NotSent++
-	case r.refused:
+	case r.notRun:
 		s.Refused++
 	default:
 		s.Failed++
 	}
 }
 
+// report returns the report for the side.
 func (t *tally) report(p *Plan, s *Side) *Report {
 	r := &Report{
 		Name: s.Name, Targets: s.Targets, Plan: p,
 		Sent: t.sent, NotSent: t.notSent, Retries: t.retries,
-		Late: latencyOf(t.late), Seconds: t.seconds,
+		Late: latencyStatistics(t.sendDelay), Seconds: t.seconds,
 	}
 	for i := range t.kinds {
 		k := &t.kinds[i]
 		r.Kinds = append(r.Kinds, Kind{
 			Name: p.Requests[i].Name, Type: p.Requests[i].Type,
-			Outcomes: countsOf(k.outcomes), Details: countsOf(k.details), Tokens: k.tokens,
-			Total: latencyOf(k.total), FirstToken: latencyOf(k.first), BetweenTokens: latencyOf(k.gap),
+			Outcomes: sortedCounts(k.outcomes), Details: sortedCounts(k.details), Tokens: k.tokens,
+			Total: latencyStatistics(k.total), FirstToken: latencyStatistics(k.first), BetweenTokens: latencyStatistics(k.gap),
 		})
 	}
 	return r
 }
 
-// countsOf sorts counts, the largest first.
-func countsOf(m map[string]int) []Count {
+// sortedCounts returns the counts with a name, the largest first, then by name.
+func sortedCounts(m map[string]int) []Count {
 	var out []Count
 	for name, n := range m {
 		if name != "" {
@@ -142,10 +145,11 @@
 	return out
 }
 
-// curveQuantiles are the points of a latency curve, in per cent.
+// curveQuantiles are the percentiles of the points of a latency curve.
 var curveQuantiles = []float64{0, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.95, 99.99, 100}
 
-func latencyOf(h *hdrhistogram.Histogram) Latency {
+// latencyStatistics returns the statistics and the curve of a histogram.
+func latencyStatistics(h *hdrhistogram.Histogram) Latency {
 	l := Latency{Count: h.TotalCount()}
 	if l.Count == 0 {
 		return l
