--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo runs a whole small fleet in one process on loopback: stand-ins
-// of the platform, the engines and a plain service in three availability zones,
-// and one entry node in each.
+// Package demo runs a small fleet in one process on loopback: stand-ins for the
+// platform, the engines and a plain service, and one entry node in each of three
+// availability zones.
 package demo
 
 import (
@@ -29,39 +29,39 @@
 //go:embed document.yaml
 var document []byte
 
-// Keys and names of the demonstration.
+// Credentials and names used by the demo.
 const (
-	CallerKey     = "demo-counters" // of the organisation "counters"
+	CallerKey     = "demo-counters" // caller key of the organisation "counters"
 	OperatorToken = "demo-operator"
 	Service       = "counter"
 
-	enginesPerZone = 5 // a replica of four and a spare
-	readyPoll      = 50 * time.Millisecond
-	secret         = "demo secret, for loopback only: 0123456789"
-	// operatorHash is the SHA-256 of OperatorToken.
-	operatorHash = "9437e87fae95c03d3778f2575bb18ce30e647e51d86a8c37963364e1fc4f374e"
+	enginesPerZone    = 5 // one replica of four VMs and a spare VM
+	readyPollInterval = 50 * time.Millisecond
+	peerSecret        = "demo secret, for loopback only: 0123456789"
+	// operatorTokenHash is the SHA-256 of OperatorToken.
+	operatorTokenHash = "9437e87fae95c03d3778f2575bb18ce30e647e51d86a8c37963364e1fc4f374e"
 )
 
-// Zones are the availability zones of the demonstration; engines are in the
-// first two, so that the third one's callers are served by another zone.
+// Zones are the availability zones of the demo. Only the first two have engines,
+// so that callers in the third zone are served from another zone.
 var Zones = []fleet.AvailabilityZone{"baneshwor", "lalitpur", "bhaktapur"}
 
-const engineZones = 2
+const engineZoneCount = 2
 
-// Fleet is a running demonstration.
+// Fleet is a running demo fleet.
 type Fleet struct {
 	Platform *standin.Server
 	Nodes    []*node.Node
 
-	servers []*standin.Server
-	engines []*engine.Engine
-	cancel  context.CancelFunc
-	ended   []chan error
-	log     *slog.Logger
+	servers   []*standin.Server
+	engines   []*engine.Engine
+	cancel    context.CancelFunc
+	runErrors []chan error // the error of each node's Run
+	log       *slog.Logger
 }
 
-// Start starts the fleet and returns when its group serves and every node has
-// the configuration.
+// Start starts the fleet and returns when every node has the configuration and
+// sees a complete, serving group. On an error it closes what was started.
 func Start(ctx context.Context, log *slog.Logger) (*Fleet, error) {
 	f := &Fleet{log: log}
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -86,10 +86,10 @@
 			return err
 		}
 	}
-	if err := f.accept(ctx); err != nil {
+	if err := f.applyDocument(ctx); err != nil {
 		return err
 	}
-	return f.await(ctx)
+	return f.awaitReady(ctx)
 }
 
 func (f *Fleet) startEndpoints(p *platform.Platform) error {
@@ -97,7 +97,7 @@
 		if err := f.startService(p, zone, z); err != nil {
 			return err
 		}
-		if z >= engineZones {
+		if z >= engineZoneCount {
 			continue
 		}
 		for i := range enginesPerZone {
@@ -136,7 +136,7 @@
 }
 
 func (f *Fleet) startNode(ctx context.Context, vm string, zone fleet.AvailabilityZone) error {
-	set, err := settings.Parse(vm, []byte(fmt.Sprintf(settingsTemplate, vm, zone, f.Platform.Addr, secret, operatorHash)))
+	set, err := settings.Parse(vm, []byte(fmt.Sprintf(settingsTemplate, vm, zone, f.Platform.Addr, peerSecret, operatorTokenHash)))
 	if err != nil {
 		return err
 	}
@@ -146,9 +146,9 @@
 	if err != nil {
 		return err
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- n.Run(ctx) }()
-	f.Nodes, f.ended = append(f.Nodes, n), append(f.ended, ended)
+	runError := make(chan error, 1)
+	go func() { runError <- n.Run(ctx) }()
+	f.Nodes, f.runErrors = append(f.Nodes, n), append(f.runErrors, runError)
 	return nil
 }
 
@@ -163,42 +163,43 @@
 timing: {drain_notice: 100ms}
 `
 
-// accept has the first node accept the document. The node may need a moment to
-// find that it is alone or to hear the others.
-func (f *Fleet) accept(ctx context.Context) error {
+// applyDocument submits the configuration document to the first node. The call
+// blocks until that node has joined the others or found that it is alone.
+func (f *Fleet) applyDocument(ctx context.Context) error {
 	res := f.Nodes[0].Apply(ctx, operator.ApplyRequest{Document: string(document)}, "demo")
 	if res.State != operator.ApplyAccepted {
-		return merry.Errorf("demo: the document was not accepted: %s %s", res.State, res.Message)
+		return merry.Errorf("demo: the configuration document was not accepted: %s %s", res.State, res.Message)
 	}
 	return nil
 }
 
-// await waits until every node is ready and sees a whole group.
-func (f *Fleet) await(ctx context.Context) error {
+// awaitReady polls until the fleet is ready or ctx is done.
+func (f *Fleet) awaitReady(ctx context.Context) error {
 	for {
-		if f.ready() {
+		if f.isReady() {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return merry.Errorf("demo: the fleet was not ready in time: %w", context.Cause(ctx))
-		case <-time.After(readyPoll):
+			return merry.Errorf("demo: timed out waiting for the fleet to be ready: %w", context.Cause(ctx))
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-func (f *Fleet) ready() bool {
+// isReady reports whether every node is ready and can serve the demo's requests.
+func (f *Fleet) isReady() bool {
 	for _, n := range f.Nodes {
-		if ok, _ := n.Ready(); !ok || !servable(n) {
+		if ok, _ := n.Ready(); !ok || !canServe(n) {
 			return false
 		}
 	}
 	return true
 }
 
-// servable reports whether the node knows a whole group and an endpoint of the
-// plain service.
-func servable(n *node.Node) bool {
+// canServe reports whether the node knows a complete, serving group, an endpoint
+// of the plain service in its own zone, and all other nodes.
+func canServe(n *node.Node) bool {
 	s := n.Status()
 	whole, services := false, 0
 	for _, g := range s.Groups {
@@ -212,12 +213,13 @@
 	return whole && services > 0 && len(s.Nodes) == len(Zones)-1
 }
 
-// Close ends the nodes gracefully, then the stand-ins.
+// Close shuts the nodes down gracefully and then closes the stand-ins. It returns
+// the joined errors.
 func (f *Fleet) Close() error {
 	f.cancel()
 	var err error
-	for _, ended := range f.ended {
-		err = errors.Join(err, <-ended)
+	for _, runError := range f.runErrors {
+		err = errors.Join(err, <-runError)
 	}
 	for _, s := range f.servers {
 		err = errors.Join(err, s.Close())
@@ -231,5 +233,5 @@
 	return err
 }
 
-// Document returns the configuration document of the demonstration.
+// Document returns the parsed configuration document of the demo.
 func Document() (*config.Document, error) { return config.Parse("document.yaml", document) }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -19,12 +19,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// generous bounds a step that has to end, and does not measure it.
-const generous = 90 * time.Second
+// stepTimeout is the timeout of a step that must finish. It is long enough to be
+// independent of the machine's speed.
+const stepTimeout = 90 * time.Second
 
 func startFleet(t *testing.T) *Fleet {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), generous)
+	ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 	defer cancel()
 	f, err := Start(ctx, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -39,13 +40,13 @@
 	return f
 }
 
-// One caller's session at a node whose zone has no engines: a call of each
-// kind, a repeat of the receipt, and every kind of bad input. The golden file
-// holds what the caller sees of each, so that a change of any header or error
-// text is seen.
-func TestSession(t *testing.T) {
+// A caller's session with a node in a zone without engines: a call of each kind,
+// a repeated receipt, and each kind of invalid request. The golden file has the
+// status, outcome header and body of each response, so that the test detects a
+// change in any of them.
+func TestCallerSession(t *testing.T) {
 	f := startFleet(t)
-	ctx, cancel := context.WithTimeout(context.Background(), generous)
+	ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 	defer cancel()
 	var session strings.Builder
 	for _, a := range f.Smoke(ctx) {
@@ -55,23 +56,23 @@
 		fmt.Fprintf(&session, "%s: %d %s\n  %s\n", a.Name, a.Status, a.Outcome, a.Text)
 	}
 	base := "http://" + f.Nodes[len(f.Nodes)-1].Addrs().Caller
-	for _, b := range badCalls() {
+	for _, b := range invalidCalls() {
 		session.WriteString(b.send(ctx, t, base))
 	}
 	goldie.New(t).Assert(t, "session", []byte(session.String()))
 }
 
-// badCall is a request that has to be refused, and how.
-type badCall struct {
+// invalidCall is an invalid request and the expected status.
+type invalidCall struct {
 	name, method, path, body, key string
 	header                        map[string]string
 	status                        int
 }
 
-func badCalls() []badCall {
+func invalidCalls() []invalidCall {
 	const chat = "/v1/chat/completions"
 	good := `{"model":"clerk","messages":[{"role":"user","content":"hello"}]}`
-	return []badCall{
+	return []invalidCall{
 		{"no key", "POST", chat, good, "", nil, 401},
 		{"operator's token", "POST", chat, good, OperatorToken, nil, 401},
 		{"malformed JSON", "POST", chat, `{"model":"clerk",`, CallerKey, nil, 400},
@@ -87,7 +88,7 @@
 	}
 }
 
-func (b badCall) send(ctx context.Context, t *testing.T, base string) string {
+func (b invalidCall) send(ctx context.Context, t *testing.T, base string) string {
 	t.Helper()
 	is := is.New(t)
 	req, err := http.NewRequestWithContext(ctx, b.method, base+b.path, strings.NewReader(b.body))
--- a/internal/demo/smoke.go
+++ b/internal/demo/smoke.go
@@ -18,17 +18,17 @@
 	"chervilloom/internal/standin/service"
 )
 
-// Answer is what one request of the smoke test got.
+// Answer is the response to one request of the smoke test.
 type Answer struct {
 	Name    string
 	Status  int
 	Outcome string
 	Text    string
-	Err     error // why the answer is not the caller's own whole answer
+	Err     error // why the answer is missing, incomplete or not the expected one; or nil
 }
 
-// call is one request of the smoke test and the check of its answer.
-type call struct {
+// smokeCall is one request of the smoke test and the check for its answer.
+type smokeCall struct {
 	name, method, path, body string
 	header                   map[string]string
 	check                    func(body []byte) (text string, err error)
@@ -39,17 +39,17 @@
 func (f *Fleet) Smoke(ctx context.Context) []Answer {
 	base := "http://" + f.Nodes[len(f.Nodes)-1].Addrs().Caller
 	var out []Answer
-	for _, c := range calls() {
+	for _, c := range smokeCalls() {
 		out = append(out, c.send(ctx, base))
 	}
 	return out
 }
 
-func calls() []call {
+func smokeCalls() []smokeCall {
 	chat := `{"model":"clerk","messages":[{"role":"user","content":"Summarise the renewal file 17."}],"max_tokens":12%s}`
 	stream := fmt.Sprintf(chat, `,"stream":true`)
 	plain := fmt.Sprintf(chat, "")
-	return []call{
+	return []smokeCall{
 		{"chat, streamed", "POST", "/v1/chat/completions", stream, nil,
 			func(b []byte) (string, error) { return checkStream([]byte(stream), b) }},
 		{"chat, whole", "POST", "/v1/chat/completions", plain, nil,
@@ -62,11 +62,11 @@
 	}
 }
 
-func (c call) send(ctx context.Context, base string) Answer {
+func (c smokeCall) send(ctx context.Context, base string) Answer {
 	a := Answer{Name: c.name}
 	req, err := http.NewRequestWithContext(ctx, c.method, base+c.path, strings.NewReader(c.body))
 	if err != nil {
-		return a.failed(err)
+		return a.withError(err)
 	}
 	req.Header.Set("Authorization", "Bearer "+CallerKey)
 	for k, v := range c.header {
@@ -74,7 +74,7 @@
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return a.failed(err)
+		return a.withError(err)
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
@@ -83,22 +83,22 @@
 		a.Outcome = res.Trailer.Get(outcome.Header)
 	}
 	if err != nil {
-		return a.failed(err)
+		return a.withError(err)
 	}
 	if res.StatusCode != http.StatusOK {
-		return a.failed(merry.Errorf("%s: %s", res.Status, bytes.TrimSpace(body)))
+		return a.withError(merry.Errorf("%s: %s", res.Status, bytes.TrimSpace(body)))
 	}
 	a.Text, a.Err = c.check(body)
 	return a
 }
 
-func (a Answer) failed(err error) Answer {
+func (a Answer) withError(err error) Answer {
 	a.Err = err
 	return a
 }
 
-// checkStream compares the tokens with those that the request must get, and
-// demands the end marker.
+// checkStream compares the tokens with those expected for the request and requires
+// the end marker. It returns the text of the answer.
 func checkStream(request, body []byte) (string, error) {
 	var got []string
 	done := false
@@ -122,9 +122,11 @@
 	if !done {
 		return "", merry.Errorf("the stream has no end marker")
 	}
-	return compare(request, strings.Join(got, ""))
+	return compareAnswer(request, strings.Join(got, ""))
 }
 
+// checkChat compares the message with the one expected for the request and returns
+// it.
 func checkChat(request, body []byte) (string, error) {
 	var a engine.ChatAnswer
 	if err := json.Unmarshal(body, &a); err != nil {
@@ -133,17 +135,19 @@
 	if len(a.Choices) != 1 || a.Choices[0].Message == nil {
 		return "", merry.Errorf("the answer has no message")
 	}
-	return compare(request, a.Choices[0].Message.Content)
+	return compareAnswer(request, a.Choices[0].Message.Content)
 }
 
-func compare(request []byte, got string) (string, error) {
+func compareAnswer(request []byte, got string) (string, error) {
 	want := strings.Join(standin.ExpectedTokens(request), "")
 	if got != want {
-		return got, merry.Errorf("not the answer to this request: want %q", want)
+		return got, merry.Errorf("unexpected answer: want %q", want)
 	}
 	return got, nil
 }
 
+// checkService returns a check that the answer belongs to the given call and that
+// the call ran exactly once.
 func checkService(method, path, body string) func([]byte) (string, error) {
 	return func(b []byte) (string, error) {
 		var a service.Answer
@@ -151,7 +155,7 @@
 			return "", err
 		}
 		if a.Check != service.CheckOf(method, path, []byte(body)) {
-			return string(b), merry.Errorf("not the answer to this request")
+			return string(b), merry.Errorf("unexpected answer: the check value is for another request")
 		}
 		if a.Runs != 1 {
 			return string(b), merry.Errorf("the call ran %d times", a.Runs)
