--- a/internal/logwalk/logwalk.go
+++ b/internal/logwalk/logwalk.go
@@ -1,5 +1,5 @@
-// Package logwalk explains a request from the collected logs of all nodes: what
-// became of it, and what the nodes believed when they decided.
+// Package logwalk explains a request from the collected logs of all nodes: its own
+// log lines, and the state that the nodes knew when they made their decisions.
 package logwalk
 
 import (
@@ -16,21 +16,22 @@
 	"time"
 )
 
-// Line is one line of a node's log.
+// Line is one line of a node's JSON log. A field is empty if the line has no such
+// key.
 type Line struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
 	VM      string    `json:"vm"`
 
 	Request     string   `json:"request"`
-	Fingerprint string   `json:"fingerprint"` // the same for the same request under another id
+	Fingerprint string   `json:"fingerprint"` // equal for equal requests with different ids
 	Stage       string   `json:"stage"`       // of a refusal
 	Tried       []string `json:"tried"`
 	Endpoint    string   `json:"endpoint"`
 	ID          string   `json:"id"`       // of an ejection
-	Decision    string   `json:"decision"` // about a group
+	Decision    string   `json:"decision"` // of a change of a group
 
-	// Of a request's last line.
+	// Keys of a request's last line, except for Zone.
 	Zone        string `json:"zone"` // of the node, in its first line
 	Route       string `json:"route"`
 	Kind        string `json:"kind"` // of a refusal
@@ -44,11 +45,11 @@
 	GapMS       int64  `json:"gap_ms"`
 	GapAimMS    int64  `json:"gap_aim_ms"`
 
-	raw []byte // the whole object
+	raw []byte // the JSON object
 }
 
-// Fields returns the line's own fields as they were logged, without time, node
-// and message.
+// Fields returns the keys and values of the line, sorted by key, without time,
+// level, node and message. Values are in JSON.
 func (l *Line) Fields() string {
 	var all map[string]json.RawMessage
 	if json.Unmarshal(l.raw, &all) != nil {
@@ -66,25 +67,27 @@
 	return strings.Join(parts, " ")
 }
 
-// Step is a line that bears on the request, with its age when the request ended.
+// Step is a log line related to the request, with its age at the request's end.
 type Step struct {
 	Line Line
-	Age  time.Duration // negative: after the request's end
-	Why  string        // what it has to do with the request
+	Age  time.Duration // negative: logged after the request's end
+	Why  string        // relation to the request
 }
 
-// Explanation is what the logs tell of a request.
+// Explanation contains the log lines about a request and those related to it.
 type Explanation struct {
 	Request string
-	Own     []Line // its own lines, in order of time
-	Facts   []Step // what the nodes believed, in order of time
+	Own     []Line // lines with the request's id, in order of time
+	Facts   []Step // related lines of all nodes, in order of time
 }
 
-// maxLine bounds a line, in bytes; a longer one is passed over.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a line, in bytes. Read returns an error for a
+// longer one.
+const maxLineBytes = 1 << 20
 
-// ReadDir reads all files of a folder. Lines that are no JSON objects are passed
-// over: collectors add text of their own, before an object too.
+// ReadDir reads the logs in all files of a directory, without its subdirectories.
+// Lines without a JSON object are skipped, and text before an object is ignored,
+// since log collectors add text of their own.
 func ReadDir(dir string) ([]Line, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -113,13 +116,14 @@
 	return Read(f)
 }
 
-// Read reads the lines of one log.
+// Read reads the lines of one log, skipping those without a JSON object that has
+// a time.
 func Read(r io.Reader) ([]Line, error) {
 	var lines []Line
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
-		at := bytes.IndexByte(s.Bytes(), '{')
+		at := bytes.IndexByte(s.Bytes(), '{') // start of the object
 		if at < 0 {
 			continue
 		}
@@ -132,20 +136,22 @@
 	return lines, s.Err()
 }
 
-// factsFor is how long before a request's end a fact still bears on it: groups
-// are repaired within seconds, and a lost store shows after the revocation bound.
-const factsFor = 12 * time.Second
+// maxFactAge is the maximum age of a related line at the request's end. Groups are
+// repaired within seconds, but the loss of the store has an effect only after the
+// revocation bound.
+const maxFactAge = 12 * time.Second
 
-// latest are the messages of which the newest before the request's end tells
-// what its node knew.
-var latest = []string{
+// stateMessages lists messages about a node's state. The newest line of each before the
+// request's end shows what the node that logged the end knew at that time.
+var stateMessages = []string{
 	"configuration in force", "configuration not read", "configuration is read again",
 	"endpoints not read", "endpoints are read again",
 	"node is followed; the store is not read", "no node is followed; the store is read",
 	"node starts", "node leaves",
 }
 
-// Walk explains a request.
+// Walk collects the lines with the request's id and the related lines of all
+// nodes. Own is empty if no line has the id.
 func Walk(lines []Line, request string) Explanation {
 	ex := Explanation{Request: request}
 	for _, l := range lines {
@@ -158,18 +164,18 @@
 	}
 	slices.SortStableFunc(ex.Own, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	end := ex.Own[len(ex.Own)-1]
-	tried, fp := triedBy(ex.Own), fingerprintOf(ex.Own)
+	tried, fp := triedEndpoints(ex.Own), firstFingerprint(ex.Own)
 	noGroup := len(tried) == 0 && end.Stage == stagePick
 	newest := map[string]Line{}
 	for _, l := range lines {
 		age := end.Time.Sub(l.Time)
-		if l.VM == end.VM && slices.Contains(latest, l.Message) && age >= 0 && newest[l.Message].Time.Before(l.Time) {
+		if l.VM == end.VM && slices.Contains(stateMessages, l.Message) && age >= 0 && newest[l.Message].Time.Before(l.Time) {
 			newest[l.Message] = l
 		}
-		if why := bears(&l, tried, noGroup, age); why != "" {
+		if why := relation(&l, tried, noGroup, age); why != "" {
 			ex.Facts = append(ex.Facts, Step{l, age, why})
-		} else if fp != "" && l.Fingerprint == fp && l.Request != request && slices.Contains(ofTheSame, l.Message) {
-			ex.Facts = append(ex.Facts, Step{l, age, "the same request, under any id"})
+		} else if fp != "" && l.Fingerprint == fp && l.Request != request && slices.Contains(fingerprintMessages, l.Message) {
+			ex.Facts = append(ex.Facts, Step{l, age, "an equal request, with any id"})
 		}
 	}
 	for _, l := range newest {
@@ -179,13 +185,14 @@
 	return ex
 }
 
-// ofTheSame are the messages about a request that comes under several ids. They tell why
-// it is quarantined, however long ago that began.
-var ofTheSame = []string{
+// fingerprintMessages lists messages about all requests with one fingerprint. They show why a
+// request is quarantined; their age is not limited.
+var fingerprintMessages = []string{
 	"attempt broke off", "request is quarantined", "quarantined request is tried", "request is quarantined no more",
 }
 
-func fingerprintOf(own []Line) string {
+// firstFingerprint returns the first fingerprint in the lines, or "".
+func firstFingerprint(own []Line) string {
 	for _, l := range own {
 		if l.Fingerprint != "" {
 			return l.Fingerprint
@@ -194,7 +201,8 @@
 	return ""
 }
 
-func triedBy(own []Line) []string {
+// triedEndpoints returns the ids of the endpoints in the lines, without duplicates.
+func triedEndpoints(own []Line) []string {
 	var ids []string
 	for _, l := range own {
 		for _, id := range append(l.Tried, l.Endpoint) {
@@ -206,24 +214,25 @@
 	return ids
 }
 
-// stagePick is the stage of a refusal for want of an endpoint.
+// stagePick is the stage of a request that was refused because no endpoint was
+// available.
 const stagePick = "pick"
 
-// bears says what a line of any node has to do with a request that tried these
-// endpoints, or found none to try, or "".
-func bears(l *Line, tried []string, noGroup bool, age time.Duration) string {
-	const after = 2 * time.Second // the repair that follows names the cause
-	if age > factsFor || age < -after || l.Request != "" {
+// relation returns the relation of a line of any node to a request that tried the
+// given endpoints or found no group, or "" if there is none.
+func relation(l *Line, tried []string, noGroup bool, age time.Duration) string {
+	const after = 2 * time.Second // includes the repair after the request, whose lines name the cause
+	if age > maxFactAge || age < -after || l.Request != "" {
 		return ""
 	}
 	switch l.Message {
 	case "duty begun", "duty over":
 		if noGroup || len(tried) > 0 {
-			return "who runs the groups"
+			return "which node runs the groups"
 		}
 	case "groups":
 		if noGroup {
-			return "the request found no group to go to"
+			return "the request found no available group"
 		}
 	}
 	for _, id := range tried {
@@ -234,7 +243,7 @@
 	return ""
 }
 
-// Print writes the explanation for a reader.
+// Print writes the explanation as text: the related lines, then the request's own.
 func (ex *Explanation) Print(w io.Writer) error {
 	for _, f := range ex.Facts {
 		if _, err := fmt.Fprintf(w, "%8.3f s before  %-18s %s  [%s]\n    %s\n", f.Age.Seconds(), f.Line.VM, f.Line.Message, f.Why, f.Line.Fields()); err != nil {
--- a/internal/logwalk/logwalk_test.go
+++ b/internal/logwalk/logwalk_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-const logs = `  1.0 front-1 {"time":"2026-01-01T00:00:01Z","msg":"configuration in force","vm":"front-1","version":3}
+const walkLogs = `  1.0 front-1 {"time":"2026-01-01T00:00:01Z","msg":"configuration in force","vm":"front-1","version":3}
 {"time":"2026-01-01T00:00:02Z","msg":"configuration in force","vm":"front-1","version":4}
 {"time":"2026-01-01T00:00:05Z","msg":"groups","vm":"front-2","decision":"group z-1 forms for m with e1(200ms) e2(200ms)"}
 {"time":"2026-01-01T00:00:06Z","msg":"endpoint is suspect","vm":"front-1","endpoint":"e1","silent_ms":360}
@@ -21,11 +21,11 @@
 not json
 `
 
-// A stream was cut because a member of its group was lost. The walk finds the
-// loss on the node that runs the groups, from the request's id alone.
-func TestWalkFindsTheLossBehindACut(t *testing.T) {
+// A stream was cut because a member of its group was lost. From the request's id,
+// Walk must find the loss, which was logged by the node that runs the groups.
+func TestWalkFindsLostMemberOfCutRequest(t *testing.T) {
 	is := is.New(t)
-	lines, err := Read(strings.NewReader(logs))
+	lines, err := Read(strings.NewReader(walkLogs))
 	is.NoErr(err)
 	ex := Walk(lines, "r1")
 	is.Equal(len(ex.Own), 2)
@@ -34,7 +34,7 @@
 	got := text.String()
 	is.True(strings.Contains(got, "member e2 is lost"))
 	is.True(strings.Contains(got, "version=4"))
-	is.True(!strings.Contains(got, "version=3")) // an older fact of the same kind
+	is.True(!strings.Contains(got, "version=3")) // an older line with the same message
 	is.True(!strings.Contains(got, "e9"))        // another endpoint
 	is.True(!strings.Contains(got, `"r2"`))      // another request
 }
@@ -46,10 +46,11 @@
 {"time":"2026-01-01T00:05:00Z","msg":"request refused","vm":"front-1","request":"r9","fingerprint":"bad","stage":"quarantine"}
 `
 
-// A caller asks why it was refused, minutes after other nodes found that endpoints end
-// when they run its request. The walk finds the ends, under other ids and on other nodes,
-// from the id of the refused one; what merely shared an endpoint isn't shown.
-func TestWalkFindsWhyARequestIsQuarantined(t *testing.T) {
+// A request was refused because its fingerprint was quarantined minutes before, after
+// endpoints had failed while running equal requests. From the id of the refused
+// request, Walk must find these failures, which other nodes logged with other ids, but
+// no requests that only used the same endpoint.
+func TestWalkFindsCauseOfQuarantine(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(quarantineLogs))
 	is.NoErr(err)
@@ -65,16 +66,16 @@
 
 func TestUnknownRequestHasNoLines(t *testing.T) {
 	is := is.New(t)
-	lines, err := Read(strings.NewReader(logs))
+	lines, err := Read(strings.NewReader(walkLogs))
 	is.NoErr(err)
 	is.Equal(len(Walk(lines, "r3").Own), 0)
 }
 
-func TestReadDirTakesAllFiles(t *testing.T) {
+func TestReadDirReadsAllFiles(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	for _, name := range []string{"a.log", "b.log"} {
-		is.NoErr(os.WriteFile(filepath.Join(dir, name), []byte(logs), 0o600))
+		is.NoErr(os.WriteFile(filepath.Join(dir, name), []byte(walkLogs), 0o600))
 	}
 	lines, err := ReadDir(dir)
 	is.NoErr(err)
--- a/internal/logwalk/losses.go
+++ b/internal/logwalk/losses.go
@@ -10,22 +10,23 @@
 	"time"
 )
 
-// Loss counts the requests that were lost, or late, for the same reason on the same
-// route in the same availability zone and window.
+// Loss counts the lost or late requests with the same reason, route, model,
+// availability zone and time window.
 type Loss struct {
-	Window   time.Duration // its start, from the first request's end
-	Zone     string        // of the nodes; empty: their first line is missing
+	Window   time.Duration // start of the window, from the end of the first request
+	Zone     string        // of the nodes; empty if their first line is missing
 	Route    string
 	Model    string
 	Reason   string
 	Requests int
-	// Mean numbers of endpoints and free slots that the nodes knew when they decided.
+	// Mean numbers of endpoints and free slots known to the nodes at their decisions.
 	Endpoints, FreeSlots float64
-	Example              string // id of one of the requests
+	Example              string // id of the first of the requests in the logs
 }
 
-// Losses counts by windows of the given length, in order of time, the most first. An
-// answer without loss counts nowhere.
+// Losses counts the lost and late requests by windows of the given length. The result
+// is sorted by window, then by number of requests, the largest first. Requests that
+// were answered in time are not counted.
 func Losses(lines []Line, window time.Duration) []Loss {
 	zones := map[string]string{}
 	var first time.Time
@@ -33,7 +34,7 @@
 		if l.Message == "node starts" {
 			zones[l.VM] = l.Zone
 		}
-		if isEnd(l.Message) && (first.IsZero() || l.Time.Before(first)) {
+		if isEndMessage(l.Message) && (first.IsZero() || l.Time.Before(first)) {
 			first = l.Time
 		}
 	}
@@ -70,29 +71,31 @@
 	return out
 }
 
-// isEnd reports whether a message is a request's last one.
-func isEnd(message string) bool { return strings.HasPrefix(message, "request ") }
+// isEndMessage reports whether a message is that of a request's last line.
+func isEndMessage(message string) bool { return strings.HasPrefix(message, "request ") }
 
-// lossReason names what a request lost by; empty: nothing, or the line is none of a
-// request's end.
+// lossReason returns the reason why a request was lost or late. It returns "" if the
+// request was answered in time or the line is not a request's last one.
 func lossReason(l *Line) string {
 	switch l.Message {
 	case "request done":
 		return lateReason(l)
 	case "request refused":
-		return "refused: " + l.Kind + causeOf(l)
+		return "refused: " + l.Kind + knownCausesOf(l)
 	case "request cut", "request unknown", "request failed at the endpoint":
-		return strings.TrimPrefix(l.Message, "request ") + causeOf(l)
+		return strings.TrimPrefix(l.Message, "request ") + knownCausesOf(l)
 	}
 	return ""
 }
 
+// lateReason returns the reason why an answered request was late or its client left,
+// or "".
 func lateReason(l *Line) string {
 	switch {
 	case l.Result == "client_gone":
-		return "the client left" + causeOf(l)
+		return "the client left" + knownCausesOf(l)
 	case l.ObjectiveMS > 0 && l.FirstMS > l.ObjectiveMS && len(l.Tried) > 1:
-		return "late: tried more than one endpoint" + causeOf(l)
+		return "late: tried more than one endpoint" + knownCausesOf(l)
 	case l.ObjectiveMS > 0 && l.FirstMS > l.ObjectiveMS:
 		return "late: the first event"
 	case l.GapAimMS > 0 && l.GapMS > l.GapAimMS:
@@ -101,17 +104,18 @@
 	return ""
 }
 
-// causes are the beginnings and parts of causes that are told apart; ids and addresses
-// that follow would make each a reason of its own.
-var causes = []string{
+// knownCauses are the parts of a logged cause that become part of the reason. The rest is
+// dropped: with ids and addresses in it, each request would have a reason of its own.
+var knownCauses = []string{
 	"every endpoint is full", "no endpoint serves", "the request was not sent", "endpoint refused: status 503",
 	"endpoint refused: status 421", "endpoint answered 500", "i/o timeout", "connection reset", "unexpected EOF",
 	"the client had left", "the time was over",
 }
 
-func causeOf(l *Line) string {
+// knownCausesOf returns the known parts of the line's cause in parentheses, or "".
+func knownCausesOf(l *Line) string {
 	var found []string
-	for _, c := range causes {
+	for _, c := range knownCauses {
 		if strings.Contains(l.Cause, c) {
 			found = append(found, c)
 		}
@@ -122,7 +126,7 @@
 	return " (" + strings.Join(found, "; ") + ")"
 }
 
-// PrintLosses writes the table.
+// PrintLosses writes the losses as a text table.
 func PrintLosses(w io.Writer, losses []Loss) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "FROM\tREQUESTS\tREASON\tROUTE\tMODEL\tZONE\tENDPOINTS\tFREE SLOTS\tEXAMPLE")
--- a/internal/logwalk/losses_test.go
+++ b/internal/logwalk/losses_test.go
@@ -19,9 +19,9 @@
 {"time":"2026-01-01T00:00:03.7Z","msg":"groups","vm":"n1","zone":"a","decision":"group g closes"}
 `
 
-// An on-call engineer sees by window, reason and zone what was lost, with the id of a
-// request to go on with, and what the nodes knew when they decided.
-func TestLossesByReason(t *testing.T) {
+// Losses are counted by window, reason and zone, with the id of an example request and
+// the mean numbers of endpoints and free slots that the nodes knew.
+func TestLosses(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(lossLogs))
 	is.NoErr(err)
