--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain keeps the newest decisions of a node with their reasons, so
-// that an operator can ask what was decided about a request, a group, a duty or
-// a node, on which facts, and how old those facts were.
+// Package explain records a node's latest decisions about requests, groups, duties
+// and nodes, for operators to query. Each record has the reason for the decision,
+// the facts it was based on, and their age.
 package explain
 
 import (
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Fact is one input of a decision.
+// Fact is one input to a decision.
 type Fact struct {
 	Name  string        `json:"name"`
 	Value string        `json:"value"`
-	Age   time.Duration `json:"age,omitempty"` // how old the fact was when it was used
+	Age   time.Duration `json:"age,omitempty"` // at the time of the decision
 }
 
 // Step is one decision about a subject.
@@ -26,34 +26,36 @@
 	Facts    []Fact    `json:"facts,omitempty"`
 }
 
-// Recorder takes steps. It never blocks for long.
+// Recorder records steps. Note must not block for long, since it is called while
+// requests are handled.
 type Recorder interface {
 	Note(Step)
 }
 
-// Store keeps the newest steps, bounded in subjects and in steps per subject.
-// The oldest subject is forgotten first.
+// Store is an in-memory Recorder with limits on the number of subjects and of steps
+// per subject. It evicts the subject that was added first, and the oldest step of a
+// subject.
 type Store struct {
-	mu       sync.Mutex
-	node     string
-	now      func() time.Time
-	subjects int
-	perEach  int
-	order    []string // subjects in order of first step; a ring
-	next     int
-	steps    map[string][]Step
+	mu              sync.Mutex
+	node            string
+	now             func() time.Time
+	maxSubjects     int
+	stepsPerSubject int
+	order           []string // ring buffer of the subjects in order of their first step
+	next            int      // index into order of the next write
+	steps           map[string][]Step
 }
 
-// NewStore returns a store for the node that keeps the newest perEach steps of
-// each of the newest subjects.
-func NewStore(node string, subjects, perEach int) *Store {
+// NewStore returns a store for the node that keeps at most the given number of
+// subjects and the newest stepsPerSubject steps of each.
+func NewStore(node string, maxSubjects, stepsPerSubject int) *Store {
 	return &Store{
-		node: node, now: time.Now, subjects: subjects, perEach: perEach,
-		order: make([]string, subjects), steps: make(map[string][]Step, subjects),
+		node: node, now: time.Now, maxSubjects: maxSubjects, stepsPerSubject: stepsPerSubject,
+		order: make([]string, maxSubjects), steps: make(map[string][]Step, maxSubjects),
 	}
 }
 
-// Note adds a step. At and Node are filled in when empty.
+// Note adds a step. At and Node default to the current time and the store's node.
 func (s *Store) Note(st Step) {
 	if st.At.IsZero() {
 		st.At = s.now()
@@ -63,22 +65,24 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old, known := s.steps[st.Subject]
+	recorded, known := s.steps[st.Subject]
 	if !known {
-		s.makeRoom(st.Subject)
+		s.addSubject(st.Subject)
 	}
-	if len(old) >= s.perEach {
-		old = append(old[:0], old[1:]...)
+	if len(recorded) >= s.stepsPerSubject {
+		recorded = append(recorded[:0], recorded[1:]...)
 	}
-	s.steps[st.Subject] = append(old, st)
+	s.steps[st.Subject] = append(recorded, st)
 }
 
-func (s *Store) makeRoom(subject string) {
-	if gone := s.order[s.next]; gone != "" {
-		delete(s.steps, gone)
+// addSubject adds a subject to the ring buffer and evicts the oldest one if it is
+// full.
+func (s *Store) addSubject(subject string) {
+	if evicted := s.order[s.next]; evicted != "" {
+		delete(s.steps, evicted)
 	}
 	s.order[s.next] = subject
-	s.next = (s.next + 1) % s.subjects
+	s.next = (s.next + 1) % s.maxSubjects
 }
 
 // Steps returns the kept steps of the subject, oldest first.
--- a/internal/testkit/exclusive.go
+++ b/internal/testkit/exclusive.go
@@ -7,19 +7,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// lockName is the file, among the temporary ones, that test programs lock.
-const lockName = "chervilloom-process-tests.lock"
+// lockFileName is the name of the lock file in the directory for temporary files.
+const lockFileName = "chervilloom-process-tests.lock"
 
-// Exclusively runs the tests of a package whose fleets of processes want the
-// machine for themselves, after those of other such packages. The go command
-// runs packages side by side: two fleets at once leave each other so little of
-// the processors that groups look dead, and a verdict would depend on it.
+// Exclusively calls run while holding a machine-wide file lock, and returns its exit
+// code. Packages whose tests start a fleet of processes call it from TestMain: the
+// go command runs packages in parallel, and two fleets at once leave each other so
+// little processor time that groups appear dead and tests fail.
 func Exclusively(run func() int) int {
-	f, err := os.OpenFile(filepath.Join(os.TempDir(), lockName), os.O_CREATE|os.O_RDWR, 0o600)
+	f, err := os.OpenFile(filepath.Join(os.TempDir(), lockFileName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		panic(err)
 	}
-	defer f.Close() // which unlocks it
+	defer f.Close() // releases the lock
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX); err != nil {
 		panic(err)
 	}
--- a/internal/testkit/logs.go
+++ b/internal/testkit/logs.go
@@ -7,25 +7,26 @@
 	"testing"
 )
 
-// logsVariable names the environment variable with the directory for whole logs.
-const logsVariable = "CHERVILLOOM_TEST_LOGS"
+// logsDirVariable is the environment variable with the directory for complete logs.
+const logsDirVariable = "CHERVILLOOM_TEST_LOGS"
 
-// KeepLog writes the lines of a process of a failed test to a file of the directory that
-// CHERVILLOOM_TEST_LOGS names; where it is empty, nothing is kept.
+// KeepLog writes the log lines of a process to a file below the directory in
+// CHERVILLOOM_TEST_LOGS, with a subdirectory per test run. It does nothing if the
+// variable is empty. Tests call it when they fail.
 func KeepLog(t testing.TB, process string, lines []string) {
 	t.Helper()
-	root := os.Getenv(logsVariable)
+	root := os.Getenv(logsDirVariable)
 	if root == "" {
 		return
 	}
-	dir := filepath.Join(root, filepath.Base(filepath.Dir(t.TempDir()))) // one for each play of the test
+	dir := filepath.Join(root, filepath.Base(filepath.Dir(t.TempDir()))) // unique per run of the test
 	path := filepath.Join(dir, process+".log")
 	err := os.MkdirAll(dir, 0o700)
 	if err == nil {
 		err = os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o600)
 	}
 	if err != nil {
-		t.Logf("log of %s is not kept: %v", process, err)
+		t.Logf("log of %s was not saved: %v", process, err)
 		return
 	}
 	t.Logf("log of %s: %s", process, path)
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,5 +1,5 @@
-// Package testkit holds what the tests of several packages share. Only tests
-// import it.
+// Package testkit provides helpers shared by the tests of several packages. Only
+// tests import it.
 package testkit
 
 import (
@@ -9,33 +9,35 @@
 	"chervilloom/internal/standin/fault"
 )
 
-// Patience bounds the wait for what must happen. It is far longer than any wait
-// that is needed, so that no verdict depends on the speed of the machine.
+// Patience is the timeout for conditions that must become true. It is much longer
+// than any wait needs, so that results do not depend on the machine's speed.
 const Patience = 20 * time.Second
 
-// pollEvery is the pause between two looks. It proves nothing.
-const pollEvery = time.Millisecond
+// pollInterval is the interval at which Eventually checks its condition. No test
+// result depends on it.
+const pollInterval = time.Millisecond
 
-// Eventually returns when cond holds, and fails the test when that is never.
+// Eventually polls cond until it returns true. It fails the test if that takes
+// longer than Patience; what describes the condition.
 func Eventually(t testing.TB, what string, cond func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !cond(); time.Sleep(pollEvery) {
+	for end := time.Now().Add(Patience); !cond(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
 
-// ConnectionFault is a fault of one connection to a stand-in.
+// ConnectionFault is a fault injected into one connection to a stand-in.
 type ConnectionFault struct {
 	Name   string
 	Stages fault.Stages
-	Runs   int // of the request that it hits
+	Runs   int // how often the stand-in runs the affected request
 }
 
-// ConnectionFaults returns a fault for each stage at which a connection breaks.
-// Under none of them does the caller get a whole answer; whether the request
-// ran is known to the stand-in's count alone.
+// ConnectionFaults returns a fault for each stage at which a connection can break.
+// With each of them, the caller gets no complete answer, and only the stand-in's
+// count shows whether the request ran.
 func ConnectionFaults() []ConnectionFault {
 	return []ConnectionFault{
 		{"before the body", fault.Stages{DropBeforeBody: 1}, 0},
