--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -26,8 +26,8 @@
 	Facts    []Fact    `json:"facts,omitempty"`
 }
 
-// Recorder records steps. Note must not block for long, since it is called while
-// requests are handled.
+// Recorder records steps. Implementations must not block for long, since steps are
+// recorded while requests are handled.
 type Recorder interface {
 	Note(Step)
 }
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -89,7 +89,7 @@
 	Deadline config.Duration `yaml:"deadline,omitempty" json:"deadline,omitempty"` // sent in the deadline header; 0: none
 
 	Service string `yaml:"service,omitempty" json:"service,omitempty"` // lookup and receipt
-	Method  string `yaml:"method,omitempty" json:"method,omitempty"`   // default GET, for a receipt POST
+	Method  string `yaml:"method,omitempty" json:"method,omitempty"`   // default GET; POST for a receipt
 	Path    string `yaml:"path,omitempty" json:"path,omitempty"`
 	Body    string `yaml:"body,omitempty" json:"body,omitempty"`
 	Once    string `yaml:"once,omitempty" json:"once,omitempty"` // receipt: key (default) or ticket
--- a/internal/logwalk/logwalk_test.go
+++ b/internal/logwalk/logwalk_test.go
@@ -21,8 +21,8 @@
 not json
 `
 
-// A stream was cut because a member of its group was lost. From the request's id,
-// Walk must find the loss, which was logged by the node that runs the groups.
+// A stream was cut because a member of its group was lost. The explanation of the
+// request must include the loss, which was logged by the node that runs the groups.
 func TestWalkFindsLostMemberOfCutRequest(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(walkLogs))
@@ -47,9 +47,9 @@
 `
 
 // A request was refused because its fingerprint was quarantined minutes before, after
-// endpoints had failed while running equal requests. From the id of the refused
-// request, Walk must find these failures, which other nodes logged with other ids, but
-// no requests that only used the same endpoint.
+// endpoints had failed while running equal requests. The explanation must include these
+// failures, which other nodes logged with other ids, but no requests that only used the
+// same endpoint.
 func TestWalkFindsCauseOfQuarantine(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(quarantineLogs))
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -17,8 +17,8 @@
 // result depends on it.
 const pollInterval = time.Millisecond
 
-// Eventually polls cond until it returns true. It fails the test if that takes
-// longer than Patience; what describes the condition.
+// Eventually polls cond until it returns true. It fails the test after a timeout of
+// 20 s; what describes the condition.
 func Eventually(t testing.TB, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Patience); !cond(); time.Sleep(pollInterval) {
