--- a/cmd/chervilloom/check.go
+++ b/cmd/chervilloom/check.go
@@ -87,12 +87,12 @@
 
 func describeSettings(s *entry.Settings) string {
 	keys := "caller keys are checked against the last known configuration, however old"
-	if s.Strict {
+	if s.StrictRevocation {
 		keys = fmt.Sprintf("caller keys are accepted for less than %v after the configuration was last confirmed", s.RevokeAfter)
 	}
 	return fmt.Sprintf(`  VM %s in availability zone %s of %v, bootstrap of the system: %t
   clients %s, readiness %s, other nodes %s, store %s
   %s
   grace period %v after SIGTERM; retry budget: %v of the requests plus %v in each window of %v
-`, s.VM, s.Zone, s.Zones, s.Bootstrap, s.Front, s.Ready, s.Peer, s.Store, keys, s.Grace, s.RetryRatio, s.RetrySlack, s.RetryWindow)
+`, s.VM, s.Zone, s.Zones, s.Bootstrap, s.ClientAddr, s.ReadinessAddr, s.PeerAddr, s.Store, keys, s.GracePeriod, s.RetryRatio, s.RetrySlack, s.RetryWindow)
 }
--- a/cmd/chervilloom/demo.go
+++ b/cmd/chervilloom/demo.go
@@ -39,14 +39,14 @@
 		return err
 	}
 	if smoke {
-		return errors.Join(printSmokeAnswers(f.Smoke(ctx)), f.Close())
+		return errors.Join(printSmokeAnswers(f.RunSmokeTest(ctx)), f.Close())
 	}
 	printAddressesAndExamples(f)
 	<-ctx.Done()
 	return f.Close()
 }
 
-func printSmokeAnswers(answers []demo.Answer) error {
+func printSmokeAnswers(answers []demo.SmokeResult) error {
 	var failed error
 	for _, a := range answers {
 		fmt.Printf("%-15s %d  outcome=%s  %s\n", a.Name, a.Status, a.Outcome, a.Text)
--- a/cmd/chervilloom/remote.go
+++ b/cmd/chervilloom/remote.go
@@ -126,8 +126,8 @@
 	if err != nil {
 		return merry.Prepend(err, "cannot read the logs; give their directory with --logs DIR")
 	}
-	ex := logwalk.Walk(lines, id)
-	if len(ex.Own) == 0 {
+	ex := logwalk.ExplainRequest(lines, id)
+	if len(ex.OwnLines) == 0 {
 		return merry.Errorf("none of %d log lines names request %q: check the ID, and that the directory has the logs of all nodes", len(lines), id)
 	}
 	return ex.Print(os.Stdout)
@@ -144,7 +144,7 @@
 	if err != nil {
 		return merry.Prepend(err, "cannot read the logs; give their directory with --logs DIR")
 	}
-	return logwalk.PrintLosses(os.Stdout, logwalk.Losses(lines, lossWindow))
+	return logwalk.PrintLosses(os.Stdout, logwalk.CountLosses(lines, lossWindow))
 }
 
 func newDrain() command {
--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -70,9 +70,9 @@
 	// Authorise returns the organisation of the key in the headers. It is called
 	// before a body is read, and for paths that bypass Handler.
 	Authorise func(http.Header) (fleet.Organisation, *outcome.Error)
-	// Notice is how long Drain keeps accepting requests, so that load balancers
+	// DrainNotice is how long Drain keeps accepting requests, so that load balancers
 	// notice the failing readiness check.
-	Notice time.Duration
+	DrainNotice time.Duration
 }
 
 // Server is the callers' http.Handler.
@@ -168,7 +168,7 @@
 
 func shuttingDownError() *outcome.Error {
 	return outcome.New(outcome.ShuttingDown, outcome.NotRun, "this node is shutting down",
-		"send the request again on a new connection").After(time.Second)
+		"send the request again on a new connection").WithRetryAfter(time.Second)
 }
 
 // serveCall reads the body and runs the request through the request path.
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -84,7 +84,7 @@
 	w.Start(answer.Head{Status: 200, Header: http.Header{"Content-Type": {"text/plain"}}})
 	w.Frame(answer.Frame{Data: []byte(req.Method + " " + req.Path + " ")})
 	w.Frame(answer.Frame{Data: req.Body})
-	w.Finish(answer.End{Whole: true})
+	w.Finish(answer.End{Complete: true})
 }
 
 const chatPath = "/v1/chat/completions"
@@ -163,7 +163,7 @@
 
 func TestWholeStreamEndsWithDone(t *testing.T) {
 	is := is.New(t)
-	_, url := startServer(t, newStreamHandler(answer.End{Whole: true}, 2), nil)
+	_, url := startServer(t, newStreamHandler(answer.End{Complete: true}, 2), nil)
 	resp := do(t, "POST", url+chatPath, nil)
 	body, err := io.ReadAll(resp.Body)
 	is.NoErr(err)
@@ -193,7 +193,7 @@
 // A non-streamed answer is truncated. While it fits in the buffer, the status
 // reports the failure; beyond the buffer the connection is aborted.
 func TestTruncatedBody(t *testing.T) {
-	cut := outcome.New(outcome.AnswerCut, outcome.Ran, "cut", "ask").After(1500 * time.Millisecond)
+	cut := outcome.New(outcome.AnswerCut, outcome.Ran, "cut", "ask").WithRetryAfter(1500 * time.Millisecond)
 	answerOf := func(n int) filter.Func {
 		return func(_ context.Context, _ *request.Request, w answer.Writer) {
 			w.Start(answer.Head{Status: 200})
@@ -238,7 +238,7 @@
 		for range 5 {
 			w.Frame(answer.Frame{Data: bytes.Repeat([]byte("x"), 400)})
 		}
-		w.Finish(answer.End{Whole: true})
+		w.Finish(answer.End{Complete: true})
 	}, nil)
 	resp := do(t, "POST", url+chatPath, nil)
 	body, err := io.ReadAll(resp.Body)
@@ -257,7 +257,7 @@
 					h.Set("Content-Length", "77")
 				}
 				w.Start(answer.Head{Status: status, Header: h})
-				w.Finish(answer.End{Whole: true})
+				w.Finish(answer.End{Complete: true})
 			}, nil)
 			resp := do(t, method, url+"/services/counter/x", nil)
 			is.Equal(resp.StatusCode, status)
--- a/internal/accept/drain.go
+++ b/internal/accept/drain.go
@@ -77,7 +77,7 @@
 // if requests are still in progress when ctx ends.
 func (s *Server) Drain(ctx context.Context) error {
 	s.inFlight.advance(phaseNotice)
-	notice := time.NewTimer(s.opt.Notice)
+	notice := time.NewTimer(s.opt.DrainNotice)
 	defer notice.Stop()
 	select {
 	case <-notice.C:
--- a/internal/accept/drain_test.go
+++ b/internal/accept/drain_test.go
@@ -35,7 +35,7 @@
 	is := is.New(t)
 	h := &blockedHandler{started: make(chan string, 4), release: make(chan struct{}, 4)}
 	notice := 300 * time.Millisecond
-	s, url := startServer(t, h.Serve, func(o *Options) { o.Notice = notice })
+	s, url := startServer(t, h.Serve, func(o *Options) { o.DrainNotice = notice })
 	defer close(h.release)
 	answers := make(chan *http.Response, 4)
 	ask := func(path string) {
--- a/internal/accept/path_test.go
+++ b/internal/accept/path_test.go
@@ -44,7 +44,7 @@
 // firstRouter picks the first group or endpoint, and refuses every retry.
 type firstRouter struct{}
 
-func (firstRouter) Pick(req *request.Request, snap *view.Snapshot, _ clock.Instant, tried []route.Tried) (route.Choice, *outcome.Error) {
+func (firstRouter) Pick(req *request.Request, snap *view.Snapshot, _ clock.Instant, tried []route.TriedDestination) (route.Choice, *outcome.Error) {
 	if len(tried) > 0 {
 		return route.Choice{}, outcome.New(outcome.NoCapacity, outcome.NotRun, "nothing is left", "come back later")
 	}
@@ -59,7 +59,7 @@
 
 type unlimitedRetry struct{}
 
-func (unlimitedRetry) First(request.Class)                       {}
+func (unlimitedRetry) CountFirst(request.Class)                  {}
 func (unlimitedRetry) Allow(request.Class) (bool, time.Duration) { return true, 0 }
 
 func testDocument() *config.Document {
@@ -87,7 +87,7 @@
 	}
 	v := fixedView{snap}
 	clk := clock.Boot{}
-	d := dispatch.New(dispatch.Options{View: v, Clock: clk, Router: firstRouter{}, Retry: unlimitedRetry{}, DialTimeout: testkit.Patience})
+	d := dispatch.New(dispatch.Options{View: v, Clock: clk, Router: firstRouter{}, Retry: unlimitedRetry{}, DialTimeout: testkit.WaitTimeout})
 	t.Cleanup(d.Close)
 	acc := account.New(account.Options{Clock: clk})
 	id := identify.New(identify.Options{View: v, Clock: clk})
@@ -156,7 +156,7 @@
 func TestConcurrentStreamsStaySeparate(t *testing.T) {
 	is := is.New(t)
 	const callers, tokens = 200, 30
-	e := standin.New(standin.Options{VM: "e1", Slots: callers, TokensPerSecond: 3000, LoadTime: standin.Immediately})
+	e := standin.New(standin.Options{VM: "e1", Slots: callers, TokensPerSecond: 3000, LoadTime: standin.NoDelay})
 	ep := httptest.NewServer(e)
 	defer func() {
 		e.Close()
--- a/internal/accept/refuse_test.go
+++ b/internal/accept/refuse_test.go
@@ -81,7 +81,7 @@
 			is := is.New(t)
 			_, url := startServer(t, func(_ context.Context, _ *request.Request, w answer.Writer) {
 				w.Start(answer.Head{Status: status, Stream: stream, Header: http.Header{"Content-Encoding": {"gzip"}}})
-				w.Finish(answer.End{Whole: true})
+				w.Finish(answer.End{Complete: true})
 			}, nil)
 			resp := do(t, "GET", url+"/services/counter/x", nil)
 			is.Equal(resp.StatusCode, http.StatusInternalServerError)
@@ -100,7 +100,7 @@
 		_, url := startServer(t, func(_ context.Context, _ *request.Request, w answer.Writer) {
 			w.Start(answer.Head{Status: 200, Stream: true})
 			w.Frame(answer.Frame{ID: "s:0", Data: []byte(data)})
-			w.Finish(answer.End{Whole: true})
+			w.Finish(answer.End{Complete: true})
 		}, nil)
 		body, err := io.ReadAll(do(t, "POST", url+chatPath, nil).Body)
 		is.NoErr(err)
--- a/internal/accept/writer.go
+++ b/internal/accept/writer.go
@@ -173,7 +173,7 @@
 func (w *writer) Finish(e answer.End) {
 	w.finished = true
 	switch {
-	case e.Whole && w.started:
+	case e.Complete && w.started:
 		w.finishComplete()
 	case w.headersSent:
 		w.finishTruncated(endError(e))
--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -44,14 +44,14 @@
 // Record collects what later filters report about one request.
 type Record struct{ tries atomic.Int64 }
 
-// Try counts an attempt to run the request.
-func (r *Record) Try() { r.tries.Add(1) }
+// CountAttempt counts an attempt to run the request.
+func (r *Record) CountAttempt() { r.tries.Add(1) }
 
 type recordKey struct{}
 
-// From returns the record of the request in ctx, or an unused record if ctx has
+// RecordFrom returns the record of the request in ctx, or an unused record if ctx has
 // none.
-func From(ctx context.Context) *Record {
+func RecordFrom(ctx context.Context) *Record {
 	if r, ok := ctx.Value(recordKey{}).(*Record); ok {
 		return r
 	}
@@ -83,7 +83,7 @@
 	switch e := w.end.Error; {
 	case e != nil:
 		l.outcome, l.kind = e.Outcome, string(e.Kind)
-	case !w.end.Whole: // the caller receives the same when the path returns without an end
+	case !w.end.Complete: // the caller receives the same when the path returns without an end
 		l.outcome, l.kind = outcome.Unknown, string(outcome.Internal)
 	}
 	a.metrics.observe(req, l, w.firstFrameAt != 0)
@@ -141,7 +141,7 @@
 	if l.end.Error != nil {
 		st.Reason = l.end.Error.Message
 	}
-	a.opt.Explain.Note(st)
+	a.opt.Explain.Record(st)
 }
 
 // observedWriter records the head, the first frame's time and the end of an
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -39,8 +39,8 @@
 	a := New(Options{Clock: clk, Log: slog.New(slog.NewJSONHandler(&out, nil)), Registerer: reg, Explain: ex})
 	req := &request.Request{ID: "r1", Organisation: "lapwise", Body: []byte("secret prompt")}
 	path := filter.Chain(filter.Func(func(ctx context.Context, req *request.Request, w answer.Writer) {
-		From(ctx).Try()
-		From(ctx).Try()
+		RecordFrom(ctx).CountAttempt()
+		RecordFrom(ctx).CountAttempt()
 		clk.Advance(time.Second)
 		h(ctx, req, w)
 	}), a.Filter, a.Timed("identify", func(next filter.Handler) filter.Handler {
@@ -71,7 +71,7 @@
 	line := serveOne(t, reg, ex, func(_ context.Context, _ *request.Request, w answer.Writer) {
 		w.Start(answer.Head{Status: 200, Endpoint: "e1", Group: "g1", Generation: 3})
 		w.Frame(answer.Frame{Data: []byte("answer")})
-		w.Finish(answer.End{Whole: true, Frames: 1, Bytes: 6})
+		w.Finish(answer.End{Complete: true, Frames: 1, Bytes: 6})
 	})
 	for k, want := range map[string]any{
 		"id": "r1", "organisation": "lapwise", "class": "model", "outcome": "ran", "kind": "ok", "status": 200.0,
@@ -137,7 +137,7 @@
 	answers := filter.Func(func(_ context.Context, _ *request.Request, w answer.Writer) {
 		w.Start(answer.Head{Status: 200})
 		w.Frame(answer.Frame{})
-		w.Finish(answer.End{Whole: true})
+		w.Finish(answer.End{Complete: true})
 	})
 	pass := func(next filter.Handler) filter.Handler { return next }
 	h := filter.Chain(answers, a.Filter, a.Timed("identify", pass))
--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -145,7 +145,7 @@
 		}
 	}
 	for i := range s.VMs {
-		if v := &s.VMs[i]; v.Record.Service != "" && !v.Leaving && v.Probe.Answered != 0 && v.Probe.Failing == 0 {
+		if v := &s.VMs[i]; v.Record.Service != "" && !v.Leaving && v.Probe.AnsweredAt != 0 && v.Probe.FailingSince == 0 {
 			n++
 		}
 	}
@@ -155,7 +155,7 @@
 // plan computes the limits from the newest snapshot. It returns nil if that has no
 // configuration.
 func (a *Admitter) plan() *Plan {
-	return PlanOf(a.opts.View.Snapshot(), a.opts.Usage.Shares)
+	return ComputePlan(a.opts.View.Snapshot(), a.opts.Usage.Shares)
 }
 
 // replan passes the newest limits to both lanes and returns when they are applied.
@@ -176,9 +176,9 @@
 	for _, pools := range [][]Pool{p.Pools, p.Services} {
 		for i := range pools {
 			c := &pools[i]
-			if empty := c.Total == 0; empty != a.withoutCapacity[c.Name] {
+			if empty := c.TotalSlots == 0; empty != a.withoutCapacity[c.Name] {
 				a.withoutCapacity[c.Name] = empty
-				a.opts.Log.Info("capacity changed", "pool", c.Name, "slots", c.Total, "share", c.Share)
+				a.opts.Log.Info("capacity changed", "pool", c.Name, "slots", c.TotalSlots, "share", c.ShareSlots)
 			}
 		}
 	}
@@ -208,14 +208,14 @@
 	}
 	a.refreshPlan()
 	arrival := arrivalOf(req)
-	if !arrival.Admitted {
+	if !arrival.AdmittedElsewhere {
 		a.opts.Usage.Count(req.Organisation, req.Class)
 	}
 	c, d := a.decide(ctx, l, req, &arrival)
 	if d.Verdict == Refuse {
 		a.opts.Log.Info("request not admitted", "request", req.ID, "lane", l.name, "organisation", req.Organisation,
-			"reason", d.Reason, "limit", d.Limit, "in_progress", d.InProgress, "share", d.Share, "waiting", d.Waiting,
-			"wait_ms", d.Wait.Milliseconds(), "retry_after_ms", d.RetryAfter.Milliseconds())
+			"reason", d.Reason, "limit", d.Limit, "in_progress", d.InProgress, "share", d.ShareSlots, "waiting", d.Waiting,
+			"wait_ms", d.WaitTime.Milliseconds(), "retry_after_ms", d.RetryAfter.Milliseconds())
 	}
 	if d.Verdict != Admit {
 		w.Finish(answer.End{Error: refusal(&d)})
@@ -238,14 +238,14 @@
 // keys are looked up before admission.
 func arrivalOf(req *request.Request) Arrival {
 	return Arrival{
-		Organisation: req.Organisation,
-		Target:       req.Target,
-		Service:      req.Service,
-		Priority:     req.Priority,
-		Deadline:     req.Deadline,
-		PromptTokens: req.PromptTokens,
-		MaxTokens:    req.MaxTokens,
-		Admitted:     req.Hops > 0 && req.Stage == request.StageDispatch,
+		Organisation:      req.Organisation,
+		Target:            req.Target,
+		Service:           req.Service,
+		Priority:          req.Priority,
+		Deadline:          req.Deadline,
+		PromptTokens:      req.PromptTokens,
+		MaxTokens:         req.MaxTokens,
+		AdmittedElsewhere: req.Hops > 0 && req.Stage == request.StageDispatch,
 	}
 }
 
@@ -260,7 +260,7 @@
 	span.SetAttributes(
 		attribute.String("admit.verdict", d.Verdict.String()),
 		attribute.String("admit.reason", string(d.Reason)),
-		attribute.Int64("admit.wait_us", d.Wait.Microseconds()),
+		attribute.Int64("admit.wait_us", d.WaitTime.Microseconds()),
 	)
 	return c, d
 }
@@ -269,7 +269,7 @@
 	if a.opts.Recorder == nil {
 		return
 	}
-	a.opts.Recorder.Note(explain.Step{
+	a.opts.Recorder.Record(explain.Step{
 		Subject:  req.ID,
 		Stage:    "admit",
 		Decision: d.Verdict.String(),
@@ -279,8 +279,8 @@
 			{Name: "organisation", Value: string(req.Organisation)},
 			{Name: "limit", Value: strconv.Itoa(d.Limit)},
 			{Name: "waiting", Value: strconv.Itoa(d.Waiting)},
-			{Name: "wait", Value: d.Wait.String()},
-			{Name: "service", Value: d.Service.String()},
+			{Name: "wait", Value: d.WaitTime.String()},
+			{Name: "service", Value: d.ServiceTime.String()},
 			{Name: "retry_after", Value: d.RetryAfter.String()},
 		},
 	})
@@ -296,7 +296,7 @@
 		return callerGone()
 	}
 	e := outcome.New(d.Kind, outcome.NotRun, messageOf(d), remedyOf(d))
-	return e.After(d.RetryAfter)
+	return e.WithRetryAfter(d.RetryAfter)
 }
 
 func messageOf(d *Decision) string {
@@ -308,7 +308,7 @@
 	case ReasonSaturated, ReasonLaneFull:
 		return "too many calls are in progress"
 	case ReasonDeadline:
-		return fmt.Sprintf("the answer would not be ready by the deadline: about %s of waiting and %s of work", roundTime(d.Wait), roundTime(d.Service))
+		return fmt.Sprintf("the answer would not be ready by the deadline: about %s of waiting and %s of work", roundTime(d.WaitTime), roundTime(d.ServiceTime))
 	case ReasonExpired:
 		return "the deadline has passed"
 	case ReasonQueueFull:
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -80,7 +80,7 @@
 	e.arrivals <- req.ID
 	<-e.release
 	_ = w.Start(answer.Head{Status: 200})
-	w.Finish(answer.End{Whole: true})
+	w.Finish(answer.End{Complete: true})
 }
 
 type rig struct {
@@ -142,7 +142,7 @@
 	close(r.endpoint.release)
 	for _, a := range []*recordedAnswer{first, second, lookup} {
 		<-a.done
-		is.True(a.end.Whole)
+		is.True(a.end.Complete)
 	}
 }
 
@@ -183,7 +183,7 @@
 	close(r.endpoint.release)
 	<-first.done
 	<-third.done
-	is.True(third.end.Whole)
+	is.True(third.end.Complete)
 	is.Equal(<-r.endpoint.arrivals, "m3")
 }
 
@@ -229,7 +229,7 @@
 	is.Equal(<-r.endpoint.arrivals, "o")
 	close(r.endpoint.release)
 	<-w.done
-	is.True(w.end.Whole)
+	is.True(w.end.Complete)
 	is.True(held < 8)
 }
 
--- a/internal/admit/bench_test.go
+++ b/internal/admit/bench_test.go
@@ -16,8 +16,8 @@
 func benchPlan(orgs, slots int) (*Plan, []fleet.Organisation) {
 	p := &Plan{
 		QueueLimit: defaultQueueLimit,
-		Pools:      []Pool{{Name: "p", Share: float64(slots), Total: float64(slots)}},
-		Services:   []Pool{{Name: "p", Share: float64(slots), Total: float64(slots)}},
+		Pools:      []Pool{{Name: "p", ShareSlots: float64(slots), TotalSlots: float64(slots)}},
+		Services:   []Pool{{Name: "p", ShareSlots: float64(slots), TotalSlots: float64(slots)}},
 		Targets:    []TargetPool{{Target: simTarget}},
 	}
 	names := make([]fleet.Organisation, orgs)
@@ -175,7 +175,7 @@
 			s := planSnapshot(c.orgs, c.models, c.groups, c.services, c.nodes)
 			b.ReportAllocs()
 			for b.Loop() {
-				PlanOf(s, fullCaps{}.Shares)
+				ComputePlan(s, fullCaps{}.Shares)
 			}
 		})
 	}
--- a/internal/admit/caps_test.go
+++ b/internal/admit/caps_test.go
@@ -32,7 +32,7 @@
 // plan updates the lane with the node's current share of the cap.
 func (n *capNode) plan(now clock.Instant) {
 	_, share := n.usage.Shares(testOrg)
-	wide := Pool{Name: "p", Share: 1e6, Total: 1e6}
+	wide := Pool{Name: "p", ShareSlots: 1e6, TotalSlots: 1e6}
 	p := &Plan{Organisations: []Organisation{{Name: testOrg, Weight: 1, Lookups: capLimit * share}}, Services: []Pool{wide}}
 	n.lane.Step(now, &Event{Kind: Replan, Plan: p}, nil)
 }
@@ -96,7 +96,7 @@
 					f.admitted++
 				}
 			}
-			if f.now.Sub(simStart)%usage.TickEvery == 0 {
+			if f.now.Sub(simStart)%usage.TickInterval == 0 {
 				f.tick(i)
 			}
 			if f.now.Sub(simStart)%planEvery == 0 {
@@ -149,7 +149,7 @@
 		f.setMembership(false)
 		f.run(10*time.Second, arrivals)
 
-		healing := usage.Holdoff + 2*usage.TickEvery
+		healing := usage.Holdoff + 2*usage.TickInterval
 		allowed := capLimit*f.now.Sub(simStart).Seconds() + capLimit*(unnoticed+healing).Seconds()
 		allowed += burstSeconds*capLimit + float64(len(f.nodes))
 		if float64(f.admitted) > allowed {
--- a/internal/admit/event.go
+++ b/internal/admit/event.go
@@ -43,18 +43,18 @@
 	Deadline     clock.Instant // 0: none
 	PromptTokens int
 	MaxTokens    int // 0: not limited by the caller
-	// Admitted is set if another node has already admitted the request. It is not
+	// AdmittedElsewhere is set if another node has already admitted the request. It is not
 	// counted against the organisation again.
-	Admitted bool
+	AdmittedElsewhere bool
 }
 
 // Completion is the result of an admitted request.
 type Completion struct {
-	FirstToken time.Duration // from admission to the first stream event; 0: not a stream, or no event
-	Total      time.Duration // from admission to the end
-	Tokens     int           // stream events; 0: not a stream
-	Answered   bool          // the answer was complete, so the durations are valid samples
-	Shed       bool          // the endpoints refused it for lack of capacity
+	FirstToken      time.Duration // from admission to the first stream event; 0: not a stream, or no event
+	Total           time.Duration // from admission to the end
+	Tokens          int           // stream events; 0: not a stream
+	Answered        bool          // the answer was complete, so the durations are valid samples
+	EndpointRefused bool          // the endpoints refused it for lack of capacity
 }
 
 // Verdict is the result of a decision.
@@ -90,10 +90,10 @@
 
 // Reasons for verdicts.
 const (
-	ReasonRoom          Reason = "room"           // a slot was free
-	ReasonTurn          Reason = "turn"           // it reached the head of the queue and a slot was free
+	ReasonSlotFree      Reason = "room"           // a slot was free
+	ReasonDequeued      Reason = "turn"           // it reached the head of the queue and a slot was free
 	ReasonAdmitted      Reason = "admitted"       // another node has admitted it
-	ReasonBusy          Reason = "busy"           // all slots are in use
+	ReasonNoSlot        Reason = "busy"           // all slots are in use
 	ReasonRate          Reason = "rate"           // the organisation's rate cap is used up
 	ReasonConcurrency   Reason = "concurrency"    // the organisation has too many requests in progress
 	ReasonSaturated     Reason = "saturated"      // too many requests are in progress
@@ -110,15 +110,15 @@
 
 // Decision is a lane's decision about one request.
 type Decision struct {
-	Handle     Handle
-	Verdict    Verdict
-	Kind       outcome.Kind  // Refuse only
-	RetryAfter time.Duration // Refuse only; 0: none
-	Reason     Reason
-	Wait       time.Duration // estimated on Queue and Refuse, measured on Admit
-	Service    time.Duration // estimated time from admission to the complete answer
-	Waiting    int           // queued requests at the time of the decision
-	Limit      int           // concurrency limit at the time of the decision
-	InProgress int           // requests in progress at the time of the decision
-	Share      int           // this node's slots if all nodes are equally loaded
+	Handle      Handle
+	Verdict     Verdict
+	Kind        outcome.Kind  // Refuse only
+	RetryAfter  time.Duration // Refuse only; 0: none
+	Reason      Reason
+	WaitTime    time.Duration // estimated on Queue and Refuse, measured on Admit
+	ServiceTime time.Duration // estimated time from admission to the complete answer
+	Waiting     int           // queued requests at the time of the decision
+	Limit       int           // concurrency limit at the time of the decision
+	InProgress  int           // requests in progress at the time of the decision
+	ShareSlots  int           // this node's slots if all nodes are equally loaded
 }
--- a/internal/admit/lane_test.go
+++ b/internal/admit/lane_test.go
@@ -45,7 +45,7 @@
 		ran[req.ID] = true
 		mu.Unlock()
 		_ = w.Start(answer.Head{Status: 200})
-		w.Finish(answer.End{Whole: true})
+		w.Finish(answer.End{Complete: true})
 	}), a.Filter())
 
 	const callers = 400
@@ -101,7 +101,7 @@
 	is.Equal(waiting.end.Error.Outcome, outcome.NotRun)
 	close(r.endpoint.release)
 	<-held.done
-	is.True(held.end.Whole)
+	is.True(held.end.Complete)
 }
 
 // The lane's goroutine falls behind and its ring is full. A request must be refused
@@ -133,6 +133,6 @@
 	close(r.endpoint.release)
 	for _, a := range []*recordedAnswer{held, waiting, resumed} {
 		<-a.done
-		is.True(a.end.Whole)
+		is.True(a.end.Complete)
 	}
 }
--- a/internal/admit/limiter.go
+++ b/internal/admit/limiter.go
@@ -64,23 +64,23 @@
 
 // resize applies the slots of a new plan.
 func (l *limiter) resize(now clock.Instant, c *Pool) {
-	l.total = c.Total
-	if c.Total <= 0 {
+	l.total = c.TotalSlots
+	if c.TotalSlots <= 0 {
 		return // keep limit and share until endpoints are available again
 	}
 	switch {
 	case l.limit == 0:
-		l.limit = max(1, c.Share)
-	case c.Share != l.share && l.share > 0:
-		l.limit *= c.Share / l.share
+		l.limit = max(1, c.ShareSlots)
+	case c.ShareSlots != l.share && l.share > 0:
+		l.limit *= c.ShareSlots / l.share
 	}
-	l.share = c.Share
+	l.share = c.ShareSlots
 	l.clamp()
-	if !c.Reported.After(l.lastReport) {
+	if !c.ReportedAt.After(l.lastReport) {
 		return
 	}
-	l.lastReport = c.Reported
-	if float64(c.Waiting) > max(1, c.Total*waitingTolerance) {
+	l.lastReport = c.ReportedAt
+	if float64(c.Waiting) > max(1, c.TotalSlots*waitingTolerance) {
 		l.cut(now)
 	}
 }
--- a/internal/admit/lookupqueue.go
+++ b/internal/admit/lookupqueue.go
@@ -16,8 +16,8 @@
 // waitOrRefuse queues a call, or refuses it if no slot is expected in time.
 func (l *Lookups) waitOrRefuse(now clock.Instant, s *service, w waitingLookup) Decision {
 	expected := s.expectedWait()
-	d := s.decision(w.handle, Queue, ReasonBusy)
-	d.Wait = expected
+	d := s.decision(w.handle, Queue, ReasonNoSlot)
+	d.WaitTime = expected
 	if expected > maxLookupWait || !l.mayQueue(s, w.org) || w.isExpired(now.Add(expected)) {
 		return d.refuse(outcome.Overloaded, ReasonSaturated, lookupRetryAfter)
 	}
@@ -69,8 +69,8 @@
 }
 
 func (l *Lookups) dequeueDecision(now clock.Instant, s *service, w waitingLookup, free bool) Decision {
-	d := s.decision(w.handle, Admit, ReasonTurn)
-	d.Wait = now.Sub(w.queuedAt)
+	d := s.decision(w.handle, Admit, ReasonDequeued)
+	d.WaitTime = now.Sub(w.queuedAt)
 	switch {
 	case w.isExpired(now):
 		return d.refuse(outcome.DeadlineExceeded, ReasonExpired, 0)
@@ -95,7 +95,7 @@
 		s.queue = slices.Delete(s.queue, i, i+1)
 		l.addWaiting(s, w.org, -1)
 		d := s.decision(h, Withdrawn, ReasonCallerGone)
-		d.Wait = now.Sub(w.queuedAt)
+		d.WaitTime = now.Sub(w.queuedAt)
 		return append(out, d)
 	}
 	return out
--- a/internal/admit/lookupqueue_test.go
+++ b/internal/admit/lookupqueue_test.go
@@ -21,7 +21,7 @@
 const lookupSlotsHere = 4
 
 func newLookups(orgs ...fleet.Organisation) *lookupsDriver {
-	p := &Plan{Services: []Pool{{Name: "fees", Share: lookupSlotsHere, Total: lookupSlotsHere}}}
+	p := &Plan{Services: []Pool{{Name: "fees", ShareSlots: lookupSlotsHere, TotalSlots: lookupSlotsHere}}}
 	for _, o := range orgs {
 		p.Organisations = append(p.Organisations, Organisation{Name: o, Weight: 1})
 	}
--- a/internal/admit/lookups.go
+++ b/internal/admit/lookups.go
@@ -107,12 +107,12 @@
 	if s == nil || !s.planned || s.total == 0 {
 		return Decision{Handle: h, Verdict: Refuse, Kind: outcome.NoCapacity, Reason: ReasonNoCapacity, RetryAfter: noCapacityRetryAfter}
 	}
-	d := s.decision(h, Admit, ReasonRoom)
+	d := s.decision(h, Admit, ReasonSlotFree)
 	if a.Deadline != 0 && !now.Before(a.Deadline) {
 		return d.refuse(outcome.DeadlineExceeded, ReasonExpired, 0)
 	}
 	full := len(s.queue) > 0 || !s.hasSlot()
-	if a.Admitted {
+	if a.AdmittedElsewhere {
 		if full {
 			return l.waitOrRefuse(now, s, waitingLookup{handle: h, deadline: a.Deadline})
 		}
@@ -138,7 +138,7 @@
 func (s *service) decision(h Handle, v Verdict, r Reason) Decision {
 	return Decision{
 		Handle: h, Verdict: v, Reason: r,
-		Limit: int(s.limiter.limit), InProgress: s.inflight, Share: int(s.limiter.share), Waiting: len(s.queue),
+		Limit: int(s.limiter.limit), InProgress: s.inflight, ShareSlots: int(s.limiter.share), Waiting: len(s.queue),
 	}
 }
 
@@ -181,7 +181,7 @@
 	if c.Answered {
 		s.limiter.addSample(now, c.Total.Seconds(), busy)
 	}
-	if c.Shed {
+	if c.EndpointRefused {
 		s.limiter.cutOnRefusal(now)
 	}
 	if e.org != nil {
@@ -246,7 +246,7 @@
 
 // resize applies the service's part of a new plan.
 func (s *service) resize(now clock.Instant, c *Pool) {
-	s.total = c.Total
+	s.total = c.TotalSlots
 	s.limiter.resize(now, c)
 }
 
--- a/internal/admit/meter.go
+++ b/internal/admit/meter.go
@@ -49,12 +49,12 @@
 const firstErrorStatus = 400
 
 func (m *meter) completion() Completion {
-	c := Completion{Total: m.total, Answered: m.end.Whole && m.status < firstErrorStatus}
+	c := Completion{Total: m.total, Answered: m.end.Complete && m.status < firstErrorStatus}
 	if m.stream {
 		c.FirstToken, c.Tokens = m.firstFrame, m.tokens
 	}
 	if e := m.end.Error; e != nil {
-		c.Shed = e.Outcome == outcome.NotRun && (e.Kind == outcome.Overloaded || e.Kind == outcome.NoCapacity)
+		c.EndpointRefused = e.Outcome == outcome.NotRun && (e.Kind == outcome.Overloaded || e.Kind == outcome.NoCapacity)
 	}
 	return c
 }
--- a/internal/admit/metrics.go
+++ b/internal/admit/metrics.go
@@ -28,7 +28,7 @@
 func (m *metrics) countDecision(lane string, d *Decision) {
 	m.decisions.WithLabelValues(lane, d.Verdict.String(), string(d.Reason)).Inc()
 	if d.Verdict == Admit {
-		m.wait.WithLabelValues(lane).Observe(d.Wait.Seconds())
+		m.wait.WithLabelValues(lane).Observe(d.WaitTime.Seconds())
 	}
 }
 
--- a/internal/admit/models.go
+++ b/internal/admit/models.go
@@ -124,7 +124,7 @@
 		next:          noHandle,
 		prev:          noHandle,
 	}
-	if a.Admitted {
+	if a.AdmittedElsewhere {
 		return m.arriveRelayed(now, h, e, out)
 	}
 	return m.arriveOwn(now, h, e, out)
@@ -156,7 +156,7 @@
 	if len(p.ready) == 0 && p.hasSlot() {
 		o.bucket.take()
 		e.tokenTaken = true
-		return append(out, m.admit(now, h, ReasonRoom))
+		return append(out, m.admit(now, h, ReasonSlotFree))
 	}
 	if d, late := m.refuseIfLate(now, h, e); late {
 		return append(out, d)
@@ -171,10 +171,10 @@
 	o.bucket.take()
 	e.tokenTaken = true
 	m.enqueue(now, h, e)
-	d := p.decision(h, Queue, "", ReasonBusy)
-	d.Wait = p.wait(now, e.flow, e.flow.queuedCost-e.cost)
+	d := p.decision(h, Queue, "", ReasonNoSlot)
+	d.WaitTime = p.wait(now, e.flow, e.flow.queuedCost-e.cost)
 	d.Waiting = m.queued
-	d.Service = p.estimate.serviceTime(e.cost)
+	d.ServiceTime = p.estimate.serviceTime(e.cost)
 	return append(out, d)
 }
 
@@ -192,7 +192,7 @@
 		return Decision{}, false
 	}
 	d := p.decision(h, Refuse, outcome.Overloaded, ReasonDeadline)
-	d.Wait, d.Service, d.Waiting = wait, service, m.queued
+	d.WaitTime, d.ServiceTime, d.Waiting = wait, service, m.queued
 	d.RetryAfter = p.nextRetryAfter(now, need-left, e.cost)
 	return d, true
 }
@@ -200,7 +200,7 @@
 func (m *Models) refuseFull(now clock.Instant, h Handle, e *entry, reason Reason) Decision {
 	p := e.flow.pool
 	d := p.decision(h, Refuse, outcome.Overloaded, reason)
-	d.Wait = p.tailWait(now, e.flow)
+	d.WaitTime = p.tailWait(now, e.flow)
 	d.Waiting = m.queued
 	d.RetryAfter = p.nextRetryAfter(now, p.timeToSlot(now), e.cost)
 	return d
@@ -220,8 +220,8 @@
 	p.inflight++
 	f.inflight++
 	d := p.decision(h, Admit, "", reason)
-	d.Wait = now.Sub(e.arrived)
-	d.Service = p.estimate.serviceTime(e.cost)
+	d.WaitTime = now.Sub(e.arrived)
+	d.ServiceTime = p.estimate.serviceTime(e.cost)
 	d.Waiting = m.queued
 	return d
 }
@@ -243,7 +243,7 @@
 	} else if c.Answered && len(p.ready) > 0 {
 		p.limiter.raise()
 	}
-	if c.Shed {
+	if c.EndpointRefused {
 		p.limiter.cutOnRefusal(now)
 	}
 	if c.Answered {
@@ -265,7 +265,7 @@
 	m.dequeue(h, e)
 	m.freeEntry(e)
 	d := e.flow.pool.decision(h, Withdrawn, "", ReasonCallerGone)
-	d.Wait = now.Sub(e.arrived)
+	d.WaitTime = now.Sub(e.arrived)
 	return append(out, d)
 }
 
@@ -283,8 +283,8 @@
 	m.dequeue(h, e)
 	m.freeEntry(e)
 	d := p.decision(h, Refuse, k, reason)
-	d.Wait = now.Sub(e.arrived)
-	d.Service = p.estimate.serviceTime(e.cost)
+	d.WaitTime = now.Sub(e.arrived)
+	d.ServiceTime = p.estimate.serviceTime(e.cost)
 	d.Waiting = m.queued
 	d.RetryAfter = noCapacityRetryAfter
 	if k != outcome.NoCapacity {
@@ -304,7 +304,7 @@
 			continue
 		}
 		m.dequeue(h, e)
-		out = append(out, m.admit(now, h, ReasonTurn))
+		out = append(out, m.admit(now, h, ReasonDequeued))
 	}
 	return out
 }
--- a/internal/admit/models_test.go
+++ b/internal/admit/models_test.go
@@ -41,7 +41,7 @@
 		Organisations: []Organisation{
 			{Name: "small", Weight: 1}, {Name: "large", Weight: 4}, {Name: "capped", Weight: 1, Rate: cappedRate},
 		},
-		Pools:   []Pool{{Name: "p", Share: 2, Total: 4}, {Name: "q", Share: 1, Total: 2}},
+		Pools:   []Pool{{Name: "p", ShareSlots: 2, TotalSlots: 4}, {Name: "q", ShareSlots: 1, TotalSlots: 2}},
 		Targets: []TargetPool{{Target: fleet.Target{Model: "p"}}, {Target: fleet.Target{Model: "q"}, Pool: 1}},
 	}
 	return m
@@ -142,17 +142,17 @@
 		m.next++
 	}
 	a := Arrival{
-		Organisation: rapid.SampledFrom([]fleet.Organisation{"small", "large", "capped", "unknown"}).Draw(t, "organisation"),
-		Target:       fleet.Target{Model: rapid.SampledFrom([]string{"p", "q", "none"}).Draw(t, "target")},
-		Priority:     rapid.IntRange(0, 2).Draw(t, "priority"),
-		PromptTokens: rapid.IntRange(0, 1000).Draw(t, "prompt"),
-		MaxTokens:    rapid.IntRange(0, 500).Draw(t, "tokens"),
-		Admitted:     rapid.IntRange(0, 9).Draw(t, "relayed") == 0,
+		Organisation:      rapid.SampledFrom([]fleet.Organisation{"small", "large", "capped", "unknown"}).Draw(t, "organisation"),
+		Target:            fleet.Target{Model: rapid.SampledFrom([]string{"p", "q", "none"}).Draw(t, "target")},
+		Priority:          rapid.IntRange(0, 2).Draw(t, "priority"),
+		PromptTokens:      rapid.IntRange(0, 1000).Draw(t, "prompt"),
+		MaxTokens:         rapid.IntRange(0, 500).Draw(t, "tokens"),
+		AdmittedElsewhere: rapid.IntRange(0, 9).Draw(t, "relayed") == 0,
 	}
 	if rapid.Bool().Draw(t, "bounded") {
 		a.Deadline = m.now.Add(time.Duration(rapid.IntRange(-1, 5000).Draw(t, "patience")) * time.Millisecond)
 	}
-	m.state[h], m.own[h], m.orgOf[h] = 0, !a.Admitted, a.Organisation
+	m.state[h], m.own[h], m.orgOf[h] = 0, !a.AdmittedElsewhere, a.Organisation
 	m.step(t, Event{Kind: Arrive, Handle: h, Arrival: a})
 }
 
@@ -175,9 +175,9 @@
 		return
 	}
 	c := Completion{
-		Total:    time.Duration(rapid.IntRange(0, 3000).Draw(t, "total")) * time.Millisecond,
-		Answered: rapid.Bool().Draw(t, "answered"),
-		Shed:     rapid.IntRange(0, 9).Draw(t, "shed") == 0,
+		Total:           time.Duration(rapid.IntRange(0, 3000).Draw(t, "total")) * time.Millisecond,
+		Answered:        rapid.Bool().Draw(t, "answered"),
+		EndpointRefused: rapid.IntRange(0, 9).Draw(t, "shed") == 0,
 	}
 	c.FirstToken = c.Total / 4
 	m.freeHandle(h)
@@ -188,10 +188,10 @@
 	p := m.plan
 	p.Pools = append([]Pool(nil), p.Pools...)
 	for i := range p.Pools {
-		p.Pools[i].Total = float64(rapid.IntRange(0, 6).Draw(t, "slots"))
-		p.Pools[i].Share = p.Pools[i].Total / 2
+		p.Pools[i].TotalSlots = float64(rapid.IntRange(0, 6).Draw(t, "slots"))
+		p.Pools[i].ShareSlots = p.Pools[i].TotalSlots / 2
 		p.Pools[i].Waiting = rapid.IntRange(0, 3).Draw(t, "waiting")
-		p.Pools[i].Reported = m.now
+		p.Pools[i].ReportedAt = m.now
 	}
 	m.step(t, Event{Kind: Replan, Plan: &p})
 }
@@ -231,7 +231,7 @@
 		weight := rapid.IntRange(1, 50).Draw(t, "weight")
 		m := newModelsDriver()
 		m.plan.Organisations = []Organisation{{Name: "small", Weight: 1}, {Name: "large", Weight: float64(weight)}}
-		m.plan.Pools = []Pool{{Name: "p", Share: 1, Total: 1}}
+		m.plan.Pools = []Pool{{Name: "p", ShareSlots: 1, TotalSlots: 1}}
 		m.plan.Targets = m.plan.Targets[:1]
 		m.core.Step(m.now, &Event{Kind: Replan, Plan: &m.plan}, nil)
 		running, next := Handle(0), Handle(0)
@@ -276,7 +276,7 @@
 	plan := &Plan{
 		QueueLimit:    4,
 		Organisations: []Organisation{{Name: "big", Weight: 1}, {Name: "mid", Weight: 1}, {Name: "small", Weight: 1}},
-		Pools:         []Pool{{Name: "p", Share: 1, Total: 1}},
+		Pools:         []Pool{{Name: "p", ShareSlots: 1, TotalSlots: 1}},
 		Targets:       []TargetPool{{Target: simTarget}},
 	}
 	m.Step(simStart, &Event{Kind: Replan, Plan: plan}, nil)
@@ -314,15 +314,15 @@
 	plan := &Plan{
 		QueueLimit:    4,
 		Organisations: []Organisation{{Name: "o", Weight: 1, Rate: 0.1}},
-		Pools:         []Pool{{Name: "p", Share: 1, Total: 2}},
+		Pools:         []Pool{{Name: "p", ShareSlots: 1, TotalSlots: 2}},
 		Targets:       []TargetPool{{Target: simTarget}},
 	}
 	m.Step(simStart, &Event{Kind: Replan, Plan: plan}, nil)
 	arrive := func(h Handle, admitted bool) Decision {
-		return m.Step(simStart, &Event{Kind: Arrive, Handle: h, Arrival: Arrival{Organisation: "o", Target: simTarget, Admitted: admitted}}, nil)[0]
+		return m.Step(simStart, &Event{Kind: Arrive, Handle: h, Arrival: Arrival{Organisation: "o", Target: simTarget, AdmittedElsewhere: admitted}}, nil)[0]
 	}
 	is.Equal(arrive(0, true).Reason, ReasonAdmitted)
-	is.Equal(arrive(1, false).Reason, ReasonRoom) // the relayed request used no token
+	is.Equal(arrive(1, false).Reason, ReasonSlotFree) // the relayed request used no token
 	full := arrive(2, true)
 	is.Equal(full.Verdict, Refuse)
 	is.Equal(full.Kind, outcome.Overloaded)
@@ -336,14 +336,14 @@
 	m := NewModels()
 	plan := &Plan{
 		QueueLimit: 4, Organisations: []Organisation{{Name: "o", Weight: 1}},
-		Pools: []Pool{{Name: "g", Share: 1, Total: 1}}, Targets: []TargetPool{{Target: simTarget}},
+		Pools: []Pool{{Name: "g", ShareSlots: 1, TotalSlots: 1}}, Targets: []TargetPool{{Target: simTarget}},
 	}
 	m.Step(simStart, &Event{Kind: Replan, Plan: plan}, nil)
 	for h := range Handle(2) {
 		m.Step(simStart, &Event{Kind: Arrive, Handle: h, Arrival: Arrival{Organisation: "o", Target: simTarget}}, nil)
 	}
 	renamed := *plan
-	renamed.Pools = []Pool{{Name: "g,h", Share: 1, Total: 1}}
+	renamed.Pools = []Pool{{Name: "g,h", ShareSlots: 1, TotalSlots: 1}}
 	is.Equal(len(m.Step(simStart.Add(time.Hour), &Event{Kind: Replan, Plan: &renamed}, nil)), 0)
 	out := m.Step(simStart.Add(time.Hour), &Event{Kind: Finish, Handle: 0}, nil)
 	is.Equal(len(out), 1)
@@ -359,7 +359,7 @@
 	m := NewModels()
 	plan := &Plan{
 		QueueLimit: 4, Organisations: []Organisation{{Name: "o", Weight: 1}},
-		Pools: []Pool{{Name: "p", Share: 1, Total: 1}}, Targets: []TargetPool{{Target: simTarget}},
+		Pools: []Pool{{Name: "p", ShareSlots: 1, TotalSlots: 1}}, Targets: []TargetPool{{Target: simTarget}},
 	}
 	m.Step(simStart, &Event{Kind: Replan, Plan: plan}, nil)
 	now := simStart
--- a/internal/admit/plan.go
+++ b/internal/admit/plan.go
@@ -45,19 +45,19 @@
 
 // Pool is a set of endpoints that serve the same requests.
 type Pool struct {
-	Name     string
-	Share    float64       // this node's slots if all nodes are equally loaded
-	Total    float64       // slots available to this node
-	Waiting  int           // requests queued inside the endpoints, as reported
-	Reported clock.Instant // time of the newest report
+	Name       string
+	ShareSlots float64       // this node's slots if all nodes are equally loaded
+	TotalSlots float64       // slots available to this node
+	Waiting    int           // requests queued inside the endpoints, as reported
+	ReportedAt clock.Instant // time of the newest report
 }
 
 // Shares returns the shares of an organisation's rate caps that this node may use.
 type Shares func(org fleet.Organisation) (model, lookups float64)
 
-// PlanOf computes the limits from a snapshot. It returns nil if the snapshot has no
+// ComputePlan computes the limits from a snapshot. It returns nil if the snapshot has no
 // configuration.
-func PlanOf(s *view.Snapshot, shares Shares) *Plan {
+func ComputePlan(s *view.Snapshot, shares Shares) *Plan {
 	if s.Config == nil {
 		return nil
 	}
@@ -183,11 +183,11 @@
 		if slots <= 0 {
 			slots = assumedSlots
 		}
-		p.Total += float64(slots)
+		p.TotalSlots += float64(slots)
 		p.Waiting += g.Load.Waiting
-		p.Reported = max(p.Reported, g.LoadAt)
+		p.ReportedAt = max(p.ReportedAt, g.LoadAt)
 	}
-	p.Share = p.Total / float64(nodes.all)
+	p.ShareSlots = p.TotalSlots / float64(nodes.all)
 	return p
 }
 
@@ -208,16 +208,16 @@
 		if slots <= 0 {
 			slots = assumedServiceSlots
 		}
-		p.Total += float64(slots)
+		p.TotalSlots += float64(slots)
 		p.Waiting += v.Load.Waiting
-		p.Reported = max(p.Reported, v.LoadAt)
+		p.ReportedAt = max(p.ReportedAt, v.LoadAt)
 	}
-	p.Share = p.Total / float64(nodes.all)
+	p.ShareSlots = p.TotalSlots / float64(nodes.all)
 	return p
 }
 
 // isLost reports whether probes of the VM have failed for longer than a late answer
 // explains. VMs that other zones watch are not probed from here.
 func isLost(s *view.Snapshot, v *view.VM) bool {
-	return v.Probe.Failing != 0 && s.At.Sub(v.Probe.Failing) >= capacityGrace
+	return v.Probe.FailingSince != 0 && s.At.Sub(v.Probe.FailingSince) >= capacityGrace
 }
--- a/internal/admit/plan_test.go
+++ b/internal/admit/plan_test.go
@@ -54,8 +54,8 @@
 			planService("s1", 30, nil),
 			planService("s2", 0, nil), // has not reported yet
 			planService("s3", 100, func(v *view.VM) { v.Leaving = true }),
-			planService("s4", 100, func(v *view.VM) { v.Probe.Failing = now.Add(-capacityGrace) }),
-			planService("s5", 20, func(v *view.VM) { v.Probe.Failing = now.Add(-capacityGrace / 2) }),
+			planService("s4", 100, func(v *view.VM) { v.Probe.FailingSince = now.Add(-capacityGrace) }),
+			planService("s5", 20, func(v *view.VM) { v.Probe.FailingSince = now.Add(-capacityGrace / 2) }),
 			planService("s6", 100, func(v *view.VM) { v.Record.Service = "other" }),
 		},
 	}
@@ -65,7 +65,7 @@
 // service VMs that answer probes, divided among the nodes that accept requests.
 func TestPlan(t *testing.T) {
 	is := is.New(t)
-	p := PlanOf(threeZoneSnapshot(), func(fleet.Organisation) (float64, float64) { return 0.5, 0 })
+	p := ComputePlan(threeZoneSnapshot(), func(fleet.Organisation) (float64, float64) { return 0.5, 0 })
 	is.Equal(p.Organisations, []Organisation{{"north", 3, 5, minRate}, {"south", 1, 0, 0}}) // a share of 0 must not remove the cap
 	pool := func(target string) Pool {
 		for _, e := range p.Targets {
@@ -77,14 +77,14 @@
 		return Pool{}
 	}
 	const nodes = 3.0
-	plain := Pool{Name: "plain,adapted", Share: 28 / nodes, Total: 28, Waiting: 3, Reported: 16}
+	plain := Pool{Name: "plain,adapted", ShareSlots: 28 / nodes, TotalSlots: 28, Waiting: 3, ReportedAt: 16}
 	is.Equal(pool("m"), plain)
 	is.Equal(pool("m@2"), plain)
-	is.Equal(pool("m+ad"), Pool{Name: "adapted", Share: 16 / nodes, Total: 16, Waiting: 1, Reported: 16})
-	is.Equal(pool("m@1"), Pool{Name: "none:m@1", Share: assumedSlots / nodes, Total: assumedSlots, Waiting: 1})
-	is.Equal(pool("m+ad@1").Total, 0.0)
-	is.Equal(p.Services[0], Pool{Name: "fees", Share: (30 + assumedServiceSlots + 20) / nodes, Total: 30 + assumedServiceSlots + 20})
+	is.Equal(pool("m+ad"), Pool{Name: "adapted", ShareSlots: 16 / nodes, TotalSlots: 16, Waiting: 1, ReportedAt: 16})
+	is.Equal(pool("m@1"), Pool{Name: "none:m@1", ShareSlots: assumedSlots / nodes, TotalSlots: assumedSlots, Waiting: 1})
+	is.Equal(pool("m+ad@1").TotalSlots, 0.0)
+	is.Equal(p.Services[0], Pool{Name: "fees", ShareSlots: (30 + assumedServiceSlots + 20) / nodes, TotalSlots: 30 + assumedServiceSlots + 20})
 	is.Equal(p.Services[1], Pool{Name: "gone"})
 	is.Equal(p.QueueLimit, defaultQueueLimit)
-	is.Equal(PlanOf(&view.Snapshot{}, nil), (*Plan)(nil))
+	is.Equal(ComputePlan(&view.Snapshot{}, nil), (*Plan)(nil))
 }
--- a/internal/admit/pool.go
+++ b/internal/admit/pool.go
@@ -92,7 +92,7 @@
 func (p *pool) decision(h Handle, v Verdict, k outcome.Kind, r Reason) Decision {
 	return Decision{
 		Handle: h, Verdict: v, Kind: k, Reason: r,
-		Limit: int(p.limiter.limit), InProgress: p.inflight, Share: int(p.limiter.share),
+		Limit: int(p.limiter.limit), InProgress: p.inflight, ShareSlots: int(p.limiter.share),
 	}
 }
 
--- a/internal/admit/replan.go
+++ b/internal/admit/replan.go
@@ -146,9 +146,9 @@
 
 // resize applies the pool's part of a new plan.
 func (p *pool) resize(now clock.Instant, c *Pool) {
-	p.total = c.Total
+	p.total = c.TotalSlots
 	p.limiter.resize(now, c)
-	if c.Total > 0 {
+	if c.TotalSlots > 0 {
 		p.emptySince = 0
 	} else if p.emptySince == 0 {
 		p.emptySince = max(now, 1)
--- a/internal/admit/sim_test.go
+++ b/internal/admit/sim_test.go
@@ -234,7 +234,7 @@
 	if queue == 0 {
 		queue = defaultQueueLimit
 	}
-	pool := Pool{Name: "p", Share: share, Total: reported, Waiting: len(s.waiting), Reported: s.now}
+	pool := Pool{Name: "p", ShareSlots: share, TotalSlots: reported, Waiting: len(s.waiting), ReportedAt: s.now}
 	p := &Plan{QueueLimit: queue, Pools: []Pool{pool}, Services: []Pool{pool}, Targets: []TargetPool{{Target: simTarget}}}
 	for _, l := range s.loads {
 		w := s.weights[l.org]
--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -32,11 +32,11 @@
 
 // End is the final result of an answer.
 type End struct {
-	Whole  bool           `cbor:"1,keyasint"`
-	Frames uint64         `cbor:"2,keyasint"` // number of events; streams only
-	Bytes  uint64         `cbor:"3,keyasint"`
-	Hash   uint64         `cbor:"4,keyasint"` // xxhash64 over all Data in order
-	Error  *outcome.Error `cbor:"-"`          // set if the answer is not complete
+	Complete bool           `cbor:"1,keyasint"`
+	Frames   uint64         `cbor:"2,keyasint"` // number of events; streams only
+	Bytes    uint64         `cbor:"3,keyasint"`
+	Hash     uint64         `cbor:"4,keyasint"` // xxhash64 over all Data in order
+	Error    *outcome.Error `cbor:"-"`          // set if the answer is not complete
 }
 
 // Writer receives one answer: Start once, Frame any number of times in order of offset,
--- a/internal/backpressure/backoffs_test.go
+++ b/internal/backpressure/backoffs_test.go
@@ -97,8 +97,8 @@
 	is := is.New(t)
 	now := clock.NewManual(simStart)
 	g := New(Options{Node: "n", Clock: now})
-	g.Answered("e~1", Signals{Leaving: true}, simStart)
-	g.Answered("e~1", Signals{}, simStart) // an earlier answer that arrives late
+	g.RecordAnswer("e~1", Signals{Leaving: true}, simStart)
+	g.RecordAnswer("e~1", Signals{}, simStart) // an earlier answer that arrives late
 	is.True(!g.Allows("e~1") && !g.Take("e~1"))
 	now.Advance(time.Minute)
 	g.Sweep(func(ID) bool { return false })
--- a/internal/backpressure/bench_test.go
+++ b/internal/backpressure/bench_test.go
@@ -17,17 +17,17 @@
 	}
 	for _, limited := range []int{0, 12} {
 		b.Run(fmt.Sprintf("limited=%d", limited), func(b *testing.B) {
-			g := New(Options{Node: "front-294", Clock: clock.Boot{}, Order: func(ID) []string { return order }})
+			g := New(Options{Node: "front-294", Clock: clock.Boot{}, SenderOrder: func(ID) []string { return order }})
 			ids := make([]ID, 120)
 			for i := range ids {
 				ids[i] = ID(fmt.Sprintf("i-%010d~1790000000000", i))
 				if i < limited {
-					g.Hear(Notice{Node: "front-1", ID: ids[i], Rate: 1.9, Sends: true})
+					g.Receive(Notice{Node: "front-1", ID: ids[i], Rate: 1.9, IsSender: true})
 				}
 			}
 			for b.Loop() {
 				for _, id := range ids {
-					g.Leaving(id)
+					g.IsLeaving(id)
 					g.Allows(id)
 				}
 			}
--- a/internal/backpressure/guard.go
+++ b/internal/backpressure/guard.go
@@ -21,13 +21,13 @@
 	Node  string // name of this node
 	Clock clock.Clock
 	Log   *slog.Logger
-	// Order returns the nodes that may send to a rate-limited endpoint, preferred ones first;
+	// SenderOrder returns the nodes that may send to a rate-limited endpoint, preferred ones first;
 	// all nodes with the same view return the same order. nil: there are no other nodes.
-	Order func(ID) []string
-	// Announce sends a notice to all other nodes; nil: there are none.
-	Announce func(Notice)
-	// Leaves is called once for each endpoint that announces that it is leaving; may be nil.
-	Leaves     func(ID)
+	SenderOrder func(ID) []string
+	// Broadcast sends a notice to all other nodes; nil: there are none.
+	Broadcast func(Notice)
+	// OnLeaving is called once for each endpoint that announces that it is leaving; may be nil.
+	OnLeaving  func(ID)
 	Registerer prometheus.Registerer // may be nil
 }
 
@@ -49,14 +49,14 @@
 
 // New returns a guard without any signals.
 func New(o Options) *Guard {
-	if o.Order == nil {
-		o.Order = func(ID) []string { return nil }
+	if o.SenderOrder == nil {
+		o.SenderOrder = func(ID) []string { return nil }
 	}
-	if o.Announce == nil {
-		o.Announce = func(Notice) {}
+	if o.Broadcast == nil {
+		o.Broadcast = func(Notice) {}
 	}
-	if o.Leaves == nil {
-		o.Leaves = func(ID) {}
+	if o.OnLeaving == nil {
+		o.OnLeaving = func(ID) {}
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -86,8 +86,8 @@
 	return !g.leaving.contains(id) && g.backoffs.isAllowed(id, now) && g.limits.isAllowed(id, now)
 }
 
-// Leaving reports whether the endpoint has announced that it is leaving.
-func (g *Guard) Leaving(id ID) bool {
+// IsLeaving reports whether the endpoint has announced that it is leaving.
+func (g *Guard) IsLeaving(id ID) bool {
 	if g.quiet.Load() {
 		return false
 	}
@@ -131,8 +131,8 @@
 	return notice, ""
 }
 
-// Answered processes the signals of the answer to a request that was sent at sentAt.
-func (g *Guard) Answered(id ID, s Signals, sentAt clock.Instant) {
+// RecordAnswer processes the signals of the answer to a request that was sent at sentAt.
+func (g *Guard) RecordAnswer(id ID, s Signals, sentAt clock.Instant) {
 	if g.quiet.Load() && s == (Signals{}) {
 		return
 	}
@@ -140,7 +140,7 @@
 	now := g.Clock.Now()
 	var notice *Notice
 	if !s.LimitInvalid {
-		notice = g.limits.recordAnswer(id, s.Limit, sentAt, now, g.Order)
+		notice = g.limits.recordAnswer(id, s.Limit, sentAt, now, g.SenderOrder)
 	}
 	backoffBegins := g.backoffs.recordAnswer(id, s.RetryAfter, sentAt, now)
 	isLeaving := s.Leaving && g.leaving.add(id, now)
@@ -148,7 +148,7 @@
 	g.mu.Unlock()
 	if isLeaving {
 		g.Log.Info("endpoint is leaving", "endpoint", id)
-		g.Leaves(id)
+		g.OnLeaving(id)
 	}
 	if backoffBegins {
 		g.Log.Info("endpoint requests a backoff", "endpoint", id, "retry_after_ms", s.RetryAfter.Milliseconds())
@@ -159,13 +159,13 @@
 	}
 }
 
-// Hear processes another node's notice.
-func (g *Guard) Hear(n Notice) {
+// Receive processes another node's notice.
+func (g *Guard) Receive(n Notice) {
 	if n.Node == g.Node {
 		return
 	}
 	g.mu.Lock()
-	changed := g.limits.applyNotice(n, g.Clock.Now(), g.Order)
+	changed := g.limits.applyNotice(n, g.Clock.Now(), g.SenderOrder)
 	g.updateQuiet()
 	g.mu.Unlock()
 	if changed {
@@ -184,8 +184,8 @@
 	return max(g.backoffs.retryAfter(id, g.Clock.Now()), g.limits.retryAfter(id))
 }
 
-// Held returns the endpoints to which this node may send nothing now, sorted.
-func (g *Guard) Held() []ID {
+// Blocked returns the endpoints to which this node may send nothing now, sorted.
+func (g *Guard) Blocked() []ID {
 	if g.quiet.Load() {
 		return nil
 	}
@@ -220,14 +220,14 @@
 	defer g.mu.Unlock()
 	defer g.updateQuiet()
 	now := g.Clock.Now()
-	g.limits.refresh(listed, now, g.Order)
+	g.limits.refresh(listed, now, g.SenderOrder)
 	g.backoffs.removeExpired(now)
 	g.leaving.refresh(listed, now)
 }
 
 func (g *Guard) announce(n *Notice) {
 	if n != nil {
-		g.Announce(*n)
+		g.Broadcast(*n)
 	}
 }
 
--- a/internal/backpressure/limits.go
+++ b/internal/backpressure/limits.go
@@ -60,11 +60,11 @@
 
 // Notice informs other nodes of an endpoint's rate limit or its end.
 type Notice struct {
-	Node  string  `json:"node"`
-	ID    ID      `json:"id"`
-	Rate  float64 `json:"rate,omitempty"`
-	Sends bool    `json:"sends,omitempty"` // the node sends requests to the endpoint
-	Ended bool    `json:"ended,omitempty"`
+	Node     string  `json:"node"`
+	ID       ID      `json:"id"`
+	Rate     float64 `json:"rate,omitempty"`
+	IsSender bool    `json:"sends,omitempty"` // the node sends requests to the endpoint
+	Ended    bool    `json:"ended,omitempty"`
 }
 
 func newLimits(self string) *limits { return &limits{node: self, byID: map[ID]*limit{}} }
@@ -131,7 +131,7 @@
 }
 
 func (l *limit) noteSender(n Notice, now clock.Instant) {
-	if n.Sends {
+	if n.IsSender {
 		l.heardAt[n.Node] = now
 	}
 }
@@ -160,7 +160,7 @@
 		return true, nil
 	}
 	l.announcedAt = now
-	return true, &Notice{Node: ls.node, ID: id, Rate: l.rate, Sends: true}
+	return true, &Notice{Node: ls.node, ID: id, Rate: l.rate, IsSender: true}
 }
 
 func (l *limit) isReleased(now clock.Instant) bool { return l.releasedAt != 0 && now >= l.releasedAt }
--- a/internal/backpressure/signals.go
+++ b/internal/backpressure/signals.go
@@ -28,9 +28,9 @@
 
 var errInvalidNumber = errors.New("not a number of zero or more")
 
-// ReadLimit parses the value of a header that names a limit, in requests a second; empty: no
+// ParseLimit parses the value of a header that names a limit, in requests a second; empty: no
 // limit.
-func (s *Signals) ReadLimit(text string) error {
+func (s *Signals) ParseLimit(text string) error {
 	if text == "" {
 		return nil
 	}
@@ -43,10 +43,10 @@
 	return nil
 }
 
-// ReadRetryAfter parses the values of a header that requests a backoff, in seconds with
+// ParseRetryAfter parses the values of a header that requests a backoff, in seconds with
 // decimals. The longest one is used, also if an error is returned for another. Dates are
 // rejected: the clocks of VMs differ and may jump.
-func (s *Signals) ReadRetryAfter(values []string) error {
+func (s *Signals) ParseRetryAfter(values []string) error {
 	var wrong error
 	for _, text := range values {
 		seconds, err := parseNumber(text)
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -11,18 +11,18 @@
 )
 
 func TestPick(t *testing.T) {
-	bounds := Bounds{Remote: 0.15, Queue: -0.1}
+	bounds := Bounds{RemotePenalty: 0.15, QueueShare: -0.1}
 	for name, c := range map[string]struct {
 		cands  []Candidate
 		want   int
 		reason Reason
 	}{
-		"nobody":                         {nil, -1, None},
+		"nobody":                         {nil, -1, NoCandidate},
 		"least loaded":                   {[]Candidate{{Load: 9, Slots: 20, Local: true}, {Load: 3, Slots: 20, Local: true}}, 1, Chosen},
 		"own zone at about the same":     {[]Candidate{{Load: 3, Slots: 20}, {Load: 5, Slots: 20, Local: true}}, 1, Chosen},
 		"other zone when much less":      {[]Candidate{{Load: 3, Slots: 20}, {Load: 9, Slots: 20, Local: true}}, 0, Chosen},
 		"not tried twice":                {[]Candidate{{Load: 1, Slots: 20, Tried: true}, {Load: 9, Slots: 20}}, 1, Chosen},
-		"no suspect":                     {[]Candidate{{Load: 1, Slots: 20, Suspect: true}}, -1, None},
+		"no suspect":                     {[]Candidate{{Load: 1, Slots: 20, Suspect: true}}, -1, NoCandidate},
 		"full":                           {[]Candidate{{Load: 18, Slots: 20}}, -1, AllFull},
 		"avoided only without another":   {[]Candidate{{Load: 1, Slots: 20, Avoid: true}, {Load: 9, Slots: 20}}, 1, Chosen},
 		"avoided when there is no other": {[]Candidate{{Load: 1, Slots: 20, Avoid: true}, {Load: 19, Slots: 20}}, 0, Chosen},
@@ -53,7 +53,7 @@
 	var suspected []roster.ID
 	return &Tracker{
 		Clock: c, Silence: func(roster.ID) time.Duration { return silence },
-		Suspected: func(id roster.ID) { suspected = append(suspected, id) },
+		OnSuspect: func(id roster.ID) { suspected = append(suspected, id) },
 	}, c, &suspected
 }
 
@@ -67,18 +67,18 @@
 	one := tr.Start("head", func() { moved++ })
 	tr.Start("head", func() { moved++ })
 	c.Advance(250 * time.Millisecond)
-	one.Event()
+	one.RecordEvent()
 	c.Advance(250 * time.Millisecond)
-	tr.Watch()
+	tr.CheckSilence()
 	is.Equal(len(*suspected), 0)
 	c.Advance(100 * time.Millisecond)
-	tr.Watch()
-	tr.Watch()
+	tr.CheckSilence()
+	tr.CheckSilence()
 	is.Equal(*suspected, []roster.ID{"head"})
 	is.Equal(moved, 2)
-	is.True(tr.Of("head", time.Second).Suspect)
-	one.Event()
-	is.True(!tr.Of("head", time.Second).Suspect) // a sign of life clears the suspicion
+	is.True(tr.StateOf("head", time.Second).Suspect)
+	one.RecordEvent()
+	is.True(!tr.StateOf("head", time.Second).Suspect) // a sign of life clears the suspicion
 }
 
 // Guards against suspecting an idle head: the first request after a pause counts the silence
@@ -89,7 +89,7 @@
 	tr.Start("head", func() {}).End()
 	c.Advance(5 * time.Second)
 	tr.Start("head", func() {})
-	tr.Watch()
+	tr.CheckSilence()
 	is.Equal(len(*suspected), 0)
 }
 
@@ -99,13 +99,13 @@
 	is := is.New(t)
 	tr, c, _ := newTracker(time.Second)
 	k := tr.Start("e", nil)
-	k.Load(26, 4)
+	k.RecordLoad(26, 4)
 	k.End()
-	is.Equal(tr.Of("e", 4*time.Second).Load, 29.0)
+	is.Equal(tr.StateOf("e", 4*time.Second).Load, 29.0)
 	c.Advance(2 * time.Second)
-	is.Equal(tr.Of("e", 4*time.Second).Load, 14.5)
+	is.Equal(tr.StateOf("e", 4*time.Second).Load, 14.5)
 	c.Advance(2 * time.Second)
-	is.Equal(tr.Of("e", 4*time.Second).Load, 0.0)
+	is.Equal(tr.StateOf("e", 4*time.Second).Load, 0.0)
 }
 
 // Guards against a node that refuses everything because other nodes report requests that have
@@ -115,23 +115,23 @@
 	tr, c, _ := newTracker(time.Second)
 	const turnover = 4 * time.Second
 	pick := func() Reason {
-		st := tr.Of("e", turnover)
+		st := tr.StateOf("e", turnover)
 		_, reason := Pick([]Candidate{{Load: st.Load, Unconfirmed: st.Unconfirmed, Slots: 8}}, Bounds{}, 0)
 		return reason
 	}
 	tell := func() {
 		for range 20 {
 			c.Advance(10 * time.Millisecond)
-			tr.Told("e", 1, 0, turnover)
+			tr.AddReported("e", 1, 0, turnover)
 		}
 	}
 	tell()
 	is.Equal(pick(), Chosen)
 	k := tr.Start("e", nil)
 	is.Equal(pick(), AllFull) // one request at a time checks the load
-	k.Load(1, 0)
+	k.RecordLoad(1, 0)
 	is.Equal(pick(), Chosen)
-	k.Load(20, 0)
+	k.RecordLoad(20, 0)
 	k.End()
 	is.Equal(pick(), AllFull)
 	tell()
@@ -144,12 +144,12 @@
 	k := tr.Start("e", nil)
 	for range 200 {
 		c.Advance(400 * time.Millisecond)
-		k.Event()
+		k.RecordEvent()
 	}
-	got := tr.Of("e", time.Second).Gap
+	got := tr.StateOf("e", time.Second).EventGap
 	is.True(got > 380*time.Millisecond && got < 401*time.Millisecond)
 	c.Advance(3 * time.Second)
-	is.Equal(tr.Of("e", time.Second).Gap, time.Duration(0)) // too old to be used
+	is.Equal(tr.StateOf("e", time.Second).EventGap, time.Duration(0)) // too old to be used
 }
 
 // Guards against sending two prompts to the same head at the same moment. It would read both in
@@ -158,19 +158,19 @@
 func TestPickAvoidsHeadWithUnreadPrompts(t *testing.T) {
 	is := is.New(t)
 	tr, c, _ := newTracker(time.Second)
-	tr.Told("a", 1, 1400, 4*time.Second)
+	tr.AddReported("a", 1, 1400, 4*time.Second)
 	k := tr.Start("b", nil)
-	k.Reads(700)
-	unread := func(id roster.ID) float64 { return tr.Of(id, time.Second).Unread }
+	k.SetPromptTokens(700)
+	unread := func(id roster.ID) float64 { return tr.StateOf(id, time.Second).Unread }
 	is.Equal(unread("a"), 1400.0)
 	is.Equal(unread("b"), 700.0)
-	is.Equal(tr.Of("a", 4*time.Second).Load, 1.0)
+	is.Equal(tr.StateOf("a", 4*time.Second).Load, 1.0)
 	cands := []Candidate{{Slots: 26, Load: 1, Unread: unread("a")}, {Slots: 26, Load: 4, Unread: unread("b")}}
-	i, _ := Pick(cands, Bounds{Read: 0.25}, 0)
+	i, _ := Pick(cands, Bounds{UnreadWeight: 0.25}, 0)
 	is.Equal(i, 1)
 	c.Advance(unreadLifetime / 2)
 	is.Equal(unread("a"), 700.0) // half of it counts as read by now
-	k.Event()
+	k.RecordEvent()
 	is.Equal(unread("b"), 0.0) // an event shows that it was read
 	k.End()
 	is.Equal(unread("b"), 0.0)
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -21,19 +21,19 @@
 
 // Bounds are the weights and limits of a choice.
 type Bounds struct {
-	// Remote is added to the load of a candidate in another zone, as a share of its slots. It
+	// RemotePenalty is added to the load of a candidate in another zone, as a share of its slots. It
 	// keeps traffic within the zone while its endpoints are about as loaded as the others.
-	Remote float64
-	// Queue is how many requests may wait at an endpoint, as a share of its slots. Further
+	RemotePenalty float64
+	// QueueShare is how many requests may wait at an endpoint, as a share of its slots. Further
 	// requests are refused, so that they can go elsewhere.
-	Queue float64
-	// Read is added to the load for every thousand prompt tokens that are still to be read, as a
+	QueueShare float64
+	// UnreadWeight is added to the load for every thousand prompt tokens that are still to be read, as a
 	// share of the slots.
-	Read float64
-	// Sample is how many random candidates of the own zone, and as many of the others, are
+	UnreadWeight float64
+	// SampleSize is how many random candidates of the own zone, and as many of the others, are
 	// compared for each request; 0: all. Otherwise nodes with the same information, some 100 ms
 	// old, would all send to the endpoint that was the least loaded then.
-	Sample int
+	SampleSize int
 }
 
 // Reason is the outcome of a choice.
@@ -41,9 +41,9 @@
 
 // Reasons returned by Pick.
 const (
-	Chosen  Reason = "least loaded"
-	None    Reason = "no endpoint serves"
-	AllFull Reason = "every endpoint is full"
+	Chosen      Reason = "least loaded"
+	NoCandidate Reason = "no endpoint serves"
+	AllFull     Reason = "every endpoint is full"
 )
 
 // Pick returns the index of the candidate with the least load for its slots, or -1, and the
@@ -63,7 +63,7 @@
 }
 
 func pickAmong(cands []Candidate, b Bounds, seed int, includeAvoided, confirmedOnly bool) (int, Reason) {
-	reason := None
+	reason := NoCandidate
 	var local, remote []int
 	for k := range cands {
 		i := (k + seed) % len(cands)
@@ -78,9 +78,9 @@
 			remote = append(remote, i)
 		}
 	}
-	if b.Sample > 0 {
+	if b.SampleSize > 0 {
 		rng := rand.New(rand.NewPCG(uint64(seed), uint64(len(cands))))
-		local, remote = sample(rng, local, b.Sample), sample(rng, remote, b.Sample)
+		local, remote = sample(rng, local, b.SampleSize), sample(rng, remote, b.SampleSize)
 	}
 	best, bestScore := -1, math.Inf(1)
 	for _, i := range append(local, remote...) {
@@ -101,7 +101,7 @@
 	if confirmedOnly {
 		load -= c.Unconfirmed
 	}
-	return load >= float64(c.Slots)*(1+b.Queue)
+	return load >= float64(c.Slots)*(1+b.QueueShare)
 }
 
 // sample returns n random elements of indexes, or all if there are no more. It reorders indexes.
@@ -119,7 +119,7 @@
 func score(c *Candidate, b Bounds) float64 {
 	s := c.Load / float64(max(1, c.Slots))
 	if !c.Local {
-		s += b.Remote
+		s += b.RemotePenalty
 	}
-	return s + b.Read*c.Unread/1000
+	return s + b.UnreadWeight*c.Unread/1000
 }
--- a/internal/balance/share.go
+++ b/internal/balance/share.go
@@ -11,22 +11,22 @@
 	return t.changes
 }
 
-// Tell returns this node's requests in flight at each endpoint, and records them as reported.
-func (t *Tracker) Tell() []board.Count {
+// ReportInFlight returns this node's requests in flight at each endpoint, and records them as reported.
+func (t *Tracker) ReportInFlight() []board.HeadLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []board.Count
+	var out []board.HeadLoad
 	for id, r := range t.records {
 		r.reportedInFlight = r.inFlight
 		if r.inFlight > 0 {
-			out = append(out, board.Count{ID: id, Requests: r.inFlight, Unread: r.unread.own})
+			out = append(out, board.HeadLoad{ID: id, Requests: r.inFlight, Unread: r.unread.own})
 		}
 	}
 	return out
 }
 
-// TakeBoard applies the number of requests that all nodes of a zone have in flight at a head.
-func (t *Tracker) TakeBoard(c board.Count) {
+// ApplyBoard applies the number of requests that all nodes of a zone have in flight at a head.
+func (t *Tracker) ApplyBoard(c board.HeadLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Clock.Now()
--- a/internal/balance/spread_test.go
+++ b/internal/balance/spread_test.go
@@ -112,7 +112,7 @@
 		if warm {
 			counted++
 		}
-		h, _ := Pick(cands, Bounds{Queue: -0.04, Read: 0.25, Sample: s.sampleSize}, rng.IntN(1<<30))
+		h, _ := Pick(cands, Bounds{QueueShare: -0.04, UnreadWeight: 0.25, SampleSize: s.sampleSize}, rng.IntN(1<<30))
 		if h < 0 {
 			if warm {
 				res.refused++
@@ -212,7 +212,7 @@
 				for h := range cands {
 					cands[h] = Candidate{Load: loads[h], Slots: 48, Local: allZones || h < 3}
 				}
-				h, _ := Pick(cands, Bounds{Remote: 0.15, Queue: -0.04, Read: 0.25, Sample: 2}, rng.IntN(1<<30))
+				h, _ := Pick(cands, Bounds{RemotePenalty: 0.15, QueueShare: -0.04, UnreadWeight: 0.25, SampleSize: 2}, rng.IntN(1<<30))
 				got[h]++
 			}
 			sum += float64(slices.Max(got))
--- a/internal/balance/tracker.go
+++ b/internal/balance/tracker.go
@@ -18,11 +18,11 @@
 	// FirstSilence is the same for an endpoint at which all requests in flight wait for their
 	// first event, if it is longer than Silence.
 	FirstSilence time.Duration
-	// Suspected is called for each endpoint that becomes suspect; may be nil.
-	Suspected func(roster.ID)
-	// Doubted is called for each endpoint that has been silent for longer than the event rate of
+	// OnSuspect is called for each endpoint that becomes suspect; may be nil.
+	OnSuspect func(roster.ID)
+	// OnDoubt is called for each endpoint that has been silent for longer than the event rate of
 	// its streams explains, before it becomes suspect; may be nil.
-	Doubted func(roster.ID)
+	OnDoubt func(roster.ID)
 
 	mu      sync.Mutex
 	records map[roster.ID]*record
@@ -98,8 +98,8 @@
 	return r
 }
 
-// Progress records a sign of life.
-func (k *Ticket) Progress() {
+// RecordProgress records a sign of life.
+func (k *Ticket) RecordProgress() {
 	t := k.tracker
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,8 +108,8 @@
 	r.suspectSince, r.doubted = 0, false
 }
 
-// Event records an event of a stream and the time since the previous one.
-func (k *Ticket) Event() {
+// RecordEvent records an event of a stream and the time since the previous one.
+func (k *Ticket) RecordEvent() {
 	t := k.tracker
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,9 +140,9 @@
 // a second of a group's streams.
 const gapSmoothing = 16
 
-// Load records the load that an answer reported: requests running and waiting at the endpoint,
+// RecordLoad records the load that an answer reported: requests running and waiting at the endpoint,
 // this one included.
-func (k *Ticket) Load(running, waiting int) {
+func (k *Ticket) RecordLoad(running, waiting int) {
 	t := k.tracker
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -170,8 +170,8 @@
 	delete(r.waiting, k)
 }
 
-// Suspect marks the endpoint as suspect, after a failure that is evident without waiting.
-func (t *Tracker) Suspect(id roster.ID) {
+// MarkSuspect marks the endpoint as suspect, after a failure that is evident without waiting.
+func (t *Tracker) MarkSuspect(id roster.ID) {
 	t.mu.Lock()
 	now := t.Clock.Now()
 	waiting := t.markSuspect(id, now)
@@ -179,9 +179,9 @@
 	t.notifySuspect(id, waiting)
 }
 
-// Strand marks an endpoint as suspect on another node's report, and moves this node's requests.
+// ApplySuspicion marks an endpoint as suspect on another node's report, and moves this node's requests.
 // The suspicion is not announced again.
-func (t *Tracker) Strand(id roster.ID) {
+func (t *Tracker) ApplySuspicion(id roster.ID) {
 	t.mu.Lock()
 	waiting := t.markSuspect(id, t.Clock.Now())
 	t.mu.Unlock()
@@ -203,17 +203,17 @@
 }
 
 func (t *Tracker) notifySuspect(id roster.ID, waiting []*Ticket) {
-	if t.Suspected != nil {
-		t.Suspected(id)
+	if t.OnSuspect != nil {
+		t.OnSuspect(id)
 	}
 	for _, k := range waiting {
 		k.onSuspect()
 	}
 }
 
-// Watch finds the endpoints that have requests in flight and have been silent for too long. It
-// is called every WatchStep.
-func (t *Tracker) Watch() {
+// CheckSilence finds the endpoints that have requests in flight and have been silent for too long. It
+// is called every SilenceCheckInterval.
+func (t *Tracker) CheckSilence() {
 	type verdict struct {
 		id      roster.ID
 		stalled []*Ticket
@@ -235,8 +235,8 @@
 	}
 	t.mu.Unlock()
 	for _, id := range doubted {
-		if t.Doubted != nil {
-			t.Doubted(id)
+		if t.OnDoubt != nil {
+			t.OnDoubt(id)
 		}
 	}
 	for _, v := range suspects {
@@ -270,9 +270,9 @@
 	return min(most, max(least, r.eventGap+spreads*r.gapDeviation))
 }
 
-// WatchStep is the interval between two checks for silent endpoints. It adds half of itself on
+// SilenceCheckInterval is the interval between two checks for silent endpoints. It adds half of itself on
 // average to the time until a silence is detected.
-const WatchStep = 15 * time.Millisecond
+const SilenceCheckInterval = 15 * time.Millisecond
 
 // State is the state of an endpoint as needed for a choice.
 type State struct {
@@ -282,14 +282,14 @@
 	Unconfirmed float64
 	Suspect     bool
 	Doubted     bool
-	Gap         time.Duration // time between the events of a stream; 0: unknown
+	EventGap    time.Duration // time between the events of a stream; 0: unknown
 	Unread      float64       // prompt tokens that the endpoint has yet to read
 }
 
-// Of returns the state of the endpoint. A reported load decays over turnover, the time in which
+// StateOf returns the state of the endpoint. A reported load decays over turnover, the time in which
 // an endpoint's requests come and go: an endpoint that seems full gets no requests, so that no
 // answer would ever correct its load.
-func (t *Tracker) Of(id roster.ID, turnover time.Duration) State {
+func (t *Tracker) StateOf(id roster.ID, turnover time.Duration) State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[id]
@@ -305,7 +305,7 @@
 	s.Suspect = r.isSuspect(now)
 	s.Doubted = r.doubted && r.inFlight > 0
 	if now.Sub(r.lastSign) < gapLifetime {
-		s.Gap = r.eventGap
+		s.EventGap = r.eventGap
 	}
 	return s
 }
@@ -319,9 +319,9 @@
 	return load * (1 - float64(age)/float64(turnover))
 }
 
-// Sign returns the last sign of life of an endpoint (0: unknown) and whether it is doubted or
+// LastSign returns the last sign of life of an endpoint (0: unknown) and whether it is doubted or
 // suspect.
-func (t *Tracker) Sign(id roster.ID) (last clock.Instant, suspect bool) {
+func (t *Tracker) LastSign(id roster.ID) (last clock.Instant, suspect bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[id]
--- a/internal/balance/unread.go
+++ b/internal/balance/unread.go
@@ -28,8 +28,8 @@
 	return u.others * (1 - float64(age)/float64(unreadLifetime))
 }
 
-// Reads records the size of the request's prompt, in tokens.
-func (k *Ticket) Reads(tokens int) {
+// SetPromptTokens records the size of the request's prompt, in tokens.
+func (k *Ticket) SetPromptTokens(tokens int) {
 	t := k.tracker
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -43,9 +43,9 @@
 	k.unreadTokens = 0
 }
 
-// Told records requests that another node has sent to the endpoint, and the total tokens of
+// AddReported records requests that another node has sent to the endpoint, and the total tokens of
 // their prompts. turnover is the approximate run time of a request there.
-func (t *Tracker) Told(id roster.ID, requests, tokens float64, turnover time.Duration) {
+func (t *Tracker) AddReported(id roster.ID, requests, tokens float64, turnover time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Clock.Now()
--- a/internal/balance/wave_test.go
+++ b/internal/balance/wave_test.go
@@ -62,16 +62,16 @@
 	send := func(r *waveRequest) {
 		cands := make([]Candidate, w.heads)
 		for h := range cands {
-			st := trackers[r.node].Of(headID(h), 4*time.Second)
+			st := trackers[r.node].StateOf(headID(h), 4*time.Second)
 			cands[h] = Candidate{Load: st.Load, Unread: st.Unread, Slots: 48, Local: true, Tried: r.tried[h], Suspect: st.Suspect}
 		}
-		h, _ := Pick(cands, Bounds{Queue: -0.04, Read: 0.25, Sample: 2}, rng.IntN(1<<30))
+		h, _ := Pick(cands, Bounds{QueueShare: -0.04, UnreadWeight: 0.25, SampleSize: 2}, rng.IntN(1<<30))
 		if h < 0 {
 			return
 		}
 		r.tried[h] = true
 		ticket := trackers[r.node].Start(headID(h), func() { r.isGivenUp = len(r.tried) < 2 })
-		ticket.Reads(r.promptTokens)
+		ticket.SetPromptTokens(r.promptTokens)
 		r.ticket = ticket
 		if h < w.deadHeads {
 			return
@@ -81,7 +81,7 @@
 			tokensRead += r.promptTokens
 			if r.ticket == ticket && r.firstEvent == 0 {
 				r.firstEvent = c.Now()
-				ticket.Event()
+				ticket.RecordEvent()
 				ticket.End() // later events are not simulated
 			}
 		})
@@ -110,7 +110,7 @@
 			}
 		}
 		for _, t := range trackers {
-			t.Watch()
+			t.CheckSilence()
 		}
 		for _, r := range requests {
 			if r.isGivenUp && r.firstEvent == 0 {
--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -14,16 +14,16 @@
 	"chervilloom/internal/roster"
 )
 
-// Count is the load in flight at one head.
-type Count struct {
+// HeadLoad is the load in flight at one head.
+type HeadLoad struct {
 	ID       roster.ID `json:"i"`
 	Requests int       `json:"n"`
 	Unread   int       `json:"u,omitempty"` // prompt tokens not yet read by the engine
 }
 
 const (
-	// TellAgain is the interval at which a node resends unchanged counts.
-	TellAgain = time.Second
+	// ResendInterval is the interval at which a node resends unchanged counts.
+	ResendInterval = time.Second
 	// countTTL is how long a node's counts are valid, so that two messages may be lost.
 	// The requests of a killed node have ended by then.
 	countTTL = 2500 * time.Millisecond
@@ -40,12 +40,12 @@
 
 type nodeCounts struct {
 	receivedAt clock.Instant
-	counts     []Count
+	counts     []HeadLoad
 }
 
-// Note replaces a node's counts. If further is set, counts is another part of a message
+// Update replaces a node's counts. If further is set, counts is another part of a message
 // that was split, and is added.
-func (b *Board) Note(node string, counts []Count, further bool, now clock.Instant) {
+func (b *Board) Update(node string, counts []HeadLoad, further bool, now clock.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.nodes == nil {
@@ -59,10 +59,10 @@
 
 // Sums returns the load in flight of all nodes at each head, sorted by ID, and whether
 // any node has sent counts within countTTL.
-func (b *Board) Sums(now clock.Instant) ([]Count, bool) {
+func (b *Board) Sums(now clock.Instant) ([]HeadLoad, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	sums := map[roster.ID]Count{}
+	sums := map[roster.ID]HeadLoad{}
 	for node, t := range b.nodes {
 		age := now.Sub(t.receivedAt)
 		if age > countTTL {
@@ -72,29 +72,29 @@
 		left := max(0, 1-float64(age)/float64(promptReadTime))
 		for _, c := range t.counts {
 			s := sums[c.ID]
-			sums[c.ID] = Count{c.ID, s.Requests + c.Requests, s.Unread + int(left*float64(c.Unread))}
+			sums[c.ID] = HeadLoad{c.ID, s.Requests + c.Requests, s.Unread + int(left*float64(c.Unread))}
 		}
 	}
-	out := make([]Count, 0, len(sums))
+	out := make([]HeadLoad, 0, len(sums))
 	for _, c := range sums {
 		out = append(out, c)
 	}
-	slices.SortFunc(out, func(a, b Count) int { return strings.Compare(string(a.ID), string(b.ID)) })
+	slices.SortFunc(out, func(a, b HeadLoad) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	return out, len(b.nodes) > 0
 }
 
-// Mean is the mean load of a model's heads in a zone.
-type Mean struct {
+// MeanLoad is the mean load of a model's heads in a zone.
+type MeanLoad struct {
 	Zone   string  `json:"z"`
 	Model  string  `json:"m"`
 	Load   float64 `json:"l"` // requests in flight as a share of the slots
 	Unread float64 `json:"u"` // prompt tokens not yet read, per head
 }
 
-// Means returns the mean load of each of a zone's models, from the load in flight at the
+// MeanLoads returns the mean load of each of a zone's models, from the load in flight at the
 // heads that serve there.
-func Means(zone string, sums []Count, heads []*roster.Endpoint) []Mean {
-	at := make(map[roster.ID]Count, len(sums))
+func MeanLoads(zone string, sums []HeadLoad, heads []*roster.Endpoint) []MeanLoad {
+	at := make(map[roster.ID]HeadLoad, len(sums))
 	for _, c := range sums {
 		at[c.ID] = c
 	}
@@ -104,14 +104,14 @@
 		t, c := totals[e.Model], at[e.ID]
 		totals[e.Model] = total{t.requests + c.Requests, t.unread + c.Unread, t.slots + e.Slots, t.heads + 1}
 	}
-	out := make([]Mean, 0, len(totals))
+	out := make([]MeanLoad, 0, len(totals))
 	for model, t := range totals {
 		if t.slots > 0 {
-			out = append(out, Mean{
+			out = append(out, MeanLoad{
 				zone, model, float64(t.requests) / float64(t.slots), float64(t.unread) / float64(t.heads),
 			})
 		}
 	}
-	slices.SortFunc(out, func(a, b Mean) int { return strings.Compare(a.Model, b.Model) })
+	slices.SortFunc(out, func(a, b MeanLoad) int { return strings.Compare(a.Model, b.Model) })
 	return out
 }
--- a/internal/board/board_test.go
+++ b/internal/board/board_test.go
@@ -18,20 +18,20 @@
 	var b Board
 	_, known := b.Sums(now)
 	is.True(!known)
-	b.Note("n1", []Count{{"h1", 3, 1000}, {"h2", 1, 0}}, false, now)
-	b.Note("n2", []Count{{"h1", 2, 500}}, false, now)
+	b.Update("n1", []HeadLoad{{"h1", 3, 1000}, {"h2", 1, 0}}, false, now)
+	b.Update("n2", []HeadLoad{{"h1", 2, 500}}, false, now)
 	sums, known := b.Sums(now)
 	is.True(known)
-	is.Equal(sums, []Count{{"h1", 5, 1500}, {"h2", 1, 0}})
-	b.Note("n1", []Count{{"h1", 4, 0}}, false, now.Add(time.Second)) // also reports the end at h2
+	is.Equal(sums, []HeadLoad{{"h1", 5, 1500}, {"h2", 1, 0}})
+	b.Update("n1", []HeadLoad{{"h1", 4, 0}}, false, now.Add(time.Second)) // also reports the end at h2
 	sums, _ = b.Sums(now.Add(time.Second))
-	is.Equal(sums, []Count{{"h1", 6, 0}}) // prompts sent a second ago have been read
+	is.Equal(sums, []HeadLoad{{"h1", 6, 0}}) // prompts sent a second ago have been read
 	sums, _ = b.Sums(now.Add(3 * time.Second))
-	is.Equal(sums, []Count{{"h1", 4, 0}})                             // counts of n2 have expired
-	b.Note("n1", []Count{{"h3", 2, 0}}, true, now.Add(3*time.Second)) // another part
+	is.Equal(sums, []HeadLoad{{"h1", 4, 0}})                               // counts of n2 have expired
+	b.Update("n1", []HeadLoad{{"h3", 2, 0}}, true, now.Add(3*time.Second)) // another part
 	sums, _ = b.Sums(now.Add(3 * time.Second))
-	is.Equal(sums, []Count{{"h1", 4, 0}, {"h3", 2, 0}})
-	b.Note("n1", nil, false, now.Add(3*time.Second))
+	is.Equal(sums, []HeadLoad{{"h1", 4, 0}, {"h3", 2, 0}})
+	b.Update("n1", nil, false, now.Add(3*time.Second))
 	sums, known = b.Sums(now.Add(3 * time.Second))
 	is.Equal(len(sums), 0)
 	is.True(known)
@@ -44,7 +44,7 @@
 	heads := []*roster.Endpoint{
 		{ID: "a", Model: "big", Slots: 20}, {ID: "b", Model: "big", Slots: 20}, {ID: "c", Model: "small", Slots: 10},
 	}
-	sums := []Count{{"a", 10, 500}, {"c", 9, 0}, {"closed", 7, 0}}
-	is.Equal(Means("z", sums, heads), []Mean{{"z", "big", 0.25, 250}, {"z", "small", 0.9, 0}})
-	is.Equal(len(Means("z", sums, nil)), 0)
+	sums := []HeadLoad{{"a", 10, 500}, {"c", 9, 0}, {"closed", 7, 0}}
+	is.Equal(MeanLoads("z", sums, heads), []MeanLoad{{"z", "big", 0.25, 250}, {"z", "small", 0.9, 0}})
+	is.Equal(len(MeanLoads("z", sums, nil)), 0)
 }
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -21,9 +21,9 @@
 
 // Defaults of Input, and limits of the decision.
 const (
-	DefaultLead   = 4 * time.Minute
-	DefaultOutage = 0.003
-	DefaultSlots  = 8
+	DefaultLeadTime        = 4 * time.Minute
+	DefaultOutageFraction  = 0.003
+	DefaultSlotsPerReplica = 8
 	// targetUtilization is the planned fraction of a replica's slots in use: at
 	// full use the next request has to wait.
 	targetUtilization = 0.8
@@ -34,38 +34,38 @@
 
 // Input is the input of Decide.
 type Input struct {
-	Wall    time.Time // wall time in the operators' time zone; selects the slot of the week
-	Config  *config.Document
-	Zones   []Zone
-	Held    []Held
-	Demand  []Demand
-	History *History      // nil: only the current demand is used
-	Lead    time.Duration // time from a decision until the group serves; 0: DefaultLead
-	Outage  float64       // fraction of time for which a replica is down; 0: DefaultOutage
+	WallTime         time.Time // wall time in the operators' time zone; selects the slot of the week
+	Config           *config.Document
+	Zones            []Zone
+	ExistingReplicas []ExistingReplicas
+	Demand           []Demand
+	History          *History      // nil: only the current demand is used
+	LeadTime         time.Duration // time from a decision until the group serves; 0: DefaultLeadTime
+	OutageFraction   float64       // fraction of time for which a replica is down; 0: DefaultOutageFraction
 }
 
 // Zone is the capacity of an availability zone.
 type Zone struct {
-	Name         fleet.AvailabilityZone
-	Domains      []int // live engine VMs per fabric domain, free or in groups; empty if the zone has none
-	Accelerators int   // per VM; 0 counts as 1
+	Name              fleet.AvailabilityZone
+	VMsPerDomain      []int // live engine VMs per fabric domain, free or in groups; empty if the zone has none
+	AcceleratorsPerVM int   // per VM; 0 counts as 1
 }
 
-// Held is the number of existing replicas of a spec in a zone.
-type Held struct {
+// ExistingReplicas is the number of existing replicas of a spec in a zone.
+type ExistingReplicas struct {
 	Spec     string
 	Zone     fleet.AvailabilityZone
-	Replicas int // forming or serving
+	Active   int // forming or serving
 	Draining int
 }
 
 // Demand is the current demand for a spec in a zone.
 type Demand struct {
-	Spec    string
-	Zone    fleet.AvailabilityZone
-	Running float64 // requests in progress
-	Waiting float64 // requests in queues
-	Slots   float64 // request slots per replica; 0: DefaultSlots
+	Spec            string
+	Zone            fleet.AvailabilityZone
+	Running         float64 // requests in progress
+	Waiting         float64 // requests in queues
+	SlotsPerReplica float64 // request slots per replica; 0: DefaultSlotsPerReplica
 }
 
 // Target is the wanted number of replicas of a spec in a zone.
@@ -100,11 +100,11 @@
 }
 
 func (in Input) withDefaults() Input {
-	if in.Lead <= 0 {
-		in.Lead = DefaultLead
+	if in.LeadTime <= 0 {
+		in.LeadTime = DefaultLeadTime
 	}
-	if in.Outage <= 0 {
-		in.Outage = DefaultOutage
+	if in.OutageFraction <= 0 {
+		in.OutageFraction = DefaultOutageFraction
 	}
 	if in.History == nil {
 		in.History = NewHistory()
@@ -117,8 +117,8 @@
 func (in *Input) meanAccelerators() float64 {
 	sum, vms := 0, 0
 	for _, z := range in.Zones {
-		for _, n := range z.Domains {
-			sum += n * max(1, z.Accelerators)
+		for _, n := range z.VMsPerDomain {
+			sum += n * max(1, z.AcceleratorsPerVM)
 			vms += n
 		}
 	}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -22,23 +22,23 @@
 func testInput(o config.Objective, demand float64, held ...int) Input {
 	in := traceInput(o, NewHistory(), noon, demand, 0, 0)
 	for i, n := range held {
-		in.Held[i].Replicas = n
+		in.ExistingReplicas[i].Active = n
 	}
 	return in
 }
 
 func TestTargets(t *testing.T) {
 	busy, noVMs := testInput(sagarmatha, 40, 2, 2, 2), testInput(sagarmatha, 40, 3, 3, 2)
-	noVMs.Zones[2].Domains = nil
+	noVMs.Zones[2].VMsPerDomain = nil
 	singleDomain := testInput(sagarmatha, 40)
 	singleDomain.Config.Groups[0].OneDomain = true
 	for i := range singleDomain.Zones {
-		singleDomain.Zones[i].Domains = []int{7, 5, 3} // of 15 VMs, only two replicas of four VMs fit into single domains
+		singleDomain.Zones[i].VMsPerDomain = []int{7, 5, 3} // of 15 VMs, only two replicas of four VMs fit into single domains
 	}
 	oneZone := testInput(sagarmatha, 40)
 	oneZone.Config.Groups[0].Zones = []string{"z2"}
 	idle := testInput(lapwise, 0, 1, 1, 1)
-	idle.Held[0].Draining = 1
+	idle.ExistingReplicas[0].Draining = 1
 	noConfig := testInput(sagarmatha, 40)
 	noConfig.Config = nil
 	cases := []struct {
@@ -111,7 +111,7 @@
 	is := is.New(t)
 	h := NewHistory()
 	for week := range 4 {
-		for slot := range WeekSlots {
+		for slot := range SlotsPerWeek {
 			demand := 40.0
 			if week == 3 && slot/SlotsPerDay == 3 {
 				demand = 20
@@ -171,15 +171,15 @@
 		h.Observe("s", 5, x)
 	}
 	h.Observe("s", -1, 3)
-	h.Observe("s", WeekSlots, 3)
+	h.Observe("s", SlotsPerWeek, 3)
 	is.Equal(len(h.specs), 0)
 	is.Equal(sumReplicas(Decide(testInput(sagarmatha, nan))), 1)
 }
 
 func drawInput(t *rapid.T) Input {
 	in := Input{
-		Wall:    noon,
-		History: NewHistory(),
+		WallTime: noon,
+		History:  NewHistory(),
 		Config: &config.Document{Objective: config.Objective{
 			DowntimeWeight:  rapid.Float64Range(0, 1000).Draw(t, "downtime"),
 			StrandingWeight: rapid.Float64Range(0, 100).Draw(t, "stranding"),
@@ -187,19 +187,19 @@
 	}
 	for z := range rapid.IntRange(1, 3).Draw(t, "zones") {
 		name := fleet.AvailabilityZone(fmt.Sprintf("z%d", z+1))
-		in.Zones = append(in.Zones, Zone{Name: name, Domains: rapid.SliceOfN(rapid.IntRange(0, 15), 0, 3).Draw(t, "domains"), Accelerators: 2})
+		in.Zones = append(in.Zones, Zone{Name: name, VMsPerDomain: rapid.SliceOfN(rapid.IntRange(0, 15), 0, 3).Draw(t, "domains"), AcceleratorsPerVM: 2})
 	}
 	for i := range rapid.IntRange(1, 4).Draw(t, "specs") {
 		spec := config.GroupSpec{Name: fmt.Sprint("s", i), VMs: rapid.IntRange(1, 8).Draw(t, "size"), Min: rapid.IntRange(0, 3).Draw(t, "min"), OneDomain: rapid.Bool().Draw(t, "one")}
 		spec.Max = spec.Min + rapid.IntRange(0, 8).Draw(t, "more")
 		in.Config.Groups = append(in.Config.Groups, spec)
 		for _, z := range in.Zones {
-			in.Held = append(in.Held, Held{Spec: spec.Name, Zone: z.Name, Replicas: rapid.IntRange(0, 3).Draw(t, "held"), Draining: rapid.IntRange(0, 1).Draw(t, "draining")})
+			in.ExistingReplicas = append(in.ExistingReplicas, ExistingReplicas{Spec: spec.Name, Zone: z.Name, Active: rapid.IntRange(0, 3).Draw(t, "held"), Draining: rapid.IntRange(0, 1).Draw(t, "draining")})
 			in.Demand = append(in.Demand, Demand{Spec: spec.Name, Zone: z.Name, Running: rapid.Float64Range(0, 60).Draw(t, "running")})
 		}
 	}
 	for range rapid.IntRange(0, 40).Draw(t, "observed") {
-		in.History.Observe("s0", rapid.IntRange(0, WeekSlots-1).Draw(t, "slot"), rapid.Float64Range(0, 60).Draw(t, "demand"))
+		in.History.Observe("s0", rapid.IntRange(0, SlotsPerWeek-1).Draw(t, "slot"), rapid.Float64Range(0, 60).Draw(t, "demand"))
 	}
 	return in
 }
@@ -213,7 +213,7 @@
 		got := Decide(in)
 		free := make(map[fleet.AvailabilityZone]int)
 		for _, z := range in.Zones {
-			for _, n := range z.Domains {
+			for _, n := range z.VMsPerDomain {
 				free[z.Name] += n
 			}
 		}
@@ -257,7 +257,7 @@
 func checkDomains(t *rapid.T, in *Input, spec config.GroupSpec, n int) {
 	room := 0
 	for _, z := range in.Zones {
-		for _, vms := range z.Domains {
+		for _, vms := range z.VMsPerDomain {
 			room += vms / spec.VMs
 		}
 	}
@@ -281,14 +281,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		for i := range in.Zones {
-			in.Zones[i].Domains = []int{1000}
+			in.Zones[i].VMsPerDomain = []int{1000}
 		}
 		in.Config.Groups = in.Config.Groups[:1]
 		spec := in.Config.Groups[0]
 		held, draining := 0, 0
-		for _, h := range in.Held {
+		for _, h := range in.ExistingReplicas {
 			if h.Spec == spec.Name {
-				held, draining = held+h.Replicas, draining+h.Draining
+				held, draining = held+h.Active, draining+h.Draining
 			}
 		}
 		n := sumReplicas(Decide(in))
@@ -307,40 +307,40 @@
 }
 
 func TestAdviseExport(t *testing.T) {
-	base := Export{
-		Group: "g", PrefillPerTok: 200 * time.Microsecond, BytesPerSecond: 1e9,
-		PerObject: 5 * time.Millisecond, Within: 10 * time.Second, Useful: 30 * time.Minute,
+	base := ExportInput{
+		Group: "g", PrefillPerToken: 200 * time.Microsecond, BytesPerSecond: 1e9,
+		PerObjectCost: 5 * time.Millisecond, TimeLimit: 10 * time.Second, CacheLifetime: 30 * time.Minute,
 	}
-	hot := Heat{Prefix: 1, Tokens: 4000, PerHour: 60, Bytes: 100e6}
+	hot := PrefixUsage{Prefix: 1, Tokens: 4000, UsesPerHour: 60, Bytes: 100e6}
 	cold, elsewhere, big := hot, hot, hot
-	cold.Prefix, cold.PerHour = 2, 0.1
+	cold.Prefix, cold.UsesPerHour = 2, 0.1
 	elsewhere.Prefix, elsewhere.Held = 3, true
 	big.Prefix, big.Bytes = 4, 2e9
-	hotter := Heat{Prefix: 5, Tokens: 8000, PerHour: 60, Bytes: 100e6}
+	hotter := PrefixUsage{Prefix: 5, Tokens: 8000, UsesPerHour: 60, Bytes: 100e6}
 	short, down := base, base
-	short.Within = 150 * time.Millisecond
+	short.TimeLimit = 150 * time.Millisecond
 	down.BytesPerSecond = 0
 	cases := []struct {
 		name string
-		e    Export
-		heat []Heat
+		e    ExportInput
+		heat []PrefixUsage
 		want []uint64
 		why  string
 	}{
-		{"often used prefixes, best saving first", base, []Heat{hot, cold, hotter}, []uint64{5, 1}, reasonExport},
-		{"not a prefix that another replica has", base, []Heat{elsewhere}, nil, reasonNoSaving},
-		{"not a prefix that costs more to move than to compute", base, []Heat{big}, nil, reasonNoSaving},
-		{"only prefixes that fit into the time of the drain", short, []Heat{hot, hotter}, []uint64{5}, reasonExport},
-		{"no transfer rate", down, []Heat{hot}, nil, reasonNoTransfer},
+		{"often used prefixes, best saving first", base, []PrefixUsage{hot, cold, hotter}, []uint64{5, 1}, reasonExport},
+		{"not a prefix that another replica has", base, []PrefixUsage{elsewhere}, nil, reasonNoSaving},
+		{"not a prefix that costs more to move than to compute", base, []PrefixUsage{big}, nil, reasonNoSaving},
+		{"only prefixes that fit into the time of the drain", short, []PrefixUsage{hot, hotter}, []uint64{5}, reasonExport},
+		{"no transfer rate", down, []PrefixUsage{hot}, nil, reasonNoTransfer},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			c.e.Heat = c.heat
+			c.e.PrefixUsage = c.heat
 			a := AdviseExport(c.e)
 			is.Equal(a.Prefixes, c.want)
 			is.Equal(a.Reason, c.why)
-			is.Equal(a.Saves > 0, len(c.want) > 0)
+			is.Equal(a.NetSaving > 0, len(c.want) > 0)
 		})
 	}
 }
--- a/internal/capacity/facts.go
+++ b/internal/capacity/facts.go
@@ -18,10 +18,10 @@
 	maxProbeSilence = 30 * time.Second
 )
 
-// Read returns the zones, existing replicas and demand of a snapshot as input of
+// InputFromSnapshot returns the zones, existing replicas and demand of a snapshot as input of
 // Decide. The caller sets the time, the history, the lead time and the outage
 // fraction.
-func Read(snap *view.Snapshot, now clock.Instant) Input {
+func InputFromSnapshot(snap *view.Snapshot, now clock.Instant) Input {
 	r := snapshotReader{snap: snap, now: now, in: Input{Config: snap.Config}}
 	r.addZone(snap.Zone)
 	for i := range snap.Nodes {
@@ -67,14 +67,14 @@
 			continue
 		}
 		zone := &r.in.Zones[z]
-		zone.Accelerators = max(zone.Accelerators, v.Record.Accelerators)
+		zone.AcceleratorsPerVM = max(zone.AcceleratorsPerVM, v.Record.Accelerators)
 		d := slices.Index(r.domains[z], v.Record.Domain)
 		if d < 0 {
-			d = len(zone.Domains)
+			d = len(zone.VMsPerDomain)
 			r.domains[z] = append(r.domains[z], v.Record.Domain)
-			zone.Domains = append(zone.Domains, 0)
+			zone.VMsPerDomain = append(zone.VMsPerDomain, 0)
 		}
-		zone.Domains[d]++
+		zone.VMsPerDomain[d]++
 	}
 }
 
@@ -87,20 +87,20 @@
 	if v.Record.Zone != r.snap.Zone {
 		return v.Listed
 	}
-	return v.Probe.Failing == 0 || r.now.Sub(v.Probe.Failing) <= maxProbeSilence
+	return v.Probe.FailingSince == 0 || r.now.Sub(v.Probe.FailingSince) <= maxProbeSilence
 }
 
 func (r *snapshotReader) readGroup(g *view.Group) {
-	h := Held{Spec: g.Spec, Zone: g.Zone}
+	h := ExistingReplicas{Spec: g.Spec, Zone: g.Zone}
 	switch g.Phase {
 	case fleet.PhaseDraining:
 		h.Draining = 1
 	case fleet.PhaseForming, fleet.PhaseServing:
-		h.Replicas = 1
+		h.Active = 1
 	default:
 		return
 	}
-	r.in.Held = append(r.in.Held, h)
+	r.in.ExistingReplicas = append(r.in.ExistingReplicas, h)
 	if g.Phase != fleet.PhaseForming {
 		r.in.Demand = append(r.in.Demand, r.groupDemand(g))
 	}
@@ -110,13 +110,13 @@
 // report counts as used to the target utilization: a missing report must not
 // remove its replica.
 func (r *snapshotReader) groupDemand(g *view.Group) Demand {
-	d := Demand{Spec: g.Spec, Zone: g.Zone, Slots: float64(g.Load.Slots)}
+	d := Demand{Spec: g.Spec, Zone: g.Zone, SlotsPerReplica: float64(g.Load.Slots)}
 	if g.LoadAt != 0 && r.now.Sub(g.LoadAt) <= maxLoadAge {
 		d.Running, d.Waiting = float64(g.Load.Running), float64(g.Load.Waiting)
 		return d
 	}
 	if g.Phase == fleet.PhaseServing {
-		d.Running = targetUtilization * max(d.Slots, DefaultSlots)
+		d.Running = targetUtilization * max(d.SlotsPerReplica, DefaultSlotsPerReplica)
 	}
 	return d
 }
--- a/internal/capacity/forecast.go
+++ b/internal/capacity/forecast.go
@@ -45,7 +45,7 @@
 	if fromMidpoint < 0 {
 		neighbour, weight = slot-1, -fromMidpoint
 	}
-	neighbourBaseline, known := s.baseline((neighbour + WeekSlots) % WeekSlots)
+	neighbourBaseline, known := s.baseline((neighbour + SlotsPerWeek) % SlotsPerWeek)
 	if !known {
 		return baseline, true
 	}
--- a/internal/capacity/history.go
+++ b/internal/capacity/history.go
@@ -12,9 +12,9 @@
 
 // Division of the week into slots.
 const (
-	SlotLength  = 15 * time.Minute
-	SlotsPerDay = int(24 * time.Hour / SlotLength)
-	WeekSlots   = 7 * SlotsPerDay
+	SlotLength   = 15 * time.Minute
+	SlotsPerDay  = int(24 * time.Hour / SlotLength)
+	SlotsPerWeek = 7 * SlotsPerDay
 )
 
 const (
@@ -47,12 +47,12 @@
 // deviation from the forecast, the newest slots, and the day's ratio to the
 // baseline.
 type series struct {
-	mean           [WeekSlots]float32
-	deviation      [WeekSlots]float32
-	weeksObserved  [WeekSlots]uint8 // number of weeks observed, at most 255
-	dayRatio       float64          // the day's demand over the baseline; 1 if unknown
-	level          float64          // smoothed demand
-	levelDeviation float64          // mean deviation of observations from level
+	mean           [SlotsPerWeek]float32
+	deviation      [SlotsPerWeek]float32
+	weeksObserved  [SlotsPerWeek]uint8 // number of weeks observed, at most 255
+	dayRatio       float64             // the day's demand over the baseline; 1 if unknown
+	level          float64             // smoothed demand
+	levelDeviation float64             // mean deviation of observations from level
 	recent         [recentSlots]slotMean
 	newestIndex    int // index in recent of the newest slot
 	current        openSlot
@@ -80,7 +80,7 @@
 // minute: the smoothing constants assume that interval. Values out of range are
 // ignored, so that they do not distort the statistics.
 func (h *History) Observe(spec string, weekSlot int, demand float64) {
-	if weekSlot < 0 || weekSlot >= WeekSlots || !isWithin(demand, maxDemand) {
+	if weekSlot < 0 || weekSlot >= SlotsPerWeek || !isWithin(demand, maxDemand) {
 		return
 	}
 	s, ok := h.specs[spec]
@@ -238,7 +238,7 @@
 
 func (st *storedSeries) load() (*series, error) {
 	s := newSeries()
-	if len(st.Weeks) != WeekSlots || len(st.Recent) != 2*recentSlots {
+	if len(st.Weeks) != SlotsPerWeek || len(st.Recent) != 2*recentSlots {
 		return nil, errInvalidHistory
 	}
 	if !isWithin(st.Ratio, maxDemand) || !isWithin(st.LevelDeviation, maxDemand) {
--- a/internal/capacity/place.go
+++ b/internal/capacity/place.go
@@ -16,7 +16,7 @@
 func newFreeCapacity(in *Input) *freeCapacity {
 	f := &freeCapacity{vms: make([][]int, len(in.Zones))}
 	for i, z := range in.Zones {
-		f.vms[i] = slices.Clone(z.Domains)
+		f.vms[i] = slices.Clone(z.VMsPerDomain)
 	}
 	return f
 }
--- a/internal/capacity/plan.go
+++ b/internal/capacity/plan.go
@@ -47,13 +47,13 @@
 }
 
 func (p *plan) readExisting(in *Input) {
-	for _, h := range in.Held {
+	for _, h := range in.ExistingReplicas {
 		if h.Spec != p.spec.Name {
 			continue
 		}
 		p.draining += h.Draining
 		if z := p.zoneIndex(in, h.Zone); z >= 0 {
-			p.existing[z] += h.Replicas
+			p.existing[z] += h.Active
 		}
 	}
 }
@@ -62,14 +62,14 @@
 // replica. A zone's share is the mean of its share of the demand and an equal share:
 // a zone with little demand now needs its own replicas if it is partitioned.
 func (p *plan) readDemand(in *Input) float64 {
-	slots := float64(DefaultSlots)
+	slots := float64(DefaultSlotsPerReplica)
 	byZone := make([]float64, len(p.zoneIndexes))
 	for _, d := range in.Demand {
 		if d.Spec != p.spec.Name {
 			continue
 		}
-		if d.Slots > 0 {
-			slots = d.Slots
+		if d.SlotsPerReplica > 0 {
+			slots = d.SlotsPerReplica
 		}
 		requests := d.requests()
 		p.demand += requests
@@ -102,17 +102,17 @@
 	c := costModel{
 		missingCost:        in.Config.Objective.DowntimeWeight,
 		idleCost:           in.Config.Objective.StrandingWeight * accelerators,
-		outageFraction:     in.Outage,
+		outageFraction:     in.OutageFraction,
 		requestsPerReplica: max(1, slots*targetUtilization),
 	}
 	p.minUnitCost = min(c.idleCost, c.missingCost)
 	s := in.History.seriesOf(p.spec.Name)
-	span := retention(in.Config.Objective, accelerators, in.Lead)
-	p.forecast = s.forecastAfterLead(in.Wall, in.Lead, p.demand)
-	_, p.hasBaseline = s.baseline(WeekSlot(in.Wall))
+	span := retention(in.Config.Objective, accelerators, in.LeadTime)
+	p.forecast = s.forecastAfterLead(in.WallTime, in.LeadTime, p.demand)
+	_, p.hasBaseline = s.baseline(WeekSlot(in.WallTime))
 	maxServed := c.requestsPerReplica * float64(p.spec.Max+2)
 	p.costs = c.expectedCosts(p.spec.Max, p.forecast.capped(maxServed))
-	for _, f := range s.retentionForecasts(in.Wall, in.Lead, span, p.demand) {
+	for _, f := range s.retentionForecasts(in.WallTime, in.LeadTime, span, p.demand) {
 		p.minKept = max(p.minKept, cheapest(c.expectedCosts(p.spec.Max, f.capped(maxServed))))
 	}
 	p.costReason = fmt.Sprintf("least expected cost of downtime %g/s against %g/s for an idle replica, kept for %v",
@@ -172,7 +172,7 @@
 		basis = "usual at this hour and asked now"
 	}
 	reason := fmt.Sprintf("demand %.1f (%s %.1f) in %v; %d replicas held; %s",
-		p.forecast.mean, basis, p.demand, in.Lead, p.totalExisting(), p.costReason)
+		p.forecast.mean, basis, p.demand, in.LeadTime, p.totalExisting(), p.costReason)
 	out := make([]Target, 0, len(p.zoneIndexes))
 	for k, z := range p.zoneIndexes {
 		out = append(out, Target{Spec: p.spec.Name, Zone: in.Zones[z].Name, Replicas: p.placed[k], Reason: reason})
--- a/internal/capacity/trace_test.go
+++ b/internal/capacity/trace_test.go
@@ -147,7 +147,7 @@
 }
 
 func (s *simulatedFleet) stepMinute(demand float64) {
-	need := min(int(math.Ceil(demand/(DefaultSlots*targetUtilization))), traceMax)
+	need := min(int(math.Ceil(demand/(DefaultSlotsPerReplica*targetUtilization))), traceMax)
 	held := s.existing() + len(s.draining)
 	s.downtime += 60 * float64(max(0, need-s.serving))
 	s.stranded += 60 * traceVMs * traceAccelerators * float64(max(0, held-need))
@@ -207,15 +207,15 @@
 
 func traceInput(o config.Objective, h *History, at time.Time, demand float64, held, draining int) Input {
 	in := Input{
-		Wall: at, History: h, Lead: formMinutes * time.Minute,
+		WallTime: at, History: h, LeadTime: formMinutes * time.Minute,
 		Config: &config.Document{Objective: o, Groups: []config.GroupSpec{{Name: "s", VMs: traceVMs, Min: 1, Max: traceMax}}},
 	}
 	for i, z := range []fleet.AvailabilityZone{"z1", "z2", "z3"} {
-		in.Zones = append(in.Zones, Zone{Name: z, Domains: []int{traceZoneVMs / 2, traceZoneVMs / 2}, Accelerators: traceAccelerators})
-		in.Held = append(in.Held, Held{Spec: "s", Zone: z, Replicas: (held + i) / 3})
+		in.Zones = append(in.Zones, Zone{Name: z, VMsPerDomain: []int{traceZoneVMs / 2, traceZoneVMs / 2}, AcceleratorsPerVM: traceAccelerators})
+		in.ExistingReplicas = append(in.ExistingReplicas, ExistingReplicas{Spec: "s", Zone: z, Active: (held + i) / 3})
 		in.Demand = append(in.Demand, Demand{Spec: "s", Zone: z, Running: demand / 3})
 	}
-	in.Held[0].Draining = draining
+	in.ExistingReplicas[0].Draining = draining
 	return in
 }
 
@@ -229,7 +229,7 @@
 
 // staticPeak returns the replicas for the highest demand of a normal week.
 func staticPeak(int, time.Time, float64, *simulatedFleet) int {
-	return int(math.Ceil(busyDemand / (DefaultSlots * targetUtilization)))
+	return int(math.Ceil(busyDemand / (DefaultSlotsPerReplica * targetUtilization)))
 }
 
 // staticPeakWithSpare returns one replica more than staticPeak.
@@ -242,7 +242,7 @@
 func reactive(spares int) policy {
 	var last [5]int
 	return func(m int, _ time.Time, demand float64, _ *simulatedFleet) int {
-		last[m%len(last)] = min(int(math.Ceil(demand/(DefaultSlots*targetUtilization))), traceMax)
+		last[m%len(last)] = min(int(math.Ceil(demand/(DefaultSlotsPerReplica*targetUtilization))), traceMax)
 		most := 0
 		for _, n := range last {
 			most = max(most, n)
--- a/internal/capacity/tracker.go
+++ b/internal/capacity/tracker.go
@@ -32,9 +32,9 @@
 type Options struct {
 	Zone       fleet.AvailabilityZone
 	Clock      clock.Clock
-	Wall       func() time.Time // nil: time.Now in UTC
+	WallTime   func() time.Time // nil: time.Now in UTC
 	Objects    platform.Objects // nil: the history is lost with the process
-	Lead       time.Duration    // time from a decision until the group serves; 0: DefaultLead
+	LeadTime   time.Duration    // time from a decision until the group serves; 0: DefaultLeadTime
 	Log        *slog.Logger
 	Explain    explain.Recorder
 	Registerer prometheus.Registerer
@@ -68,8 +68,8 @@
 
 // NewTracker returns a tracker with an empty history; Run loads the saved one.
 func NewTracker(o Options) *Tracker {
-	if o.Wall == nil {
-		o.Wall = func() time.Time { return time.Now().UTC() }
+	if o.WallTime == nil {
+		o.WallTime = func() time.Time { return time.Now().UTC() }
 	}
 	return &Tracker{
 		opt: o, metrics: newMetrics(o.Registerer), loadRequests: make(chan struct{}, 1),
@@ -91,8 +91,8 @@
 	if t.targets != nil && now.Sub(t.decidedAt) < decideInterval && t.coversConfig(snap) {
 		return t.targets
 	}
-	in := Read(snap, now)
-	in.Wall, in.Lead = t.opt.Wall(), t.opt.Lead
+	in := InputFromSnapshot(snap, now)
+	in.WallTime, in.LeadTime = t.opt.WallTime(), t.opt.LeadTime
 	t.observe(&in, now)
 	in.History = t.history
 	t.decidedAt = now
@@ -143,7 +143,7 @@
 		return
 	}
 	t.observedAt = now
-	slot := WeekSlot(in.Wall)
+	slot := WeekSlot(in.WallTime)
 	for name, s := range t.samples {
 		t.history.Observe(name, slot, s.sum/float64(s.n))
 	}
@@ -188,16 +188,16 @@
 
 func existingInZone(in *Input, tg *Target) int {
 	n := 0
-	for _, h := range in.Held {
+	for _, h := range in.ExistingReplicas {
 		if h.Spec == tg.Spec && h.Zone == tg.Zone {
-			n += h.Replicas
+			n += h.Active
 		}
 	}
 	return n
 }
 
 func (t *Tracker) reportChange(tg *Target, before int) {
-	t.opt.Explain.Note(explain.Step{
+	t.opt.Explain.Record(explain.Step{
 		Subject: tg.Spec, Stage: "capacity",
 		Decision: fmt.Sprintf("%d replicas in %s", tg.Replicas, tg.Zone), Reason: tg.Reason,
 	})
--- a/internal/capacity/tracker_test.go
+++ b/internal/capacity/tracker_test.go
@@ -33,7 +33,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.unavailable {
-		return platform.ErrDown
+		return platform.ErrUnavailable
 	}
 	o.data[name] = data
 	o.puts++
@@ -44,7 +44,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.unavailable {
-		return nil, platform.ErrDown
+		return nil, platform.ErrUnavailable
 	}
 	data, ok := o.data[name]
 	if !ok {
@@ -83,7 +83,7 @@
 
 func newTestTracker(now clock.Clock, o platform.Objects) *Tracker {
 	return NewTracker(Options{
-		Zone: "z1", Clock: now, Wall: func() time.Time { return noon }, Objects: o,
+		Zone: "z1", Clock: now, WallTime: func() time.Time { return noon }, Objects: o,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Explain: explain.NewStore("n1", 8, 8),
 		Registerer: prometheus.NewRegistry(),
 	})
@@ -136,8 +136,8 @@
 			tr.opt.Zone = zone
 			sum += tr.Targets(s)["s"]
 		}
-		in := Read(testSnapshot(trackStart, loads...), trackStart)
-		in.Wall = noon
+		in := InputFromSnapshot(testSnapshot(trackStart, loads...), trackStart)
+		in.WallTime = noon
 		want := 0
 		for _, tg := range Decide(in) {
 			want += tg.Replicas
@@ -150,15 +150,15 @@
 	is := is.New(t)
 	s := testSnapshot(trackStart)
 	s.VMs[0].Leaving = true
-	s.VMs[1].Probe.Failing = trackStart.Add(-time.Minute)
-	s.VMs[2].Probe.Failing = trackStart.Add(-time.Second)
+	s.VMs[1].Probe.FailingSince = trackStart.Add(-time.Minute)
+	s.VMs[2].Probe.FailingSince = trackStart.Add(-time.Second)
 	s.VMs[3].Record.Domain = "other"
 	s.VMs[8].Listed = false
-	in := Read(s, trackStart)
+	in := InputFromSnapshot(s, trackStart)
 	is.Equal(len(in.Zones), 2)
-	is.Equal(in.Zones[0].Domains, []int{5, 1})
-	is.Equal(in.Zones[1].Domains, []int{7})
-	is.Equal(in.Zones[0].Accelerators, 2)
+	is.Equal(in.Zones[0].VMsPerDomain, []int{5, 1})
+	is.Equal(in.Zones[1].VMsPerDomain, []int{7})
+	is.Equal(in.Zones[0].AcceleratorsPerVM, 2)
 }
 
 // A node acquires the duty while the object store is unavailable. Without the
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// Repeat is the kind of a route, which determines how often a request may run.
-type Repeat int
+// RepeatPolicy is the kind of a route, which determines how often a request may run.
+type RepeatPolicy int
 
 // The kinds of route.
 const (
-	Once       Repeat = iota // at most one run for each client attempt
-	Idempotent               // any number of runs
-	Stream                   // event stream; one run unless the route is resumable
+	Once       RepeatPolicy = iota // at most one run for each client attempt
+	Idempotent                     // any number of runs
+	Stream                         // event stream; one run unless the route is resumable
 )
 
 // Document is one version of the operator's configuration.
@@ -37,7 +37,7 @@
 	Name        string
 	Host        string
 	Prefix      string // path prefix, starts and ends with a slash
-	Repeat      Repeat
+	Repeat      RepeatPolicy
 	Resumable   bool          // an interrupted stream may be resumed at another endpoint
 	Public      bool          // requires no API key
 	Timeout     time.Duration // maximum time until the complete response
@@ -110,10 +110,10 @@
 	return nil
 }
 
-// Work returns the share of a fully loaded group's time that a request uses: its prompt is
+// ServiceTime returns the share of a fully loaded group's time that a request uses: its prompt is
 // prefilled alone, while each decoding step generates one token for every slot. prompt and
 // answer are lengths in tokens.
-func (e *Engine) Work(m *Model, prompt, answer int) time.Duration {
+func (e *Engine) ServiceTime(m *Model, prompt, answer int) time.Duration {
 	readSeconds := 0.0
 	if e.ReadPerSecond > 0 {
 		readSeconds = float64(prompt) / e.ReadPerSecond
@@ -204,8 +204,8 @@
 // Organisation returns the organisation with that key, or nil.
 func (c *Catalog) Organisation(key string) *Organisation { return c.byKey[key] }
 
-// Keyed reports whether requests on routes that are not public require a key.
-func (c *Catalog) Keyed() bool { return len(c.Organisations) > 0 }
+// RequiresKey reports whether requests on routes that are not public require a key.
+func (c *Catalog) RequiresKey() bool { return len(c.Organisations) > 0 }
 
 // Service returns the service of that name, or nil.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
@@ -247,13 +247,13 @@
 // must read the complete configuration.
 var ErrHistoryGone = errors.New("catalog: the changes since the cursor are no longer available; read the complete configuration")
 
-// InvalidDocument is the error for a configuration that cannot be parsed.
-type InvalidDocument struct{ Cause error }
+// InvalidDocumentError is the error for a configuration that cannot be parsed.
+type InvalidDocumentError struct{ Cause error }
 
 // Error returns the cause. The last valid configuration remains in force.
-func (e *InvalidDocument) Error() string {
+func (e *InvalidDocumentError) Error() string {
 	return "catalog: cannot parse the configuration: " + e.Cause.Error() + "; the last valid one remains in force"
 }
 
 // Unwrap returns the cause.
-func (e *InvalidDocument) Unwrap() error { return e.Cause }
+func (e *InvalidDocumentError) Unwrap() error { return e.Cause }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -48,7 +48,7 @@
 	is.NoErr(err)
 	is.Equal(c.Organisation("k2").Name, "org")
 	is.Equal(c.Organisation("k3"), nil)
-	is.True(c.Keyed())
+	is.True(c.RequiresKey())
 }
 
 // Guards against a document with a route that has no service or an undeclared one: every
@@ -76,5 +76,5 @@
 func TestInvalidDocumentUnwraps(t *testing.T) {
 	is := is.New(t)
 	cause := errors.New("x")
-	is.True(errors.Is(&InvalidDocument{cause}, cause))
+	is.True(errors.Is(&InvalidDocumentError{cause}, cause))
 }
--- a/internal/console/session.go
+++ b/internal/console/session.go
@@ -62,7 +62,7 @@
 		strconv.FormatInt(expiry.Unix(), 10),
 		hex.EncodeToString(nonce),
 	}, ".")
-	hash, _ := s.auth.HashOf(name)
+	hash, _ := s.auth.TokenHash(name)
 	return &http.Cookie{
 		Name: cookieName, Value: payload + "." + s.mac(payload, hash), Path: rootPath,
 		Expires: expiry, HttpOnly: true, Secure: secure, SameSite: http.SameSiteStrictMode,
@@ -102,7 +102,7 @@
 	if err != nil {
 		return session{}, false
 	}
-	hash, known := s.auth.HashOf(string(name))
+	hash, known := s.auth.TokenHash(string(name))
 	if !known || !hmac.Equal([]byte(mac), []byte(s.mac(payload, hash))) {
 		return session{}, false
 	}
@@ -169,7 +169,7 @@
 }
 
 func (c *console) login(w http.ResponseWriter, r *http.Request) {
-	if c.auth.Blocked(r.RemoteAddr) {
+	if c.auth.IsBlocked(r.RemoteAddr) {
 		w.Header().Set("Retry-After", "10")
 		c.render(w, http.StatusTooManyRequests, "login", pageView{
 			Title: "Log in", Error: "Too many wrong tokens from this address. Wait ten seconds and try again.",
@@ -178,7 +178,7 @@
 	}
 	name, ok := c.auth.Verify(strings.TrimSpace(r.PostFormValue("token")))
 	if !ok {
-		c.auth.Failed(r.RemoteAddr)
+		c.auth.RecordFailure(r.RemoteAddr)
 		c.log.Warn("console login refused", "remote", r.RemoteAddr)
 		c.render(w, http.StatusUnauthorized, "login", pageView{
 			Title: "Log in", Error: "This is no operator's token. A caller's key does not open the console.",
--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -34,7 +34,7 @@
 const decaySeconds = 5.0
 
 // Note adds a request for a model. work is the group time that it needs, in seconds.
-func (d *Meter) Note(service, model string, work float64, now clock.Instant) {
+func (d *Meter) Record(service, model string, work float64, now clock.Instant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.services == nil {
@@ -61,8 +61,8 @@
 	a.updatedAt = now
 }
 
-// Of returns the demand for a service at now.
-func (d *Meter) Of(service string, now clock.Instant) Demand {
+// Demand returns the demand for a service at now.
+func (d *Meter) Demand(service string, now clock.Instant) Demand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	a := d.services[service]
--- a/internal/demand/demand_test.go
+++ b/internal/demand/demand_test.go
@@ -15,26 +15,26 @@
 	is := is.New(t)
 	var m Meter
 	now := clock.Instant(time.Hour)
-	is.Equal(m.Of("s", now).Requests, 0.0)
+	is.Equal(m.Demand("s", now).Requests, 0.0)
 	addRequests := func(d time.Duration, a, b int) {
 		for range int(d / (100 * time.Millisecond)) {
 			now = now.Add(100 * time.Millisecond)
 			for range a {
-				m.Note("s", "a", 0.1, now)
+				m.Record("s", "a", 0.1, now)
 			}
 			for range b {
-				m.Note("s", "b", 0.1, now)
+				m.Record("s", "b", 0.1, now)
 			}
 		}
 	}
 	shareOfA := func() float64 {
-		w := m.Of("s", now).Work
+		w := m.Demand("s", now).Work
 		return w["a"] / (w["a"] + w["b"])
 	}
 	addRequests(20*time.Second, 1, 1)
 	is.True(shareOfA() > 0.49 && shareOfA() < 0.51)
 	addRequests(2*time.Second, 4, 1)
 	is.True(shareOfA() > 0.6)
-	is.True(m.Of("s", now.Add(time.Minute)).Requests < 0.01)
-	is.Equal(m.Of("other", now).Requests, 0.0)
+	is.True(m.Demand("s", now.Add(time.Minute)).Requests < 0.01)
+	is.Equal(m.Demand("other", now).Requests, 0.0)
 }
--- a/internal/demand/zone.go
+++ b/internal/demand/zone.go
@@ -7,8 +7,8 @@
 	"chervilloom/internal/clock"
 )
 
-// Told is the demand for one service as observed by one node.
-type Told struct {
+// ServiceDemand is the demand for one service as observed by one node.
+type ServiceDemand struct {
 	Service string `json:"service"`
 	Demand  Demand `json:"demand"`
 }
@@ -17,23 +17,23 @@
 // every second, so two messages may be lost.
 const nodeDemandTTLSeconds = 3.0
 
-// Zone sums the demand observed by a zone's nodes. Its zero value is ready for use.
+// ZoneDemand sums the demand observed by a zone's nodes. Its zero value is ready for use.
 //
 // A single node of 60 gets only a few requests per second. When groups were planned by
 // one node's demand, ten arbitrary requests were enough to close groups in favour of
 // another model.
-type Zone struct {
+type ZoneDemand struct {
 	mu    sync.Mutex
 	nodes map[string]nodeDemand
 }
 
 type nodeDemand struct {
 	receivedAt clock.Instant
-	services   []Told
+	services   []ServiceDemand
 }
 
 // Note replaces the demand observed by a node and drops that of nodes past the TTL.
-func (z *Zone) Note(node string, told []Told, now clock.Instant) {
+func (z *ZoneDemand) Update(node string, told []ServiceDemand, now clock.Instant) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if z.nodes == nil {
@@ -47,9 +47,9 @@
 	}
 }
 
-// With returns the sum of own and the demand that the other nodes observed for the
+// Total returns the sum of own and the demand that the other nodes observed for the
 // service, decayed by age.
-func (z *Zone) With(service string, own Demand, now clock.Instant) Demand {
+func (z *ZoneDemand) Total(service string, own Demand, now clock.Instant) Demand {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	sum := Demand{Requests: own.Requests, Work: map[string]float64{}}
@@ -79,16 +79,16 @@
 }
 
 // All returns the demand for each service.
-func (d *Meter) All(now clock.Instant) []Told {
+func (d *Meter) All(now clock.Instant) []ServiceDemand {
 	d.mu.Lock()
 	services := make([]string, 0, len(d.services))
 	for s := range d.services {
 		services = append(services, s)
 	}
 	d.mu.Unlock()
-	out := make([]Told, 0, len(services))
+	out := make([]ServiceDemand, 0, len(services))
 	for _, s := range services {
-		out = append(out, Told{s, d.Of(s, now)})
+		out = append(out, ServiceDemand{s, d.Demand(s, now)})
 	}
 	return out
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -33,7 +33,7 @@
 const (
 	CallerKey     = "demo-counters" // caller key of the organisation "counters"
 	OperatorToken = "demo-operator"
-	Service       = "counter"
+	ServiceName   = "counter"
 
 	enginesPerZone    = 5 // one replica of four VMs and a spare VM
 	readyPollInterval = 50 * time.Millisecond
@@ -125,7 +125,7 @@
 }
 
 func (f *Fleet) startService(p *platform.Platform, zone fleet.AvailabilityZone, i int) error {
-	svc := service.New(service.Options{VM: fleet.VM(fmt.Sprintf("counter-%d", i+1)), Zone: zone, Name: Service})
+	svc := service.New(service.Options{VM: fleet.VM(fmt.Sprintf("counter-%d", i+1)), Zone: zone, Name: ServiceName})
 	s, err := standin.Start("127.0.0.1:0", svc)
 	if err != nil {
 		return err
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 	defer cancel()
 	var session strings.Builder
-	for _, a := range f.Smoke(ctx) {
+	for _, a := range f.RunSmokeTest(ctx) {
 		if a.Err != nil {
 			t.Errorf("%s: %v", a.Name, a.Err)
 		}
--- a/internal/demo/smoke.go
+++ b/internal/demo/smoke.go
@@ -18,8 +18,8 @@
 	"chervilloom/internal/standin/service"
 )
 
-// Answer is the response to one request of the smoke test.
-type Answer struct {
+// SmokeResult is the response to one request of the smoke test.
+type SmokeResult struct {
 	Name    string
 	Status  int
 	Outcome string
@@ -34,11 +34,11 @@
 	check                    func(body []byte) (text string, err error)
 }
 
-// Smoke sends one request of each kind through the last node, whose availability
+// RunSmokeTest sends one request of each kind through the last node, whose availability
 // zone has no engines, and checks every answer.
-func (f *Fleet) Smoke(ctx context.Context) []Answer {
+func (f *Fleet) RunSmokeTest(ctx context.Context) []SmokeResult {
 	base := "http://" + f.Nodes[len(f.Nodes)-1].Addrs().Caller
-	var out []Answer
+	var out []SmokeResult
 	for _, c := range smokeCalls() {
 		out = append(out, c.send(ctx, base))
 	}
@@ -54,16 +54,16 @@
 			func(b []byte) (string, error) { return checkStream([]byte(stream), b) }},
 		{"chat, whole", "POST", "/v1/chat/completions", plain, nil,
 			func(b []byte) (string, error) { return checkChat([]byte(plain), b) }},
-		{"lookup", "GET", "/services/" + Service + "/licences/17", "", nil, checkService("GET", "/licences/17", "")},
-		{"receipt", "POST", "/services/" + Service + "/receipts", `{"fee":1500}`,
+		{"lookup", "GET", "/services/" + ServiceName + "/licences/17", "", nil, checkService("GET", "/licences/17", "")},
+		{"receipt", "POST", "/services/" + ServiceName + "/receipts", `{"fee":1500}`,
 			map[string]string{"Idempotency-Key": "receipt-17"}, checkService("POST", "/receipts", `{"fee":1500}`)},
-		{"receipt again", "POST", "/services/" + Service + "/receipts", `{"fee":1500}`,
+		{"receipt again", "POST", "/services/" + ServiceName + "/receipts", `{"fee":1500}`,
 			map[string]string{"Idempotency-Key": "receipt-17"}, checkService("POST", "/receipts", `{"fee":1500}`)},
 	}
 }
 
-func (c smokeCall) send(ctx context.Context, base string) Answer {
-	a := Answer{Name: c.name}
+func (c smokeCall) send(ctx context.Context, base string) SmokeResult {
+	a := SmokeResult{Name: c.name}
 	req, err := http.NewRequestWithContext(ctx, c.method, base+c.path, strings.NewReader(c.body))
 	if err != nil {
 		return a.withError(err)
@@ -92,7 +92,7 @@
 	return a
 }
 
-func (a Answer) withError(err error) Answer {
+func (a SmokeResult) withError(err error) SmokeResult {
 	a.Err = err
 	return a
 }
@@ -154,7 +154,7 @@
 		if err := json.Unmarshal(b, &a); err != nil {
 			return "", err
 		}
-		if a.Check != service.CheckOf(method, path, []byte(body)) {
+		if a.Check != service.Checksum(method, path, []byte(body)) {
 			return string(b), merry.Errorf("unexpected answer: the check value is for another request")
 		}
 		if a.Runs != 1 {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -52,16 +52,16 @@
 	Row   Row
 	Table Table
 	Log   *slog.Logger
-	// Found is called with all known peers whenever they have changed.
-	Found func([]peer.Peer)
-	// Owns reports whether this node owns the duty of the subject
+	// OnPeersChanged is called with all known peers whenever they have changed.
+	OnPeersChanged func([]peer.Peer)
+	// OwnsDuty reports whether this node owns the duty of the subject
 	// (SweepSubject).
-	Owns func(subject string) bool
-	// Alive reports whether membership considers the VM's node alive or
+	OwnsDuty func(subject string) bool
+	// IsAlive reports whether membership considers the VM's node alive or
 	// suspect.
-	Alive func(fleet.VM) bool
-	Clock clock.Clock
-	Least time.Duration // interval between two reads of the table in a small fleet; default 2s
+	IsAlive     func(fleet.VM) bool
+	Clock       clock.Clock
+	MinInterval time.Duration // interval between two reads of the table in a small fleet; default 2s
 }
 
 // SweepSubject is the subject of the duty of deleting the rows of departed
@@ -84,8 +84,8 @@
 
 // New returns an empty directory.
 func New(opt Options) *Directory {
-	if opt.Least == 0 {
-		opt.Least = defaultMinInterval
+	if opt.MinInterval == 0 {
+		opt.MinInterval = defaultMinInterval
 	}
 	return &Directory{opt: opt, rows: map[fleet.VM]Row{}, listed: map[fleet.VM]fleet.Record{}, departedSince: map[fleet.VM]clock.Instant{}}
 }
@@ -109,7 +109,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	shared := time.Duration(len(d.rows)+1) * time.Second / maxReadsPerSecond
-	return max(d.opt.Least, shared)
+	return max(d.opt.MinInterval, shared)
 }
 
 func (d *Directory) refresh(ctx context.Context) {
@@ -130,7 +130,7 @@
 	d.rows = known
 	d.mu.Unlock()
 	d.notifyFound()
-	if d.opt.Owns(SweepSubject) {
+	if d.opt.OwnsDuty(SweepSubject) {
 		d.sweep(ctx, rows)
 	}
 }
@@ -151,8 +151,8 @@
 	return others, own
 }
 
-// Listed updates the directory with the platform's list of VMs.
-func (d *Directory) Listed(records []fleet.Record) {
+// UpdateListed updates the directory with the platform's list of VMs.
+func (d *Directory) UpdateListed(records []fleet.Record) {
 	listed := map[fleet.VM]fleet.Record{}
 	for _, r := range records {
 		if r.Kind == fleet.KindEntry && r.VM != d.opt.Self && r.Addr != "" {
@@ -181,7 +181,7 @@
 	d.lastFound = peers
 	d.mu.Unlock()
 	if changed {
-		d.opt.Found(peers)
+		d.opt.OnPeersChanged(peers)
 	}
 }
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -36,10 +36,10 @@
 	r.found.Store(&[]peer.Peer{})
 	r.dir = discovery.New(discovery.Options{
 		Self: vm, Row: row, Table: p, Log: slog.New(slog.DiscardHandler),
-		Found: func(ps []peer.Peer) { r.found.Store(&ps) },
-		Owns:  func(string) bool { return true },
-		Alive: func(fleet.VM) bool { return r.alive.Load() },
-		Clock: r.clock, Least: 10 * time.Millisecond,
+		OnPeersChanged: func(ps []peer.Peer) { r.found.Store(&ps) },
+		OwnsDuty:       func(string) bool { return true },
+		IsAlive:        func(fleet.VM) bool { return r.alive.Load() },
+		Clock:          r.clock, MinInterval: 10 * time.Millisecond,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -72,7 +72,7 @@
 	p := standin.New(standin.Options{})
 	a := startDirectory(t, p, "a", discovery.Row{Zone: "z", Peer: "127.0.0.1:1"})
 	startDirectory(t, p, "b", discovery.Row{Zone: "z", Peer: "127.0.0.1:2"})
-	a.dir.Listed([]fleet.Record{
+	a.dir.UpdateListed([]fleet.Record{
 		{VM: "a", Kind: fleet.KindEntry, Addr: "127.0.0.1:9"},
 		{VM: "b", Kind: fleet.KindEntry, Addr: "127.0.0.1:9"},
 		{VM: "c", Kind: fleet.KindEntry, Addr: "127.0.0.1:3", Zone: "y"},
--- a/internal/discovery/sweep.go
+++ b/internal/discovery/sweep.go
@@ -49,7 +49,7 @@
 	for _, r := range rows {
 		vm := fleet.VM(r.Key)
 		_, listed := d.listed[vm]
-		if vm == d.opt.Self || listed || d.opt.Alive(vm) {
+		if vm == d.opt.Self || listed || d.opt.IsAlive(vm) {
 			continue
 		}
 		since, known := d.departedSince[vm]
--- a/internal/dispatch/adversary_test.go
+++ b/internal/dispatch/adversary_test.go
@@ -35,7 +35,7 @@
 	})
 	s := r.addService()
 	c := r.serve(context.Background(), r.receipt("a"))
-	is.True(c.end.Whole)
+	is.True(c.end.Complete)
 	is.Equal(s.Executions("POST", "/receipts", "a"), 1)
 	is.Equal(r.router.begun, 2)
 }
@@ -57,7 +57,7 @@
 				writeRawResponse(conn, status)
 			})
 			c := r.serve(context.Background(), r.receipt("a"))
-			is.True(!c.end.Whole)
+			is.True(!c.end.Complete)
 			is.Equal(c.started, 0)
 			is.Equal(c.end.Error.Kind, outcome.EndpointFailed)
 			is.Equal(c.end.Error.Outcome, outcome.Unknown)
--- a/internal/dispatch/await.go
+++ b/internal/dispatch/await.go
@@ -104,7 +104,7 @@
 	case err == nil || limited.availableAfter == 0:
 		return choice, err
 	case limited.othersMatch:
-		return choice, err.After(min(err.RetryAfter, limited.availableAfter))
+		return choice, err.WithRetryAfter(min(err.RetryAfter, limited.availableAfter))
 	}
 	return choice, overloadedError(limited.availableAfter)
 }
--- a/internal/dispatch/await_test.go
+++ b/internal/dispatch/await_test.go
@@ -28,7 +28,7 @@
 	c.listRouter.Begin(ch)
 }
 
-func (c *countingRouter) Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.Tried) (route.Choice, *outcome.Error) {
+func (c *countingRouter) Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.TriedDestination) (route.Choice, *outcome.Error) {
 	c.picks.Add(1)
 	return c.listRouter.Pick(req, snap, now, tried)
 }
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	r, router := newCountingRig(t)
 	r.addService()
-	is.True(r.serve(context.Background(), r.lookup("a")).end.Whole)
+	is.True(r.serve(context.Background(), r.lookup("a")).end.Complete)
 	vms := r.Snapshot().VMs
 	r.change(func(s *view.Snapshot) { s.VMs = nil })
 	c := newCollector()
@@ -60,7 +60,7 @@
 	testkit.Eventually(t, "the router is asked again", func() bool { return router.picks.Load() > from+1 })
 	r.change(func(s *view.Snapshot) { s.VMs = vms })
 	<-done
-	is.True(c.end.Whole)
+	is.True(c.end.Complete)
 }
 
 // Guards against waiting for a target that has not served a request recently.
@@ -77,19 +77,19 @@
 	is := is.New(t)
 	r, _ := newCountingRig(t)
 	s := r.addService()
-	is.True(r.serve(context.Background(), r.lookup("a")).end.Whole)
+	is.True(r.serve(context.Background(), r.lookup("a")).end.Complete)
 	s.SetFaults(service.Faults{Stages: fault.Stages{RefuseNotRun: 2}})
-	is.True(r.serve(context.Background(), r.receipt("b")).end.Whole)
+	is.True(r.serve(context.Background(), r.receipt("b")).end.Complete)
 	is.Equal(s.Executions("POST", "/receipts", "b"), 1)
 }
 
 // Guards against unlimited retries at an endpoint that keeps refusing.
 func TestTriesAtTheOnlyDestinationAreBounded(t *testing.T) {
-	for hops, want := range []int64{DefaultTries, 1} {
+	for hops, want := range []int64{DefaultMaxTries, 1} {
 		is := is.New(t)
 		r, router := newCountingRig(t)
 		s := r.addService()
-		is.True(r.serve(context.Background(), r.lookup("a")).end.Whole)
+		is.True(r.serve(context.Background(), r.lookup("a")).end.Complete)
 		s.SetFaults(service.Faults{Stages: fault.Stages{RefuseNotRun: fault.Always}})
 		req := r.receipt("b")
 		req.Hops = hops
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -55,7 +55,7 @@
 		for b.Loop() {
 			w := &discard{}
 			d.Serve(context.Background(), r.lookup("a"), w)
-			if !w.end.Whole {
+			if !w.end.Complete {
 				b.Fatal(w.end.Error)
 			}
 		}
@@ -66,7 +66,7 @@
 		for b.Loop() {
 			w := &discard{}
 			d.Serve(context.Background(), r.receipt("a"), w)
-			if !w.end.Whole {
+			if !w.end.Complete {
 				b.Fatal(w.end.Error)
 			}
 		}
--- a/internal/dispatch/body.go
+++ b/internal/dispatch/body.go
@@ -18,14 +18,14 @@
 // bodyCheck validates a complete response body and returns an error if a part is missing.
 type bodyCheck func(resp *http.Response, body []byte) error
 
-// reply is a non-streaming response, buffered up to AnswerBuffer bytes.
+// reply is a non-streaming response, buffered up to AnswerBufferBytes bytes.
 type reply struct {
 	head answer.Head
 	data []byte
 	rest io.Reader // unread remainder; nil if data is the whole body
 }
 
-// receive buffers a response up to AnswerBuffer bytes. If an endpoint fails within a
+// receive buffers a response up to AnswerBufferBytes bytes. If an endpoint fails within a
 // short response, the caller has received nothing, so the error can state the outcome or
 // the request can be retried.
 func (d *Dispatcher) receive(ctx context.Context, resp *http.Response, h answer.Head, checkBody bodyCheck) (*reply, *outcome.Error) {
@@ -35,11 +35,11 @@
 	if isEventStream(resp) {
 		return &reply{head: h, rest: resp.Body}, nil // event feed of a service: forward each event on arrival
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, int64(d.opt.AnswerBuffer)))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, int64(d.opt.AnswerBufferBytes)))
 	if err != nil {
 		return nil, d.readError(ctx, err)
 	}
-	if len(data) == d.opt.AnswerBuffer {
+	if len(data) == d.opt.AnswerBufferBytes {
 		return &reply{head: h, data: data, rest: resp.Body}, nil
 	}
 	if err := checkBody(resp, data); err != nil {
--- a/internal/dispatch/decide_test.go
+++ b/internal/dispatch/decide_test.go
@@ -80,7 +80,7 @@
 	is := is.New(t)
 	is.Equal(callerRetryAfter(failedNotRun, 0), defaultRetryAfter)
 	is.Equal(callerRetryAfter(failedNotRun, time.Minute), time.Minute)
-	is.Equal(callerRetryAfter(failedNotRun.After(time.Hour), time.Minute), time.Hour)
+	is.Equal(callerRetryAfter(failedNotRun.WithRetryAfter(time.Hour), time.Minute), time.Hour)
 	is.Equal(callerRetryAfter(failedUnknown, 0), time.Duration(0))
 	is.Equal(callerRetryAfter(badRequest, 0), time.Duration(0))
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -28,15 +28,15 @@
 
 // Router chooses the destination of each try and records how the try ended.
 type Router interface {
-	Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.Tried) (route.Choice, *outcome.Error)
+	Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.TriedDestination) (route.Choice, *outcome.Error)
 	Begin(route.Choice)
 	End(route.Choice, route.Result)
 }
 
-// Retry is the retry budget.
-type Retry interface {
-	// First counts the first try of a request.
-	First(class request.Class)
+// RetryBudget is the retry budget.
+type RetryBudget interface {
+	// CountFirst counts the first try of a request.
+	CountFirst(class request.Class)
 	// Allow consumes one retry from the budget. If ok, the retry starts after wait;
 	// otherwise the caller is asked to retry after wait.
 	Allow(class request.Class) (ok bool, wait time.Duration)
@@ -60,52 +60,52 @@
 	View   view.Source
 	Clock  clock.Clock
 	Router Router
-	Retry  Retry
+	Retry  RetryBudget
 	Peers  Peers
 	Prober Prober
-	// Answers checks until ctx ends whether a node responds. If nil, every node that is
+	// NodeResponds checks until ctx ends whether a node responds. If nil, every node that is
 	// alive in the membership is assumed to respond.
-	Answers    func(ctx context.Context, vm fleet.VM) bool
-	Explain    explain.Recorder
-	Quarantine *quarantine.Guard // blocks requests that crash endpoints; nil: private to this dispatcher
+	NodeResponds func(ctx context.Context, vm fleet.VM) bool
+	Explain      explain.Recorder
+	Quarantine   *quarantine.Guard // blocks requests that crash endpoints; nil: private to this dispatcher
 	// Backpressure enforces the limits that endpoints announce; nil: private to this
 	// dispatcher.
 	Backpressure *backpressure.Guard
 	Log          *slog.Logger
 	Registerer   prometheus.Registerer
 
-	DialTimeout  time.Duration // for connecting to an endpoint
-	AnswerBuffer int           // bytes of a response buffered until it is complete
-	EventBound   int           // maximum bytes of one event
-	Tries        int           // per request, including the first
-	HedgeAfter   time.Duration // delay before a lookup is also sent to a second endpoint
-	ResumeGrace  time.Duration // how long a stream is kept after its caller disconnects; negative: not kept
-	PickWait     time.Duration // maximum wait for a destination that was available recently
+	DialTimeout       time.Duration // for connecting to an endpoint
+	AnswerBufferBytes int           // bytes of a response buffered until it is complete
+	MaxEventBytes     int           // maximum bytes of one event
+	MaxTries          int           // per request, including the first
+	HedgeAfter        time.Duration // delay before a lookup is also sent to a second endpoint
+	ResumeGrace       time.Duration // how long a stream is kept after its caller disconnects; negative: not kept
+	PickWait          time.Duration // maximum wait for a destination that was available recently
 }
 
 // Defaults of Options.
 const (
-	DefaultDialTimeout  = time.Second
-	DefaultAnswerBuffer = 1 << 20
-	DefaultEventBound   = 256 << 10
-	DefaultTries        = 4
-	DefaultHedgeAfter   = 200 * time.Millisecond
-	DefaultResumeGrace  = 3 * time.Second
-	DefaultPickWait     = 500 * time.Millisecond // two probe rounds
+	DefaultDialTimeout       = time.Second
+	DefaultAnswerBufferBytes = 1 << 20
+	DefaultMaxEventBytes     = 256 << 10
+	DefaultMaxTries          = 4
+	DefaultHedgeAfter        = 200 * time.Millisecond
+	DefaultResumeGrace       = 3 * time.Second
+	DefaultPickWait          = 500 * time.Millisecond // two probe rounds
 )
 
 func (o *Options) setDefaults() {
 	if o.DialTimeout == 0 {
 		o.DialTimeout = DefaultDialTimeout
 	}
-	if o.AnswerBuffer == 0 {
-		o.AnswerBuffer = DefaultAnswerBuffer
+	if o.AnswerBufferBytes == 0 {
+		o.AnswerBufferBytes = DefaultAnswerBufferBytes
 	}
-	if o.EventBound == 0 {
-		o.EventBound = DefaultEventBound
+	if o.MaxEventBytes == 0 {
+		o.MaxEventBytes = DefaultMaxEventBytes
 	}
-	if o.Tries == 0 {
-		o.Tries = DefaultTries
+	if o.MaxTries == 0 {
+		o.MaxTries = DefaultMaxTries
 	}
 	if o.HedgeAfter == 0 {
 		o.HedgeAfter = DefaultHedgeAfter
@@ -143,7 +143,7 @@
 	opt.setDefaults()
 	var ownQuarantine *quarantine.Guard
 	if opt.Quarantine == nil {
-		ownQuarantine = quarantine.Alone(opt.Clock, opt.Log)
+		ownQuarantine = quarantine.NewStandalone(opt.Clock, opt.Log)
 		opt.Quarantine = ownQuarantine
 	}
 	return &Dispatcher{
@@ -195,17 +195,17 @@
 	if s.req.ResumeID != "" {
 		return d.serveResume(ctx, s)
 	}
-	d.opt.Retry.First(s.req.Class)
+	d.opt.Retry.CountFirst(s.req.Class)
 	for {
 		last := d.tryOnce(ctx, s)
 		if last == nil {
 			return nil
 		}
-		dec := decideRetry(s.retryInput(ctx, last, d.opt.Tries, d.timeLeft(s.req)), d.retryBudget(s.req.Class))
+		dec := decideRetry(s.retryInput(ctx, last, d.opt.MaxTries, d.timeLeft(s.req)), d.retryBudget(s.req.Class))
 		d.recordDecision(s.req, dec, last, s.tried)
 		switch dec.verdict {
 		case giveUp:
-			return last.After(callerRetryAfter(last, dec.wait))
+			return last.WithRetryAfter(callerRetryAfter(last, dec.wait))
 		case retry:
 			if !clock.Sleep(ctx, dec.wait) {
 				return d.stoppedError(ctx, last.Outcome)
@@ -252,7 +252,7 @@
 func (d *Dispatcher) beginTry(ctx context.Context, s *session, c route.Choice) *try {
 	s.tries++
 	s.tried = append(s.tried, triedDestination(c))
-	account.From(ctx).Try()
+	account.RecordFrom(ctx).CountAttempt()
 	d.recordTry(s.req, c)
 	d.opt.Router.Begin(c)
 	return &try{started: d.opt.Clock.Now()}
@@ -270,14 +270,14 @@
 	return outcome.New(outcome.Internal, outcome.NotRun, "the router chose nothing", "ask the operator to look up the request id")
 }
 
-func triedDestination(c route.Choice) route.Tried {
+func triedDestination(c route.Choice) route.TriedDestination {
 	switch c.Kind {
 	case route.ToGroup:
-		return route.Tried{Group: c.Group.ID, VM: leader(c.Group).VM}
+		return route.TriedDestination{Group: c.Group.ID, VM: leader(c.Group).VM}
 	case route.ToEndpoint:
-		return route.Tried{VM: c.VM.Record.VM}
+		return route.TriedDestination{VM: c.VM.Record.VM}
 	default:
-		return route.Tried{Node: c.Node}
+		return route.TriedDestination{Node: c.Node}
 	}
 }
 
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -84,14 +84,14 @@
 			fmt.Sprintf("the endpoint does not take the request: %q", text), "correct the request").WithCause(cause)
 	}
 	return outcome.New(outcome.EndpointFailed, outcome.NotRun, refusalMessage(resp), "send the request again").
-		After(parseRetryAfter(resp.Header)).WithCause(cause)
+		WithRetryAfter(parseRetryAfter(resp.Header)).WithCause(cause)
 }
 
 // unknownRefusal returns the error for a refusal without that guarantee.
 func unknownRefusal(resp *http.Response) *outcome.Error {
 	cause := fmt.Errorf("dispatch: endpoint %s: status %d: %q", resp.Request.URL.Host, resp.StatusCode, readExcerpt(resp))
 	return outcome.New(outcome.EndpointFailed, outcome.Unknown, refusalMessage(resp),
-		"find out whether the request ran before sending it again").After(parseRetryAfter(resp.Header)).WithCause(cause)
+		"find out whether the request ran before sending it again").WithRetryAfter(parseRetryAfter(resp.Header)).WithCause(cause)
 }
 
 // isFinalStatus reports whether the status is that of a final response. net/http also
--- a/internal/dispatch/group.go
+++ b/internal/dispatch/group.go
@@ -110,7 +110,7 @@
 		}
 	}
 	return outcome.New(outcome.NoCapacity, outcome.NotRun,
-		fmt.Sprintf("group %s is not seen whole", g.ID), "send the request again").After(time.Second)
+		fmt.Sprintf("group %s is not seen whole", g.ID), "send the request again").WithRetryAfter(time.Second)
 }
 
 func isFresh(g *view.Group, now clock.Instant) bool { return g.Whole && now.Before(g.FreshUntil) }
@@ -163,6 +163,6 @@
 // it is missing or invalid.
 func parseRetryAfter(h http.Header) time.Duration {
 	var s backpressure.Signals
-	_ = s.ReadRetryAfter(h.Values(engine.HeaderRetryAfter)) // invalid values are logged by recordSignals
+	_ = s.ParseRetryAfter(h.Values(engine.HeaderRetryAfter)) // invalid values are logged by recordSignals
 	return min(s.RetryAfter, maxRetryAfter)
 }
--- a/internal/dispatch/harm_test.go
+++ b/internal/dispatch/harm_test.go
@@ -142,7 +142,7 @@
 	defer endpoint.Close()
 	d := New(Options{Clock: clock.Boot{}})
 	others := goleak.IgnoreCurrent()
-	d.opt.Quarantine.Broke("e1@b", endpoint.Addr().String(), "fp", 1)
+	d.opt.Quarantine.AttemptFailed("e1@b", endpoint.Addr().String(), "fp", 1)
 	d.Close()
 	goleak.VerifyNone(t, others)
 }
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -135,7 +135,7 @@
 	if c.Kind == route.ToEndpoint {
 		return d.fetch(ctx, req, c.VM, t)
 	}
-	w := &bufferWriter{limit: d.opt.AnswerBuffer}
+	w := &bufferWriter{limit: d.opt.AnswerBufferBytes}
 	if err := d.opt.Peers.Relay(ctx, c.Node, d.forwardedRequest(req), w); err != nil {
 		return nil, err
 	}
@@ -171,7 +171,7 @@
 
 func (h *bufferWriter) reply() (*reply, *outcome.Error) {
 	switch {
-	case h.end.Whole:
+	case h.end.Complete:
 		return &h.rep, nil
 	case h.end.Error != nil:
 		return nil, h.end.Error
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -34,7 +34,7 @@
 	r.addService().SetFaults(service.Faults{Stall: true})
 	r.addService()
 	c := r.serve(context.Background(), r.lookup("a"))
-	is.True(c.end.Whole)
+	is.True(c.end.Complete)
 	is.Equal(c.head.Endpoint, fleet.VM("s2"))
 	is.Equal(c.finished, 1)
 	r.waitForTries(2)
@@ -58,7 +58,7 @@
 	})
 	first.SetFaults(service.Faults{})
 	<-c.done
-	is.True(c.end.Whole)
+	is.True(c.end.Complete)
 	is.Equal(c.head.Endpoint, fleet.VM("s1"))
 	r.waitForTries(1)
 }
@@ -92,10 +92,10 @@
 	peers := fakePeers{"n2": func(_ context.Context, req *request.Request, w answer.Writer) *outcome.Error {
 		is.Equal(req.Stage, request.StageDispatch)
 		is.Equal(req.Hops, 1)
-		is.Equal(req.From, fleet.VM("n1"))
+		is.Equal(req.ForwardedBy, fleet.VM("n1"))
 		w.Start(answer.Head{Status: 200, Endpoint: "far"})
 		w.Frame(answer.Frame{Data: []byte("licence")})
-		w.Finish(answer.End{Whole: true, Frames: 1, Bytes: 7})
+		w.Finish(answer.End{Complete: true, Frames: 1, Bytes: 7})
 		return nil
 	}}
 	r := newRig(t, func(o *Options) { o.HedgeAfter, o.Peers = time.Millisecond, peers })
@@ -104,7 +104,7 @@
 		s.Nodes = []view.Node{{Node: fleet.Node{VM: "n2"}, Zone: otherZone, State: view.NodeAlive}}
 	})
 	c := r.serve(context.Background(), r.lookup("a"))
-	is.True(c.end.Whole)
+	is.True(c.end.Complete)
 	is.Equal(c.body(), "licence")
 	is.Equal(c.head.Endpoint, fleet.VM("far"))
 	r.waitForTries(2)
--- a/internal/dispatch/hop_test.go
+++ b/internal/dispatch/hop_test.go
@@ -51,7 +51,7 @@
 		"Engine-Stream": {"stolen"}, "Chervilloom-Ticket": {"t"}, "Idempotency-Key": {"k"}, "Upgrade": {"websocket"},
 	}
 	c := r.serve(context.Background(), q)
-	is.True(c.end.Whole)
+	is.True(c.end.Complete)
 	is.Equal(seen.Get("X-Own"), "1")
 	is.Equal(seen.Get("X-Request-Id"), "theirs")
 	is.Equal(seen.Get("Chervilloom-Request"), "a")
@@ -67,12 +67,12 @@
 	is.Equal(q.Header.Get("X-Local"), "1") // the request itself must not be modified
 }
 
-// A response exceeds AnswerBuffer. It must be forwarded completely; if the endpoint fails
+// A response exceeds AnswerBufferBytes. It must be forwarded completely; if the endpoint fails
 // midway, the response must end as cut and must not be continued by another endpoint.
 func TestLongAnswer(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		is := is.New(t)
-		r := newRig(t, func(o *Options) { o.AnswerBuffer = 1000 })
+		r := newRig(t, func(o *Options) { o.AnswerBufferBytes = 1000 })
 		const size = 200_000
 		r.addHandler(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", fmt.Sprint(size))
@@ -89,7 +89,7 @@
 		c := r.serve(context.Background(), r.lookup("a"))
 		is.Equal(c.started, 1)
 		is.Equal(c.head.Endpoint, fleet.VM("h0"))
-		is.Equal(c.end.Whole, !cut)
+		is.Equal(c.end.Complete, !cut)
 		is.Equal(c.end.Bytes, uint64(len(c.body())))
 		if cut {
 			is.Equal(c.end.Error.Kind, outcome.AnswerCut)
@@ -158,7 +158,7 @@
 		r.addEngine(standin.Options{})
 		r.change(func(s *view.Snapshot) { s.Groups[0].FreshUntil = 1 })
 		c := r.serve(context.Background(), r.chat("a", 4, true))
-		is.Equal(c.end.Whole, until != 0)
+		is.Equal(c.end.Complete, until != 0)
 		is.Equal(p.asked, 1)
 		is.Equal(store.Steps("a")[0].Decision, "send to group g1")
 	}
--- a/internal/dispatch/lost.go
+++ b/internal/dispatch/lost.go
@@ -53,8 +53,8 @@
 	case st.Group == a.group && st.Generation > a.generation, st.Group != a.group && st.Fence > m.Fence:
 		return fmt.Sprintf("member %s was given to %s", m.VM, assignmentOf(st))
 	}
-	if p.Failing != 0 && now.Sub(p.Failing) >= a.maxSilence() {
-		return fmt.Sprintf("member %s has not answered for %s", m.VM, now.Sub(p.Failing).Round(time.Millisecond))
+	if p.FailingSince != 0 && now.Sub(p.FailingSince) >= a.maxSilence() {
+		return fmt.Sprintf("member %s has not answered for %s", m.VM, now.Sub(p.FailingSince).Round(time.Millisecond))
 	}
 	return ""
 }
--- a/internal/dispatch/lost_test.go
+++ b/internal/dispatch/lost_test.go
@@ -37,11 +37,11 @@
 		{"another group", view.Probe{State: state("b2", "h", 1, 6)}, true, true, true},
 		{"freed", view.Probe{State: state("b2", "", 0, 6)}, true, true, true},
 		{"join order not received yet", view.Probe{State: state("b2", "", 0, 4)}, true, false, false},
-		{"silent briefly", view.Probe{Failing: ago(time.Second)}, true, false, false},
-		{"silent", view.Probe{Failing: ago(maxSilenceBeforeAnswer)}, true, false, true},
-		{"silent after the response started", view.Probe{Failing: ago(maxSilenceBeforeAnswer)}, true, true, false},
-		{"silent for long after the response started", view.Probe{Failing: ago(maxSilenceWithinAnswer)}, true, true, true},
-		{"silent, at most once", view.Probe{Failing: ago(maxSilenceBeforeAnswer)}, false, false, false},
+		{"silent briefly", view.Probe{FailingSince: ago(time.Second)}, true, false, false},
+		{"silent", view.Probe{FailingSince: ago(maxSilenceBeforeAnswer)}, true, false, true},
+		{"silent after the response started", view.Probe{FailingSince: ago(maxSilenceBeforeAnswer)}, true, true, false},
+		{"silent for long after the response started", view.Probe{FailingSince: ago(maxSilenceWithinAnswer)}, true, true, true},
+		{"silent, at most once", view.Probe{FailingSince: ago(maxSilenceBeforeAnswer)}, false, false, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -72,11 +72,11 @@
 		stalled := r.addEngine(standin.Options{})
 		r.addEngine(standin.Options{})
 		stalled.SetFaults(standin.Faults{Stall: true})
-		r.setProbe("e1", view.Probe{Failing: r.clock.Now().Add(-maxSilenceBeforeAnswer)})
+		r.setProbe("e1", view.Probe{FailingSince: r.clock.Now().Add(-maxSilenceBeforeAnswer)})
 		q := r.chat("a", 8, stream)
 		q.Deadline = r.clock.Now().Add(10 * waitTimeout)
 		c := r.serve(context.Background(), q)
-		is.True(c.end.Whole)
+		is.True(c.end.Complete)
 		is.Equal(c.head.Group, fleet.GroupID("g2"))
 		is.True(r.router.results[0].Failed)
 	}
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -59,7 +59,7 @@
 }
 
 // recordDecision logs and counts the decision after a failed try.
-func (d *Dispatcher) recordDecision(req *request.Request, dec decision, last *outcome.Error, tried []route.Tried) {
+func (d *Dispatcher) recordDecision(req *request.Request, dec decision, last *outcome.Error, tried []route.TriedDestination) {
 	d.opt.Log.Info("try failed", "request", req.ID, "tried", tried, "kind", last.Kind, "outcome", last.Outcome,
 		"cause", last.Error(), "decision", dec.verdict, "reason", dec.reason)
 	d.metrics.decisions.WithLabelValues(string(req.Class), string(dec.verdict)).Inc()
@@ -68,7 +68,7 @@
 
 func (d *Dispatcher) recordStep(req *request.Request, decision, reason string) {
 	if d.opt.Explain != nil {
-		d.opt.Explain.Note(explain.Step{Subject: req.ID, Stage: "dispatch", Decision: decision, Reason: reason})
+		d.opt.Explain.Record(explain.Step{Subject: req.ID, Stage: "dispatch", Decision: decision, Reason: reason})
 	}
 }
 
--- a/internal/dispatch/node.go
+++ b/internal/dispatch/node.go
@@ -16,7 +16,7 @@
 // the group's members itself, since it is in their zone.
 func (d *Dispatcher) sendNode(ctx context.Context, s *session, to fleet.VM, t *try) *outcome.Error {
 	if d.opt.Peers == nil {
-		return outcome.New(outcome.NoCapacity, outcome.NotRun, "no other node can be reached", "send the request again").After(time.Second)
+		return outcome.New(outcome.NoCapacity, outcome.NotRun, "no other node can be reached", "send the request again").WithRetryAfter(time.Second)
 	}
 	w := &peerWriter{s: s, t: t, d: d}
 	if err := d.opt.Peers.Relay(ctx, to, d.forwardedRequest(s.req), w); err != nil {
@@ -37,13 +37,13 @@
 	c := *req
 	c.Stage = request.StageDispatch
 	c.Hops++
-	c.From = d.opt.View.Snapshot().Self.VM
+	c.ForwardedBy = d.opt.View.Snapshot().Self.VM
 	return &c
 }
 
 // peerWriter receives a response from another node. It does not finish the caller's
 // response, because an incomplete one may be continued elsewhere. A non-streaming
-// response is buffered up to AnswerBuffer bytes, like that of an endpoint, so that the
+// response is buffered up to AnswerBufferBytes bytes, like that of an endpoint, so that the
 // caller has received nothing if the link fails within it.
 type peerWriter struct {
 	d          *Dispatcher
@@ -73,7 +73,7 @@
 		return p.keepError(p.s.frame(f))
 	}
 	p.buffered.data = append(p.buffered.data, f.Data...)
-	if len(p.buffered.data) <= p.d.opt.AnswerBuffer {
+	if len(p.buffered.data) <= p.d.opt.AnswerBufferBytes {
 		return nil
 	}
 	return p.keepError(p.flush())
@@ -110,7 +110,7 @@
 		return p.err
 	case p.end == nil:
 		return answerCutError("the other node's answer has no end", nil)
-	case p.end.Whole && p.end.Frames == p.frameCount:
+	case p.end.Complete && p.end.Frames == p.frameCount:
 		return p.flush()
 	case p.end.Error != nil:
 		return p.end.Error
--- a/internal/dispatch/node_test.go
+++ b/internal/dispatch/node_test.go
@@ -46,7 +46,7 @@
 		if c.started == 0 {
 			return c.end.Error
 		}
-		if !c.end.Whole {
+		if !c.end.Complete {
 			c.end.Error = outcome.New(outcome.AnswerCut, outcome.Unknown, "the link broke", "look it up")
 		}
 		c.replay(w)
@@ -98,12 +98,12 @@
 		w.Start(answer.Head{Status: 200, Stream: true})
 		w.Frame(answer.Frame{Offset: 0, Data: []byte("{}")})
 		w.Frame(answer.Frame{Offset: 2, Data: []byte("{}")})
-		w.Finish(answer.End{Whole: true, Frames: 2})
+		w.Finish(answer.End{Complete: true, Frames: 2})
 		return nil
 	}}
 	near, _ := twoZones(t, peers)
 	c := near.serve(context.Background(), near.chat("q", 20, true))
-	is.True(!c.end.Whole)
+	is.True(!c.end.Complete)
 	is.Equal(c.end.Error.Kind, outcome.AnswerCut)
 	is.Equal(len(c.frames), 1)
 }
@@ -132,12 +132,12 @@
 		for _, offset := range []uint64{0, 1, 1, 0, 2} {
 			w.Frame(answer.Frame{Offset: offset, Data: []byte("{}")})
 		}
-		w.Finish(answer.End{Whole: true, Frames: 5})
+		w.Finish(answer.End{Complete: true, Frames: 5})
 		return nil
 	}}
 	near, _ := twoZones(t, peers)
 	c := near.serve(context.Background(), near.chat("q", 20, true))
-	is.True(c.end.Whole)
+	is.True(c.end.Complete)
 	is.Equal(len(c.frames), 3)
 	is.Equal(c.end.Frames, uint64(3))
 }
@@ -146,7 +146,7 @@
 // request. If nothing was sent to the caller yet, the next node must give the complete
 // response.
 func TestCutAnswerOfANodeIsRetriedElsewhere(t *testing.T) {
-	for _, size := range []int{10, 3000} { // below and above AnswerBuffer
+	for _, size := range []int{10, 3000} { // below and above AnswerBufferBytes
 		is := is.New(t)
 		cut := func(_ context.Context, _ *request.Request, w answer.Writer) *outcome.Error {
 			w.Start(answer.Head{Status: 200})
@@ -158,14 +158,14 @@
 			w.Start(answer.Head{Status: 200})
 			w.Frame(answer.Frame{Data: []byte("an")})
 			w.Frame(answer.Frame{Data: []byte("swer")})
-			w.Finish(answer.End{Whole: true, Frames: 2})
+			w.Finish(answer.End{Complete: true, Frames: 2})
 			return nil
 		}
 		near, _ := twoZones(t, fakePeers{"a": cut, "b": whole})
-		near.d.opt.AnswerBuffer = 1000
+		near.d.opt.AnswerBufferBytes = 1000
 		c := near.serve(context.Background(), near.chat("q", 20, false))
-		is.Equal(c.end.Whole, size == 10)
-		if c.end.Whole {
+		is.Equal(c.end.Complete, size == 10)
+		if c.end.Complete {
 			is.Equal(c.body(), "answer")
 		} else {
 			is.Equal(c.end.Error.Kind, outcome.AnswerCut)
--- a/internal/dispatch/pressure.go
+++ b/internal/dispatch/pressure.go
@@ -38,7 +38,7 @@
 // not return together.
 func overloadedError(delay time.Duration) *outcome.Error {
 	after := delay + time.Duration(rand.Float64()*float64(delay))
-	return outcome.New(outcome.Overloaded, outcome.NotRun, "the endpoints take nothing more now", "send the request again later").After(after)
+	return outcome.New(outcome.Overloaded, outcome.NotRun, "the endpoints take nothing more now", "send the request again later").WithRetryAfter(after)
 }
 
 // recordSignals passes the backpressure signals of a response to the guard. It reports
@@ -48,16 +48,16 @@
 	if err != nil {
 		r.d.opt.Log.Debug("response header is unreadable", "request", r.req.ID, "endpoint", r.incarnation, "err", err)
 	}
-	r.d.opt.Backpressure.Answered(r.backpressureID(), signals, sent)
+	r.d.opt.Backpressure.RecordAnswer(r.backpressureID(), signals, sent)
 	return signals.RetryAfter > 0
 }
 
 // signalsOf parses the backpressure signals in the headers of a response.
 func signalsOf(resp *http.Response) (s backpressure.Signals, err error) {
 	s.Leaving = resp.Header.Get(engine.HeaderLeaving) == "1"
-	err = s.ReadLimit(resp.Header.Get(engine.HeaderRateLimit))
+	err = s.ParseLimit(resp.Header.Get(engine.HeaderRateLimit))
 	if resp.StatusCode == http.StatusServiceUnavailable {
-		err = errors.Join(err, s.ReadRetryAfter(resp.Header.Values(engine.HeaderRetryAfter)))
+		err = errors.Join(err, s.ParseRetryAfter(resp.Header.Values(engine.HeaderRetryAfter)))
 	}
 	return s, err
 }
@@ -65,15 +65,15 @@
 // limitedEndpoints describes the endpoints of a request that accept nothing from this
 // node now.
 type limitedEndpoints struct {
-	excluded       []route.Tried // the endpoints, as destinations to exclude
-	availableAfter time.Duration // until the first of them accepts a request; 0 if none does
-	othersMatch    bool          // another endpoint can also serve the request
+	excluded       []route.TriedDestination // the endpoints, as destinations to exclude
+	availableAfter time.Duration            // until the first of them accepts a request; 0 if none does
+	othersMatch    bool                     // another endpoint can also serve the request
 }
 
 // findLimited returns the endpoints of the request that accept nothing from this node
 // now.
 func (d *Dispatcher) findLimited(req *request.Request, snap *view.Snapshot) (limited limitedEndpoints) {
-	ids := d.opt.Backpressure.Held()
+	ids := d.opt.Backpressure.Blocked()
 	if len(ids) == 0 {
 		return limitedEndpoints{}
 	}
@@ -82,8 +82,8 @@
 			limited.othersMatch = true
 			continue
 		}
-		limited.excluded = append(limited.excluded, route.Tried{VM: vm})
-		if d.opt.Backpressure.Leaving(id) {
+		limited.excluded = append(limited.excluded, route.TriedDestination{VM: vm})
+		if d.opt.Backpressure.IsLeaving(id) {
 			continue
 		}
 		after := cmp.Or(d.opt.Backpressure.RetryAfter(id), defaultRetryAfter)
--- a/internal/dispatch/pressure_test.go
+++ b/internal/dispatch/pressure_test.go
@@ -31,7 +31,7 @@
 	defer pause.Stop()
 	for k, end := 0, time.Now().Add(pressureDuration); time.Now().Before(end); k++ {
 		req := make(fmt.Sprintf("%s.%d", name, k))
-		if c := r.serve(context.Background(), req); !c.end.Whole {
+		if c := r.serve(context.Background(), req); !c.end.Complete {
 			failed = append(failed, fmt.Sprintf("%s: %v", req.ID, c.end.Error))
 		}
 		<-pause.C
@@ -61,8 +61,8 @@
 	r := newRig(t, nil)
 	engine, other := r.addEngine(standin.Options{}), r.addEngine(standin.Options{})
 	plain, second := r.addService(), r.addService()
-	engine.Pressure.Set(signals)
-	plain.Pressure.Set(signals)
+	engine.Pressure.SetSignals(signals)
+	plain.Pressure.SetSignals(signals)
 	var clients sync.WaitGroup
 	for name, make := range map[string]func(id string) *request.Request{
 		"lookup": r.lookup, "call": r.receipt,
@@ -75,7 +75,7 @@
 		})
 	}
 	clients.Wait()
-	for name, broken := range map[string][]string{"engine": engine.Pressure.Broken(), "plain": plain.Pressure.Broken()} {
+	for name, broken := range map[string][]string{"engine": engine.Pressure.Violations(), "plain": plain.Pressure.Violations()} {
 		if len(broken) > 0 {
 			t.Errorf("%s: limit violated %d times, first %s", name, len(broken), broken[0])
 		}
@@ -91,7 +91,7 @@
 		r.change(func(s *view.Snapshot) { s.VMs[0].Load.Boot = plain.State().Boot })
 	}
 	setBoot()
-	plain.Pressure.Set(pressure.Signals{Leaving: true})
+	plain.Pressure.SetSignals(pressure.Signals{Leaving: true})
 	for i := range 5 {
 		r.serve(context.Background(), r.lookup(fmt.Sprintf("leaving.%d", i)))
 	}
@@ -100,7 +100,7 @@
 	}
 	plain.Restart()
 	setBoot()
-	plain.Pressure.Set(pressure.Signals{})
+	plain.Pressure.SetSignals(pressure.Signals{})
 	for i := range 5 {
 		r.serve(context.Background(), r.lookup(fmt.Sprintf("next.%d", i)))
 	}
@@ -114,7 +114,7 @@
 func TestBackoffIsNoEndpointFailure(t *testing.T) {
 	r := newRig(t, nil)
 	plain, _ := r.addService(), r.addService()
-	plain.Pressure.Set(pressure.Signals{RetryAfter: time.Minute})
+	plain.Pressure.SetSignals(pressure.Signals{RetryAfter: time.Minute})
 	r.serve(context.Background(), r.lookup("rest.1"))
 	if plain.Pressure.Arrivals() != 1 {
 		t.Fatalf("%d arrivals", plain.Pressure.Arrivals())
@@ -132,10 +132,10 @@
 	remaining int
 }
 
-func (h *hidingRouter) Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.Tried) (route.Choice, *outcome.Error) {
+func (h *hidingRouter) Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.TriedDestination) (route.Choice, *outcome.Error) {
 	if h.remaining > 0 {
 		h.remaining--
-		tried = append(tried, route.Tried{VM: "s2"})
+		tried = append(tried, route.TriedDestination{VM: "s2"})
 	}
 	return h.listRouter.Pick(req, snap, now, tried)
 }
@@ -149,9 +149,9 @@
 		o.Router, o.PickWait = h, waitTimeout
 	})
 	limited, _ := r.addService(), r.addService()
-	limited.Pressure.Set(pressure.Signals{RetryAfter: time.Minute})
+	limited.Pressure.SetSignals(pressure.Signals{RetryAfter: time.Minute})
 	for i := range 2 {
-		if c := r.serve(context.Background(), r.lookup(fmt.Sprintf("rest.%d", i))); !c.end.Whole {
+		if c := r.serve(context.Background(), r.lookup(fmt.Sprintf("rest.%d", i))); !c.end.Complete {
 			t.Error(c.end.Error)
 		}
 		h.remaining = 2
@@ -168,7 +168,7 @@
 	guard *backpressure.Guard
 }
 
-func (r *competingRouter) Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.Tried) (route.Choice, *outcome.Error) {
+func (r *competingRouter) Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.TriedDestination) (route.Choice, *outcome.Error) {
 	c, err := r.listRouter.Pick(req, snap, now, tried)
 	if err == nil && c.VM.Record.VM == "s1" {
 		r.guard.Take("s1@")
@@ -185,11 +185,11 @@
 	})
 	limited, _ := r.addService(), r.addService()
 	limit := 40.0
-	guard.Answered("s1@", backpressure.Signals{Limit: &limit}, r.clock.Now())
+	guard.RecordAnswer("s1@", backpressure.Signals{Limit: &limit}, r.clock.Now())
 	r.retry.allow = false
 	for i := range 3 {
 		testkit.Eventually(t, "the limit allows a request", func() bool { return guard.Allows("s1@") })
-		if c := r.serve(context.Background(), r.lookup(fmt.Sprint(i))); !c.end.Whole {
+		if c := r.serve(context.Background(), r.lookup(fmt.Sprint(i))); !c.end.Complete {
 			t.Error(c.end.Error)
 		}
 	}
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -54,7 +54,7 @@
 // cancelled by this node.
 func (r *endpointRun) recordBroken(ctx context.Context) {
 	if ctx.Err() == nil {
-		r.d.opt.Quarantine.Broke(r.incarnation, r.addr, r.fingerprint, quarantine.AttemptID(r.req.ID))
+		r.d.opt.Quarantine.AttemptFailed(r.incarnation, r.addr, r.fingerprint, quarantine.AttemptID(r.req.ID))
 	}
 }
 
@@ -62,7 +62,7 @@
 func (r *endpointRun) recordEnd(ctx context.Context, err *outcome.Error) {
 	switch {
 	case err == nil:
-		r.d.opt.Quarantine.Sound(r.fingerprint)
+		r.d.opt.Quarantine.RunSucceeded(r.fingerprint)
 	case err.Kind == outcome.AnswerCut, err.Kind == outcome.EndpointFailed && err.Outcome != outcome.NotRun:
 		r.recordBroken(ctx)
 	}
--- a/internal/dispatch/resume.go
+++ b/internal/dispatch/resume.go
@@ -15,7 +15,7 @@
 // broke. The event ID contains everything needed.
 func (d *Dispatcher) serveResume(ctx context.Context, s *session) *outcome.Error {
 	id, err := relay.ParseEventID(s.req.ResumeID)
-	if err != nil || !relay.Owns(s.req.Organisation, id.Stream) {
+	if err != nil || !relay.OwnsStream(s.req.Organisation, id.Stream) {
 		return outcome.New(outcome.BadRequest, outcome.NotRun, "the event id names no stream of this organisation",
 			"send the id of the last event received, unchanged").WithCause(err)
 	}
@@ -25,7 +25,7 @@
 	if g == nil {
 		return answerCutError("the group that answered is gone or has changed; the rest of the answer is lost", nil)
 	}
-	origin := relay.NodeOf(id.Stream)
+	origin := relay.RequestingNode(id.Stream)
 	if done, err := d.resumeAtOrigin(ctx, s, snap, origin); done {
 		return err
 	}
@@ -62,12 +62,12 @@
 const nodeCheckTimeout = 500 * time.Millisecond
 
 func (d *Dispatcher) nodeResponds(ctx context.Context, vm fleet.VM) bool {
-	if d.opt.Answers == nil {
+	if d.opt.NodeResponds == nil {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, nodeCheckTimeout)
 	defer cancel()
-	return d.opt.Answers(ctx, vm)
+	return d.opt.NodeResponds(ctx, vm)
 }
 
 func isAlive(snap *view.Snapshot, id fleet.VM) bool {
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -34,7 +34,7 @@
 )
 
 // waitTimeout bounds waits for expected events; no test result depends on its value.
-const waitTimeout = testkit.Patience
+const waitTimeout = testkit.WaitTimeout
 
 // rig is a dispatcher in front of stand-in endpoints.
 type rig struct {
@@ -96,7 +96,7 @@
 	r.t.Helper()
 	n := len(r.engines) + 1
 	opt.VM = fleet.VM(fmt.Sprintf("e%d", n))
-	opt.LoadTime = standin.Immediately
+	opt.LoadTime = standin.NoDelay
 	if opt.TokensPerSecond == 0 {
 		opt.TokensPerSecond = 1e6
 	}
@@ -168,8 +168,8 @@
 	results []route.Result
 }
 
-func (l *listRouter) Pick(req *request.Request, snap *view.Snapshot, _ clock.Instant, tried []route.Tried) (route.Choice, *outcome.Error) {
-	was := func(match func(route.Tried) bool) bool {
+func (l *listRouter) Pick(req *request.Request, snap *view.Snapshot, _ clock.Instant, tried []route.TriedDestination) (route.Choice, *outcome.Error) {
+	was := func(match func(route.TriedDestination) bool) bool {
 		for _, t := range tried {
 			if match(t) {
 				return true
@@ -179,22 +179,22 @@
 	}
 	for i := range snap.Groups {
 		g := &snap.Groups[i]
-		if req.Class == request.ClassModel && g.Zone == snap.Zone && !was(func(t route.Tried) bool { return t.Group == g.ID || t.VM != "" && t.VM == g.Members[0].VM }) {
+		if req.Class == request.ClassModel && g.Zone == snap.Zone && !was(func(t route.TriedDestination) bool { return t.Group == g.ID || t.VM != "" && t.VM == g.Members[0].VM }) {
 			return route.Choice{Kind: route.ToGroup, Group: g}, nil
 		}
 	}
 	for i := range snap.VMs {
 		v := &snap.VMs[i]
-		if req.Class != request.ClassModel && !was(func(t route.Tried) bool { return t.VM == v.Record.VM }) {
+		if req.Class != request.ClassModel && !was(func(t route.TriedDestination) bool { return t.VM == v.Record.VM }) {
 			return route.Choice{Kind: route.ToEndpoint, VM: v}, nil
 		}
 	}
 	for _, n := range snap.Nodes {
-		if req.Hops == 0 && !was(func(t route.Tried) bool { return t.Node == n.VM }) {
+		if req.Hops == 0 && !was(func(t route.TriedDestination) bool { return t.Node == n.VM }) {
 			return route.Choice{Kind: route.ToNode, Node: n.VM}, nil
 		}
 	}
-	return route.Choice{}, outcome.New(outcome.NoCapacity, outcome.NotRun, "nothing is left to try", "come back later").After(time.Second)
+	return route.Choice{}, outcome.New(outcome.NoCapacity, outcome.NotRun, "nothing is left to try", "come back later").WithRetryAfter(time.Second)
 }
 
 func (l *listRouter) Begin(route.Choice) {
@@ -216,7 +216,7 @@
 	asked int
 }
 
-func (c *countingRetry) First(request.Class) {}
+func (c *countingRetry) CountFirst(request.Class) {}
 
 func (c *countingRetry) Allow(request.Class) (bool, time.Duration) {
 	c.mu.Lock()
--- a/internal/dispatch/session.go
+++ b/internal/dispatch/session.go
@@ -17,7 +17,7 @@
 type session struct {
 	req           *request.Request
 	w             answer.Writer
-	tried         []route.Tried
+	tried         []route.TriedDestination
 	tries         int
 	noDestination bool
 	ran           outcome.Outcome // worst outcome of the tries so far
@@ -82,11 +82,11 @@
 // finish ends the response; a nil error marks it as complete.
 func (s *session) finish(err *outcome.Error) {
 	s.w.Finish(answer.End{
-		Whole:  err == nil,
-		Frames: s.frames,
-		Bytes:  s.bytes,
-		Hash:   s.hash.Sum64(),
-		Error:  err,
+		Complete: err == nil,
+		Frames:   s.frames,
+		Bytes:    s.bytes,
+		Hash:     s.hash.Sum64(),
+		Error:    err,
 	})
 }
 
@@ -105,7 +105,7 @@
 	if s.ran == outcome.NotRun {
 		return none
 	}
-	return s.last.After(max(s.last.RetryAfter, none.RetryAfter))
+	return s.last.WithRetryAfter(max(s.last.RetryAfter, none.RetryAfter))
 }
 
 // withWorstOutcome returns err with the combined outcome of all tries: a last try that
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -92,7 +92,7 @@
 		return oerr
 	case ctx.Err() != nil:
 		return f.d.stoppedError(ctx, outcome.Ran)
-	case !relay.Resumable(err):
+	case !relay.IsResumable(err):
 		f.t.endpointFailed = true
 		return answerCutError("the endpoint's stream is broken", err)
 	}
@@ -101,7 +101,7 @@
 
 // copyEvents forwards events until the stream or the connection ends.
 func (f *streamRelay) copyEvents(resp *http.Response) error {
-	r := relay.NewReader(resp.Body, f.d.opt.EventBound)
+	r := relay.NewReader(resp.Body, f.d.opt.MaxEventBytes)
 	for {
 		frame, ok, err := f.st.Read(r)
 		if err != nil {
@@ -174,7 +174,7 @@
 }
 
 func (f *streamRelay) requestRest(ctx context.Context) (*http.Response, error) {
-	u := streamURL(leader(f.g).Addr, f.st.Ref().Stream) + "?from=" + strconv.FormatUint(f.st.From(), 10)
+	u := streamURL(leader(f.g).Addr, f.st.Ref().Stream) + "?from=" + strconv.FormatUint(f.st.ResumeOffset(), 10)
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
 	if err != nil {
 		return nil, err
--- a/internal/dispatch/stream_test.go
+++ b/internal/dispatch/stream_test.go
@@ -31,7 +31,7 @@
 func checkWholeAnswer(t *testing.T, q *request.Request, c *collector) {
 	t.Helper()
 	want := standin.ExpectedTokens(q.Body)
-	if !c.end.Whole {
+	if !c.end.Complete {
 		t.Fatalf("%s: not whole: %v", q.ID, c.end.Error)
 	}
 	if got := c.tokens(t); !slices.Equal(got, want) {
@@ -94,9 +94,9 @@
 		again := r.chat("b", 50, true)
 		again.ResumeID = first.frames[at-1].ID
 		rest := other.serve(context.Background(), again)
-		is.True(rest.end.Whole)
+		is.True(rest.end.Complete)
 		first.frames = append(first.frames, rest.frames...)
-		first.end = answer.End{Whole: true, Frames: uint64(len(first.frames))}
+		first.end = answer.End{Complete: true, Frames: uint64(len(first.frames))}
 		checkWholeAnswer(t, q, first)
 		is.Equal(e.Executions(q.ID), 1)
 	}
@@ -122,7 +122,7 @@
 	id.Stream = nonce + "-" + tag
 	other.ResumeID = id.String()
 	got := r.serve(context.Background(), other)
-	is.True(!got.end.Whole)
+	is.True(!got.end.Complete)
 	is.Equal(len(got.frames), 0)
 }
 
@@ -194,9 +194,9 @@
 	again := other.chat("b", 50, true)
 	again.ResumeID = first.frames[6].ID
 	rest := other.serve(context.Background(), again)
-	is.True(rest.end.Whole)
+	is.True(rest.end.Complete)
 	first.frames = append(first.frames, rest.frames...)
-	first.end = answer.End{Whole: true, Frames: uint64(len(first.frames))}
+	first.end = answer.End{Complete: true, Frames: uint64(len(first.frames))}
 	checkWholeAnswer(t, q, first)
 	is.Equal(passed, 1)
 	is.Equal(len(r.d.detached.keptUntil), 0)
@@ -204,14 +204,14 @@
 
 	// The origin node has just failed and is still alive in the membership: it does not
 	// respond, and the other node must resume at the engine itself.
-	other.d.opt.Answers = func(context.Context, fleet.VM) bool { return false }
-	is.True(other.serve(context.Background(), again).end.Whole)
+	other.d.opt.NodeResponds = func(context.Context, fleet.VM) bool { return false }
+	is.True(other.serve(context.Background(), again).end.Complete)
 	is.Equal(passed, 1)
-	other.d.opt.Answers = nil
+	other.d.opt.NodeResponds = nil
 
 	// The origin node is marked as dead: the other node must resume at the engine itself.
 	other.change(func(s *view.Snapshot) { s.Nodes[0].State = view.NodeDead })
-	is.True(other.serve(context.Background(), again).end.Whole)
+	is.True(other.serve(context.Background(), again).end.Complete)
 	is.Equal(passed, 1)
 }
 
@@ -332,7 +332,7 @@
 				r.addEngine(standin.Options{})
 				q := r.chat("a", 8, stream)
 				c := r.serve(context.Background(), q)
-				is.True(c.end.Whole)
+				is.True(c.end.Complete)
 				is.Equal(r.engines[1].Executions("a"), 1)
 			})
 		}
--- a/internal/dispatch/truth_test.go
+++ b/internal/dispatch/truth_test.go
@@ -42,7 +42,7 @@
 			s.SetFaults(service.Faults{Stages: tc.stages})
 			c := r.serve(context.Background(), r.receipt("a"))
 			is.Equal(c.finished, 1)
-			is.Equal(c.end.Whole, tc.whole)
+			is.Equal(c.end.Complete, tc.whole)
 			is.Equal(s.Executions("POST", "/receipts", "a"), tc.runs)
 			if tc.whole {
 				return
@@ -72,7 +72,7 @@
 	r.addUnreachable()
 	s := r.addService()
 	c := r.serve(context.Background(), r.receipt("a"))
-	is.True(c.end.Whole)
+	is.True(c.end.Complete)
 	is.Equal(s.Executions("POST", "/receipts", "a"), 1)
 	is.Equal(r.router.begun, 2)
 	is.Equal(len(r.router.results), 2)
@@ -102,8 +102,8 @@
 			r := newRig(t, nil)
 			s := r.addService()
 			// Open connections of both transports, then break the reused ones.
-			is.True(r.serve(context.Background(), r.lookup("warm")).end.Whole)
-			is.True(r.serve(context.Background(), r.receipt("warm")).end.Whole)
+			is.True(r.serve(context.Background(), r.lookup("warm")).end.Complete)
+			is.True(r.serve(context.Background(), r.receipt("warm")).end.Complete)
 			s.SetFaults(service.Faults{Stages: fault.Stages{DropReusedAfter: fault.Always}})
 			for i := range 20 {
 				q := r.receipt(fmt.Sprintf("r%d", i))
@@ -117,7 +117,7 @@
 				c := r.serve(context.Background(), q)
 				is.Equal(s.Executions(q.Method, "/receipts", key), 1)
 				// With a new connection per request, no outcome is unknown either.
-				is.True(c.end.Whole)
+				is.True(c.end.Complete)
 			}
 		})
 	}
@@ -129,9 +129,9 @@
 	is := is.New(t)
 	r := newRig(t, nil)
 	s := r.addService()
-	is.True(r.serve(context.Background(), r.lookup("warm")).end.Whole)
+	is.True(r.serve(context.Background(), r.lookup("warm")).end.Complete)
 	s.SetFaults(service.Faults{Stages: fault.Stages{DropReused: 1}})
-	is.True(r.serve(context.Background(), r.lookup("a")).end.Whole)
+	is.True(r.serve(context.Background(), r.lookup("a")).end.Complete)
 	is.Equal(s.Faults().DropReused, 0)
 }
 
@@ -151,7 +151,7 @@
 			r.addService().SetFaults(service.Faults{Stages: st})
 			r.addService()
 			c := r.serve(context.Background(), r.lookup("a"))
-			is.True(c.end.Whole)
+			is.True(c.end.Complete)
 			is.Equal(c.head.Endpoint, r.Snapshot().VMs[1].Record.VM)
 		})
 	}
--- a/internal/dispatch/wire_test.go
+++ b/internal/dispatch/wire_test.go
@@ -67,7 +67,7 @@
 		wg.Go(func() {
 			defer cancel()
 			c := r.serve(ctx, q)
-			if !c.end.Whole {
+			if !c.end.Complete {
 				outcomes[i] = c.end.Error.Outcome
 			}
 		})
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -29,9 +29,9 @@
 	maxResponseBytes        = 4 << 20
 )
 
-// ErrOtherLife means that the order was meant for another boot of the endpoint,
+// ErrBootMismatch means that the order was meant for another boot of the endpoint,
 // so the caller's information about the endpoint is outdated.
-var ErrOtherLife = errors.New("engine: the order was meant for another boot; probe the endpoint again")
+var ErrBootMismatch = errors.New("engine: the order was meant for another boot; probe the endpoint again")
 
 // StaleFenceError means that the engine has received a newer fence than that of
 // the order, so the sender's claim on the VM is outdated.
@@ -116,7 +116,7 @@
 	return l, err
 }
 
-// Order sends an order. It returns *StaleFenceError, ErrOtherLife or the error
+// Order sends an order. It returns *StaleFenceError, ErrBootMismatch or the error
 // of a call without a usable response. In the last case the engine may have
 // executed the order or not; sending the same order again is safe.
 func (c *Client) Order(ctx context.Context, addr string, o Order) (OrderResult, error) {
@@ -133,7 +133,7 @@
 		return res, &StaleFenceError{Sent: o.Fence, State: res.State}
 	case http.StatusGone:
 		_ = json.Unmarshal(status.Body, &res)
-		return res, fmt.Errorf("%w (sent %q, is %q)", ErrOtherLife, o.Boot, res.State.Boot)
+		return res, fmt.Errorf("%w (sent %q, is %q)", ErrBootMismatch, o.Boot, res.State.Boot)
 	default:
 		return res, err
 	}
--- a/internal/entry/current_test.go
+++ b/internal/entry/current_test.go
@@ -17,7 +17,7 @@
 	is := is.New(t)
 	c := clock.NewManual(clock.Instant(time.Hour))
 	n := newTestNode(&fakeStore{}, c)
-	n.Settings.ConfigWithin = 2 * time.Second
+	n.Settings.MaxConfigDelay = 2 * time.Second
 	n.config.confirm(&catalog.Document{Version: 1}, c.Now())
 	is.True(n.isConfigCurrent())
 	c.Advance(2 * time.Second)
@@ -28,6 +28,6 @@
 	// configuration is too old.
 	for age := time.Duration(0); age <= n.follower.maxConfigAge(); age += 100 * time.Millisecond {
 		next := age + n.follower.intervalAfter(age)
-		is.True(next < n.Settings.ConfigWithin)
+		is.True(next < n.Settings.MaxConfigDelay)
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -80,7 +80,7 @@
 	quarantineGuard   *quarantine.Guard
 	backpressureGuard *backpressure.Guard
 	quarantineRows    *quarantine.Rows
-	peerDemand        demand.Zone // demand reported by the zone's other nodes
+	peerDemand        demand.ZoneDemand // demand reported by the zone's other nodes
 	startedAt         clock.Instant
 	stateKnown        chan struct{}          // closed once the configuration and the endpoints are known
 	holdsDuty         func(zone string) bool // reports whether this node holds the zone's duty now
@@ -152,7 +152,7 @@
 // second.
 var ejectionOptions = retry.OutlierOptions{
 	Consecutive: 3, MinRequests: 8, Margin: 0.3, MaxShare: 0.4,
-	First: 1500 * time.Millisecond, Longest: 6 * time.Second, Trial: 2 * time.Second,
+	BaseEjection: 1500 * time.Millisecond, MaxEjection: 6 * time.Second, TrialTimeout: 2 * time.Second,
 }
 
 // New returns a node that is started by Run.
@@ -165,21 +165,21 @@
 		Clock:        o.Clock,
 		Silence:      func(roster.ID) time.Duration { return streamStallTimeout },
 		FirstSilence: firstEventTimeout,
-		Suspected:    n.handleSuspect,
-		Doubted:      n.handleDoubt,
+		OnSuspect:    n.handleSuspect,
+		OnDoubt:      n.handleDoubt,
 	}
 	n.quarantineGuard = n.newQuarantineGuard()
 	n.backpressureGuard = n.newBackpressureGuard()
 	n.forwarder = &forward.Forwarder{
 		Codec: o.Codec, Clock: o.Clock, Log: o.Log, Metrics: forward.NewMetrics(o.Registry), Pool: n.pool, Tracker: n.tracker,
-		Zone:    o.Settings.Zone,
-		Plain:   forward.Profile{Bounds: balance.Bounds{Remote: crossZoneCost, Queue: plainQueueShare}, Turnover: plainLoadDecay},
-		Engine:  forward.Profile{Bounds: balance.Bounds{Remote: crossZoneCost, Queue: engineQueueShare, Read: promptCost}, Turnover: engineLoadDecay},
-		Ejector: retry.NewEjector(ejectionOptions, o.Clock, o.Log, o.Registry),
-		View:    n.view, NewBudget: n.newBudget, Missed: n.refreshSoon, Unanswered: n.broadcastFailure,
-		Started: n.stateKnown, Placed: n.sendPlacement, Sample: n.sampleSize, ZoneLoad: func(zone, model string) board.Mean { return n.loads.meanOf(zone, model) },
+		Zone:          o.Settings.Zone,
+		PlainProfile:  forward.Profile{Bounds: balance.Bounds{RemotePenalty: crossZoneCost, QueueShare: plainQueueShare}, Turnover: plainLoadDecay},
+		EngineProfile: forward.Profile{Bounds: balance.Bounds{RemotePenalty: crossZoneCost, QueueShare: engineQueueShare, UnreadWeight: promptCost}, Turnover: engineLoadDecay},
+		Ejector:       retry.NewEjector(ejectionOptions, o.Clock, o.Log, o.Registry),
+		View:          n.view, NewBudget: n.newBudget, OnStaleEndpoint: n.refreshSoon, OnNoResponse: n.broadcastFailure,
+		Started: n.stateKnown, OnSent: n.sendPlacement, SampleSize: n.sampleSize, ZoneLoad: func(zone, model string) board.MeanLoad { return n.loads.meanOf(zone, model) },
 		Quarantine: n.quarantineGuard, Backpressure: n.backpressureGuard,
-		Nodes: func() int { return n.leaseCache.nodeCount() },
+		NodeCount: func() int { return n.leaseCache.nodeCount() },
 	}
 	n.follower = &follower{node: n, client: feed.NewClient(), clock: o.Clock, log: o.Log, wake: make(chan struct{}, 1)}
 	n.roster.onLeaving = n.broadcastLeaving
@@ -187,12 +187,12 @@
 	n.config.backoff.usesFullRate, n.roster.backoff.usesFullRate = n.usesFullRate, n.usesFullRate
 	n.leaseCache = &leaseCache{
 		Table: o.Store, clock: o.Clock, isFedByPeer: n.areLeasesFed, backoff: backoff{usesFullRate: n.usesFullRate},
-		onRows: func(rows []table.Row) { n.quarantineGuard.TakeKept(n.quarantineRows.Read(rows)) },
+		onRows: func(rows []table.Row) { n.quarantineGuard.ApplyPersisted(n.quarantineRows.ParseVerdicts(rows)) },
 	}
 	n.quarantineRows = &quarantine.Rows{
 		Get: n.leaseCache.Table.Get, Commit: n.leaseCache.Commit, Table: table.TableLeases, Prefix: quarantinePrefix, Log: o.Log,
 	}
-	n.mesh = &news.Mesh{Log: o.Log, Receive: n.handleMessage}
+	n.mesh = &news.Mesh{Log: o.Log, OnMessage: n.handleMessage}
 	n.send = n.mesh.Send
 	n.holdsDuty = n.holdsLease
 	n.loads = newLoadExchange(n)
@@ -208,21 +208,21 @@
 	m := &lease.Manager{
 		Duty: zone, Self: fleet.Node{VM: fleet.VM(n.Settings.VM), Incarnation: fleet.Incarnation(time.Now().UnixNano())},
 		Params: lease.DefaultParams(leaseTerm), Table: n.leaseCache, Clock: n.Clock, Log: n.Log,
-		Era: n.tableEra, New: n.Settings.Bootstrap,
-		Rank: func() int { return n.rank(zone) }, Ranks: rankNever, Poll: leasePollInterval,
+		Era: n.tableEra, TableIsNew: n.Settings.Bootstrap,
+		Rank: func() int { return n.rank(zone) }, MaxRanks: rankNever, PollInterval: leasePollInterval,
 	}
 	n.leases = append(n.leases, m)
 	c := (&formation.Controller{
 		Zone: zone, Lease: m, Table: n.Store, Engines: n.Engines, Clock: n.Clock, Log: n.Log,
 		Params: n.formationParams, Catalog: n.config.current.Load, Roster: n.roster.current.Load,
-		FreeLoads: func() bool { return n.Settings.Bootstrap && !n.requestSeen.Load() },
-		Signs:     n.tracker.Sign,
-		Announce:  n.announceHint,
-		Demand:    n.zoneDemand,
-		ManyNodes: func() bool { return n.usesBoard(zone) },
+		BeforeFirstRequest: func() bool { return n.Settings.Bootstrap && !n.requestSeen.Load() },
+		Activity:           n.tracker.LastSign,
+		Announce:           n.announceHint,
+		Demand:             n.zoneDemand,
+		ManyNodes:          func() bool { return n.usesBoard(zone) },
 	}).Init()
 	m.Acquired = func() {
-		c.Nudge()
+		c.TriggerTick()
 		n.roster.refreshSoon() // a list received from another node contains only endpoints that accept requests
 		n.follower.pollSoon()
 	}
@@ -272,30 +272,30 @@
 func (n *Node) newFeedServer() *http.Server {
 	return &http.Server{ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, Handler: &feed.Server{
 		Source: feed.Source{
-			Catalog:   n.config.current.Load,
-			Confirmed: func() clock.Instant { return clock.Instant(n.config.confirmed.Load()) },
-			Roster:    n.roster.current.Load,
-			Rows:      n.leaseCache.allRows,
-			Era:       n.tableEra,
+			Catalog:     n.config.current.Load,
+			ConfirmedAt: func() clock.Instant { return clock.Instant(n.config.confirmed.Load()) },
+			Roster:      n.roster.current.Load,
+			Rows:        n.leaseCache.allRows,
+			Era:         n.tableEra,
 		},
-		Journal: &feed.Journal{Life: uuid.NewString()},
-		Clock:   n.Clock, Log: n.Log, Hear: n.recordQuestion,
+		Journal: &feed.Journal{Incarnation: uuid.NewString()},
+		Clock:   n.Clock, Log: n.Log, OnPoll: n.recordQuestion,
 		Serving: func() bool { return !n.leaving.Load() && !n.follower.isFollowing() },
 	}}
 }
 
 // recordQuestion records the configuration version and, from nodes of the local zone, the
 // demand in a question.
-func (n *Node) recordQuestion(q feed.Question) {
+func (n *Node) recordQuestion(q feed.PollRequest) {
 	n.config.recordPeerVersion(q.Config)
 	if q.Zone == n.Settings.Zone && q.Node != n.Settings.VM {
-		n.peerDemand.Note(q.Node, q.Demand, n.Clock.Now())
+		n.peerDemand.Update(q.Node, q.Demand, n.Clock.Now())
 	}
 }
 
 // zoneDemand returns the demand for a service from all nodes of the zone.
 func (n *Node) zoneDemand(service string) demand.Demand {
-	return n.peerDemand.With(service, n.forwarder.Demand(service), n.Clock.Now())
+	return n.peerDemand.Total(service, n.forwarder.Demand(service), n.Clock.Now())
 }
 
 func (n *Node) formationParams(e *catalog.Engine) formation.Params {
@@ -307,9 +307,9 @@
 }
 
 // newBudget returns this node's share of the retry budget of a service.
-func (n *Node) newBudget() *retry.Windowed {
+func (n *Node) newBudget() *retry.WindowedBudget {
 	s := n.Settings
-	return &retry.Windowed{
+	return &retry.WindowedBudget{
 		Clock: n.Clock, Window: s.RetryWindow, Ratio: s.RetryRatio * retryBudgetShare,
 		Slack: func() float64 {
 			return s.RetrySlack * retryBudgetShare / float64(max(minBudgetNodes, n.leaseCache.nodeCount()))
@@ -332,14 +332,14 @@
 	if n.config.current.Load() == nil {
 		return false
 	}
-	return !n.Settings.Strict || n.config.age(n.Clock.Now()) < n.Settings.RevokeAfter-revokeMargin
+	return !n.Settings.StrictRevocation || n.config.age(n.Clock.Now()) < n.Settings.RevokeAfter-revokeMargin
 }
 
 // isConfigCurrent reports whether the configuration is recent enough to reject what it does
 // not contain. Without this check a node following one that had lost the store answered 404
 // on a route that had been in force for two seconds.
 func (n *Node) isConfigCurrent() bool {
-	within := n.Settings.ConfigWithin
+	within := n.Settings.MaxConfigDelay
 	return n.acceptsKeys() && (within <= 0 || n.config.age(n.Clock.Now()) < within)
 }
 
@@ -354,27 +354,27 @@
 
 // address returns the address, zone and size that this node announces.
 func (n *Node) address() nodeAddr {
-	return nodeAddr{n.Settings.Peer, n.Settings.Zone, n.Settings.Cores}
+	return nodeAddr{n.Settings.PeerAddr, n.Settings.Zone, n.Settings.Cores}
 }
 
 // Run serves until ctx ends, then shuts down within the grace period.
 func (n *Node) Run(ctx context.Context) error {
-	front, err := net.Listen("tcp", n.Settings.Front)
+	front, err := net.Listen("tcp", n.Settings.ClientAddr)
 	if err != nil {
 		return merry.Prepend(err, "listen on the clients' address; check the settings' listen address")
 	}
-	ready, err := net.Listen("tcp", n.Settings.Ready)
+	ready, err := net.Listen("tcp", n.Settings.ReadinessAddr)
 	if err != nil {
 		return merry.Prepend(err, "listen on the readiness address; check the settings' listen address")
 	}
-	if err := n.mesh.Listen(n.Settings.Peer); err != nil {
+	if err := n.mesh.Listen(n.Settings.PeerAddr); err != nil {
 		return merry.Prepend(err, "listen on the address for other nodes (datagrams); check the settings' port range")
 	}
-	peers, err := net.Listen("tcp", n.Settings.Peer)
+	peers, err := net.Listen("tcp", n.Settings.PeerAddr)
 	if err != nil {
 		return merry.Prepend(err, "listen on the address for other nodes (TCP); check the settings' port range")
 	}
-	n.Log.Info("node starts", "zone", n.Settings.Zone, "front", n.Settings.Front, "bootstrap", n.Settings.Bootstrap)
+	n.Log.Info("node starts", "zone", n.Settings.Zone, "front", n.Settings.ClientAddr, "bootstrap", n.Settings.Bootstrap)
 
 	// Request handling continues after ctx has ended, until the requests in flight are
 	// complete.
@@ -395,7 +395,7 @@
 	n.startDuties(ctx, g)
 
 	server := &http.Server{
-		Handler: http.HandlerFunc(n.serve), ConnContext: forward.WithClient, ReadHeaderTimeout: headerTimeout,
+		Handler: http.HandlerFunc(n.serve), ConnContext: forward.WithClientConn, ReadHeaderTimeout: headerTimeout,
 		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader, ErrorLog: slog.NewLogLogger(n.Log.Handler(), slog.LevelDebug),
 	}
 	readiness := &http.Server{Handler: http.HandlerFunc(n.serveReady), ReadHeaderTimeout: headerTimeout}
@@ -421,14 +421,14 @@
 // interval is doubled; otherwise these checks would wake the process 66 times a second.
 func (n *Node) watchRequests(ctx context.Context) error {
 	for {
-		pause := balance.WatchStep
+		pause := balance.SilenceCheckInterval
 		if n.usesBoard(n.Settings.Zone) {
 			pause *= 2
 		}
 		if !clock.Sleep(ctx, pause) {
 			return nil
 		}
-		n.tracker.Watch()
+		n.tracker.CheckSilence()
 		n.loads.tick()
 		n.quarantineGuard.Tick()
 	}
@@ -436,7 +436,7 @@
 
 // awaitState closes stateKnown once the configuration and the endpoints are known.
 func (n *Node) awaitState(ctx context.Context) {
-	for n.config.current.Load() == nil || !n.roster.current.Load().Known() {
+	for n.config.current.Load() == nil || !n.roster.current.Load().IsLoaded() {
 		if !clock.Sleep(ctx, startPollInterval) {
 			return
 		}
@@ -461,9 +461,9 @@
 func (n *Node) shutdown(server *http.Server) error {
 	began := n.Clock.Now()
 	n.leaving.Store(true)
-	n.Log.Info("node leaves", "grace", n.Settings.Grace)
-	time.Sleep(min(drainNotice, n.Settings.Grace/3))
-	left := n.Settings.Grace - exitMargin - n.Clock.Now().Sub(began)
+	n.Log.Info("node leaves", "grace", n.Settings.GracePeriod)
+	time.Sleep(min(drainNotice, n.Settings.GracePeriod/3))
+	left := n.Settings.GracePeriod - exitMargin - n.Clock.Now().Sub(began)
 	ctx, cancel := context.WithTimeout(context.Background(), max(left, 0))
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
@@ -483,7 +483,7 @@
 
 // serveReady answers the load balancer's readiness probe.
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if n.leaving.Load() || !n.acceptsKeys() || !n.roster.current.Load().Known() {
+	if n.leaving.Load() || !n.acceptsKeys() || !n.roster.current.Load().IsLoaded() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -86,7 +86,7 @@
 func newTestNode(store *fakeStore, c clock.Clock) *Node {
 	return New(Options{
 		Settings: &Settings{
-			VM: "me", Zone: "a", Zones: []string{"a", "b"}, Strict: true, RevokeAfter: 5 * time.Second,
+			VM: "me", Zone: "a", Zones: []string{"a", "b"}, StrictRevocation: true, RevokeAfter: 5 * time.Second,
 			RetryRatio: 0.2, RetrySlack: 100, RetryWindow: 10 * time.Second, LoadWindow: 5 * time.Second,
 		},
 		Store: store, Clock: c, Log: slog.New(slog.DiscardHandler), Registry: prometheus.NewRegistry(),
@@ -218,8 +218,8 @@
 func TestDutyHolderSumsZoneDemand(t *testing.T) {
 	is := is.New(t)
 	n := newTestNode(&fakeStore{}, clock.NewManual(clock.Instant(time.Hour)))
-	reports := []demand.Told{{Service: "s", Demand: demand.Demand{Requests: 5, Work: map[string]float64{"big": 2}}}}
-	for _, q := range []feed.Question{
+	reports := []demand.ServiceDemand{{Service: "s", Demand: demand.Demand{Requests: 5, Work: map[string]float64{"big": 2}}}}
+	for _, q := range []feed.PollRequest{
 		{Node: "n1", Zone: "a", Demand: reports}, {Node: "n2", Zone: "a", Demand: reports},
 		{Node: "n3", Zone: "b", Demand: reports}, {Node: "me", Zone: "a", Demand: reports},
 	} {
--- a/internal/entry/eras.go
+++ b/internal/entry/eras.go
@@ -68,7 +68,7 @@
 // Leases and claims are rewritten by their holders, see lease.Manager and
 // formation.Controller.
 func (n *Node) handleTableRestore() {
-	n.quarantineGuard.Restored()
+	n.quarantineGuard.TableRestored()
 	n.refreshSoon()
 }
 
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -133,8 +133,8 @@
 		ends = append(ends, k.End)
 	}
 	advance := func() {
-		for range int(2 * boardInterval / balance.WatchStep) {
-			p.clock.Advance(balance.WatchStep)
+		for range int(2 * boardInterval / balance.SilenceCheckInterval) {
+			p.clock.Advance(balance.SilenceCheckInterval)
 			for _, n := range p.nodes {
 				n.loads.tick()
 			}
@@ -147,14 +147,14 @@
 		if n.Settings.Zone != "z0" {
 			want = 1 // nodes of another zone report to the board but use the loads from response headers
 		}
-		is.Equal(n.tracker.Of("head", time.Minute).Load > want-1, true)
+		is.Equal(n.tracker.StateOf("head", time.Minute).Load > want-1, true)
 	}
 	for _, end := range ends {
 		end()
 	}
 	advance()
 	for _, n := range p.nodes {
-		is.True(n.tracker.Of("head", time.Minute).Load < 0.5)
+		is.True(n.tracker.StateOf("head", time.Minute).Load < 0.5)
 	}
 }
 
@@ -171,7 +171,7 @@
 	holder.holdsDuty = (&fixedDuty{"z0"}).holds
 	var list []roster.Endpoint
 	for i := range 90 {
-		id := roster.Life(fmt.Sprintf("i-%010d", i), 1790000000000)
+		id := roster.NewID(fmt.Sprintf("i-%010d", i), 1790000000000)
 		list = append(list, roster.Endpoint{ID: id, Service: "s", Zone: "z0", Domain: "d", Slots: 22})
 		sender.tracker.Start(id, nil)
 	}
@@ -189,9 +189,9 @@
 // A board of many heads is split into parts that each fit a packet.
 func TestBoardPartsFitMessages(t *testing.T) {
 	is := is.New(t)
-	var counts []board.Count
+	var counts []board.HeadLoad
 	for i := range 200 {
-		counts = append(counts, board.Count{ID: roster.Life(fmt.Sprintf("i-%010d", i), 1790000000000), Requests: 22, Unread: 90000})
+		counts = append(counts, board.HeadLoad{ID: roster.NewID(fmt.Sprintf("i-%010d", i), 1790000000000), Requests: 22, Unread: 90000})
 	}
 	n := 0
 	for _, part := range splitCounts(counts) {
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -22,9 +22,9 @@
 	lastSuccess  atomic.Int64 // when the last successful question was sent
 	fromOwnZone  atomic.Bool  // the last answer came from the holder of the local zone's duty
 	wake         chan struct{}
-	nextInterval time.Duration         // interval to the next question; used by run only
-	source       string                // address of the node that answered last; used by run only
-	copies       map[string]*feed.Copy // state received from each node, by address; used by run only
+	nextInterval time.Duration            // interval to the next question; used by run only
+	source       string                   // address of the node that answered last; used by run only
+	copies       map[string]*feed.Replica // state received from each node, by address; used by run only
 }
 
 const (
@@ -109,11 +109,11 @@
 	defer cancel()
 	known := f.copyOf(addr)
 	asked := f.clock.Now()
-	q := feed.Question{
-		Have: known.Have(), Node: f.node.Settings.VM, Zone: f.node.Settings.Zone, Demand: f.node.forwarder.DemandOfAll(),
+	q := feed.PollRequest{
+		Have: known.Have(), Node: f.node.Settings.VM, Zone: f.node.Settings.Zone, Demand: f.node.forwarder.AllDemand(),
 	}
 	q.Config = f.node.config.version()
-	s, ages, err := f.client.Ask(ctx, addr, q)
+	s, ages, err := f.client.Poll(ctx, addr, q)
 	if err != nil {
 		return false
 	}
@@ -146,7 +146,7 @@
 func (f *follower) fetchConfig(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, followTimeout)
 	defer cancel()
-	s, _, err := f.client.Ask(ctx, addr, feed.Question{Node: f.node.Settings.VM, Zone: f.node.Settings.Zone})
+	s, _, err := f.client.Poll(ctx, addr, feed.PollRequest{Node: f.node.Settings.VM, Zone: f.node.Settings.Zone})
 	if err != nil {
 		f.log.Info("configuration not received from node", "node", addr, "err", err)
 		return
@@ -159,7 +159,7 @@
 
 // maxConfigAge returns the greatest accepted age of a configuration from another node.
 func (f *follower) maxConfigAge() time.Duration {
-	if within := f.node.Settings.ConfigWithin; within > 0 {
+	if within := f.node.Settings.MaxConfigDelay; within > 0 {
 		return min(maxFollowAge, within-followMargin)
 	}
 	return maxFollowAge
@@ -174,14 +174,14 @@
 }
 
 // copyOf returns the state received from the node at addr so far.
-func (f *follower) copyOf(addr string) *feed.Copy {
+func (f *follower) copyOf(addr string) *feed.Replica {
 	if c := f.copies[addr]; c != nil {
 		return c
 	}
 	if f.copies == nil || len(f.copies) >= maxCopies {
-		f.copies = map[string]*feed.Copy{}
+		f.copies = map[string]*feed.Replica{}
 	}
-	c := &feed.Copy{}
+	c := &feed.Replica{}
 	f.copies[addr] = c
 	return c
 }
--- a/internal/entry/hints.go
+++ b/internal/entry/hints.go
@@ -10,7 +10,7 @@
 
 // handleSuspect handles the tracker's report of a stalled endpoint.
 func (n *Node) handleSuspect(id roster.ID) {
-	last, _ := n.tracker.Sign(id)
+	last, _ := n.tracker.LastSign(id)
 	n.Log.Info("endpoint is suspect", "endpoint", id, "silent_ms", n.Clock.Now().Sub(last).Milliseconds())
 	n.reportStall(id)
 	n.sendToController(id, news.Message{Suspect: id})
@@ -41,14 +41,14 @@
 // group checks it.
 func (n *Node) reportStall(id roster.ID) {
 	for _, c := range n.controllers {
-		c.Standstill(id)
+		c.ReportStall(id)
 	}
 }
 
 // reportDoubt does the same for an endpoint that may have stalled.
 func (n *Node) reportDoubt(id roster.ID) {
 	for _, c := range n.controllers {
-		c.Doubt(id)
+		c.ReportSuspectedStall(id)
 	}
 }
 
@@ -66,7 +66,7 @@
 func (n *Node) applyHint(h roster.Hint) {
 	e := n.roster.current.Load().Get(h.ID)
 	if h.Member.State == roster.Broken && (e == nil || h.Member.Group == e.Member.Group) {
-		n.tracker.Strand(h.ID)
+		n.tracker.ApplySuspicion(h.ID)
 	}
 	n.roster.applyHint(h)
 }
@@ -85,29 +85,29 @@
 	if m.Doubt != "" {
 		n.reportDoubt(m.Doubt)
 	}
-	if len(m.Leaving)+len(m.Gone) > 0 {
-		n.roster.markLeaving(m.Leaving, m.Gone)
+	if len(m.Leaving)+len(m.Removed) > 0 {
+		n.roster.markLeaving(m.Leaving, m.Removed)
 	}
-	if m.Ask {
+	if m.RefreshEndpoints {
 		n.refreshSoon()
 	}
 	if m.InFlight != nil {
 		n.loads.recordCounts(m.InFlight, n.Clock.Now())
 	}
 	for _, c := range m.Board {
-		n.tracker.TakeBoard(c)
+		n.tracker.ApplyBoard(c)
 	}
 	if len(m.Means) > 0 {
 		n.loads.recordMeans(m.Means, n.Clock.Now())
 	}
 	if m.Placed != nil {
-		n.tracker.Told(m.Placed.ID, m.Placed.Requests, m.Placed.Tokens, engineLoadDecay)
+		n.tracker.AddReported(m.Placed.ID, m.Placed.Requests, m.Placed.Tokens, engineLoadDecay)
 	}
 	if m.Quarantine != nil {
-		n.quarantineGuard.Hear(*m.Quarantine)
+		n.quarantineGuard.Receive(*m.Quarantine)
 	}
 	if m.Pressure != nil {
-		n.backpressureGuard.Hear(*m.Pressure)
+		n.backpressureGuard.Receive(*m.Pressure)
 	}
 	if m.Failed != "" {
 		n.forwarder.Ejector.Report(retry.ID(m.Failed), true)
@@ -123,12 +123,12 @@
 // each list that lacks endpoints: until their next regular poll they would use outdated
 // heads.
 func (n *Node) broadcastLeaving(leaving, gone []roster.ID) {
-	n.broadcast(news.Message{Ask: true})
+	n.broadcast(news.Message{RefreshEndpoints: true})
 	for part := range slices.Chunk(leaving, maxLeavingPerMessage) {
 		n.broadcast(news.Message{Leaving: part})
 	}
 	for part := range slices.Chunk(gone, maxLeavingPerMessage) {
-		n.broadcast(news.Message{Gone: part})
+		n.broadcast(news.Message{Removed: part})
 	}
 }
 
@@ -141,7 +141,7 @@
 		return
 	}
 	peers := n.leaseCache.zonePeers(n.Settings.VM, n.Settings.Zone)
-	n.send(news.Message{Placed: &news.Placed{ID: id, Requests: 1, Tokens: float64(prompt)}}, peers...)
+	n.send(news.Message{Placed: &news.Placement{ID: id, Requests: 1, Tokens: float64(prompt)}}, peers...)
 }
 
 // broadcastFailure informs all nodes about a plain endpoint that returned no usable answer.
--- a/internal/entry/loads.go
+++ b/internal/entry/loads.go
@@ -22,7 +22,7 @@
 	// prompts waited 4 ms for other prompts; at 120 ms it was 1.2% and 7 ms. When each
 	// request was reported to 24 nodes instead, which also counted requests that had long
 	// ended, 25% were refused while heads had free slots.
-	boardInterval = 3 * balance.WatchStep
+	boardInterval = 3 * balance.SilenceCheckInterval
 	// meanInterval is the interval at which zones' mean loads are sent.
 	meanInterval = 10 * boardInterval
 	// fullBoardInterval is the interval between two boards with all heads; those in between
@@ -52,7 +52,7 @@
 
 // meanLoad is a zone's mean load for a model, with the time at which it was received.
 type meanLoad struct {
-	board.Mean
+	board.MeanLoad
 	at clock.Instant
 }
 
@@ -60,7 +60,7 @@
 // published.
 type publishedBoard struct {
 	fullAt clock.Instant
-	counts []board.Count
+	counts []board.HeadLoad
 }
 
 func newLoadExchange(n *Node) *loadExchange {
@@ -106,13 +106,13 @@
 	now := n.Clock.Now()
 	changes := n.tracker.Changes()
 	changed := changes != l.lastChanges
-	if !changed && now.Sub(l.lastSent[n.Settings.Zone]) < board.TellAgain {
+	if !changed && now.Sub(l.lastSent[n.Settings.Zone]) < board.ResendInterval {
 		return
 	}
 	l.lastChanges = changes
-	counts := map[string][]board.Count{}
+	counts := map[string][]board.HeadLoad{}
 	r := n.roster.current.Load()
-	for _, c := range n.tracker.Tell() {
+	for _, c := range n.tracker.ReportInFlight() {
 		if e := r.Get(c.ID); e != nil && e.Domain != "" {
 			counts[e.Zone] = append(counts[e.Zone], c)
 		}
@@ -130,12 +130,12 @@
 
 // sendZoneCounts sends the counts of one zone to its duty holder, in several messages if
 // needed.
-func (l *loadExchange) sendZoneCounts(zone string, counts []board.Count, now clock.Instant) {
+func (l *loadExchange) sendZoneCounts(zone string, counts []board.HeadLoad, now clock.Instant) {
 	n := l.node
 	owner := n.leaseCache.owner(zone)
 	addr := n.leaseCache.addr(owner)
 	for i, part := range splitCounts(counts) {
-		m := news.InFlight{Node: n.Settings.VM, Zone: zone, Further: i > 0, Counts: part}
+		m := news.InFlight{Node: n.Settings.VM, Zone: zone, IsContinuation: i > 0, Counts: part}
 		switch {
 		case owner == n.Settings.VM:
 			l.recordCounts(&m, now)
@@ -157,7 +157,7 @@
 		l.boards[m.Zone] = b
 	}
 	l.mu.Unlock()
-	b.Note(m.Node, m.Counts, m.Further, now)
+	b.Update(m.Node, m.Counts, m.IsContinuation, now)
 }
 
 // publishBoards publishes the sums to the nodes of each zone whose duty this node holds.
@@ -191,10 +191,10 @@
 
 // publishBoard sends a board to the zone's nodes, in several messages if needed, and
 // applies it here.
-func (l *loadExchange) publishBoard(zone string, counts []board.Count) {
+func (l *loadExchange) publishBoard(zone string, counts []board.HeadLoad) {
 	n := l.node
 	for _, c := range counts {
-		n.tracker.TakeBoard(c)
+		n.tracker.ApplyBoard(c)
 	}
 	peers := n.leaseCache.zonePeers(n.Settings.VM, zone)
 	for _, part := range splitCounts(counts) {
@@ -213,7 +213,7 @@
 		l.mu.Lock()
 		sums, _ := l.boards[zone].Sums(now)
 		l.mu.Unlock()
-		own := board.Means(zone, sums, n.headsOf(zone))
+		own := board.MeanLoads(zone, sums, n.headsOf(zone))
 		l.recordMeans(own, now)
 		for _, other := range n.Settings.Zones {
 			owner := n.leaseCache.owner(other)
@@ -241,15 +241,15 @@
 // headsOf returns the heads in a zone that accept requests.
 func (n *Node) headsOf(zone string) []*roster.Endpoint {
 	var out []*roster.Endpoint
-	n.roster.current.Load().All(func(e *roster.Endpoint) {
-		if e.Zone == zone && e.Leads() && e.Usable() {
+	n.roster.current.Load().ForEach(func(e *roster.Endpoint) {
+		if e.Zone == zone && e.IsServingHead() && e.Usable() {
 			out = append(out, e)
 		}
 	})
 	return out
 }
 
-func (l *loadExchange) recordMeans(means []board.Mean, now clock.Instant) {
+func (l *loadExchange) recordMeans(means []board.MeanLoad, now clock.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range means {
@@ -257,34 +257,34 @@
 	}
 }
 
-func (l *loadExchange) currentMeans(now clock.Instant) []board.Mean {
+func (l *loadExchange) currentMeans(now clock.Instant) []board.MeanLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []board.Mean
+	var out []board.MeanLoad
 	for k, m := range l.means {
 		if now.Sub(m.at) > meanTTL {
 			delete(l.means, k)
 			continue
 		}
-		out = append(out, m.Mean)
+		out = append(out, m.MeanLoad)
 	}
 	return out
 }
 
 // meanOf returns the mean load of a zone's heads for a model; the zero value means unknown.
-func (l *loadExchange) meanOf(zone, model string) board.Mean {
+func (l *loadExchange) meanOf(zone, model string) board.MeanLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m, ok := l.means[meanKey{zone, model}]
 	if !ok || l.node.Clock.Now().Sub(m.at) > meanTTL {
-		return board.Mean{}
+		return board.MeanLoad{}
 	}
-	return m.Mean
+	return m.MeanLoad
 }
 
 // withEmptied returns the counts in now, and zero counts for heads that had requests in before
 // only.
-func withEmptied(before, now []board.Count) []board.Count {
+func withEmptied(before, now []board.HeadLoad) []board.HeadLoad {
 	have := map[roster.ID]bool{}
 	for _, c := range now {
 		have[c.ID] = true
@@ -292,19 +292,19 @@
 	out := now
 	for _, c := range before {
 		if !have[c.ID] && c.Requests > 0 {
-			out = append(out, board.Count{ID: c.ID})
+			out = append(out, board.HeadLoad{ID: c.ID})
 		}
 	}
 	return out
 }
 
 // changedCounts returns the counts that differ from those of the board before.
-func changedCounts(before, now []board.Count) []board.Count {
-	was := make(map[roster.ID]board.Count, len(before))
+func changedCounts(before, now []board.HeadLoad) []board.HeadLoad {
+	was := make(map[roster.ID]board.HeadLoad, len(before))
 	for _, c := range before {
 		was[c.ID] = c
 	}
-	var out []board.Count
+	var out []board.HeadLoad
 	for _, c := range withEmptied(before, now) {
 		if was[c.ID] != c {
 			out = append(out, c)
@@ -315,10 +315,10 @@
 
 // splitCounts splits counts into parts that each fit one message; without counts it returns
 // one empty part.
-func splitCounts(counts []board.Count) [][]board.Count {
-	const limit = news.MaxMessage - 100 // the rest is for the message's other fields
-	var out [][]board.Count
-	var part []board.Count
+func splitCounts(counts []board.HeadLoad) [][]board.HeadLoad {
+	const limit = news.MaxMessageBytes - 100 // the rest is for the message's other fields
+	var out [][]board.HeadLoad
+	var part []board.HeadLoad
 	size := 0
 	for _, c := range counts {
 		raw, err := json.Marshal(c)
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -24,7 +24,7 @@
 		return n.config.age(n.Clock.Now()).Seconds()
 	})
 	gauge("chervilloom_roster_age_seconds", "Time since the read of the endpoints began.", func() float64 {
-		return n.Clock.Now().Sub(n.roster.current.Load().Asked).Seconds()
+		return n.Clock.Now().Sub(n.roster.current.Load().RequestedAt).Seconds()
 	})
 	gauge("chervilloom_roster_heads", "Heads of groups that take requests, as this node knows them.", n.countHeads)
 	n.roster.rejectCounter = prometheus.NewCounter(prometheus.CounterOpts{
@@ -42,8 +42,8 @@
 
 func (n *Node) countHeads() float64 {
 	heads := 0
-	n.roster.current.Load().All(func(e *roster.Endpoint) {
-		if e.Leads() {
+	n.roster.current.Load().ForEach(func(e *roster.Endpoint) {
+		if e.IsServingHead() {
 			heads++
 		}
 	})
@@ -65,7 +65,7 @@
 // runs without a metrics server.
 func (n *Node) serveMetrics(reg *prometheus.Registry) *http.Server {
 	s := &http.Server{ReadHeaderTimeout: headerTimeout, Handler: promhttp.HandlerFor(reg, promhttp.HandlerOpts{})}
-	host, _, err := net.SplitHostPort(n.Settings.Front)
+	host, _, err := net.SplitHostPort(n.Settings.ClientAddr)
 	if err != nil || n.MetricsPort == 0 {
 		return s
 	}
--- a/internal/entry/pressure.go
+++ b/internal/entry/pressure.go
@@ -13,7 +13,7 @@
 func (n *Node) newBackpressureGuard() *backpressure.Guard {
 	return backpressure.New(backpressure.Options{
 		Node: n.Settings.VM, Clock: n.Clock, Log: n.Log, Registerer: n.Registry,
-		Order: n.backpressureOrder, Announce: n.announceBackpressure, Leaves: n.handleEndpointLeaving,
+		SenderOrder: n.backpressureOrder, Broadcast: n.announceBackpressure, OnLeaving: n.handleEndpointLeaving,
 	})
 }
 
