--- a/internal/entry/pressure_test.go
+++ b/internal/entry/pressure_test.go
@@ -23,7 +23,7 @@
 				n.roster.current.Store(roster.Merge(roster.Empty(), roster.Listing{Endpoints: []roster.Endpoint{e}}, p.clock.Now(), 0))
 			}
 			limit := 1.9
-			p.nodes["z0-0"].backpressureGuard.Answered("e", backpressure.Signals{Limit: &limit}, p.clock.Now())
+			p.nodes["z0-0"].backpressureGuard.RecordAnswer("e", backpressure.Signals{Limit: &limit}, p.clock.Now())
 			for _, n := range p.nodes {
 				is.True(!n.backpressureGuard.Allows("e"))
 			}
@@ -37,7 +37,7 @@
 			}
 			is.Equal(len(senders), 3)
 
-			p.nodes[senders[0]].backpressureGuard.Answered("e", backpressure.Signals{}, p.clock.Now())
+			p.nodes[senders[0]].backpressureGuard.RecordAnswer("e", backpressure.Signals{}, p.clock.Now())
 			p.clock.Advance(time.Second)
 			for _, n := range p.nodes {
 				is.True(n.backpressureGuard.Allows("e"))
@@ -54,7 +54,7 @@
 	for _, n := range p.nodes {
 		n.roster.current.Store(roster.Merge(roster.Empty(), roster.Listing{Endpoints: []roster.Endpoint{e}}, p.clock.Now(), 0))
 	}
-	p.nodes["z0-1"].backpressureGuard.Answered("e", backpressure.Signals{Leaving: true}, p.clock.Now())
+	p.nodes["z0-1"].backpressureGuard.RecordAnswer("e", backpressure.Signals{Leaving: true}, p.clock.Now())
 	for _, n := range p.nodes {
 		is.True(!n.roster.current.Load().Get("e").Usable())
 	}
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -17,13 +17,15 @@
 func (n *Node) newQuarantineGuard() *quarantine.Guard {
 	return (&quarantine.Guard{
 		Node: n.Settings.VM, Clock: n.Clock, Log: n.Log,
-		Tell:     func(m quarantine.Message) { n.send(news.Message{Quarantine: &m}, n.tallyAddrs()...) },
-		Announce: n.announceQuarantine,
-		Keep:     func(v quarantine.Verdict) { go n.writeQuarantineRow(v) },
-		Drop:     func(fp quarantine.Fingerprint) { go n.quarantineRows.Drop(context.Background(), fp) },
-		Try:      func(ctx context.Context, v quarantine.Verdict) (bool, error) { return n.quarantineRows.Try(ctx, v) },
-		Ended: func(endpoint string) { // new requests avoid the endpoint without a failed attempt
-			n.tracker.Suspect(roster.ID(endpoint))
+		SendToTalliers:  func(m quarantine.Message) { n.send(news.Message{Quarantine: &m}, n.tallyAddrs()...) },
+		Broadcast:       n.announceQuarantine,
+		Persist:         func(v quarantine.Verdict) { go n.writeQuarantineRow(v) },
+		DeletePersisted: func(fp quarantine.Fingerprint) { go n.quarantineRows.Delete(context.Background(), fp) },
+		AcquireTrial: func(ctx context.Context, v quarantine.Verdict) (bool, error) {
+			return n.quarantineRows.AcquireTrial(ctx, v)
+		},
+		EndpointCrashed: func(endpoint string) { // new requests avoid the endpoint without a failed attempt
+			n.tracker.MarkSuspect(roster.ID(endpoint))
 			n.refreshSoon()
 		},
 	}).Init(n.Registry)
@@ -60,7 +62,7 @@
 // writeQuarantineRow writes the request's row unless an equivalent one exists: all tallying
 // nodes reach the same verdict within a few milliseconds.
 func (n *Node) writeQuarantineRow(v quarantine.Verdict) {
-	n.quarantineRows.Keep(context.Background(), v, n.leaseCache.cachedRow(n.quarantineRows.Key(v.Fingerprint)), n.quarantineGuard.Knows)
+	n.quarantineRows.Persist(context.Background(), v, n.leaseCache.cachedRow(n.quarantineRows.Key(v.Fingerprint)), n.quarantineGuard.IsQuarantined)
 }
 
 // syncQuarantineRows writes the rows that were never stored, for instance because the store
@@ -74,9 +76,9 @@
 	}
 	for _, b := range banned {
 		switch {
-		case b.Over():
-			n.quarantineRows.Drop(context.Background(), b.Fingerprint)
-		case !b.Kept:
+		case b.IsExpired():
+			n.quarantineRows.Delete(context.Background(), b.Fingerprint)
+		case !b.Persisted:
 			n.writeQuarantineRow(b.Verdict)
 		}
 	}
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -62,10 +62,10 @@
 		}
 		o.crashes++
 		end := fmt.Sprintf("e%d", o.crashes)
-		n.quarantineGuard.Broke(end, "", harmful, quarantine.AttemptID(fmt.Sprint(o.attempts)))
+		n.quarantineGuard.AttemptFailed(end, "", harmful, quarantine.AttemptID(fmt.Sprint(o.attempts)))
 		for i := range 5 {
 			innocent := quarantine.Of("org", "POST", "h", "/x", fmt.Appendf(nil, "%s-%d", end, i))
-			pick("").quarantineGuard.Broke(end, "", innocent, uint32(i))
+			pick("").quarantineGuard.AttemptFailed(end, "", innocent, uint32(i))
 		}
 		synctest.Wait() // until the endpoint checks are complete
 		o.advance(200 * time.Millisecond)
@@ -126,7 +126,7 @@
 // distributeRows gives every node the lease rows including the row of the harmful request.
 func (o *outbreak) distributeRows(t *testing.T) {
 	t.Helper()
-	raw, err := json.Marshal(quarantine.Verdict{Fingerprint: harmful, Ends: 4, Attempts: 2})
+	raw, err := json.Marshal(quarantine.Verdict{Fingerprint: harmful, Crashes: 4, Attempts: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,7 +211,7 @@
 			if i++; i > 22 {
 				break
 			}
-			n.quarantineGuard.Broke("e", "", quarantine.Of("org", "POST", "h", "/x", fmt.Append(nil, i)), uint32(i))
+			n.quarantineGuard.AttemptFailed("e", "", quarantine.Of("org", "POST", "h", "/x", fmt.Append(nil, i)), uint32(i))
 		}
 		synctest.Wait()
 		o.advance(time.Second)
@@ -234,7 +234,7 @@
 	n := newTestNode(store, clock.NewManual(clock.Instant(time.Hour)))
 	n.holdsDuty = func(string) bool { return true }
 	n.leaseCache.applyRows([]table.Row{ownerRow("a", "me")}, 0)
-	n.quarantineGuard.Hear(quarantine.Message{Node: "x", Found: []quarantine.Verdict{{Fingerprint: harmful, Ends: 3, Attempts: 3}}})
+	n.quarantineGuard.Receive(quarantine.Message{Node: "x", Found: []quarantine.Verdict{{Fingerprint: harmful, Crashes: 3, Attempts: 3}}})
 	n.syncQuarantineRows()
 	is.Equal(store.calls, 1)
 	raw, err := json.Marshal(quarantine.Verdict{Fingerprint: harmful})
--- a/internal/entry/sweep.go
+++ b/internal/entry/sweep.go
@@ -10,10 +10,10 @@
 // endpoints that are no longer listed, and maintains the rows of quarantined requests and
 // of this node.
 func (n *Node) sweep() {
-	n.pool.Sweep()
+	n.pool.CloseExpired()
 	var ids []retry.ID
-	n.roster.current.Load().All(func(e *roster.Endpoint) {
-		if e.Domain == "" || e.Leads() {
+	n.roster.current.Load().ForEach(func(e *roster.Endpoint) {
+		if e.Domain == "" || e.IsServingHead() {
 			ids = append(ids, forward.EjectionID(e))
 		}
 	})
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -85,7 +85,7 @@
 				w.log.Warn("configuration not read", "err", err, "version", w.version())
 			}
 			down = true
-			var invalid *catalog.InvalidDocument
+			var invalid *catalog.InvalidDocumentError
 			if errors.As(err, &invalid) {
 				known = false
 			}
@@ -263,7 +263,7 @@
 			return nil
 		case err != nil:
 			if !down {
-				w.log.Warn("endpoints not read", "err", err, "age_ms", asked.Sub(w.current.Load().Asked).Milliseconds())
+				w.log.Warn("endpoints not read", "err", err, "age_ms", asked.Sub(w.current.Load().RequestedAt).Milliseconds())
 			}
 			down = true
 		default:
@@ -297,7 +297,7 @@
 func (w *rosterWatcher) reportLeaving(old, next *roster.Roster) {
 	var leaving, gone []roster.ID
 	left := false
-	old.All(func(e *roster.Endpoint) {
+	old.ForEach(func(e *roster.Endpoint) {
 		now := next.Get(e.ID)
 		if !e.Usable() || now != nil && now.Usable() {
 			return
@@ -320,7 +320,7 @@
 func (w *rosterWatcher) markLeaving(leaving, gone []roster.ID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.current.Store(w.current.Load().Leaving(leaving, gone))
+	w.current.Store(w.current.Load().WithDepartures(leaving, gone))
 }
 
 // applyPeerList merges a list that another node read at asked, unless this node has a newer
@@ -329,7 +329,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	old := w.current.Load()
-	if asked.Before(old.Asked) {
+	if asked.Before(old.RequestedAt) {
 		return
 	}
 	list.Endpoints = slices.Clone(list.Endpoints)
@@ -340,7 +340,7 @@
 func (w *rosterWatcher) applyHint(h roster.Hint) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.current.Store(w.current.Load().With(h, w.clock.Now()))
+	w.current.Store(w.current.Load().WithHint(h, w.clock.Now()))
 }
 
 // pause waits until the next read is due.
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -29,7 +29,7 @@
 // Recorder records steps. Implementations must not block for long, since steps are
 // recorded while requests are handled.
 type Recorder interface {
-	Note(Step)
+	Record(Step)
 }
 
 // Store is an in-memory Recorder with limits on the number of subjects and of steps
@@ -55,8 +55,8 @@
 	}
 }
 
-// Note adds a step. At and Node default to the current time and the store's node.
-func (s *Store) Note(st Step) {
+// Record adds a step. At and Node default to the current time and the store's node.
+func (s *Store) Record(st Step) {
 	if st.At.IsZero() {
 		st.At = s.now()
 	}
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -22,18 +22,18 @@
 
 // Have is the state that the polling node already has.
 type Have struct {
-	Config    uint64 `json:"config"`    // version of its configuration
-	Life      string `json:"life"`      // incarnation of the responding node's journal
-	Endpoints uint64 `json:"endpoints"` // number of the newest change of endpoints in that incarnation
-	Rows      uint64 `json:"rows"`      // number of the newest change of rows in that incarnation
+	Config      uint64 `json:"config"`    // version of its configuration
+	Incarnation string `json:"life"`      // incarnation of the responding node's journal
+	Endpoints   uint64 `json:"endpoints"` // number of the newest change of endpoints in that incarnation
+	Rows        uint64 `json:"rows"`      // number of the newest change of rows in that incarnation
 }
 
-// Question is a poll of a node: the state that it has, and its recent demand.
-type Question struct {
+// PollRequest is a poll of a node: the state that it has, and its recent demand.
+type PollRequest struct {
 	Have
-	Node   string        `json:"node"` // polling node
-	Zone   string        `json:"zone"` // zone of the polling node
-	Demand []demand.Told `json:"demand,omitempty"`
+	Node   string                 `json:"node"` // polling node
+	Zone   string                 `json:"zone"` // zone of the polling node
+	Demand []demand.ServiceDemand `json:"demand,omitempty"`
 }
 
 // Ages are the ages of the parts of a response.
@@ -45,28 +45,28 @@
 // State is a response without its ages. It is identical for all nodes that have the same
 // state.
 type State struct {
-	Document  *catalog.Document        `json:"document,omitempty"` // nil: the polling node has the newest
-	Life      string                   `json:"life"`               // incarnation of the responding node's journal
-	Era       uint64                   `json:"era,omitempty"`      // era of the platform's table
-	Config    uint64                   `json:"config"`             // version of the responding node's configuration
-	Endpoints changes[roster.Endpoint] `json:"endpoints"`
-	Rows      changes[table.Row]       `json:"rows"` // leases and addresses of nodes
+	Document    *catalog.Document        `json:"document,omitempty"` // nil: the polling node has the newest
+	Incarnation string                   `json:"life"`               // incarnation of the responding node's journal
+	Era         uint64                   `json:"era,omitempty"`      // era of the platform's table
+	Config      uint64                   `json:"config"`             // version of the responding node's configuration
+	Endpoints   changes[roster.Endpoint] `json:"endpoints"`
+	Rows        changes[table.Row]       `json:"rows"` // leases and addresses of nodes
 }
 
 // Source provides the state of the responding node.
 type Source struct {
-	Catalog   func() *catalog.Catalog
-	Confirmed func() clock.Instant // start of the read that confirmed the catalog
-	Roster    func() *roster.Roster
-	Rows      func() []table.Row
-	Era       func() uint64 // era of the platform's table
+	Catalog     func() *catalog.Catalog
+	ConfirmedAt func() clock.Instant // start of the read that confirmed the catalog
+	Roster      func() *roster.Roster
+	Rows        func() []table.Row
+	Era         func() uint64 // era of the platform's table
 }
 
 // Journal numbers the changes of endpoints and rows, so that a response contains only those
 // that the polling node lacks. Complete lists for every node each second took 192 KB/s per
 // node with 100 nodes and 1,000 endpoints.
 type Journal struct {
-	Life string // incarnation of the journal, random for each process
+	Incarnation string // incarnation of the journal, random for each process
 
 	mu         sync.Mutex
 	lastRoster *roster.Roster // the roster from which endpoints was last updated
@@ -74,15 +74,15 @@
 	rows       changeLog[table.Row]
 }
 
-// Take records the newest endpoints and rows, and returns the numbers of their newest changes.
-func (j *Journal) Take(r *roster.Roster, rows []table.Row) (endpoints, leases uint64) {
+// Update records the newest endpoints and rows, and returns the numbers of their newest changes.
+func (j *Journal) Update(r *roster.Roster, rows []table.Row) (endpoints, leases uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if r != j.lastRoster {
 		// A polling node only sends requests and does not plan groups, so it needs
 		// just the head of each group.
 		endpoints := map[string]roster.Endpoint{}
-		r.All(func(e *roster.Endpoint) {
+		r.ForEach(func(e *roster.Endpoint) {
 			if e.TakesRequests() {
 				endpoints[string(e.ID)] = *e
 			}
@@ -95,7 +95,7 @@
 		row.Attempt = "" // needed only by the row's writer
 		byKey[row.Key] = row
 	}
-	j.rows.update(byKey, table.Row.Same)
+	j.rows.update(byKey, table.Row.SameVersion)
 	return j.endpoints.seq, j.rows.seq
 }
 
@@ -109,16 +109,16 @@
 func (j *Journal) Since(have Have) State {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	known := have.Life == j.Life
+	known := have.Incarnation == j.Incarnation
 	return State{
-		Life:      j.Life,
-		Endpoints: j.endpoints.since(have.Endpoints, known),
-		Rows:      j.rows.since(have.Rows, known),
+		Incarnation: j.Incarnation,
+		Endpoints:   j.endpoints.since(have.Endpoints, known),
+		Rows:        j.rows.since(have.Rows, known),
 	}
 }
 
-// Answer returns the response to a node that has have, at now.
-func Answer(src Source, j *Journal, have Have, now clock.Instant) (State, Ages) {
+// BuildResponse returns the response to a node that has have, at now.
+func BuildResponse(src Source, j *Journal, have Have, now clock.Instant) (State, Ages) {
 	current, ages := takeSnapshot(src, j, now)
 	return current.stateSince(j, have), ages
 }
@@ -133,9 +133,9 @@
 // takeSnapshot updates the journal from the source and returns the current state and its ages.
 func takeSnapshot(src Source, j *Journal, now clock.Instant) (snapshot, Ages) {
 	r := src.Roster()
-	ages := Ages{Config: now.Sub(src.Confirmed()), Roster: now.Sub(r.Asked)}
+	ages := Ages{Config: now.Sub(src.ConfirmedAt()), Roster: now.Sub(r.RequestedAt)}
 	k := snapshot{catalog: src.Catalog(), era: src.Era()}
-	k.endpoints, k.rows = j.Take(r, src.Rows())
+	k.endpoints, k.rows = j.Update(r, src.Rows())
 	return k, ages
 }
 
@@ -152,23 +152,23 @@
 	return s
 }
 
-// Copy is a polling node's copy of the state of one responding node. There is one for each
+// Replica is a polling node's copy of the state of one responding node. There is one for each
 // responding node: change numbers are valid for one journal only, and with a single copy a
 // node that alternates between two would get the complete state each time.
-type Copy struct {
-	Life      string
-	Endpoints Table[roster.Endpoint]
-	Rows      Table[table.Row]
+type Replica struct {
+	Incarnation string
+	Endpoints   Table[roster.Endpoint]
+	Rows        Table[table.Row]
 }
 
 // Have returns the state to send with the next poll, without the configuration's version.
-func (c *Copy) Have() Have {
-	return Have{Life: c.Life, Endpoints: c.Endpoints.seq, Rows: c.Rows.seq}
+func (c *Replica) Have() Have {
+	return Have{Incarnation: c.Incarnation, Endpoints: c.Endpoints.seq, Rows: c.Rows.seq}
 }
 
 // Apply updates the copy from a response.
-func (c *Copy) Apply(s *State) {
-	c.Life = s.Life
+func (c *Replica) Apply(s *State) {
+	c.Incarnation = s.Incarnation
 	c.Endpoints.apply(s.Endpoints, func(e roster.Endpoint) string { return string(e.ID) })
 	c.Rows.apply(s.Rows, func(r table.Row) string { return r.Key })
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -63,8 +63,8 @@
 // any number of missed polls.
 func TestCopyMatchesJournalAfterEachResponse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		j := &Journal{Life: "a"}
-		var known Copy
+		j := &Journal{Incarnation: "a"}
+		var known Replica
 		states := map[string]string{}
 		for range rapid.IntRange(1, 30).Draw(t, "rounds") {
 			for range rapid.IntRange(0, 4).Draw(t, "changes") {
@@ -75,7 +75,7 @@
 				}
 				states[id] = fmt.Sprintf("g%d", rapid.IntRange(0, 3).Draw(t, "group"))
 			}
-			j.Take(rosterOf(states), rowsOf(states))
+			j.Update(rosterOf(states), rowsOf(states))
 			if rapid.Bool().Draw(t, "missed") {
 				continue
 			}
@@ -85,7 +85,7 @@
 				t.Fatalf("rows %v, want %v", got, want)
 			}
 			var want []roster.Endpoint
-			rosterOf(states).All(func(e *roster.Endpoint) { want = append(want, *e) })
+			rosterOf(states).ForEach(func(e *roster.Endpoint) { want = append(want, *e) })
 			if formatEndpoints(known.Endpoints.List) != formatEndpoints(want) {
 				t.Fatalf("known %s, want %s", formatEndpoints(known.Endpoints.List), formatEndpoints(want))
 			}
@@ -98,10 +98,10 @@
 // sends the complete state.
 func TestNewIncarnationSendsCompleteState(t *testing.T) {
 	is := is.New(t)
-	j := &Journal{Life: "b"}
+	j := &Journal{Incarnation: "b"}
 	states := map[string]string{"e1": "g"}
-	j.Take(rosterOf(states), rowsOf(states))
-	s := j.Since(Have{Life: "a", Endpoints: 40, Rows: 40})
+	j.Update(rosterOf(states), rowsOf(states))
+	s := j.Since(Have{Incarnation: "a", Endpoints: 40, Rows: 40})
 	is.True(s.Endpoints.Full)
 	is.Equal(len(s.Endpoints.Changed), 1)
 	is.True(s.Rows.Full)
@@ -119,14 +119,14 @@
 	asked := c.Now()
 	h := httptest.NewServer(&Server{
 		Source: Source{
-			Catalog: func() *catalog.Catalog { return cat }, Confirmed: func() clock.Instant { return asked },
+			Catalog: func() *catalog.Catalog { return cat }, ConfirmedAt: func() clock.Instant { return asked },
 			Roster: func() *roster.Roster {
 				return roster.Merge(roster.Empty(), roster.Listing{Endpoints: []roster.Endpoint{{ID: "e"}}}, asked, 0)
 			},
 			Rows: func() []table.Row { return []table.Row{{Key: "zone", Version: 3}} },
 			Era:  func() uint64 { return 2 },
 		},
-		Journal: &Journal{Life: "a"}, Clock: c, Log: slog.New(slog.DiscardHandler), Serving: func() bool { return serving },
+		Journal: &Journal{Incarnation: "a"}, Clock: c, Log: slog.New(slog.DiscardHandler), Serving: func() bool { return serving },
 	})
 	t.Cleanup(h.Close)
 	return NewClient(), strings.TrimPrefix(h.URL, "http://")
@@ -140,18 +140,18 @@
 	c := clock.NewManual(clock.Instant(time.Hour))
 	client, addr := startServer(t, c, true)
 	c.Advance(2 * time.Second)
-	s, ages, err := client.Ask(context.Background(), addr, Question{})
+	s, ages, err := client.Poll(context.Background(), addr, PollRequest{})
 	is.NoErr(err)
 	is.Equal(ages, Ages{Config: 2 * time.Second, Roster: 2 * time.Second})
 	is.Equal(s.Document.Version, uint64(7))
 	is.Equal(s.Rows.Changed[0].Version, uint64(3))
-	var known Copy
+	var known Replica
 	known.Apply(s)
 	have := known.Have()
 	have.Config = 7
 	c.Advance(time.Second)
 	for range 2 { // the second response is cached, but its age is not
-		again, ages, err := client.Ask(context.Background(), addr, Question{Have: have})
+		again, ages, err := client.Poll(context.Background(), addr, PollRequest{Have: have})
 		is.NoErr(err)
 		is.Equal(ages.Config, 3*time.Second)
 		is.Equal(again.Document, nil)
@@ -164,7 +164,7 @@
 func TestFollowerRefusesPolls(t *testing.T) {
 	is := is.New(t)
 	client, addr := startServer(t, clock.NewManual(1), false)
-	_, _, err := client.Ask(context.Background(), addr, Question{})
+	_, _, err := client.Poll(context.Background(), addr, PollRequest{})
 	is.True(err != nil)
 }
 
@@ -173,13 +173,13 @@
 // poll of that holder; complete ones would be megabytes per second in a large fleet.
 func TestAlternatingSourcesSendOnlyChanges(t *testing.T) {
 	is := is.New(t)
-	a, b := &Journal{Life: "a"}, &Journal{Life: "b"}
-	var fromA, fromB Copy
+	a, b := &Journal{Incarnation: "a"}, &Journal{Incarnation: "b"}
+	var fromA, fromB Replica
 	states := map[string]string{"e1": "g1", "e2": "g2"}
 	for round := range 4 {
 		states["e1"] = fmt.Sprintf("g%d", round)
-		for journal, known := range map[*Journal]*Copy{a: &fromA, b: &fromB} {
-			journal.Take(rosterOf(states), rowsOf(states))
+		for journal, known := range map[*Journal]*Replica{a: &fromA, b: &fromB} {
+			journal.Update(rosterOf(states), rowsOf(states))
 			s := journal.Since(known.Have())
 			known.Apply(&s)
 			is.Equal(s.Endpoints.Full, round == 0)
@@ -198,7 +198,7 @@
 			m.State = roster.Open
 		}
 		list = append(list, roster.Endpoint{
-			ID: roster.Life(fmt.Sprintf("i-%010x", uint32(i)*2654435761), uint64(1796276857479+i)), Service: "pool",
+			ID: roster.NewID(fmt.Sprintf("i-%010x", uint32(i)*2654435761), uint64(1796276857479+i)), Service: "pool",
 			Addr: fmt.Sprintf("10.%d.%d.%d:7000", i%3, i/250, i%250), Zone: "a", Slots: 48, Domain: fmt.Sprint("d", i/27),
 			Staged: []string{"model-one"}, Model: "model-one", Member: m,
 		})
@@ -215,13 +215,13 @@
 	is := is.New(t)
 	const link, nodes = 200e6 / 8 * 0.4, 100 // link capacity in bytes within 400 ms
 	r := rosterOfGroups(250)
-	s := &Server{Journal: &Journal{Life: "a"}, Source: Source{
-		Catalog: func() *catalog.Catalog { return nil }, Confirmed: func() clock.Instant { return 1 },
+	s := &Server{Journal: &Journal{Incarnation: "a"}, Source: Source{
+		Catalog: func() *catalog.Catalog { return nil }, ConfirmedAt: func() clock.Instant { return 1 },
 		Roster: func() *roster.Roster { return r }, Rows: func() []table.Row { return nil }, Era: func() uint64 { return 0 },
 	}}
 	body, _, err := s.response(Have{}, 2)
 	is.NoErr(err)
-	state, _ := Answer(s.Source, s.Journal, Have{}, 2)
+	state, _ := BuildResponse(s.Source, s.Journal, Have{}, 2)
 	is.Equal(len(state.Endpoints.Changed), 250)
 	is.True(len(body)*nodes < link/2)
 	t.Log(len(body), "bytes")
--- a/internal/feed/wire.go
+++ b/internal/feed/wire.go
@@ -32,8 +32,8 @@
 	// Serving reports whether this node reads the store itself; the state of a node that
 	// polls another one is older.
 	Serving func() bool
-	// Hear is called with each poll; may be nil.
-	Hear func(Question)
+	// OnPoll is called with each poll; may be nil.
+	OnPoll func(PollRequest)
 
 	mu              sync.Mutex
 	cachedResponses map[responseKey][]byte
@@ -46,13 +46,13 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	var q Question
+	var q PollRequest
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxStateBytes)).Decode(&q); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if s.Hear != nil {
-		s.Hear(q)
+	if s.OnPoll != nil {
+		s.OnPoll(q)
 	}
 	body, ages, err := s.response(q.Have, s.Clock.Now())
 	if err != nil {
@@ -139,9 +139,9 @@
 	}}}
 }
 
-// Ask polls the node at addr, ip:port. It returns the response and its ages, and fails if
+// Poll polls the node at addr, ip:port. It returns the response and its ages, and fails if
 // the node does not read the store itself.
-func (c *Client) Ask(ctx context.Context, addr string, q Question) (*State, Ages, error) {
+func (c *Client) Poll(ctx context.Context, addr string, q PollRequest) (*State, Ages, error) {
 	body, err := json.Marshal(q)
 	if err != nil {
 		return nil, Ages{}, err
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -75,7 +75,7 @@
 	VM           VM               `json:"vm"`
 	Kind         Kind             `json:"kind"`
 	Addr         string           `json:"addr"`        // ip:port of the HTTP port (engine, service) or of the peer port (entry)
-	Caller       string           `json:"caller_addr"` // ip:port of the caller port; entry VMs only
+	CallerAddr   string           `json:"caller_addr"` // ip:port of the caller port; entry VMs only
 	Service      string           `json:"service"`     // name of the plain service; service VMs only
 	Zone         AvailabilityZone `json:"zone"`
 	Domain       FabricDomain     `json:"domain"`       // engine VMs only
--- a/internal/formation/allot.go
+++ b/internal/formation/allot.go
@@ -83,7 +83,7 @@
 		if !p.formGroup(domain, g.model, g.members) {
 			break
 		}
-		free = slices.DeleteFunc(free, func(f *Fact) bool { return slices.Contains(g.members, f.ID) })
+		free = slices.DeleteFunc(free, func(f *EngineState) bool { return slices.Contains(g.members, f.ID) })
 	}
 	p.prepareFreeEngines(domain, free)
 }
@@ -135,9 +135,9 @@
 }
 
 // bestOption returns the best use of a domain's free engines.
-func (p *planner) bestOption(domain string, free []*Fact) option {
+func (p *planner) bestOption(domain string, free []*EngineState) option {
 	best := p.bestFormation(domain, nil, free)
-	if p.in.FreeLoads {
+	if p.in.BeforeFirstRequest {
 		return best
 	}
 	if len(free) == 0 {
@@ -201,7 +201,7 @@
 		}
 		last := time.Duration(0)
 		for _, id := range g.Members {
-			if f := p.in.Facts[id]; f != nil {
+			if f := p.in.Engines[id]; f != nil {
 				last = max(last, p.timeToReady(f, m))
 			}
 		}
@@ -212,12 +212,12 @@
 
 // bestFormation returns the best set of groups that can be formed from the free engines
 // and the members of the closed groups.
-func (p *planner) bestFormation(domain string, closed []*Group, free []*Fact) option {
+func (p *planner) bestFormation(domain string, closed []*Group, free []*EngineState) option {
 	pool := slices.Clone(free)
 	for _, g := range closed {
 		for _, id := range g.Members {
 			if p.isEligible(id) {
-				pool = append(pool, p.in.Facts[id])
+				pool = append(pool, p.in.Engines[id])
 			}
 		}
 	}
@@ -239,7 +239,7 @@
 
 // eachCombination calls f for each combination of groups that can be formed from a pool.
 // Of the last model it forms as many groups as the pool allows.
-func (p *planner) eachCombination(models []*catalog.Model, pool []*Fact, formed []candidateGroup, f func([]candidateGroup)) {
+func (p *planner) eachCombination(models []*catalog.Model, pool []*EngineState, formed []candidateGroup, f func([]candidateGroup)) {
 	if len(models) == 0 {
 		f(formed)
 		return
@@ -264,14 +264,14 @@
 // takeMembers returns a group of the engines that are ready for the model soonest, and
 // the remaining engines. The group is nil if there are too few engines or one would need
 // a load.
-func (p *planner) takeMembers(m *catalog.Model, pool []*Fact) (*candidateGroup, []*Fact) {
+func (p *planner) takeMembers(m *catalog.Model, pool []*EngineState) (*candidateGroup, []*EngineState) {
 	if m.Size > len(pool) {
 		return nil, pool
 	}
 	sorted := slices.Clone(pool)
-	slices.SortStableFunc(sorted, func(a, b *Fact) int { return cmp.Compare(p.timeToReady(a, m), p.timeToReady(b, m)) })
+	slices.SortStableFunc(sorted, func(a, b *EngineState) int { return cmp.Compare(p.timeToReady(a, m), p.timeToReady(b, m)) })
 	g := &candidateGroup{model: m, timeToReady: p.timeToReady(sorted[m.Size-1], m)}
-	if p.in.FreeLoads {
+	if p.in.BeforeFirstRequest {
 		g.timeToReady = 0 // the loads of all groups run concurrently
 	}
 	if g.timeToReady > maxJoinWithoutLoad {
@@ -333,7 +333,7 @@
 		return n
 	}
 	engines := 0
-	for id := range p.in.Facts {
+	for id := range p.in.Engines {
 		if p.isEligible(id) {
 			engines++
 		}
--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -38,12 +38,12 @@
 	Params  func(*catalog.Engine) Params
 	Catalog func() *catalog.Catalog
 	Roster  func() *roster.Roster
-	// FreeLoads reports whether no request has arrived yet, so that loads need no
+	// BeforeFirstRequest reports whether no request has arrived yet, so that loads need no
 	// throttling.
-	FreeLoads func() bool
-	// Signs returns the time of an endpoint's newest activity on this node's own
+	BeforeFirstRequest func() bool
+	// Activity returns the time of an endpoint's newest activity on this node's own
 	// requests (0 if none), and whether activity is overdue.
-	Signs func(roster.ID) (last clock.Instant, suspect bool)
+	Activity func(roster.ID) (last clock.Instant, suspect bool)
 	// Demand returns the zone's recent demand for a service.
 	Demand func(service string) demand.Demand
 	// ManyNodes reports whether the zone has so many nodes that each has only a few of a
@@ -53,7 +53,7 @@
 	Announce func(roster.Hint)
 
 	mu            sync.Mutex // guards the fields below
-	facts         map[roster.ID]*Fact
+	facts         map[roster.ID]*EngineState
 	probes        map[roster.ID]*probe
 	ledger        Ledger
 	ledgerRow     table.Row     // table row of the ledger, as last read or written
@@ -136,8 +136,8 @@
 	return c
 }
 
-// Nudge triggers a tick at once, for example after the lease was acquired.
-func (c *Controller) Nudge() { c.signalWake() }
+// TriggerTick triggers a tick at once, for example after the lease was acquired.
+func (c *Controller) TriggerTick() { c.signalWake() }
 
 func (c *Controller) signalWake() {
 	select {
@@ -202,7 +202,7 @@
 		c.fence, c.epochs = grant.Fence, 0
 	}
 	c.tenureStart = c.Clock.Now()
-	c.facts = map[roster.ID]*Fact{}
+	c.facts = map[roster.ID]*EngineState{}
 	c.probes = map[roster.ID]*probe{}
 	c.memories = map[string]*Memory{}
 	c.reportRTT = roundTrip{}
@@ -250,7 +250,7 @@
 			continue
 		}
 		out := c.planService(s)
-		for id, pause := range out.Hurry {
+		for id, pause := range out.ProbeDelays {
 			c.probeWithin(id, pause)
 		}
 		all = append(all, servicePlan{s.Name, out})
@@ -264,23 +264,23 @@
 		mem = NewMemory()
 		c.memories[s.Name] = mem
 	}
-	facts := map[roster.ID]*Fact{}
+	facts := map[roster.ID]*EngineState{}
 	r := c.Roster()
 	for id, f := range c.facts {
 		e := r.Get(id)
 		if e != nil && e.Service != s.Name {
 			continue
 		}
-		f.Sign, f.Suspect = c.Signs(id)
+		f.LastActivity, f.Stalled = c.Activity(id)
 		if p := c.probes[id]; p != nil && c.Clock.Now().Before(p.suspectUntil) {
-			f.Suspect = true // in a large fleet most requests at a head come from other nodes
+			f.Stalled = true // in a large fleet most requests at a head come from other nodes
 		}
 		facts[id] = f
 	}
 	return Plan(&Input{
-		Now: c.Clock.Now(), Since: c.tenureStart, Zone: c.Zone, Service: s.Name, Engine: s.Engine,
-		Facts: facts, Ledger: c.ledger, NextEpoch: c.nextEpoch, Demand: c.Demand(s.Name),
-		FreeLoads: c.FreeLoads(), Params: c.Params(s.Engine),
+		Now: c.Clock.Now(), TenureStart: c.tenureStart, Zone: c.Zone, Service: s.Name, Engine: s.Engine,
+		Engines: facts, Ledger: c.ledger, NextEpoch: c.nextEpoch, Demand: c.Demand(s.Name),
+		BeforeFirstRequest: c.BeforeFirstRequest(), Params: c.Params(s.Engine),
 	}, mem)
 }
 
--- a/internal/formation/form.go
+++ b/internal/formation/form.go
@@ -14,7 +14,7 @@
 // domains returns the fabric domains of the zone's engines, sorted.
 func (p *planner) domains() []string {
 	var out []string
-	for _, f := range p.in.Facts {
+	for _, f := range p.in.Engines {
 		if !slices.Contains(out, f.Domain) {
 			out = append(out, f.Domain)
 		}
@@ -25,9 +25,9 @@
 
 // freeEngines returns the engines of a domain that are available for a new group, sorted
 // by ID. It orders engines in unclaimed groups to leave them.
-func (p *planner) freeEngines(domain string) []*Fact {
-	var out []*Fact
-	for id, f := range p.in.Facts {
+func (p *planner) freeEngines(domain string) []*EngineState {
+	var out []*EngineState
+	for id, f := range p.in.Engines {
 		if f.Domain != domain || p.claimed[id] || !p.isEligible(id) {
 			continue
 		}
@@ -35,14 +35,14 @@
 			out = append(out, f)
 		}
 	}
-	slices.SortFunc(out, func(a, b *Fact) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b *EngineState) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
 // isEligible reports whether an engine may be a member of a new group. Slow engines are
 // excluded, because a group runs at the speed of its slowest member.
 func (p *planner) isEligible(id roster.ID) bool {
-	f := p.in.Facts[id]
+	f := p.in.Engines[id]
 	return f != nil && !f.Draining && f.Listed && p.health(id) == alive && !f.isSlow()
 }
 
@@ -51,7 +51,7 @@
 // still meets its event deadlines.
 const slowPace = 1.5
 
-func (f *Fact) isSlow() bool { return f.Report.Pace > slowPace }
+func (f *EngineState) isSlow() bool { return f.Report.Pace > slowPace }
 
 // supply returns the number of engines in a model's groups relative to the model's share
 // of the work.
@@ -97,9 +97,9 @@
 const groupCloseTime = 500 * time.Millisecond
 
 // chooseMembers returns the engines that can join a group of the model soonest.
-func (p *planner) chooseMembers(free []*Fact, m *catalog.Model) []roster.ID {
+func (p *planner) chooseMembers(free []*EngineState, m *catalog.Model) []roster.ID {
 	sorted := slices.Clone(free)
-	slices.SortStableFunc(sorted, func(a, b *Fact) int {
+	slices.SortStableFunc(sorted, func(a, b *EngineState) int {
 		return cmp.Compare(p.timeToReady(a, m), p.timeToReady(b, m))
 	})
 	ids := make([]roster.ID, m.Size)
@@ -113,7 +113,7 @@
 const hotJoinTime = 200 * time.Millisecond
 
 // timeToReady estimates the time until the engine could be ready in a group of the model.
-func (p *planner) timeToReady(f *Fact, m *catalog.Model) time.Duration {
+func (p *planner) timeToReady(f *EngineState, m *catalog.Model) time.Duration {
 	switch {
 	case f.Report.Model == m.Name:
 		return hotJoinTime
@@ -135,7 +135,7 @@
 func (p *planner) formGroup(domain string, m *catalog.Model, members []roster.ID) bool {
 	requiredLoads := 0
 	for _, id := range members {
-		if p.needsLoad(p.in.Facts[id], m.Name) {
+		if p.needsLoad(p.in.Engines[id], m.Name) {
 			requiredLoads++
 		}
 	}
@@ -143,7 +143,7 @@
 		return false
 	}
 	for _, id := range members {
-		if p.needsLoad(p.in.Facts[id], m.Name) {
+		if p.needsLoad(p.in.Engines[id], m.Name) {
 			p.recordLoad(id, m.Name)
 		}
 	}
@@ -168,7 +168,7 @@
 		if i > 0 {
 			b.WriteByte(' ')
 		}
-		fmt.Fprintf(&b, "%s(%v)", id, p.timeToReady(p.in.Facts[id], m).Round(100*time.Millisecond))
+		fmt.Fprintf(&b, "%s(%v)", id, p.timeToReady(p.in.Engines[id], m).Round(100*time.Millisecond))
 	}
 	return b.String()
 }
--- a/internal/formation/formation.go
+++ b/internal/formation/formation.go
@@ -79,90 +79,90 @@
 	// Count, if set, is the number of orders that the engine must have begun so far. If
 	// the engine's count differs, it answers Conflict and ignores the order. This voids
 	// a delayed join once the engine has begun a newer order.
-	Count  *uint64
-	Reason string
+	ExpectedCount *uint64
+	Reason        string
 }
 
-// Verdict is an engine's response to an order.
-type Verdict int
+// OrderResult is an engine's response to an order.
+type OrderResult int
 
 // The possible responses.
 const (
-	Lost      Verdict = iota // no response: the order may be executed now, later or never
-	Begun                    // accepted, in progress
-	Done                     // the requested state is already reached
-	Rejected                 // a join with an epoch that the engine has superseded
-	Conflict                 // the engine's state or order count doesn't match
-	OtherLife                // another process has the address: the engine is gone
+	Lost         OrderResult = iota // no response: the order may be executed now, later or never
+	Begun                           // accepted, in progress
+	Done                            // the requested state is already reached
+	Rejected                        // a join with an epoch that the engine has superseded
+	Conflict                        // the engine's state or order count doesn't match
+	OtherProcess                    // another process has the address: the engine is gone
 )
 
 var verdictText = [...]string{"lost", "begun", "done", "rejected", "conflict", "other_life"}
 
 // String returns the name used in logs.
-func (v Verdict) String() string { return verdictText[v] }
+func (v OrderResult) String() string { return verdictText[v] }
 
-// ErrOtherLife is returned when another process answers at an engine's address. The
+// ErrOtherProcess is returned when another process answers at an engine's address. The
 // engine that had the address has ended permanently.
-var ErrOtherLife = errors.New("formation: another process has the engine's address; the engine is gone")
+var ErrOtherProcess = errors.New("formation: another process has the engine's address; the engine is gone")
 
-// ErrReborn is returned when an engine has restarted under its name and address. The
+// ErrRestarted is returned when an engine has restarted under its name and address. The
 // requested incarnation has ended, and its state is lost.
-var ErrReborn = errors.New("formation: the engine has restarted; its previous incarnation has ended")
+var ErrRestarted = errors.New("formation: the engine has restarted; its previous incarnation has ended")
 
-// ErrEarlierLife is returned for a response from an earlier incarnation than the
+// ErrEarlierIncarnation is returned for a response from an earlier incarnation than the
 // requested one. It says nothing about the requested incarnation.
-var ErrEarlierLife = errors.New("formation: the response is from an earlier incarnation of the engine and is ignored")
+var ErrEarlierIncarnation = errors.New("formation: the response is from an earlier incarnation of the engine and is ignored")
 
 // Report is an engine's reported state.
 type Report struct {
-	Member roster.Membership
-	Count  uint64 // number of orders that the engine has begun
-	Model  string // model of the newest group
-	Staged []string
-	Domain string
-	Busy   bool // an order is in progress
-	Queued int
-	Active int
-	Pace   float64 // factor on the engine's usual times; slow if above 1
+	Member     roster.Membership
+	OrderCount uint64 // number of orders that the engine has begun
+	Model      string // model of the newest group
+	Staged     []string
+	Domain     string
+	Busy       bool // an order is in progress
+	Queued     int
+	Active     int
+	Pace       float64 // factor on the engine's usual times; slow if above 1
 }
 
 // Engines sends orders to engines and queries their state.
 type Engines interface {
 	Report(ctx context.Context, addr string, id roster.ID) (Report, error)
-	Order(ctx context.Context, addr string, o Order) (Verdict, error)
+	Order(ctx context.Context, addr string, o Order) (OrderResult, error)
 }
 
-// Fact is the known state of one engine.
-type Fact struct {
-	ID       roster.ID
-	Addr     string // ip:port
-	Domain   string
-	Draining bool
-	Listed   bool          // in the platform's list of endpoints
-	Report   Report        // newest report
-	Answered clock.Instant // when the newest report was requested; 0 if none
-	Failing  clock.Instant // start of the first failed probe in the current run of failures; 0 if the last one succeeded
-	Failures int           // consecutive failed probes
-	Missed   clock.Instant // when the newest failed probe was started
-	Regained clock.Instant // when the first successful probe after the newest failure was started; 0 if none has failed
-	Gone     bool          // the process has certainly ended
-	Reborn   bool          // the engine has restarted under its name and address
-	Sure     clock.Instant // until then, answers to orders override reports, which lag
-	Counted  clock.Instant // reports requested before this may contain an order count that is too low
-	Begun    string        // group of the newest join that the engine has begun
-	Sign     clock.Instant // newest activity seen on requests that the engine serves as a head
-	Refused  string        // group that the engine refused to join because it has seen a later epoch
-	Suspect  bool          // requests that the engine serves as a head have stalled
+// EngineState is the known state of one engine.
+type EngineState struct {
+	ID              roster.ID
+	Addr            string // ip:port
+	Domain          string
+	Draining        bool
+	Listed          bool          // in the platform's list of endpoints
+	Report          Report        // newest report
+	ReportedAt      clock.Instant // when the newest report was requested; 0 if none
+	FailingSince    clock.Instant // start of the first failed probe in the current run of failures; 0 if the last one succeeded
+	Failures        int           // consecutive failed probes
+	LastMissedAt    clock.Instant // when the newest failed probe was started
+	RecoveredAt     clock.Instant // when the first successful probe after the newest failure was started; 0 if none has failed
+	Ended           bool          // the process has certainly ended
+	Restarted       bool          // the engine has restarted under its name and address
+	OrderStateUntil clock.Instant // until then, answers to orders override reports, which lag
+	OrderCountUntil clock.Instant // reports requested before this may contain an order count that is too low
+	LastJoin        string        // group of the newest join that the engine has begun
+	LastActivity    clock.Instant // newest activity seen on requests that the engine serves as a head
+	RefusedGroup    string        // group that the engine refused to join because it has seen a later epoch
+	Stalled         bool          // requests that the engine serves as a head have stalled
 }
 
 // Params contains the timeouts and limits of the planner.
 type Params struct {
-	DeadAfter    time.Duration // an engine is dead once probes have failed for this long
-	DeadFailures int           // and at least this many have failed in a row
-	Resend       time.Duration // delay before an order without visible effect is repeated
-	LoadWindow   time.Duration // window of LoadsPer
-	LoadsPer     int           // loads that the zone may start in a LoadWindow
-	LoadsAtOnce  int           // loads that the zone may run concurrently
+	DeadAfter          time.Duration // an engine is dead once probes have failed for this long
+	DeadFailures       int           // and at least this many have failed in a row
+	ResendInterval     time.Duration // delay before an order without visible effect is repeated
+	LoadWindow         time.Duration // window of LoadsPerWindow
+	LoadsPerWindow     int           // loads that the zone may start in a LoadWindow
+	MaxConcurrentLoads int           // loads that the zone may run concurrently
 }
 
 // DefaultParams returns the parameters for the platform's load window, the number of
@@ -172,7 +172,7 @@
 		// Two probes of 250 ms. A single lost packet is resent within 200 ms and fails
 		// no probe.
 		DeadAfter: 400 * time.Millisecond, DeadFailures: 2,
-		Resend:     time.Second,
-		LoadWindow: loadWindow, LoadsPer: loads, LoadsAtOnce: atOnce,
+		ResendInterval: time.Second,
+		LoadWindow:     loadWindow, LoadsPerWindow: loads, MaxConcurrentLoads: atOnce,
 	}
 }
--- a/internal/formation/giving.go
+++ b/internal/formation/giving.go
@@ -16,10 +16,10 @@
 
 // applyPlan commits changed claims and then sends the orders.
 func (c *Controller) applyPlan(ctx context.Context, grant lease.Grant, p servicePlan) {
-	for _, n := range p.output.Notes {
+	for _, n := range p.output.Decisions {
 		c.Log.Info("groups", "zone", c.Zone, "service", p.service, "fence", grant.Fence, "decision", n)
 	}
-	for _, h := range slices.Concat(p.output.Lost, p.output.Back) {
+	for _, h := range slices.Concat(p.output.Lost, p.output.Resumed) {
 		c.Announce(h)
 	}
 	if p.output.Changed && !c.commit(ctx, grant, p.output.Ledger) {
@@ -146,66 +146,66 @@
 const reportLag = 400 * time.Millisecond
 
 // applyVerdict updates the engine's known state from its response to an order.
-func (f *Fact) applyVerdict(o Order, v Verdict, now clock.Instant) {
+func (f *EngineState) applyVerdict(o Order, v OrderResult, now clock.Instant) {
 	f.updateOrderCount(o, v, now)
 	switch {
-	case v == OtherLife:
-		f.Gone = true
+	case v == OtherProcess:
+		f.Ended = true
 	case o.Op == Leave && v == Done && f.Report.Member.Group == o.Group:
 		f.Report.Member = roster.Membership{} // a leave takes effect at once
-		f.Sure = now.Add(reportLag)
+		f.OrderStateUntil = now.Add(reportLag)
 	case o.Op == Join && v == Begun && len(o.Members) == 1:
 		f.Report.Member = roster.Membership{Group: o.Group, Epoch: o.Epoch, State: roster.Joining}
 		f.Report.Model = o.Model // no second order for a spare that joins its own group
-		f.Sure = now.Add(reportLag)
+		f.OrderStateUntil = now.Add(reportLag)
 	case o.Op == Join && v == Rejected:
-		f.Refused = o.Group
+		f.RefusedGroup = o.Group
 	case o.Op == Join && v == Done:
 		f.Report.Member = roster.Membership{
 			Group: o.Group, Epoch: o.Epoch, Rank: slices.Index(o.Members, f.ID), State: roster.Ready,
 		}
 		f.Report.Model = o.Model
-		f.Sure = now.Add(reportLag)
+		f.OrderStateUntil = now.Add(reportLag)
 	}
 }
 
 // updateOrderCount tracks the number of orders that the engine has begun. An order whose
 // state is already reached isn't counted, except a leave, which takes effect at once.
-func (f *Fact) updateOrderCount(o Order, v Verdict, now clock.Instant) {
+func (f *EngineState) updateOrderCount(o Order, v OrderResult, now clock.Instant) {
 	begins := v == Begun
 	switch o.Op {
 	case Join:
 		// A repeated join continues the one in progress and isn't counted again. A
 		// count that is too high would admit a delayed join after a leave.
-		begins = begins && f.Begun != o.Group && f.Report.Member.Group != o.Group
+		begins = begins && f.LastJoin != o.Group && f.Report.Member.Group != o.Group
 		if v == Begun {
-			f.Begun = o.Group
+			f.LastJoin = o.Group
 		}
 	case Leave:
 		begins = v == Done && f.Report.Member.Group == o.Group
 	}
 	switch {
 	case v == Conflict:
-		f.Counted = 0 // the assumed count is wrong; accept the one in the next report
+		f.OrderCountUntil = 0 // the assumed count is wrong; accept the one in the next report
 	case begins:
-		f.Report.Count++
-		f.Counted = now.Add(reportLag)
+		f.Report.OrderCount++
+		f.OrderCountUntil = now.Add(reportLag)
 	}
 }
 
 // applyReport stores a report that was requested at the given time. State known from
 // responses to orders takes precedence over reports that may be older.
-func (f *Fact) applyReport(rep Report, asked clock.Instant) {
-	if asked.Before(f.Sure) {
+func (f *EngineState) applyReport(rep Report, asked clock.Instant) {
+	if asked.Before(f.OrderStateUntil) {
 		rep.Member, rep.Model = f.Report.Member, f.Report.Model
 	}
-	if asked.Before(f.Counted) {
-		rep.Count = f.Report.Count
+	if asked.Before(f.OrderCountUntil) {
+		rep.OrderCount = f.Report.OrderCount
 	}
 	if f.Failures > 0 {
-		f.Regained = asked
+		f.RecoveredAt = asked
 	}
-	f.Report, f.Answered, f.Failing, f.Failures = rep, asked, 0, 0
+	f.Report, f.ReportedAt, f.FailingSince, f.Failures = rep, asked, 0, 0
 	if rep.Domain != "" {
 		f.Domain = rep.Domain
 	}
@@ -213,7 +213,7 @@
 
 // announceOrderEffect notifies the nodes of a head that has started or stopped accepting
 // requests because of an order. An open order takes effect after the form time.
-func (c *Controller) announceOrderEffect(ctx context.Context, o Order, v Verdict) {
+func (c *Controller) announceOrderEffect(ctx context.Context, o Order, v OrderResult) {
 	if v != Begun && v != Done {
 		return
 	}
--- a/internal/formation/plan.go
+++ b/internal/formation/plan.go
@@ -13,33 +13,33 @@
 
 // Input is the input of a plan for one service in one availability zone.
 type Input struct {
-	Now     clock.Instant
-	Since   clock.Instant // start of this tenure
-	Zone    string
-	Service string
-	Engine  *catalog.Engine
-	Facts   map[roster.ID]*Fact
-	Ledger  Ledger
+	Now         clock.Instant
+	TenureStart clock.Instant // start of this tenure
+	Zone        string
+	Service     string
+	Engine      *catalog.Engine
+	Engines     map[roster.ID]*EngineState
+	Ledger      Ledger
 	// NextEpoch returns an epoch higher than all epochs issued before.
 	NextEpoch func() uint64
 	// Demand is the zone's recent demand for the service.
 	Demand demand.Demand
-	// FreeLoads is set while no request has arrived yet: loads slow nothing down then
+	// BeforeFirstRequest is set while no request has arrived yet: loads slow nothing down then
 	// and need no throttling.
-	FreeLoads bool
-	Params    Params
+	BeforeFirstRequest bool
+	Params             Params
 }
 
 // Output is a plan: the updated claims and the orders. Orders may be sent only after the
 // claims have been committed.
 type Output struct {
-	Ledger  Ledger
-	Changed bool
-	Orders  []Order
-	Hurry   map[roster.ID]time.Duration // engines with a pending change, with the delay until the next probe
-	Notes   []string                    // decisions about groups, with their reasons
-	Lost    []roster.Hint               // heads of groups that have just lost a member
-	Back    []roster.Hint               // heads of groups that were considered lost and have resumed
+	Ledger      Ledger
+	Changed     bool
+	Orders      []Order
+	ProbeDelays map[roster.ID]time.Duration // engines with a pending change, with the delay until the next probe
+	Decisions   []string                    // decisions about groups, with their reasons
+	Lost        []roster.Hint               // heads of groups that have just lost a member
+	Resumed     []roster.Hint               // heads of groups that were considered lost and have resumed
 }
 
 // Memory is the planner's state between the plans of one tenure. A new owner starts with
@@ -131,7 +131,7 @@
 	if c != nil && p.canResume(g, c) {
 		delete(p.mem.closing, g.Name)
 		p.noteDecision("group %s resumes: its members respond again", g.Name)
-		p.out.Back = append(p.out.Back, p.hintOf(g, roster.Open))
+		p.out.Resumed = append(p.out.Resumed, p.hintOf(g, roster.Open))
 		c = nil
 	}
 	if c == nil {
@@ -162,7 +162,7 @@
 }
 
 func (p *planner) isInGroup(id roster.ID, g *Group) bool {
-	f := p.in.Facts[id]
+	f := p.in.Engines[id]
 	return f != nil && f.Report.Member.Group == g.Name && f.Report.Member.Epoch == g.Epoch
 }
 
@@ -172,7 +172,7 @@
 // second ID counted as a ready member and a group opened that lacked one. An engine
 // derives its rank from its own ID in the member list, so ranks are unique.
 func (p *planner) hasRank(id roster.ID, g *Group, rank int) bool {
-	return p.isInGroup(id, g) && p.in.Facts[id].Report.Member.Rank == rank
+	return p.isInGroup(id, g) && p.in.Engines[id].Report.Member.Rank == rank
 }
 
 // isOutOfGroup reports whether an engine is known not to be in the group. Reports lag:
@@ -180,12 +180,12 @@
 // owner that mistook "not yet joined" for "left" released members of a group whose head
 // was opening, and they joined another group.
 func (p *planner) isOutOfGroup(id roster.ID, g *Group) bool {
-	f := p.in.Facts[id]
+	f := p.in.Engines[id]
 	if f == nil || p.isInGroup(id, g) {
 		return false
 	}
-	since := max(p.in.Since, p.mem.sent[orderKey{id, Join, g.Name}])
-	return !f.Answered.Before(since.Add(reportLag))
+	since := max(p.in.TenureStart, p.mem.sent[orderKey{id, Join, g.Name}])
+	return !f.ReportedAt.Before(since.Add(reportLag))
 }
 
 // advanceGroup gives the orders for the group's next step towards serving.
@@ -195,7 +195,7 @@
 		if p.health(m) != alive {
 			continue
 		}
-		f := p.in.Facts[m]
+		f := p.in.Engines[m]
 		if !p.hasRank(m, g, rank) {
 			if p.mem.formed[g.Name] { // otherwise decideClose closes the group
 				p.orderJoin(m, g)
@@ -212,7 +212,7 @@
 	if m := p.in.Engine.Model(g.Model); ready < len(g.Members) || m == nil || ready < m.Size {
 		return
 	}
-	if p.in.Facts[g.Head()].Report.Member.State == roster.Open {
+	if p.in.Engines[g.Head()].Report.Member.State == roster.Open {
 		if !p.mem.opened[g.Name] {
 			p.mem.opened[g.Name] = true
 			p.noteDecision("group %s serves after %v", g.Name, p.in.Now.Sub(p.mem.firstSeen[g.Name]).Round(time.Millisecond))
@@ -239,7 +239,7 @@
 		if m == nil {
 			return
 		}
-		if in := p.timeToReady(p.in.Facts[id], m); in <= maxJoinWithoutLoad {
+		if in := p.timeToReady(p.in.Engines[id], m); in <= maxJoinWithoutLoad {
 			p.mem.joinDue[key] = p.in.Now.Add(in + joinMargin)
 		}
 	}
@@ -257,7 +257,7 @@
 // reports whether the order was added.
 func (p *planner) orderOnce(o Order) bool {
 	k := orderKey{o.To, o.Op, o.Group}
-	if at, ok := p.mem.sent[k]; ok && p.in.Now.Sub(at) < p.in.Params.Resend {
+	if at, ok := p.mem.sent[k]; ok && p.in.Now.Sub(at) < p.in.Params.ResendInterval {
 		return false
 	}
 	p.mem.sent[k] = p.in.Now
@@ -270,9 +270,9 @@
 // the group that it serves in by then, or return it to a group whose head is open. Every
 // order that removes an engine from a group raises the count, which voids such a join.
 func (p *planner) addOrder(o Order) {
-	if f := p.in.Facts[o.To]; f != nil && o.Op == Join {
-		count := f.Report.Count
-		o.Count = &count
+	if f := p.in.Engines[o.To]; f != nil && o.Op == Join {
+		count := f.Report.OrderCount
+		o.ExpectedCount = &count
 	}
 	p.out.Orders = append(p.out.Orders, o)
 }
@@ -281,11 +281,11 @@
 func (p *planner) probeSoon(id roster.ID) { p.probeWithin(id, orderProbeDelay) }
 
 func (p *planner) probeWithin(id roster.ID, pause time.Duration) {
-	if p.out.Hurry == nil {
-		p.out.Hurry = map[roster.ID]time.Duration{}
+	if p.out.ProbeDelays == nil {
+		p.out.ProbeDelays = map[roster.ID]time.Duration{}
 	}
-	if old, ok := p.out.Hurry[id]; !ok || pause < old {
-		p.out.Hurry[id] = pause
+	if old, ok := p.out.ProbeDelays[id]; !ok || pause < old {
+		p.out.ProbeDelays[id] = pause
 	}
 }
 
@@ -296,12 +296,12 @@
 )
 
 func (p *planner) noteDecision(format string, args ...any) {
-	p.out.Notes = append(p.out.Notes, fmt.Sprintf(format, args...))
+	p.out.Decisions = append(p.out.Decisions, fmt.Sprintf(format, args...))
 }
 
 func (p *planner) sortedIDs() []roster.ID {
-	ids := make([]roster.ID, 0, len(p.in.Facts))
-	for id := range p.in.Facts {
+	ids := make([]roster.ID, 0, len(p.in.Engines))
+	for id := range p.in.Engines {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
--- a/internal/formation/prepare.go
+++ b/internal/formation/prepare.go
@@ -18,8 +18,8 @@
 // isLost reports whether the load order was lost, so that the engine certainly isn't
 // loading. Only a report newer than the order by the order timeout and the report lag is
 // conclusive.
-func (l load) isLost(f *Fact) bool {
-	return !f.Report.Busy && f.Answered.Sub(l.since) > orderTimeout+reportLag
+func (l load) isLost(f *EngineState) bool {
+	return !f.Report.Busy && f.ReportedAt.Sub(l.since) > orderTimeout+reportLag
 }
 
 func (p *planner) standbyOrder(id roster.ID, model, reason string) Order {
@@ -30,7 +30,7 @@
 	}
 }
 
-func (p *planner) needsLoad(f *Fact, model string) bool {
+func (p *planner) needsLoad(f *EngineState, model string) bool {
 	if f.Report.Model == model || slices.Contains(f.Report.Staged, model) {
 		return false
 	}
@@ -42,15 +42,15 @@
 // loads at full speed and divides its rate among more: started in sequence, the first
 // ones finish long before all of them would.
 func (p *planner) canStartLoads(n int) bool {
-	return n == 0 || p.in.FreeLoads ||
-		len(p.mem.loadStarts)+n <= p.in.Params.LoadsPer && p.countRunningLoads()+n <= p.in.Params.LoadsAtOnce
+	return n == 0 || p.in.BeforeFirstRequest ||
+		len(p.mem.loadStarts)+n <= p.in.Params.LoadsPerWindow && p.countRunningLoads()+n <= p.in.Params.MaxConcurrentLoads
 }
 
 // countRunningLoads counts the engines of the zone that load weights, including loads
 // ordered by a previous owner.
 func (p *planner) countRunningLoads() int {
 	n := 0
-	for id, f := range p.in.Facts {
+	for id, f := range p.in.Engines {
 		if p.isStaging(id) && p.health(id) != dead && f.Listed {
 			n++
 		}
@@ -60,7 +60,7 @@
 
 // hasWaitingEmptyEngine reports whether an engine without weights could start a load.
 func (p *planner) hasWaitingEmptyEngine() bool {
-	for id, f := range p.in.Facts {
+	for id, f := range p.in.Engines {
 		if p.hasNoWeights(f) && f.Listed && !f.Draining && !p.isStaging(id) && p.health(id) == alive {
 			return true
 		}
@@ -68,7 +68,7 @@
 	return false
 }
 
-func (p *planner) hasNoWeights(f *Fact) bool {
+func (p *planner) hasNoWeights(f *EngineState) bool {
 	return f.Report.Model == "" && len(f.Report.Staged) == 0
 }
 
@@ -80,7 +80,7 @@
 // pruneLoads drops loads that are complete or whose order was lost.
 func (p *planner) pruneLoads() {
 	for id, l := range p.mem.loading {
-		f := p.in.Facts[id]
+		f := p.in.Engines[id]
 		if f == nil || slices.Contains(f.Report.Staged, l.model) || f.Report.Model == l.model || l.isLost(f) {
 			delete(p.mem.loading, id)
 		}
@@ -102,7 +102,7 @@
 // prepareFreeEngines prepares free engines: first those for the next groups, then the
 // spares. A prepared engine has the weights staged on its host and is in a group of its
 // own, from which it can join another one in hotJoinTime.
-func (p *planner) prepareFreeEngines(domain string, free []*Fact) {
+func (p *planner) prepareFreeEngines(domain string, free []*EngineState) {
 	rest := slices.Clone(free)
 	for {
 		m, members := p.nextGroup(domain, rest)
@@ -111,9 +111,9 @@
 		}
 		p.groupsInPreparation[m.Name]++
 		for _, id := range members {
-			p.prepareSpare(p.in.Facts[id], m)
+			p.prepareSpare(p.in.Engines[id], m)
 		}
-		rest = slices.DeleteFunc(rest, func(f *Fact) bool { return slices.Contains(members, f.ID) })
+		rest = slices.DeleteFunc(rest, func(f *EngineState) bool { return slices.Contains(members, f.ID) })
 	}
 	for _, m := range p.spareModels(len(rest)) {
 		i := p.readiestIndex(rest, m)
@@ -129,7 +129,7 @@
 
 // nextGroup returns the model whose next group costs the least, by missing loads and
 // supply, and the engines for it. The model is nil if there are too few engines.
-func (p *planner) nextGroup(domain string, free []*Fact) (*catalog.Model, []roster.ID) {
+func (p *planner) nextGroup(domain string, free []*EngineState) (*catalog.Model, []roster.ID) {
 	var best *catalog.Model
 	var bestMembers []roster.ID
 	var bestCost float64
@@ -141,7 +141,7 @@
 		members := p.chooseMembers(free, m)
 		missingLoads := 0
 		for _, id := range members {
-			if p.timeToReady(p.in.Facts[id], m) > maxJoinWithoutLoad {
+			if p.timeToReady(p.in.Engines[id], m) > maxJoinWithoutLoad {
 				missingLoads++
 			}
 		}
@@ -170,7 +170,7 @@
 	return out
 }
 
-func (p *planner) readiestIndex(fs []*Fact, m *catalog.Model) int {
+func (p *planner) readiestIndex(fs []*EngineState, m *catalog.Model) int {
 	best := 0
 	for i, f := range fs {
 		if p.timeToReady(f, m) < p.timeToReady(fs[best], m) {
@@ -180,7 +180,7 @@
 	return best
 }
 
-func (p *planner) prepareSpare(f *Fact, m *catalog.Model) {
+func (p *planner) prepareSpare(f *EngineState, m *catalog.Model) {
 	switch {
 	case f.Report.Model == m.Name:
 		return
@@ -201,7 +201,7 @@
 // of a domain can then form a group of either model without a load.
 func (p *planner) stageAlternates() {
 	for _, id := range p.sortedIDs() {
-		f := p.in.Facts[id]
+		f := p.in.Engines[id]
 		hot := f.Report.Model
 		if hot == "" || f.Draining || !f.Listed || p.health(id) != alive || !isReadyInGroup(f) {
 			continue
@@ -217,7 +217,7 @@
 
 // isReadyInGroup reports whether the engine has completed its join. Staging during a join
 // would delay it, because a join from the host waits for a running load.
-func isReadyInGroup(f *Fact) bool {
+func isReadyInGroup(f *EngineState) bool {
 	return f.Report.Member.State == roster.Ready || f.Report.Member.State == roster.Open
 }
 
@@ -240,17 +240,17 @@
 	if _, ok := p.mem.loading[id]; ok {
 		return true
 	}
-	f := p.in.Facts[id]
+	f := p.in.Engines[id]
 	return f != nil && f.Report.Busy && f.Report.Member.State != roster.Joining
 }
 
 // canStageAlternate reports whether a load with no group waiting for it may start. It
 // must not slow down loads that a group waits for.
 func (p *planner) canStageAlternate() bool {
-	if p.in.FreeLoads {
+	if p.in.BeforeFirstRequest {
 		return true
 	}
-	return !p.emptyEngineWaits && p.countRunningLoads() < maxConcurrentAlternates && len(p.mem.loadStarts) < p.in.Params.LoadsPer/2
+	return !p.emptyEngineWaits && p.countRunningLoads() < maxConcurrentAlternates && len(p.mem.loadStarts) < p.in.Params.LoadsPerWindow/2
 }
 
 // maxConcurrentAlternates is the number of running loads in the zone at which alternates
@@ -259,9 +259,9 @@
 const maxConcurrentAlternates = 1
 
 // orderStandby orders a spare to join a group of its own.
-func (p *planner) orderStandby(f *Fact, m *catalog.Model) {
+func (p *planner) orderStandby(f *EngineState, m *catalog.Model) {
 	k := orderKey{f.ID, Join, standbyPrefix}
-	if at, ok := p.mem.sent[k]; ok && p.in.Now.Sub(at) < m.Warm+p.in.Params.Resend {
+	if at, ok := p.mem.sent[k]; ok && p.in.Now.Sub(at) < m.Warm+p.in.Params.ResendInterval {
 		return
 	}
 	p.mem.sent[k] = p.in.Now
--- a/internal/formation/probe.go
+++ b/internal/formation/probe.go
@@ -20,18 +20,18 @@
 	inFlight           bool
 }
 
-// Standstill probes a head and its group's members at once. Nodes call it for a head that
+// ReportStall probes a head and its group's members at once. Nodes call it for a head that
 // has sent nothing for longer than any pass of an engine explains.
-func (c *Controller) Standstill(id roster.ID) {
+func (c *Controller) ReportStall(id roster.ID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.probeGroupNow(id)
 }
 
-// Doubt does the same for a head that has been silent for longer than its streams' pace
+// ReportSuspectedStall does the same for a head that has been silent for longer than its streams' pace
 // explains, once enough nodes report it. In a zone with few nodes one report is enough:
 // each node has many streams at a head, and all of them have paused.
-func (c *Controller) Doubt(id roster.ID) {
+func (c *Controller) ReportSuspectedStall(id roster.ID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p, f := c.probes[id], c.facts[id]
@@ -89,7 +89,7 @@
 	}
 	for _, m := range ids {
 		if p := c.probes[m]; p != nil {
-			p.next = min(p.next, c.facts[m].Answered.Add(minProbeInterval))
+			p.next = min(p.next, c.facts[m].ReportedAt.Add(minProbeInterval))
 			p.shortTimeoutUntil = now.Add(suspicionDuration)
 		}
 	}
@@ -99,7 +99,7 @@
 // syncRoster updates the engines from the newest list of endpoints.
 func (c *Controller) syncRoster() {
 	r, cat := c.Roster(), c.Catalog()
-	if cat == nil || !r.Known() {
+	if cat == nil || !r.IsLoaded() {
 		return
 	}
 	listed := map[roster.ID]bool{}
@@ -134,7 +134,7 @@
 func (c *Controller) trackEndpoint(e *roster.Endpoint) {
 	f := c.facts[e.ID]
 	if f == nil {
-		f = &Fact{ID: e.ID, Addr: e.Addr, Domain: e.Domain}
+		f = &EngineState{ID: e.ID, Addr: e.Addr, Domain: e.Domain}
 		c.facts[e.ID] = f
 		c.probes[e.ID] = &probe{}
 	}
@@ -211,12 +211,12 @@
 }
 
 // probeDelay returns the delay until the next probe of an engine that has just responded.
-func (c *Controller) probeDelay(f *Fact, now clock.Instant) time.Duration {
+func (c *Controller) probeDelay(f *EngineState, now clock.Instant) time.Duration {
 	g := c.group(f.Report.Member.Group)
 	if g == nil {
 		return probeInterval
 	}
-	sign, suspect := c.Signs(g.Head())
+	sign, suspect := c.Activity(g.Head())
 	if suspect {
 		return probeInterval
 	}
@@ -231,22 +231,22 @@
 	return probeInterval
 }
 
-func (c *Controller) recordProbeFailure(f *Fact, p *probe, asked, now clock.Instant, err error) {
+func (c *Controller) recordProbeFailure(f *EngineState, p *probe, asked, now clock.Instant, err error) {
 	switch {
-	case errors.Is(err, ErrEarlierLife):
+	case errors.Is(err, ErrEarlierIncarnation):
 		c.Log.Info("report of an earlier incarnation ignored", "zone", c.Zone, "endpoint", f.ID, "err", err)
 		p.next = now.Add(probeRetryDelay)
 		return
-	case errors.Is(err, ErrReborn):
+	case errors.Is(err, ErrRestarted):
 		f.markRestarted()
-	case errors.Is(err, ErrOtherLife):
-		f.Gone = true
+	case errors.Is(err, ErrOtherProcess):
+		f.Ended = true
 	}
 	if f.Failures == 0 {
-		f.Failing = asked
+		f.FailingSince = asked
 	}
 	f.Failures++
-	f.Missed = asked
+	f.LastMissedAt = asked
 	p.next = now.Add(probeRetryDelay)
 	switch {
 	case f.Failures > 4:
@@ -256,13 +256,13 @@
 		c.probeControlMember(f)
 	}
 	if f.Failures == 2 {
-		c.Log.Info("engine does not respond", "zone", c.Zone, "endpoint", f.ID, "err", err, "answered_ms_ago", now.Sub(f.Answered).Milliseconds())
+		c.Log.Info("engine does not respond", "zone", c.Zone, "endpoint", f.ID, "err", err, "answered_ms_ago", now.Sub(f.ReportedAt).Milliseconds())
 	}
 }
 
 // probeControlMember probes another member of the engine's group at the same time as the
 // engine. If both miss, this node itself is delayed.
-func (c *Controller) probeControlMember(f *Fact) {
+func (c *Controller) probeControlMember(f *EngineState) {
 	g := c.group(f.Report.Member.Group)
 	if g == nil {
 		return
@@ -276,7 +276,7 @@
 }
 
 // markRestarted records that the engine has restarted.
-func (f *Fact) markRestarted() { f.Gone, f.Reborn = true, true }
+func (f *EngineState) markRestarted() { f.Ended, f.Restarted = true, true }
 
 // allEnginesProbed reports whether every listed engine of the service in the zone has
 // been probed at least once. An earlier plan would form groups without knowing the
@@ -288,7 +288,7 @@
 			continue
 		}
 		f := c.facts[e.ID]
-		if f == nil || f.Answered == 0 && f.Failures == 0 {
+		if f == nil || f.ReportedAt == 0 && f.Failures == 0 {
 			return false
 		}
 		n++
--- a/internal/formation/reach_test.go
+++ b/internal/formation/reach_test.go
@@ -22,7 +22,7 @@
 		for end := w.now.Add(d); w.now.Before(end); w.advance(100 * time.Millisecond) {
 			out := w.plan()
 			lost += len(out.Lost)
-			resumed += len(out.Back)
+			resumed += len(out.Resumed)
 		}
 	}
 	planFor(6 * time.Second)
--- a/internal/formation/reborn_test.go
+++ b/internal/formation/reborn_test.go
@@ -92,15 +92,17 @@
 func (r failingEngines) Report(context.Context, string, roster.ID) (Report, error) {
 	return Report{}, r.err
 }
-func (r failingEngines) Order(context.Context, string, Order) (Verdict, error) { return Lost, r.err }
+func (r failingEngines) Order(context.Context, string, Order) (OrderResult, error) {
+	return Lost, r.err
+}
 
-func probeOnceWithError(err error) *Fact {
+func probeOnceWithError(err error) *EngineState {
 	now := clock.Instant(time.Hour)
-	f := &Fact{ID: roster.Life("e", 5), Answered: now, Report: Report{Model: "m"}}
+	f := &EngineState{ID: roster.NewID("e", 5), ReportedAt: now, Report: Report{Model: "m"}}
 	c := &Controller{
 		Engines: failingEngines{err}, Clock: clock.NewManual(now), Log: slog.New(slog.DiscardHandler),
 		Catalog: func() *catalog.Catalog { return nil },
-		facts:   map[roster.ID]*Fact{f.ID: f}, probes: map[roster.ID]*probe{f.ID: {}}, wake: make(chan struct{}, 1),
+		facts:   map[roster.ID]*EngineState{f.ID: f}, probes: map[roster.ID]*probe{f.ID: {}}, wake: make(chan struct{}, 1),
 	}
 	c.runProbe(context.Background(), f.ID, "10.0.0.1:1", now, time.Second)
 	return f
@@ -111,9 +113,9 @@
 // a failure is recorded.
 func TestReportsOfOtherIncarnations(t *testing.T) {
 	is := is.New(t)
-	is.True(probeOnceWithError(ErrReborn).Gone)
-	earlier := probeOnceWithError(ErrEarlierLife)
-	is.True(!earlier.Gone)
+	is.True(probeOnceWithError(ErrRestarted).Ended)
+	earlier := probeOnceWithError(ErrEarlierIncarnation)
+	is.True(!earlier.Ended)
 	is.Equal(earlier.Failures, 0)
 	is.Equal(earlier.Report.Model, "m")
 }
@@ -121,17 +123,17 @@
 // The list shows a later incarnation before the engine is probed again.
 func TestListingEndsPreviousIncarnation(t *testing.T) {
 	is := is.New(t)
-	first, second := roster.Life("e", 5), roster.Life("e", 6)
-	f := &Fact{ID: first}
+	first, second := roster.NewID("e", 5), roster.NewID("e", 6)
+	f := &EngineState{ID: first}
 	r := roster.Merge(roster.Empty(), roster.Listing{Endpoints: []roster.Endpoint{{ID: second, Service: "s", Zone: "z", Addr: "10.0.0.1:1"}}}, 1, 0)
 	cat, err := catalog.New(catalog.Document{Services: []catalog.Service{{Name: "s", Engine: testEngine()}}})
 	is.NoErr(err)
 	c := &Controller{
 		Zone: "z", Catalog: func() *catalog.Catalog { return cat }, Roster: func() *roster.Roster { return r },
-		facts: map[roster.ID]*Fact{first: f}, probes: map[roster.ID]*probe{first: {}},
+		facts: map[roster.ID]*EngineState{first: f}, probes: map[roster.ID]*probe{first: {}},
 	}
 	c.syncRoster()
-	is.True(f.Gone)
+	is.True(f.Ended)
 	is.True(!f.Listed)
-	is.True(c.facts[second] != nil && !c.facts[second].Gone)
+	is.True(c.facts[second] != nil && !c.facts[second].Ended)
 }
--- a/internal/formation/recover.go
+++ b/internal/formation/recover.go
@@ -48,7 +48,7 @@
 
 // serviceAndGroupSize returns the service of a head and the group size of its model, or
 // size 0 if unknown.
-func (c *Controller) serviceAndGroupSize(head *Fact) (service string, size int) {
+func (c *Controller) serviceAndGroupSize(head *EngineState) (service string, size int) {
 	e, cat := c.Roster().Get(head.ID), c.Catalog()
 	if e == nil || cat == nil {
 		return "", 0
@@ -70,12 +70,12 @@
 
 // allReported reports whether each engine either has reported its state from after the
 // start of the tenure, allowing for the report lag, or is unresponsive.
-func allReported(facts map[roster.ID]*Fact, since clock.Instant) bool {
+func allReported(facts map[roster.ID]*EngineState, since clock.Instant) bool {
 	if len(facts) == 0 {
 		return false
 	}
 	for _, f := range facts {
-		if f.Answered.Before(since.Add(reportLag)) && f.Failures < 2 {
+		if f.ReportedAt.Before(since.Add(reportLag)) && f.Failures < 2 {
 			return false
 		}
 	}
@@ -85,22 +85,22 @@
 // unclaimedGroups returns the serving groups without a claim: the head accepts requests,
 // and the engine of each rank reports its membership. A group with a missing member is
 // stalled anyway and is left out, so its engines are ordered to leave it.
-func unclaimedGroups(facts map[roster.ID]*Fact, l Ledger, serviceAndGroupSize func(head *Fact) (service string, size int)) []Group {
+func unclaimedGroups(facts map[roster.ID]*EngineState, l Ledger, serviceAndGroupSize func(head *EngineState) (service string, size int)) []Group {
 	named := map[string]bool{}
 	for _, g := range l.Groups {
 		named[g.Name] = true
 	}
-	members := map[string][]*Fact{}
+	members := map[string][]*EngineState{}
 	for _, f := range facts {
 		m := f.Report.Member
-		if m.Group != "" && !isStandby(m) && !named[m.Group] && !f.Gone && f.Failures == 0 {
+		if m.Group != "" && !isStandby(m) && !named[m.Group] && !f.Ended && f.Failures == 0 {
 			members[m.Group] = append(members[m.Group], f)
 		}
 	}
 	var out []Group
 	for _, name := range slices.Sorted(maps.Keys(members)) {
 		fs := members[name]
-		slices.SortFunc(fs, func(a, b *Fact) int { return cmp.Compare(a.Report.Member.Rank, b.Report.Member.Rank) })
+		slices.SortFunc(fs, func(a, b *EngineState) int { return cmp.Compare(a.Report.Member.Rank, b.Report.Member.Rank) })
 		service, size := serviceAndGroupSize(fs[0])
 		if size == 0 || len(fs) != size || !isWholeAndOpen(fs) {
 			continue
@@ -116,7 +116,7 @@
 
 // isWholeAndOpen reports whether the engines, sorted by rank, form a complete group whose
 // head accepts requests.
-func isWholeAndOpen(fs []*Fact) bool {
+func isWholeAndOpen(fs []*EngineState) bool {
 	head := fs[0].Report.Member
 	for rank, f := range fs {
 		m := f.Report.Member
--- a/internal/formation/restore_test.go
+++ b/internal/formation/restore_test.go
@@ -34,7 +34,7 @@
 func (t *restorableTable) Get(context.Context, string, string) (table.Row, error) {
 	t.calls++
 	if t.down {
-		return table.Row{}, table.ErrDown
+		return table.Row{}, table.ErrUnavailable
 	}
 	return t.row, nil
 }
@@ -42,7 +42,7 @@
 func (t *restorableTable) Commit(_ context.Context, txn table.Txn) (table.Result, error) {
 	t.calls++
 	if t.down || t.writesFail {
-		return table.Result{}, table.ErrDown
+		return table.Result{}, table.ErrUnavailable
 	}
 	for _, c := range txn.Checks {
 		if c.Era != t.row.Era {
@@ -113,7 +113,7 @@
 		}
 		w.advance(50 * time.Millisecond)
 	}
-	kind := func(head *Fact) (string, int) {
+	kind := func(head *EngineState) (string, int) {
 		if m := w.engine.Model(head.Report.Model); m != nil {
 			return "s", m.Size
 		}
@@ -219,10 +219,10 @@
 	return (&Controller{
 		Zone: "z", Table: tab, Lease: heldLease{&lease.Grant{Duty: "z", Fence: 1}}, Clock: now, Log: slog.New(slog.DiscardHandler),
 		Catalog: func() *catalog.Catalog { return cat }, Roster: func() *roster.Roster { return r },
-		FreeLoads: func() bool { return true }, ManyNodes: func() bool { return true }, Announce: func(roster.Hint) {},
-		Signs:  func(roster.ID) (clock.Instant, bool) { return 0, false },
-		Demand: func(string) demand.Demand { return demand.Demand{} },
-		Params: func(*catalog.Engine) Params { return DefaultParams(5*time.Second, 7, 2) }, Engines: idleEngines{},
+		BeforeFirstRequest: func() bool { return true }, ManyNodes: func() bool { return true }, Announce: func(roster.Hint) {},
+		Activity: func(roster.ID) (clock.Instant, bool) { return 0, false },
+		Demand:   func(string) demand.Demand { return demand.Demand{} },
+		Params:   func(*catalog.Engine) Params { return DefaultParams(5*time.Second, 7, 2) }, Engines: idleEngines{},
 	}).Init()
 }
 
@@ -256,7 +256,7 @@
 type idleEngines struct{}
 
 func (idleEngines) Report(context.Context, string, roster.ID) (Report, error) {
-	return Report{Count: 1, Domain: "d", Pace: 1, Staged: []string{}}, nil
+	return Report{OrderCount: 1, Domain: "d", Pace: 1, Staged: []string{}}, nil
 }
 
-func (idleEngines) Order(context.Context, string, Order) (Verdict, error) { return Lost, nil }
+func (idleEngines) Order(context.Context, string, Order) (OrderResult, error) { return Lost, nil }
--- a/internal/formation/suspect_test.go
+++ b/internal/formation/suspect_test.go
@@ -37,8 +37,8 @@
 	for _, head := range append(w.serving("big"), w.serving("small")...) {
 		late := w.facts[head.members[len(head.members)-1]]
 		w.plan()
-		w.facts[head.id].Suspect = true
-		late.Failures, late.Failing, late.Missed = 1, w.now, w.now
+		w.facts[head.id].Stalled = true
+		late.Failures, late.FailingSince, late.LastMissedAt = 1, w.now, w.now
 		out := Plan(w.input(), w.mem)
 		is.Equal(len(out.Lost), 0)
 		// A second miss while others responded: the member is lost.
@@ -46,7 +46,7 @@
 		out = Plan(w.input(), w.mem)
 		is.Equal(len(out.Lost), 1)
 		late.Failures = 0
-		w.facts[head.id].Suspect = false
+		w.facts[head.id].Stalled = false
 		clear(w.mem.closing)
 	}
 }
@@ -57,9 +57,9 @@
 	w := startedZone()
 	head := w.serving("big")[0]
 	w.plan()
-	w.facts[head.id].Suspect = true
+	w.facts[head.id].Stalled = true
 	f := w.facts[head.members[1]]
-	f.Failures, f.Failing, f.Missed = 1, w.now, w.now
+	f.Failures, f.FailingSince, f.LastMissedAt = 1, w.now, w.now
 	is.Equal(len(Plan(w.input(), w.mem).Lost), 1)
 }
 
@@ -69,10 +69,10 @@
 	w := startedZone()
 	head := w.serving("big")[0]
 	w.plan()
-	w.facts[head.id].Suspect = true
+	w.facts[head.id].Stalled = true
 	for _, m := range head.members {
 		f := w.facts[m]
-		f.Failures, f.Failing, f.Missed = largeGroupMisses, w.now, w.now
+		f.Failures, f.FailingSince, f.LastMissedAt = largeGroupMisses, w.now, w.now
 	}
 	is.Equal(len(Plan(w.input(), w.mem).Lost), 0)
 }
@@ -96,15 +96,15 @@
 	is := is.New(t)
 	now := clock.Instant(time.Hour)
 	member := roster.Membership{Group: "g", Epoch: 1, State: roster.Ready}
-	f := &Fact{ID: "b", Report: Report{Member: member}, Answered: now}
+	f := &EngineState{ID: "b", Report: Report{Member: member}, ReportedAt: now}
 	far := now.Add(time.Minute)
 	c := &Controller{
 		Clock:  clock.NewManual(now),
-		facts:  map[roster.ID]*Fact{"a": {ID: "a", Answered: now}, "b": f},
+		facts:  map[roster.ID]*EngineState{"a": {ID: "a", ReportedAt: now}, "b": f},
 		probes: map[roster.ID]*probe{"a": {next: far}, "b": {next: far, shortTimeoutUntil: now.Add(suspicionDuration)}},
 		ledger: Ledger{Groups: []Group{{Name: "g", Epoch: 1, Members: []roster.ID{"a", "b"}}}},
 	}
-	c.recordProbeFailure(f, c.probes["b"], now, now, ErrOtherLife)
+	c.recordProbeFailure(f, c.probes["b"], now, now, ErrOtherProcess)
 	is.Equal(c.probes["a"].next, now)
 	is.Equal(c.probes["b"].next, now)
 }
--- a/internal/formation/takeapart.go
+++ b/internal/formation/takeapart.go
@@ -31,13 +31,13 @@
 
 // health returns the liveness of an engine.
 func (p *planner) health(id roster.ID) health {
-	f := p.in.Facts[id]
+	f := p.in.Engines[id]
 	switch {
-	case f == nil || f.Gone:
+	case f == nil || f.Ended:
 		return dead
-	case f.Failures >= p.in.Params.DeadFailures && p.in.Now.Sub(f.Failing) >= p.in.Params.DeadAfter:
+	case f.Failures >= p.in.Params.DeadFailures && p.in.Now.Sub(f.FailingSince) >= p.in.Params.DeadAfter:
 		return dead
-	case f.Answered == 0 || f.Failures > 0:
+	case f.ReportedAt == 0 || f.Failures > 0:
 		return unknown
 	}
 	return alive
@@ -61,7 +61,7 @@
 // the group's eligible members and free engines.
 func (p *planner) canReplaceGroup(g *Group, m *catalog.Model) bool {
 	ready := 0
-	for id, f := range p.in.Facts {
+	for id, f := range p.in.Engines {
 		if f.Domain != g.Domain || !p.isEligible(id) {
 			continue
 		}
@@ -77,7 +77,7 @@
 // "". Without a replacement the group is kept, since late answers are better than none.
 func (p *planner) replaceableSlowMember(g *Group) roster.ID {
 	for _, id := range g.Members {
-		f := p.in.Facts[id]
+		f := p.in.Engines[id]
 		if f == nil || !f.isSlow() || p.health(id) != alive {
 			continue
 		}
@@ -101,7 +101,7 @@
 	if !p.isInGroup(g.Head(), g) {
 		return false
 	}
-	state := p.in.Facts[g.Head()].Report.Member.State
+	state := p.in.Engines[g.Head()].Report.Member.State
 	return state == roster.Open || state == roster.Closing
 }
 
@@ -135,13 +135,13 @@
 // node itself is slow or partitioned. Regular probes detect the loss half a second later.
 func (p *planner) memberHealth(g *Group, id roster.ID) health {
 	h := p.health(id)
-	head := p.in.Facts[g.Head()]
-	if h != unknown || head == nil || !head.Suspect || p.in.Facts[id].Failures < requiredMisses(g) {
+	head := p.in.Engines[g.Head()]
+	if h != unknown || head == nil || !head.Stalled || p.in.Engines[id].Failures < requiredMisses(g) {
 		return h
 	}
-	missed := p.in.Facts[id].Missed
+	missed := p.in.Engines[id].LastMissedAt
 	for _, m := range g.Members {
-		if f := p.in.Facts[m]; m != id && f != nil && f.Failures == 0 && !f.Answered.Before(missed) {
+		if f := p.in.Engines[m]; m != id && f != nil && f.Failures == 0 && !f.ReportedAt.Before(missed) {
 			return dead
 		}
 	}
@@ -165,8 +165,8 @@
 		case unknown:
 			continue
 		}
-		f := p.in.Facts[m]
-		if f.Refused == g.Name {
+		f := p.in.Engines[m]
+		if f.RefusedGroup == g.Name {
 			return &closing{reason: fmt.Sprintf("member %s refuses to join", m), mode: Truncate}
 		}
 		if f.Draining {
@@ -182,7 +182,7 @@
 		}
 	}
 	if m := p.replaceableSlowMember(g); m != "" {
-		return &closing{reason: fmt.Sprintf("member %s is slow: %.1f times its usual time", m, p.in.Facts[m].Report.Pace), mode: Truncate}
+		return &closing{reason: fmt.Sprintf("member %s is slow: %.1f times its usual time", m, p.in.Engines[m].Report.Pace), mode: Truncate}
 	}
 	return nil
 }
@@ -191,25 +191,25 @@
 // silent. A group stalls without a member, so the member is then merely unreachable from
 // this node.
 func (p *planner) hasServedWithout(g *Group, member roster.ID) bool {
-	f, head := p.in.Facts[member], p.in.Facts[g.Head()]
-	if f == nil || f.Gone || head == nil || head.Sign == 0 || f.Failing == 0 {
+	f, head := p.in.Engines[member], p.in.Engines[g.Head()]
+	if f == nil || f.Ended || head == nil || head.LastActivity == 0 || f.FailingSince == 0 {
 		return false
 	}
 	const settle = 300 * time.Millisecond // events from before the loss may still arrive
-	return head.Sign.Sub(f.Failing) > settle
+	return head.LastActivity.Sub(f.FailingSince) > settle
 }
 
 // dissolve performs the next step of ending a group and reports whether its members are
 // free.
 func (p *planner) dissolve(g *Group, c *closing) bool {
-	head := p.in.Facts[g.Head()]
-	if head != nil && head.Reborn {
+	head := p.in.Engines[g.Head()]
+	if head != nil && head.Restarted {
 		// Delayed join and open orders would reach the restarted head, which could lead
 		// the group again: its members are free only once they have left.
 		c.begun = true
 		return p.releaseMembers(g, c)
 	}
-	if head != nil && head.Gone {
+	if head != nil && head.Ended {
 		p.mem.ended[g.Name] = true // the process has ended, so it can't be open
 		return true
 	}
@@ -249,15 +249,15 @@
 	firstRegained := never // earliest start of a successful probe after a failure, over the members
 	for _, m := range g.Members {
 		if p.health(m) == alive {
-			firstRegained = min(firstRegained, p.in.Facts[m].Regained)
+			firstRegained = min(firstRegained, p.in.Engines[m].RecoveredAt)
 		}
 	}
 	if firstRegained == 0 {
 		return false
 	}
 	for _, m := range g.Members {
-		f := p.in.Facts[m]
-		if f == nil || f.Gone || p.health(m) == alive || firstRegained != never && f.Missed.Sub(firstRegained) >= regainMargin {
+		f := p.in.Engines[m]
+		if f == nil || f.Ended || p.health(m) == alive || firstRegained != never && f.LastMissedAt.Sub(firstRegained) >= regainMargin {
 			continue
 		}
 		p.probeWithin(m, 0)
@@ -277,7 +277,7 @@
 			return false
 		}
 	}
-	return p.in.Facts[g.Head()].Report.Member.State == roster.Open && p.decideClose(g) == nil
+	return p.in.Engines[g.Head()].Report.Member.State == roster.Open && p.decideClose(g) == nil
 }
 
 // removeHead takes a reachable head out of the group and reports whether it has left. If
@@ -288,7 +288,7 @@
 		return true
 	}
 	p.probeSoon(g.Head())
-	state := p.in.Facts[g.Head()].Report.Member.State
+	state := p.in.Engines[g.Head()].Report.Member.State
 	if p.isInGroup(g.Head(), g) && c.mode == Finish && (state == roster.Open || state == roster.Closing) {
 		p.orderOnce(Order{To: g.Head(), Op: Close, Group: g.Name, Epoch: g.Epoch, Mode: c.mode, Reason: c.reason})
 		return false
@@ -336,18 +336,18 @@
 // hasLeft reports whether a member is certainly and permanently out of the group:
 // whatever removed it also voided delayed joins.
 func (p *planner) hasLeft(id roster.ID, g *Group) bool {
-	f := p.in.Facts[id]
+	f := p.in.Engines[id]
 	if f == nil {
 		return false
 	}
-	return f.Gone || p.health(id) == alive && p.isOutOfGroup(id, g)
+	return f.Ended || p.health(id) == alive && p.isOutOfGroup(id, g)
 }
 
 // isUnlisted reports whether the platform lists no member of the group any more.
 func (p *planner) isUnlisted(g *Group) bool {
 	return !slices.ContainsFunc(g.Members, func(m roster.ID) bool {
-		f := p.in.Facts[m]
-		return f != nil && f.Listed && !f.Gone
+		f := p.in.Engines[m]
+		return f != nil && f.Listed && !f.Ended
 	})
 }
 
@@ -355,7 +355,7 @@
 // engine in a group that this owner has dissolved may join another one, because a join
 // replaces its membership. Any other group was claimed by a lost ledger or joined through
 // a delayed order; the engine is ordered to leave it first.
-func (p *planner) ensureUnattached(f *Fact) bool {
+func (p *planner) ensureUnattached(f *EngineState) bool {
 	m := f.Report.Member
 	if m.Group == "" || isStandby(m) || p.mem.ended[m.Group] {
 		return true
--- a/internal/formation/world_test.go
+++ b/internal/formation/world_test.go
@@ -49,7 +49,7 @@
 }
 
 // endpointID returns the ID of the current incarnation.
-func (e *simEngine) endpointID() roster.ID { return roster.Life(string(e.id), e.incarnation) }
+func (e *simEngine) endpointID() roster.ID { return roster.NewID(string(e.id), e.incarnation) }
 
 // engineAt returns the engine that receives an order to an ID: the current incarnation of
 // that name.
@@ -82,7 +82,7 @@
 	engines      map[roster.ID]*simEngine
 	ledger       Ledger
 	mem          *Memory
-	facts        map[roster.ID]*Fact
+	facts        map[roster.ID]*EngineState
 	fence        uint64
 	epochs       uint64
 	tenureStart  clock.Instant // start of this owner's tenure
@@ -135,7 +135,7 @@
 	w.fence++
 	w.epochs = 0
 	w.mem = NewMemory()
-	w.facts = map[roster.ID]*Fact{}
+	w.facts = map[roster.ID]*EngineState{}
 	w.tenureStart = w.now
 }
 
@@ -175,7 +175,7 @@
 	rep := Report{
 		Member: roster.Membership{Group: e.group, Epoch: e.epoch, Rank: e.rank(), State: e.state},
 		Busy:   e.staging != "" || e.state == roster.Joining,
-		Pace:   e.pace, Count: e.count, Model: e.model, Staged: []string{}, Domain: e.domain,
+		Pace:   e.pace, OrderCount: e.count, Model: e.model, Staged: []string{}, Domain: e.domain,
 	}
 	if e.staged != "" {
 		rep.Staged = append(rep.Staged, e.staged)
@@ -243,12 +243,12 @@
 }
 
 // execute executes an order as an engine does and returns the engine's response.
-func (w *simZone) execute(o Order) Verdict {
+func (w *simZone) execute(o Order) OrderResult {
 	e := w.engineAt(o.To)
 	if e == nil || e.dead {
 		return Lost
 	}
-	if o.Count != nil && *o.Count != e.count {
+	if o.ExpectedCount != nil && *o.ExpectedCount != e.count {
 		return Conflict
 	}
 	mine := e.group == o.Group && e.epoch == o.Epoch
@@ -292,7 +292,7 @@
 	return d
 }
 
-func (w *simZone) join(e *simEngine, o Order) Verdict {
+func (w *simZone) join(e *simEngine, o Order) OrderResult {
 	if o.Epoch < e.highestEpoch || e.group == o.Group && e.epoch == o.Epoch && !slices.Equal(e.members, o.Members) {
 		return Rejected
 	}
@@ -341,16 +341,16 @@
 func (w *simZone) report(e *simEngine) {
 	f := w.facts[e.endpointID()]
 	if f == nil {
-		f = &Fact{ID: e.endpointID(), Domain: e.domain}
+		f = &EngineState{ID: e.endpointID(), Domain: e.domain}
 		w.facts[e.endpointID()] = f
 	}
 	f.Listed, f.Draining = !e.dead, e.draining
 	if e.dead || e.partitioned {
 		if f.Failures == 0 {
-			f.Failing = w.now
+			f.FailingSince = w.now
 		}
 		f.Failures++
-		f.Missed = w.now
+		f.LastMissedAt = w.now
 		return
 	}
 	w.recordReports()
@@ -381,9 +381,9 @@
 
 func (w *simZone) input() *Input {
 	return &Input{
-		Now: w.now, Since: w.tenureStart, Zone: "z", Service: "s", Engine: w.engine, Facts: w.facts, Ledger: w.ledger,
-		NextEpoch: func() uint64 { w.epochs++; return w.fence*1_000_000 + w.epochs },
-		FreeLoads: w.loadsAreFree, Demand: w.demand, Params: DefaultParams(5*time.Second, 7, 2),
+		Now: w.now, TenureStart: w.tenureStart, Zone: "z", Service: "s", Engine: w.engine, Engines: w.facts, Ledger: w.ledger,
+		NextEpoch:          func() uint64 { w.epochs++; return w.fence*1_000_000 + w.epochs },
+		BeforeFirstRequest: w.loadsAreFree, Demand: w.demand, Params: DefaultParams(5*time.Second, 7, 2),
 	}
 }
 
--- a/internal/forward/beside_test.go
+++ b/internal/forward/beside_test.go
@@ -60,24 +60,24 @@
 	known := roster.Merge(roster.Empty(), roster.Listing{Endpoints: list}, c.Now(), 0)
 	log := slog.New(slog.DiscardHandler)
 	r := &testForwarder{guard: (&quarantine.Guard{
-		Clock: c, Log: log, Tell: func(quarantine.Message) {}, Announce: func(quarantine.Message) {},
+		Clock: c, Log: log, SendToTalliers: func(quarantine.Message) {}, Broadcast: func(quarantine.Message) {},
 	}).Init(nil)}
 	r.Forwarder = &forward.Forwarder{
 		Codec: platform.Codec{}, Clock: c, Log: log, Metrics: forward.NewMetrics(nil), Pool: &upstream.Pool{Clock: c}, Zone: "z",
 		Tracker: &balance.Tracker{
-			Clock: c, Silence: func(roster.ID) time.Duration { return time.Minute }, Suspected: func(roster.ID) {}, Doubted: func(roster.ID) {},
+			Clock: c, Silence: func(roster.ID) time.Duration { return time.Minute }, OnSuspect: func(roster.ID) {}, OnDoubt: func(roster.ID) {},
 		},
-		Plain: forward.Profile{Bounds: balance.Bounds{Queue: 1}, Turnover: time.Second},
+		PlainProfile: forward.Profile{Bounds: balance.Bounds{QueueShare: 1}, Turnover: time.Second},
 		View: func() forward.View {
 			return forward.View{Catalog: cat, Fresh: true, Current: true, Roster: known}
 		},
 		Ejector:    retry.NewEjector(retry.OutlierOptions{Consecutive: 100, MinRequests: 100, Margin: 1}, c, log, nil),
 		Quarantine: r.guard, Backpressure: backpressure.New(backpressure.Options{Clock: c}),
-		NewBudget: func() *retry.Windowed {
-			return &retry.Windowed{Clock: c, Window: 10 * time.Second, Slack: func() float64 { return slack }}
+		NewBudget: func() *retry.WindowedBudget {
+			return &retry.WindowedBudget{Clock: c, Window: 10 * time.Second, Slack: func() float64 { return slack }}
 		},
-		Missed: func() {}, Unanswered: func(roster.ID) {}, Placed: func(roster.ID, int) {},
-		Sample: func() int { return 0 }, ZoneLoad: func(string, string) board.Mean { return board.Mean{} }, Nodes: func() int { return 1 },
+		OnStaleEndpoint: func() {}, OnNoResponse: func(roster.ID) {}, OnSent: func(roster.ID, int) {},
+		SampleSize: func() int { return 0 }, ZoneLoad: func(string, string) board.MeanLoad { return board.MeanLoad{} }, NodeCount: func() int { return 1 },
 	}
 	r.server = httptest.NewServer(r.Forwarder)
 	t.Cleanup(r.server.Close)
--- a/internal/forward/choose.go
+++ b/internal/forward/choose.go
@@ -34,7 +34,7 @@
 		}
 		x.f.Ejector.Report(EjectionID(ep), true)
 		if res == MayHaveRun && x.engine() == nil {
-			x.f.Unanswered(ep.ID)
+			x.f.OnNoResponse(ep.ID)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 	eps := x.candidates()
 	if x.route.Repeatable() {
 		for _, e := range eps {
-			if x.f.Ejector.Ejected(EjectionID(e)) && !x.wasTried(e.ID) && x.f.Ejector.Usable(EjectionID(e)) {
+			if x.f.Ejector.Ejected(EjectionID(e)) && !x.wasTried(e.ID) && x.f.Ejector.AllowRequest(EjectionID(e)) {
 				return e
 			}
 		}
@@ -64,19 +64,19 @@
 // choose selects one of the endpoints, an ejected one only if there is no other. Without
 // one it returns nil and the reason.
 func (x *exchange) choose(eps []*roster.Endpoint) (*roster.Endpoint, balance.Reason) {
-	profile := x.f.Plain
+	profile := x.f.PlainProfile
 	if x.engine() != nil {
-		profile = x.f.Engine
-		profile.Bounds.Sample = x.f.Sample()
+		profile = x.f.EngineProfile
+		profile.Bounds.SampleSize = x.f.SampleSize()
 	}
 	again := x.engine() != nil && len(x.tried) > 0
 	if again {
-		profile.Bounds.Sample = retrySampleSize
+		profile.Bounds.SampleSize = retrySampleSize
 	}
 	cands := make([]balance.Candidate, len(eps))
 	x.candidateStats = candidateStats{endpoints: len(eps)}
 	for i, e := range eps {
-		st := x.f.Tracker.Of(e.ID, profile.Turnover)
+		st := x.f.Tracker.StateOf(e.ID, profile.Turnover)
 		if e.Zone != x.f.Zone && x.engine() != nil {
 			// The tracker knows only this node's own requests in another zone; the
 			// zone's mean load includes those of the other nodes.
@@ -89,7 +89,7 @@
 		cands[i] = balance.Candidate{
 			Load: st.Load, Unconfirmed: st.Unconfirmed, Slots: e.Slots, Unread: st.Unread, Local: again || e.Zone == x.f.Zone,
 			Suspect: st.Suspect, Tried: x.wasTried(e.ID),
-			Avoid: st.Doubted || x.f.Ejector.Ejected(EjectionID(e)) || x.route.GapAim > 0 && st.Gap > x.route.GapAim,
+			Avoid: st.Doubted || x.f.Ejector.Ejected(EjectionID(e)) || x.route.GapAim > 0 && st.EventGap > x.route.GapAim,
 		}
 	}
 	i, reason := balance.Pick(cands, profile.Bounds, int(rand.Uint32()))
@@ -119,8 +119,8 @@
 	for _, e := range all {
 		switch {
 		case !e.Usable():
-		case engine != nil && !(e.Leads() && e.Model == x.req.Model):
-		case x.f.Backpressure.Leaving(backpressureID(e)):
+		case engine != nil && !(e.IsServingHead() && e.Model == x.req.Model):
+		case x.f.Backpressure.IsLeaving(backpressureID(e)):
 		case !x.f.Backpressure.Allows(backpressureID(e)):
 			x.noteBackingOff(e)
 		default:
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -10,14 +10,14 @@
 
 type clientConnKey struct{}
 
-// WithClient stores a client's connection in the context of its requests. Use it as
+// WithClientConn stores a client's connection in the context of its requests. Use it as
 // http.Server's ConnContext.
-func WithClient(ctx context.Context, c net.Conn) context.Context {
+func WithClientConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, clientConnKey{}, c)
 }
 
 // isClientGone reports whether the client has closed its connection.
 func isClientGone(r *http.Request) bool {
 	c, ok := r.Context().Value(clientConnKey{}).(net.Conn)
-	return ok && upstream.PeerLeft(c)
+	return ok && upstream.IsPeerClosed(c)
 }
--- a/internal/forward/client_test.go
+++ b/internal/forward/client_test.go
@@ -40,7 +40,7 @@
 						c.Advance(time.Minute)
 					} else {
 						client.Close()
-						for !upstream.PeerLeft(server) && ctx.Err() == nil {
+						for !upstream.IsPeerClosed(server) && ctx.Err() == nil {
 							time.Sleep(time.Millisecond) // the FIN has not arrived over the loopback yet
 						}
 					}
@@ -50,12 +50,12 @@
 			f.Quarantine = (&quarantine.Guard{Clock: c}).Init(nil)
 			f.Backpressure = backpressure.New(backpressure.Options{Clock: c})
 			in := httptest.NewRequest(http.MethodGet, "/a/b", nil)
-			in = in.WithContext(WithClient(context.Background(), server))
+			in = in.WithContext(WithClientConn(context.Background(), server))
 			x := &exchange{
 				f: f, req: &Request{}, route: &catalog.Route{Repeat: catalog.Idempotent}, catalog: &catalog.Catalog{},
 				clientRequest: in, clientCtx: in.Context(), start: c.Now(), deadline: c.Now().Add(time.Second),
 			}
-			f.Nodes = func() int { return 1 }
+			f.NodeCount = func() int { return 1 }
 			res := x.attempt(context.Background(), &roster.Endpoint{ID: "e", Addr: endpoint.Listener.Addr().String()})
 			is.Equal(sent.Load(), int32(0))
 			is.Equal(x.progress.Sent, 0)
--- a/internal/forward/demand.go
+++ b/internal/forward/demand.go
@@ -12,17 +12,17 @@
 	if m == nil {
 		return
 	}
-	answer := x.req.Hint
+	answer := x.req.ExpectedAnswerTokens
 	if answer <= 0 {
 		answer = e.UsualAnswer
 	}
-	x.f.demand.Note(x.service, m.Name, e.Work(m, x.req.Prompt, answer).Seconds(), x.start)
+	x.f.demand.Record(x.service, m.Name, e.ServiceTime(m, x.req.PromptTokens, answer).Seconds(), x.start)
 }
 
 // Demand returns the recent demand of this node's requests for a service.
 func (f *Forwarder) Demand(service string) demand.Demand {
-	return f.demand.Of(service, f.Clock.Now())
+	return f.demand.Demand(service, f.Clock.Now())
 }
 
-// DemandOfAll returns the recent demand for each service.
-func (f *Forwarder) DemandOfAll() []demand.Told { return f.demand.All(f.Clock.Now()) }
+// AllDemand returns the recent demand for each service.
+func (f *Forwarder) AllDemand() []demand.ServiceDemand { return f.demand.All(f.Clock.Now()) }
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -67,7 +67,7 @@
 
 // run makes attempts until the client has a response or none is possible.
 func (x *exchange) run(ctx context.Context) {
-	x.f.budget(x.service).First()
+	x.f.budget(x.service).CountFirst()
 	ep := x.pick()
 	x.recordDemand()
 	if ep == nil {
@@ -79,15 +79,15 @@
 		x.reportResult(ep, res)
 		x.f.Metrics.countAttempt(x.route, res)
 		next := x.pick()
-		x.progress.Endpoint = next != nil
-		x.progress.Budget = true
-		step := Next(x.route, res, x.progress)
-		if step == Again && !x.abortedStalled.Swap(false) {
-			x.progress.Budget = x.isExemptFromBudget(res) || x.f.budget(x.service).Allow()
-			step = Next(x.route, res, x.progress)
+		x.progress.HasEndpoint = next != nil
+		x.progress.HasBudget = true
+		step := NextStep(x.route, res, x.progress)
+		if step == Retry && !x.abortedStalled.Swap(false) {
+			x.progress.HasBudget = x.isExemptFromBudget(res) || x.f.budget(x.service).Allow()
+			step = NextStep(x.route, res, x.progress)
 		}
 		x.f.Log.Debug("attempt", "request", x.req.ID, "endpoint", ep.ID, "result", res.String(), "step", step.String(), "cause", x.lastCause, "events", x.eventsSent)
-		if step != Again {
+		if step != Retry {
 			x.finish(step, res)
 			return
 		}
@@ -117,7 +117,7 @@
 		return x.classifyError(ctx, ep, err)
 	}
 	if res, over := x.checkBeforeSend(ctx, ep); over {
-		x.f.Pool.Return(conn, x.maxIdleConns())
+		x.f.Pool.PutUnused(conn, x.maxIdleConns())
 		return res
 	}
 	x.progress.Sent++
@@ -127,20 +127,20 @@
 			conn.Abort()
 		}
 	})
-	ticket.Reads(x.req.Prompt)
+	ticket.SetPromptTokens(x.req.PromptTokens)
 	if x.engine() != nil {
-		x.f.Placed(ep.ID, x.req.Prompt)
+		x.f.OnSent(ep.ID, x.req.PromptTokens)
 	}
 	stop := context.AfterFunc(ctx, conn.Abort)
 	stopLimit := x.startAttemptTimeout(conn)
-	endRun := x.f.Quarantine.Begin(x.fingerprint, x.recallFunc(conn))
+	endRun := x.f.Quarantine.BeginRun(x.fingerprint, x.recallFunc(conn))
 	resp, err := conn.Send(x.outboundRequest(ep))
 	var res Result
 	if err != nil {
 		x.progress.Runs++
 		res = x.classifyError(ctx, ep, err)
 	} else {
-		ticket.Progress()
+		ticket.RecordProgress()
 		res = x.handleResponse(ctx, ep, conn, resp, ticket)
 	}
 	x.reportRun(ep, res, x.sentAt)
@@ -150,7 +150,7 @@
 	stopLimit()
 	endRun()
 	if !stop() || x.isAbortedHere() {
-		conn.Spoil()
+		conn.MarkUnusable()
 	}
 	x.f.Pool.Put(conn, resp, x.maxIdleConns())
 	return res
@@ -171,7 +171,7 @@
 		return OutOfTime, true
 	case x.checkQuarantine(ctx):
 		x.lastCause = "the request is quarantined: endpoints that run it terminate"
-		return Banned, true
+		return Quarantined, true
 	case !x.f.Backpressure.Take(backpressureID(ep)): // checked last, because it counts the request as sent
 		x.lastCause, x.heldBack = "the endpoint accepts no more requests at present", true
 		return NotRun, true
@@ -216,7 +216,7 @@
 	})
 	return func() {
 		if !t.Stop() {
-			conn.Spoil()
+			conn.MarkUnusable()
 		}
 	}
 }
@@ -258,7 +258,7 @@
 	if s == nil || s.MaxConns <= 0 {
 		return most
 	}
-	return min(most, int(idleShare*float64(s.MaxConns))/max(1, x.f.Nodes()))
+	return min(most, int(idleShare*float64(s.MaxConns))/max(1, x.f.NodeCount()))
 }
 
 // connect returns a connection to the endpoint. A request that may run only once gets a new
@@ -272,12 +272,12 @@
 // outboundRequest returns the request to send to the endpoint.
 func (x *exchange) outboundRequest(ep *roster.Endpoint) *upstream.Request {
 	hop := Hop{
-		Expect: ep.ID, Left: max(time.Millisecond, x.timeLeft(x.f.Clock.Now())),
-		Organisation: x.organisation, Resume: x.lastEventID, Urgency: x.urgency(),
+		ExpectedEndpoint: ep.ID, TimeLeft: max(time.Millisecond, x.timeLeft(x.f.Clock.Now())),
+		Organisation: x.organisation, ResumeAfter: x.lastEventID, Urgency: x.urgency(),
 	}
 	return &upstream.Request{
 		Method: x.clientRequest.Method, Target: x.req.Target, Host: x.clientRequest.Host,
-		Header: x.f.Codec.Outbound(x.clientRequest.Header, x.req, hop), Body: x.body,
+		Header: x.f.Codec.OutboundHeader(x.clientRequest.Header, x.req, hop), Body: x.body,
 	}
 }
 
@@ -309,12 +309,12 @@
 		return ClientGone
 	case ctx.Err() != nil:
 		return OutOfTime
-	case errors.Is(err, upstream.ErrUnsent):
+	case errors.Is(err, upstream.ErrNotSent):
 		if x.connRefused = errors.Is(err, syscall.ECONNREFUSED); x.connRefused {
 			x.connRefusals++
 		}
-		x.f.Tracker.Suspect(ep.ID)
-		x.f.Missed()
+		x.f.Tracker.MarkSuspect(ep.ID)
+		x.f.OnStaleEndpoint()
 		return NotRun
 	}
 	return MayHaveRun
@@ -326,15 +326,15 @@
 	switch step {
 	case Finish:
 		x.logEnd("request done", res)
-	case Pass:
+	case RelayFailure:
 		x.relayFailure()
 		x.logEnd("request failed at the endpoint", res)
 	case Refuse:
 		x.refuseNotRun()
-	case Admit:
+	case ReportUnknown:
 		x.logEnd("request unknown", res)
-		x.f.Codec.Refuse(x.w, x.req.ID, x.unknownOutcome(res))
-	case Cut:
+		x.f.Codec.WriteError(x.w, x.req.ID, x.unknownOutcome(res))
+	case Abort:
 		x.logEnd("request cut", res)
 		panic(http.ErrAbortHandler) // closes the connection without ending the response properly
 	}
@@ -352,7 +352,7 @@
 
 // relayFailure relays the endpoint's error response.
 func (x *exchange) relayFailure() {
-	x.f.Codec.Relay(x.w.Header(), x.failure.header)
+	x.f.Codec.CopyHeader(x.w.Header(), x.failure.header)
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(x.failure.body)))
 	x.w.WriteHeader(x.failure.status)
 	_, _ = x.w.Write(x.failure.body) // an error means that the client disconnected
@@ -360,15 +360,15 @@
 
 // refuseNotRun reports to the client that the request has not run, and why.
 func (x *exchange) refuseNotRun() {
-	e := outcome.New(outcome.NoCapacity, outcome.NotRun, "nothing serves this now", "try again").After(retryAfterNone)
+	e := outcome.New(outcome.NoCapacity, outcome.NotRun, "nothing serves this now", "try again").WithRetryAfter(retryAfterNone)
 	stage := "pick"
 	switch {
 	case x.isQuarantined:
 		stage, e = "quarantine", x.verdict.Refusal()
 	case x.pickReason == balance.AllFull:
-		e = outcome.New(outcome.Overloaded, outcome.NotRun, "every endpoint is full", "try again").After(retryAfterFull)
+		e = outcome.New(outcome.Overloaded, outcome.NotRun, "every endpoint is full", "try again").WithRetryAfter(retryAfterFull)
 	case x.backingOff > 0 && x.candidateStats.endpoints == 0:
-		e = outcome.New(outcome.Overloaded, outcome.NotRun, "the endpoints take nothing more now", "try again").After(addJitter(x.backoffLeft))
+		e = outcome.New(outcome.Overloaded, outcome.NotRun, "the endpoints take nothing more now", "try again").WithRetryAfter(addJitter(x.backoffLeft))
 	}
 	x.f.refuse(x.w, x.req, stage, e.WithCause(errors.New(string(x.pickReason)+"; "+x.lastCause)),
 		"route", x.route.Name, "model", x.req.Model, "endpoints", x.candidateStats.endpoints, "free_slots", x.candidateStats.freeSlots,
@@ -397,7 +397,7 @@
 func (x *exchange) reportRun(ep *roster.Endpoint, res Result, sent clock.Instant) {
 	switch res {
 	case Answered:
-		x.f.Quarantine.Sound(x.fingerprint)
+		x.f.Quarantine.RunSucceeded(x.fingerprint)
 	case MayHaveRun:
 		x.logBrokenAttempt(ep, sent)
 		if x.abortedStalled.Load() {
@@ -406,9 +406,9 @@
 		if now := x.f.View().Roster.Get(ep.ID); now == nil || !now.Usable() {
 			return
 		}
-		note := x.f.Quarantine.Broke
+		note := x.f.Quarantine.AttemptFailed
 		if x.recalled.Load() {
-			note = x.f.Quarantine.Recalled
+			note = x.f.Quarantine.AttemptRecalled
 		}
 		note(string(ep.ID), ep.Addr, x.fingerprint, quarantine.AttemptID(x.req.ID))
 	}
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -46,28 +46,28 @@
 type Quarantine interface {
 	// Refused reports whether the request must not be sent, and the evidence.
 	Refused(ctx context.Context, fp quarantine.Fingerprint) (quarantine.Verdict, bool)
-	// Begin registers the start of a run; the caller calls end when the run ends. recall
+	// BeginRun registers the start of a run; the caller calls end when the run ends. recall
 	// aborts a run that is to be repeated later; nil: the run must not be aborted.
-	Begin(fp quarantine.Fingerprint, recall func()) (end func())
-	// Broke reports an attempt that ended without a usable response, Recalled one that was
+	BeginRun(fp quarantine.Fingerprint, recall func()) (end func())
+	// AttemptFailed reports an attempt that ended without a usable response, Recalled one that was
 	// recalled, and Sound one that succeeded.
-	Broke(endpoint, addr string, fp quarantine.Fingerprint, attempt uint32)
-	Recalled(endpoint, addr string, fp quarantine.Fingerprint, attempt uint32)
-	Sound(fp quarantine.Fingerprint)
+	AttemptFailed(endpoint, addr string, fp quarantine.Fingerprint, attempt uint32)
+	AttemptRecalled(endpoint, addr string, fp quarantine.Fingerprint, attempt uint32)
+	RunSucceeded(fp quarantine.Fingerprint)
 }
 
 // Forwarder is the HTTP handler for clients.
 type Forwarder struct {
-	Codec   Codec
-	Clock   clock.Clock
-	Log     *slog.Logger
-	Metrics *Metrics
-	Pool    *upstream.Pool
-	Tracker *balance.Tracker
-	Zone    string
-	Plain   Profile // for services without engines
-	Engine  Profile // for services with engines
-	View    func() View
+	Codec         Codec
+	Clock         clock.Clock
+	Log           *slog.Logger
+	Metrics       *Metrics
+	Pool          *upstream.Pool
+	Tracker       *balance.Tracker
+	Zone          string
+	PlainProfile  Profile // for services without engines
+	EngineProfile Profile // for services with engines
+	View          func() View
 	// Ejector excludes endpoints that fail more than their peers.
 	Ejector *retry.Ejector
 	// Quarantine refuses requests that terminate endpoints.
@@ -75,30 +75,30 @@
 	// Backpressure enforces the rate limits and backoffs that endpoints report.
 	Backpressure *backpressure.Guard
 	// NewBudget creates the retry budget of one service.
-	NewBudget func() *retry.Windowed
-	// Missed is called when a request was sent to an endpoint that no longer exists, so
+	NewBudget func() *retry.WindowedBudget
+	// OnStaleEndpoint is called when a request was sent to an endpoint that no longer exists, so
 	// that the list is read again soon.
-	Missed func()
-	// Unanswered is called with a plain endpoint that gave no usable response.
-	Unanswered func(roster.ID)
-	// Placed is called for each request that is sent to an engine, with the prompt length
+	OnStaleEndpoint func()
+	// OnNoResponse is called with a plain endpoint that gave no usable response.
+	OnNoResponse func(roster.ID)
+	// OnSent is called for each request that is sent to an engine, with the prompt length
 	// in tokens.
-	Placed func(id roster.ID, prompt int)
+	OnSent func(id roster.ID, prompt int)
 	// Started is closed once a configuration and the endpoints are known; nil: they
 	// already are.
 	Started <-chan struct{}
-	// Sample returns the number of engine heads to compare for a request; 0: all.
-	Sample func() int
+	// SampleSize returns the number of engine heads to compare for a request; 0: all.
+	SampleSize func() int
 	// ZoneLoad returns the mean load of a model's heads in another zone; the zero value:
 	// not known.
-	ZoneLoad func(zone, model string) board.Mean
-	// Nodes returns the number of nodes that share the endpoints.
-	Nodes func() int
+	ZoneLoad func(zone, model string) board.MeanLoad
+	// NodeCount returns the number of nodes that share the endpoints.
+	NodeCount func() int
 
 	timeouts clientTimeouts
 	demand   demand.Meter
 	mu       sync.Mutex
-	budgets  map[string]*retry.Windowed
+	budgets  map[string]*retry.WindowedBudget
 }
 
 const (
@@ -120,7 +120,7 @@
 
 // ServeHTTP answers one client request.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	req, err := f.Codec.Read(r)
+	req, err := f.Codec.ReadRequest(r)
 	if err != nil {
 		f.refuse(w, &req, "request", outcome.New(outcome.BadRequest, outcome.NotRun, err.Error(), "send a well-formed request").WithCause(err))
 		return
@@ -180,14 +180,14 @@
 	x := &exchange{
 		f: f, req: req, route: route, catalog: v.Catalog,
 		start: now, deadline: now.Add(requestTimeout(req, route)),
-		service: route.PickBackend(rand.Float64()), lastEventID: req.Resume,
+		service: route.PickBackend(rand.Float64()), lastEventID: req.LastEventID,
 	}
-	x.isClientRetry = f.timeouts.isRetry(route.Name, req.Left)
-	if v.Catalog.Keyed() && !route.Public {
+	x.isClientRetry = f.timeouts.isRetry(route.Name, req.TimeLeft)
+	if v.Catalog.RequiresKey() && !route.Public {
 		if !v.Fresh {
 			return nil, refuseStaleConfig()
 		}
-		org := v.Catalog.Organisation(req.Key)
+		org := v.Catalog.Organisation(req.APIKey)
 		if org == nil && !v.Current {
 			return nil, refuseStaleConfig()
 		}
@@ -204,12 +204,12 @@
 // another result.
 func refuseStaleConfig() *outcome.Error {
 	return outcome.New(outcome.PlatformDown, outcome.NotRun,
-		"the configuration is not known well enough", "try again, another node may know it").After(retryAfterNone)
+		"the configuration is not known well enough", "try again, another node may know it").WithRetryAfter(retryAfterNone)
 }
 
 // requestTimeout returns the time until the request's deadline.
 func requestTimeout(req *Request, route *catalog.Route) time.Duration {
-	left := req.Left
+	left := req.TimeLeft
 	if left <= 0 {
 		left = defaultTimeout
 	}
@@ -260,18 +260,18 @@
 	f.Log.With(fields...).Info("request refused", "request", req.ID, "stage", stage, "kind", e.Kind, "outcome", e.Outcome,
 		"reason", e.Message, "cause", e.Cause, "retry_after_ms", e.RetryAfter.Milliseconds(),
 		"config", version, "config_age_ms", v.ConfigAge.Milliseconds(),
-		"roster_age_ms", f.Clock.Now().Sub(v.Roster.Asked).Milliseconds())
-	f.Codec.Refuse(w, req.ID, e)
+		"roster_age_ms", f.Clock.Now().Sub(v.Roster.RequestedAt).Milliseconds())
+	f.Codec.WriteError(w, req.ID, e)
 }
 
 // budget returns the retry budget of a service.
-func (f *Forwarder) budget(service string) *retry.Windowed {
+func (f *Forwarder) budget(service string) *retry.WindowedBudget {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	b := f.budgets[service]
 	if b == nil {
 		if f.budgets == nil {
-			f.budgets = map[string]*retry.Windowed{}
+			f.budgets = map[string]*retry.WindowedBudget{}
 		}
 		b = f.NewBudget()
 		f.budgets[service] = b
--- a/internal/forward/metrics.go
+++ b/internal/forward/metrics.go
@@ -48,7 +48,7 @@
 	return m
 }
 
-var kindNames = map[catalog.Repeat]string{catalog.Once: "once", catalog.Idempotent: "idempotent", catalog.Stream: "stream"}
+var kindNames = map[catalog.RepeatPolicy]string{catalog.Once: "once", catalog.Idempotent: "idempotent", catalog.Stream: "stream"}
 
 var resultNames = [...]string{"answered", "not_run", "may_have_run", "failed", "client_gone", "out_of_time", "banned"}
 
--- a/internal/forward/next_test.go
+++ b/internal/forward/next_test.go
@@ -22,8 +22,8 @@
 )
 
 func TestNext(t *testing.T) {
-	free := Progress{Sent: 1, Endpoint: true, Budget: true}
-	ran := Progress{Sent: 1, Runs: 1, Endpoint: true, Budget: true}
+	free := Progress{Sent: 1, HasEndpoint: true, HasBudget: true}
+	ran := Progress{Sent: 1, Runs: 1, HasEndpoint: true, HasBudget: true}
 	for name, c := range map[string]struct {
 		route *catalog.Route
 		res   Result
@@ -32,23 +32,23 @@
 	}{
 		"answered":                               {onceRoute, Answered, ran, Finish},
 		"client disconnected":                    {idemRoute, ClientGone, ran, Finish},
-		"refused, another endpoint available":    {onceRoute, NotRun, free, Again},
-		"refused, no other endpoint":             {onceRoute, NotRun, Progress{Sent: 1, Budget: true}, Refuse},
-		"refused, no budget":                     {onceRoute, NotRun, Progress{Sent: 1, Endpoint: true}, Refuse},
-		"refused by the maximum of endpoints":    {onceRoute, NotRun, Progress{Sent: 3, Endpoint: true, Budget: true}, Refuse},
-		"may have run, not repeatable":           {onceRoute, MayHaveRun, ran, Admit},
-		"may have run, repeatable":               {idemRoute, MayHaveRun, ran, Again},
-		"may have run the maximum of times":      {idemRoute, MayHaveRun, Progress{Sent: 2, Runs: 2, Endpoint: true, Budget: true}, Admit},
-		"refused after an earlier run":           {idemRoute, NotRun, Progress{Sent: 2, Runs: 1}, Admit},
-		"failed, repeatable":                     {idemRoute, Failed, ran, Again},
-		"failed, not repeatable":                 {onceRoute, Failed, ran, Pass},
-		"stream cut, another endpoint available": {streamRoute, MayHaveRun, Progress{Sent: 1, Runs: 1, Begun: true, Endpoint: true, Budget: true}, Again},
-		"stream cut, no other endpoint":          {streamRoute, MayHaveRun, Progress{Sent: 1, Runs: 1, Begun: true, Budget: true}, Cut},
+		"refused, another endpoint available":    {onceRoute, NotRun, free, Retry},
+		"refused, no other endpoint":             {onceRoute, NotRun, Progress{Sent: 1, HasBudget: true}, Refuse},
+		"refused, no budget":                     {onceRoute, NotRun, Progress{Sent: 1, HasEndpoint: true}, Refuse},
+		"refused by the maximum of endpoints":    {onceRoute, NotRun, Progress{Sent: 3, HasEndpoint: true, HasBudget: true}, Refuse},
+		"may have run, not repeatable":           {onceRoute, MayHaveRun, ran, ReportUnknown},
+		"may have run, repeatable":               {idemRoute, MayHaveRun, ran, Retry},
+		"may have run the maximum of times":      {idemRoute, MayHaveRun, Progress{Sent: 2, Runs: 2, HasEndpoint: true, HasBudget: true}, ReportUnknown},
+		"refused after an earlier run":           {idemRoute, NotRun, Progress{Sent: 2, Runs: 1}, ReportUnknown},
+		"failed, repeatable":                     {idemRoute, Failed, ran, Retry},
+		"failed, not repeatable":                 {onceRoute, Failed, ran, RelayFailure},
+		"stream cut, another endpoint available": {streamRoute, MayHaveRun, Progress{Sent: 1, Runs: 1, HeaderSent: true, HasEndpoint: true, HasBudget: true}, Retry},
+		"stream cut, no other endpoint":          {streamRoute, MayHaveRun, Progress{Sent: 1, Runs: 1, HeaderSent: true, HasBudget: true}, Abort},
 		"out of time before any run":             {onceRoute, OutOfTime, Progress{}, Refuse},
-		"out of time, may have run":              {onceRoute, OutOfTime, Progress{Sent: 1, Runs: 1}, Admit},
-		"out of time during the response":        {streamRoute, OutOfTime, Progress{Runs: 1, Begun: true}, Cut},
+		"out of time, may have run":              {onceRoute, OutOfTime, Progress{Sent: 1, Runs: 1}, ReportUnknown},
+		"out of time during the response":        {streamRoute, OutOfTime, Progress{Runs: 1, HeaderSent: true}, Abort},
 	} {
-		t.Run(name, func(t *testing.T) { is.New(t).Equal(Next(c.route, c.res, c.p), c.want) })
+		t.Run(name, func(t *testing.T) { is.New(t).Equal(NextStep(c.route, c.res, c.p), c.want) })
 	}
 }
 
@@ -58,21 +58,21 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := Progress{
 			Sent: rapid.IntRange(0, 4).Draw(t, "sent"), Runs: rapid.IntRange(0, 3).Draw(t, "runs"),
-			Begun: rapid.Bool().Draw(t, "begun"), Endpoint: rapid.Bool().Draw(t, "endpoint"), Budget: rapid.Bool().Draw(t, "budget"),
+			HeaderSent: rapid.Bool().Draw(t, "begun"), HasEndpoint: rapid.Bool().Draw(t, "endpoint"), HasBudget: rapid.Bool().Draw(t, "budget"),
 		}
 		res := Result(rapid.IntRange(int(Answered), int(OutOfTime)).Draw(t, "result"))
 		if res == MayHaveRun || res == Failed {
 			p.Runs = max(1, p.Runs)
 		}
 		route := rapid.SampledFrom([]*catalog.Route{onceRoute, idemRoute, streamRoute}).Draw(t, "route")
-		switch step := Next(route, res, p); {
-		case step == Again && p.Runs > 0 && !route.Repeatable():
+		switch step := NextStep(route, res, p); {
+		case step == Retry && p.Runs > 0 && !route.Repeatable():
 			t.Fatal("a non-repeatable request that may have run is sent again")
-		case step == Again && (!p.Budget || !p.Endpoint):
+		case step == Retry && (!p.HasBudget || !p.HasEndpoint):
 			t.Fatal("sent again without budget or endpoint")
-		case step == Refuse && (p.Runs > 0 || p.Begun):
+		case step == Refuse && (p.Runs > 0 || p.HeaderSent):
 			t.Fatal("reported as not run although it may have run")
-		case (step == Pass || step == Admit || step == Refuse) && p.Begun:
+		case (step == RelayFailure || step == ReportUnknown || step == Refuse) && p.HeaderSent:
 			t.Fatal("a second response header after the first")
 		}
 	})
--- a/internal/forward/recall_test.go
+++ b/internal/forward/recall_test.go
@@ -23,7 +23,7 @@
 	requestReceived chan struct{}
 }
 
-func (q *recallingQuarantine) Begin(_ quarantine.Fingerprint, recall func()) func() {
+func (q *recallingQuarantine) BeginRun(_ quarantine.Fingerprint, recall func()) func() {
 	if q.runs.Add(1) == 1 {
 		go func() {
 			<-q.requestReceived
@@ -33,7 +33,7 @@
 	return func() {}
 }
 
-func (q *recallingQuarantine) Recalled(string, string, quarantine.Fingerprint, uint32) {
+func (q *recallingQuarantine) AttemptRecalled(string, string, quarantine.Fingerprint, uint32) {
 	q.recalled.Add(1)
 }
 
@@ -60,7 +60,7 @@
 	q.Quarantine = r.guard
 	r.Quarantine = q
 	var blamed atomic.Int32
-	r.Unanswered = func(roster.ID) { blamed.Add(1) }
+	r.OnNoResponse = func(roster.ID) { blamed.Add(1) }
 	status, body := r.get(t, "r1", "/lookup/x")
 	is.Equal(status, http.StatusOK)
 	is.Equal(body, "ok")
--- a/internal/forward/relay.go
+++ b/internal/forward/relay.go
@@ -24,19 +24,19 @@
 // handleResponse classifies a response by its header and relays it. Unless the response was read
 // to its end, the connection must not be reused afterwards.
 func (x *exchange) handleResponse(ctx context.Context, ep *roster.Endpoint, conn *upstream.Conn, resp *http.Response, ticket *balance.Ticket) Result {
-	rep := x.f.Codec.Judge(x.req, resp)
+	rep := x.f.Codec.ReadReply(x.req, resp)
 	if rep.HasLoad {
-		ticket.Load(rep.Running, rep.Waiting)
+		ticket.RecordLoad(rep.Running, rep.Waiting)
 	}
 	x.recordPressure(ep, rep)
 	success := resp.StatusCode >= 200 && resp.StatusCode < 300
 	switch {
-	case rep.NotRun || rep.Other:
+	case rep.NotRun || rep.IsMisdirected:
 		return x.handleNotRun(ep, conn, resp, rep)
-	case !rep.Ours || success && (!rep.Signed || rep.Encoded):
+	case !rep.MatchesRequest || success && (!rep.HasStamp || rep.HasContentEncoding):
 		// A late or forged response to another request: it must not reach the client,
 		// and later data on the connection cannot be trusted.
-		conn.Spoil()
+		conn.MarkUnusable()
 		x.progress.Runs++
 		x.lastCause = fmt.Sprintf("response with status %d does not belong to the request", resp.StatusCode)
 		return MayHaveRun
@@ -50,13 +50,13 @@
 
 // recordPressure passes an endpoint's rate limit and backoff to the backpressure guard.
 func (x *exchange) recordPressure(ep *roster.Endpoint, rep Reply) {
-	if rep.Other {
+	if rep.IsMisdirected {
 		return
 	}
-	if rep.Unreadable != nil {
-		x.f.Log.Debug("response header is unreadable", "request", x.req.ID, "endpoint", ep.ID, "err", rep.Unreadable)
+	if rep.SignalsErr != nil {
+		x.f.Log.Debug("response header is unreadable", "request", x.req.ID, "endpoint", ep.ID, "err", rep.SignalsErr)
 	}
-	signals := rep.Pressure
+	signals := rep.Signals
 	if signals.Limit != nil {
 		x.f.Metrics.limited.Inc()
 		x.f.Log.Debug("endpoint reports a rate limit", "request", x.req.ID, "endpoint", ep.ID, "limit", *signals.Limit)
@@ -65,19 +65,19 @@
 		x.f.Metrics.backoffs.Inc()
 		x.f.Log.Debug("response requests a backoff", "request", x.req.ID, "endpoint", ep.ID, "retry_after_ms", signals.RetryAfter.Milliseconds())
 	}
-	x.f.Backpressure.Answered(backpressureID(ep), signals, x.sentAt)
+	x.f.Backpressure.RecordAnswer(backpressureID(ep), signals, x.sentAt)
 }
 
 // handleNotRun handles a response that shows that the request has not run. The rest of the body
 // is discarded so that the connection can be reused.
 func (x *exchange) handleNotRun(ep *roster.Endpoint, conn *upstream.Conn, resp *http.Response, rep Reply) Result {
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		conn.Spoil()
+		conn.MarkUnusable()
 	}
-	x.lastCause = fmt.Sprintf("endpoint refused: status %d, at %q", resp.StatusCode, rep.Culprit)
-	if rep.Other || rep.Culprit != "" {
-		x.f.Tracker.Suspect(ep.ID)
-		x.f.Missed()
+	x.lastCause = fmt.Sprintf("endpoint refused: status %d, at %q", resp.StatusCode, rep.CausingEndpoint)
+	if rep.IsMisdirected || rep.CausingEndpoint != "" {
+		x.f.Tracker.MarkSuspect(ep.ID)
+		x.f.OnStaleEndpoint()
 	}
 	return NotRun
 }
@@ -90,7 +90,7 @@
 func (x *exchange) relayResponse(ctx context.Context, ep *roster.Endpoint, conn *upstream.Conn, resp *http.Response, success bool) Result {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedResponse+1))
 	if err != nil {
-		conn.Spoil()
+		conn.MarkUnusable()
 		return x.classifyError(ctx, ep, err)
 	}
 	if !success && len(body) <= maxBufferedResponse {
@@ -98,19 +98,19 @@
 		x.lastCause = "endpoint answered " + strconv.Itoa(resp.StatusCode)
 		return Failed
 	}
-	x.f.Codec.Relay(x.w.Header(), resp.Header)
+	x.f.Codec.CopyHeader(x.w.Header(), resp.Header)
 	if len(body) <= maxBufferedResponse {
 		x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	x.w.WriteHeader(resp.StatusCode)
 	x.recordHeaderSent()
 	if _, err := x.w.Write(body); err != nil {
-		conn.Spoil()
+		conn.MarkUnusable()
 		return x.classifyError(ctx, ep, err)
 	}
 	if len(body) > maxBufferedResponse {
 		if _, err := io.Copy(x.w, resp.Body); err != nil {
-			conn.Spoil()
+			conn.MarkUnusable()
 			return x.classifyError(ctx, ep, err)
 		}
 	}
@@ -132,16 +132,16 @@
 			return Answered
 		}
 		if err != nil {
-			conn.Spoil()
+			conn.MarkUnusable()
 			return x.classifyError(ctx, ep, err)
 		}
-		ticket.Event()
+		ticket.RecordEvent()
 		if x.isDuplicate(id) {
 			continue
 		}
 		x.writeHeader(resp)
 		if _, err := x.w.Write(event); err != nil {
-			conn.Spoil()
+			conn.MarkUnusable()
 			x.lastCause = err.Error()
 			return ClientGone
 		}
@@ -152,7 +152,7 @@
 		}
 		if !events.hasBuffered() {
 			if err := out.Flush(); err != nil {
-				conn.Spoil()
+				conn.MarkUnusable()
 				x.lastCause = err.Error()
 				return ClientGone
 			}
@@ -163,10 +163,10 @@
 // writeHeader sends the response header before the first event. A response that is resumed at
 // another endpoint keeps the header from its first endpoint.
 func (x *exchange) writeHeader(resp *http.Response) {
-	if x.progress.Begun {
+	if x.progress.HeaderSent {
 		return
 	}
-	x.f.Codec.Relay(x.w.Header(), resp.Header)
+	x.f.Codec.CopyHeader(x.w.Header(), resp.Header)
 	x.w.Header().Del("Content-Length") // the stream may be assembled from several endpoints
 	x.w.WriteHeader(resp.StatusCode)
 	x.recordHeaderSent()
@@ -174,7 +174,7 @@
 
 // recordHeaderSent records that the response header was sent to the client.
 func (x *exchange) recordHeaderSent() {
-	x.progress.Begun = true
+	x.progress.HeaderSent = true
 	x.firstByteLatency = x.f.Clock.Now().Sub(x.start)
 	x.f.Metrics.observeFirstByte(x.route, x.firstByteLatency)
 }
--- a/internal/group/account.go
+++ b/internal/group/account.go
@@ -32,7 +32,7 @@
 	for id, v := range p.vms {
 		r := &v.Record
 		if r.Kind == fleet.KindEngine && r.Zone == p.in.Snap.Zone && !inService[id] && p.health(v) == alive {
-			p.out.Stranded += max(r.Accelerators, 1)
+			p.out.StrandedAccelerators += max(r.Accelerators, 1)
 		}
 	}
 }
--- a/internal/group/change.go
+++ b/internal/group/change.go
@@ -85,12 +85,12 @@
 	v := p.vms[m.VM]
 	switch {
 	case v == nil:
-	case v.Probe.Failing != 0:
+	case v.Probe.FailingSince != 0:
 		f.Value = fmt.Sprintf("%d probes unanswered", v.Probe.Failures)
-		f.Age = p.in.Now.Sub(v.Probe.Failing)
-	case v.Probe.Answered != 0:
-		f.Age = p.in.Now.Sub(v.Probe.Answered)
-		f.Value = view.StateFault(g, m, &v.Probe.State)
+		f.Age = p.in.Now.Sub(v.Probe.FailingSince)
+	case v.Probe.AnsweredAt != 0:
+		f.Age = p.in.Now.Sub(v.Probe.AnsweredAt)
+		f.Value = view.MemberFault(g, m, &v.Probe.State)
 		if v.Leaving {
 			f.Value = "is leaving"
 		}
--- a/internal/group/fake_test.go
+++ b/internal/group/fake_test.go
@@ -36,7 +36,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.down {
-		return platform.Row{}, platform.ErrDown
+		return platform.Row{}, platform.ErrUnavailable
 	}
 	return t.row(table, key), nil
 }
@@ -45,7 +45,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.down {
-		return nil, platform.ErrDown
+		return nil, platform.ErrUnavailable
 	}
 	var out []platform.Row
 	for _, r := range t.rows {
@@ -61,7 +61,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.down {
-		return platform.Result{}, platform.ErrDown
+		return platform.Result{}, platform.ErrUnavailable
 	}
 	var failed []platform.Row
 	for _, c := range txn.Checks {
--- a/internal/group/faults_test.go
+++ b/internal/group/faults_test.go
@@ -235,7 +235,7 @@
 	vm := before.Members[1].VM
 	at := s.clk.Now().Add(1)
 	s.clk.Advance(1600 * time.Millisecond)
-	n.Put(view.Probed{VM: vm, Sent: at, Failing: at, Failures: 1})
+	n.Put(view.Probed{VM: vm, Sent: at, FailingSince: at, Failures: 1})
 	_, held := n.lease.Held(s.clk.Now())
 	is.True(held)
 	n.rec.Step(t.Context())
@@ -330,7 +330,7 @@
 	o := VMOrder{VM: s.list[0].VM, Addr: s.list[0].Addr, Order: engine.Order{
 		Verb: engine.VerbJoin, Fence: 1, Boot: s.engine(0).state.Boot, Group: "late",
 	}}
-	s.clk.Advance(grant.Left(s.clk.Now()) - n.rec.Timing.Margin)
+	s.clk.Advance(grant.Remaining(s.clk.Now()) - n.rec.Timing.LeaseMargin)
 	n.rec.sendOrders(t.Context(), grant, []VMOrder{o})
 	is.Equal(s.engine(0).state.Group, fleet.GroupID(""))
 	commits := s.table.commits
--- a/internal/group/health.go
+++ b/internal/group/health.go
@@ -21,18 +21,18 @@
 // A VM counts as dead only after both a time and a number of unanswered probes:
 // on a node that resumes after a pause, the probes that were in flight time out
 // long after they were sent, and by time alone every member would be dead.
-func healthOf(v *view.VM, now clock.Instant, t *Tune) health {
+func healthOf(v *view.VM, now clock.Instant, t *Params) health {
 	if v == nil {
 		return dead // neither listed nor answering, for longer than the lag of the list
 	}
 	p := &v.Probe
-	if p.Failing != 0 {
-		if p.Failures >= t.DeadProbes && now.Sub(p.Failing) >= t.DeadAfter {
+	if p.FailingSince != 0 {
+		if p.Failures >= t.DeadProbes && now.Sub(p.FailingSince) >= t.DeadAfter {
 			return dead
 		}
 		return unknown
 	}
-	if p.Answered == 0 || now.Sub(p.Answered) > t.StaleAfter {
+	if p.AnsweredAt == 0 || now.Sub(p.AnsweredAt) > t.MaxProbeAge {
 		return unknown
 	}
 	if v.Leaving || isUnlisted(v, now, t) {
@@ -44,7 +44,7 @@
 // health returns healthOf, but ignores that the VM is missing from the
 // platform's list when the list looks truncated.
 func (p *planner) health(v *view.VM) health {
-	h := healthOf(v, p.in.Now, &p.in.Tune)
+	h := healthOf(v, p.in.Now, &p.in.Params)
 	if h == leaving && !v.Leaving && p.listTruncated {
 		return alive
 	}
@@ -58,7 +58,7 @@
 	answering, unlisted := 0, 0
 	for _, v := range p.vms {
 		r := &v.Record
-		if r.Kind != fleet.KindEngine || r.Zone != p.in.Snap.Zone || v.Probe.Answered == 0 || v.Probe.Failing != 0 {
+		if r.Kind != fleet.KindEngine || r.Zone != p.in.Snap.Zone || v.Probe.AnsweredAt == 0 || v.Probe.FailingSince != 0 {
 			continue
 		}
 		answering++
@@ -74,9 +74,9 @@
 const maxUnlistedVMs = 2
 
 // isUnlisted reports whether the VM has been missing from the platform's list for
-// longer than MissingAfter.
-func isUnlisted(v *view.VM, now clock.Instant, t *Tune) bool {
-	return !v.Listed && v.Unlisted != 0 && now.Sub(v.Unlisted) > t.MissingAfter
+// longer than UnlistedAfter.
+func isUnlisted(v *view.VM, now clock.Instant, t *Params) bool {
+	return !v.Listed && v.UnlistedSince != 0 && now.Sub(v.UnlistedSince) > t.UnlistedAfter
 }
 
 // groupState is the state of a group as derived from the health of its members.
@@ -133,7 +133,7 @@
 		case p.hasLostReplica(g, m, &v.Probe.State):
 			faulty++
 			a.reason = string(m.VM) + " holds the replica no more"
-		case view.StateFault(g, m, &v.Probe.State) == "":
+		case view.MemberFault(g, m, &v.Probe.State) == "":
 			reporting++
 		}
 	}
@@ -163,5 +163,5 @@
 	if st.Group != g.ID || st.Generation != g.Generation || st.Rank != m.Rank || st.Loaded {
 		return false
 	}
-	return g.Phase != fleet.PhaseForming || p.mem.loadingTime(m.VM, p.in.Now) > p.in.Tune.LoadLimit
+	return g.Phase != fleet.PhaseForming || p.mem.loadingTime(m.VM, p.in.Now) > p.in.Params.LoadTimeout
 }
--- a/internal/group/live_test.go
+++ b/internal/group/live_test.go
@@ -65,12 +65,12 @@
 		Duty: Duty("z"), Self: self, Params: lease.DefaultParams(time.Second), Table: table, Clock: clk,
 		Rank: func() int { return 0 }, Log: log,
 	}
-	tune := DefaultTune()
-	tune.DeadAfter, tune.DrainSettle = 50*time.Millisecond, 50*time.Millisecond
+	tune := DefaultParams()
+	tune.DeadAfter, tune.DrainPropagation = 50*time.Millisecond, 50*time.Millisecond
 	rec := New(Deps{
 		Zone: "z", Table: table, Orders: engines, Lease: lm, View: m, Sink: m, Clock: clk,
-		Explain: explain.NewStore("node1", 100, 10), Log: log, Registry: prometheus.NewRegistry(), Tune: tune,
-		Timing: Timing{Tick: 10 * time.Millisecond, Read: 50 * time.Millisecond, Margin: 50 * time.Millisecond},
+		Explain: explain.NewStore("node1", 100, 10), Log: log, Registry: prometheus.NewRegistry(), Params: tune,
+		Timing: Timing{PlanInterval: 10 * time.Millisecond, ReadInterval: 50 * time.Millisecond, LeaseMargin: 50 * time.Millisecond},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 4)
--- a/internal/group/measure_test.go
+++ b/internal/group/measure_test.go
@@ -40,12 +40,12 @@
 			w := newZoneWithDomainOutage(b, c.vms, c.groups)
 			in := Input{
 				Now: w.now, Snap: w.snapshot(), Claims: w.claims, Groups: w.groups, Targets: w.targets,
-				Grant: w.grant, Tune: w.tune,
+				Grant: w.grant, Params: w.tune,
 			}
 			changes := 0
 			b.ReportAllocs()
 			for b.Loop() {
-				changes = len(Make(&in, NewMemory()).Changes)
+				changes = len(MakePlan(&in, NewMemory()).Changes)
 			}
 			b.ReportMetric(float64(changes), "changes")
 		})
@@ -60,7 +60,7 @@
 	return s
 }
 
-func (s *sim) tune(t Tune) { s.nodes[0].rec.Tune = t }
+func (s *sim) tune(t Params) { s.nodes[0].rec.Params = t }
 
 // BenchmarkDetection reports, for each setting of the failure detection, the time
 // from the death of a member until its group serves again with a spare (loading
@@ -73,7 +73,7 @@
 		probes int
 	}{{300 * time.Millisecond, 1}, {600 * time.Millisecond, 2}, {time.Second, 3}, {1500 * time.Millisecond, 3}, {3 * time.Second, 3}} {
 		b.Run(fmt.Sprintf("dead-after-%v-%d-probes", c.after, c.probes), func(b *testing.B) {
-			tune := DefaultTune()
+			tune := DefaultParams()
 			tune.DeadAfter, tune.DeadProbes = c.after, c.probes
 			var took []time.Duration
 			needless := 0
@@ -92,7 +92,7 @@
 	}
 }
 
-func newDetectionSim(rng *rand.Rand, tune Tune) *sim {
+func newDetectionSim(rng *rand.Rand, tune Params) *sim {
 	s := newMeasurementSim(testDocument(8, 1), 7, 10)
 	s.nodes[0].probeEvery = 6 // steps of 50 ms: a probe every 300 ms
 	s.nodes[0].planEvery = 4
@@ -101,7 +101,7 @@
 	return s
 }
 
-func timeToRepair(rng *rand.Rand, tune Tune) time.Duration {
+func timeToRepair(rng *rand.Rand, tune Params) time.Duration {
 	s := newDetectionSim(rng, tune)
 	g := servingGroups(s.nodes[0].Snapshot())[0]
 	s.engines.byAddr[g.Members[rng.IntN(8)].Addr].dead = true
@@ -116,7 +116,7 @@
 
 // countNeedlessRepair returns 1 if a pause of a member led to a new generation,
 // else 0.
-func countNeedlessRepair(rng *rand.Rand, tune Tune) int {
+func countNeedlessRepair(rng *rand.Rand, tune Params) int {
 	s := newDetectionSim(rng, tune)
 	g := servingGroups(s.nodes[0].Snapshot())[0]
 	e := s.engines.byAddr[g.Members[rng.IntN(8)].Addr]
@@ -212,7 +212,7 @@
 	const groups = 6
 	s := newMeasurementSim(testDocument(8, groups), 100, 48, 48)
 	s.doc.Objective = config.Objective{DowntimeWeight: 1, StrandingWeight: 1}
-	tune := DefaultTune()
+	tune := DefaultParams()
 	s.tune(tune)
 	s.nodes[0].probeEvery, s.nodes[0].planEvery = 6, 4
 	for _, r := range s.list { // with the second domain down, all groups form in the first
@@ -222,7 +222,7 @@
 	}
 	s.run(time.Minute + time.Duration(seed%6)*50*time.Millisecond)
 	s.engines.storeRate = 16
-	tune.LoadsAtOnce = bound
+	tune.MaxConcurrentLoads = bound
 	s.tune(tune)
 	for _, r := range s.list {
 		s.engines.byAddr[r.Addr].dead = r.Domain == "z-d0"
@@ -337,7 +337,7 @@
 		tr.vms += domains[len(domains)-1]
 	}
 	w := newWorld(d, domains...)
-	tr.p = newPlanner(&Input{Now: w.now, Snap: w.snapshot(), Claims: w.claims, Tune: w.tune}, w.mem)
+	tr.p = newPlanner(&Input{Now: w.now, Snap: w.snapshot(), Claims: w.claims, Params: w.tune}, w.mem)
 	tr.p.collectFreeVMs()
 	tr.p.assessGroups()
 	return tr
--- a/internal/group/memory.go
+++ b/internal/group/memory.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// Restart returns the memory for a new tenure of the lease. It keeps only the
+// ForNewTenure returns the memory for a new tenure of the lease. It keeps only the
 // number of groups formed, so that no group id is used twice.
-func (m *Memory) Restart() *Memory {
+func (m *Memory) ForNewTenure() *Memory {
 	n := NewMemory()
 	n.groupsFormed = m.groupsFormed
 	return n
--- a/internal/group/metrics.go
+++ b/internal/group/metrics.go
@@ -76,7 +76,7 @@
 // first one of a tenure.
 func (m *metrics) observePlan(took, since time.Duration, p *Plan) {
 	m.planTime.Observe(took.Seconds())
-	m.deferrals.Set(float64(len(p.Notes)))
+	m.deferrals.Set(float64(len(p.Deferrals)))
 	for i := range p.Specs {
 		s := &p.Specs[i]
 		m.replicas.WithLabelValues(s.Name, "wanted").Set(float64(s.Wanted))
@@ -84,8 +84,8 @@
 		m.replicas.WithLabelValues(s.Name, "other").Set(float64(s.Other))
 		m.downtime.WithLabelValues(s.Name).Add(float64(s.Down) * since.Seconds())
 	}
-	m.stranded.Set(float64(p.Stranded))
-	m.strandedSeconds.Add(float64(p.Stranded) * since.Seconds())
+	m.stranded.Set(float64(p.StrandedAccelerators))
+	m.strandedSeconds.Add(float64(p.StrandedAccelerators) * since.Seconds())
 }
 
 // resetGauges clears the gauges when the lease is lost; the new holder sets its
--- a/internal/group/orders.go
+++ b/internal/group/orders.go
@@ -48,10 +48,10 @@
 // store's bandwidth: when all run at once, all finish late, while a group that
 // loads before the others serves as soon as its own loads are done.
 func (p *planner) planJoins() {
-	budget := p.in.Tune.LoadsAtOnce - p.countLoading()
+	budget := p.in.Params.MaxConcurrentLoads - p.countLoading()
 	queue := p.joinQueue()
 	for _, j := range queue {
-		if j.loads > 0 && j.loads > budget && budget < p.in.Tune.LoadsAtOnce {
+		if j.loads > 0 && j.loads > budget && budget < p.in.Params.MaxConcurrentLoads {
 			p.deferAction(string(j.ag.row.Group.ID), "wait", "the weight store is busy with other groups")
 			continue
 		}
--- a/internal/group/plan.go
+++ b/internal/group/plan.go
@@ -24,22 +24,22 @@
 	"chervilloom/internal/view"
 )
 
-// Tune holds the timeouts and limits of the planner.
-type Tune struct {
-	DeadAfter     time.Duration // a member is dead after its probes were unanswered for this long
-	DeadProbes    int           // and after at least this many consecutive failures
-	StaleAfter    time.Duration // age after which the last probe answer no longer gives a VM's health
-	MissingAfter  time.Duration // a VM missing from the platform's list for this long counts as leaving
-	DissolveAfter time.Duration // a group that cannot be repaired is dissolved after this time
-	DrainSettle   time.Duration // time until all nodes have learned of a drain
-	DrainLimit    time.Duration // a drain that takes longer is ended
-	LoadLimit     time.Duration // a member that loads for longer gets a new generation
-	LoadsAtOnce   int           // VMs of the zone that may load weights concurrently
-	// UnfencedSettle is the time after a takeover of the lease from another node
+// Params holds the timeouts and limits of the planner.
+type Params struct {
+	DeadAfter          time.Duration // a member is dead after its probes were unanswered for this long
+	DeadProbes         int           // and after at least this many consecutive failures
+	MaxProbeAge        time.Duration // age after which the last probe answer no longer gives a VM's health
+	UnlistedAfter      time.Duration // a VM missing from the platform's list for this long counts as leaving
+	DissolveDelay      time.Duration // a group that cannot be repaired is dissolved after this time
+	DrainPropagation   time.Duration // time until all nodes have learned of a drain
+	DrainTimeout       time.Duration // a drain that takes longer is ended
+	LoadTimeout        time.Duration // a member that loads for longer gets a new generation
+	MaxConcurrentLoads int           // VMs of the zone that may load weights concurrently
+	// UnfencedOrderDelay is the time after a takeover of the lease from another node
 	// in which engines that ignore fences get no orders and their groups do not
 	// start to serve. Orders of the former holder that are in flight arrive within
 	// this time.
-	UnfencedSettle time.Duration
+	UnfencedOrderDelay time.Duration
 }
 
 // drainTimeout exceeds the longest deadline of a request (30 minutes), so that a
@@ -47,13 +47,13 @@
 // the group is broken and the drain ends immediately.
 const drainTimeout = 31 * time.Minute
 
-// DefaultTune returns the defaults.
-func DefaultTune() Tune {
-	return Tune{
-		DeadAfter: 1500 * time.Millisecond, DeadProbes: 3, StaleAfter: 3 * time.Second,
-		MissingAfter: 30 * time.Second, DissolveAfter: time.Minute,
-		DrainSettle: 3 * time.Second, DrainLimit: drainTimeout,
-		LoadLimit: 10 * time.Minute, LoadsAtOnce: 16, UnfencedSettle: 2 * time.Second,
+// DefaultParams returns the defaults.
+func DefaultParams() Params {
+	return Params{
+		DeadAfter: 1500 * time.Millisecond, DeadProbes: 3, MaxProbeAge: 3 * time.Second,
+		UnlistedAfter: 30 * time.Second, DissolveDelay: time.Minute,
+		DrainPropagation: 3 * time.Second, DrainTimeout: drainTimeout,
+		LoadTimeout: 10 * time.Minute, MaxConcurrentLoads: 16, UnfencedOrderDelay: 2 * time.Second,
 	}
 }
 
@@ -65,7 +65,7 @@
 	Groups  []view.TableGroup       // rows of the groups table for the zone
 	Targets map[string]int          // wanted replicas in the zone, by spec name
 	Grant   lease.Grant
-	Tune    Tune
+	Params  Params
 }
 
 // Kind is the kind of a change to a group.
@@ -93,13 +93,13 @@
 
 // Plan is the result of planning: the transactions and orders to carry out now.
 type Plan struct {
-	Changes []Change
-	Orders  []VMOrder
-	Notes   []Note
-	Specs   []SpecState // one per spec of the configuration
-	// Stranded is the number of accelerators of live VMs that are in no serving
+	Changes   []Change
+	Orders    []VMOrder
+	Deferrals []Deferral
+	Specs     []SpecState // one per spec of the configuration
+	// StrandedAccelerators is the number of accelerators of live VMs that are in no serving
 	// group.
-	Stranded int
+	StrandedAccelerators int
 }
 
 // SpecState counts the replicas of a spec in the zone.
@@ -108,8 +108,8 @@
 	Wanted, Serving, Other, Down int // Other: forming, broken or draining; Down: wanted but not serving
 }
 
-// Note is an action that the plan postpones, with the reason.
-type Note struct {
+// Deferral is an action that the plan postpones, with the reason.
+type Deferral struct {
 	Subject, Decision, Reason string
 }
 
@@ -137,9 +137,9 @@
 	changed bool // this plan writes its row
 }
 
-// Make returns the plan for one availability zone. The plan is empty while the
+// MakePlan returns the plan for one availability zone. The plan is empty while the
 // configuration or the platform's list of VMs is unknown.
-func Make(in *Input, mem *Memory) Plan {
+func MakePlan(in *Input, mem *Memory) Plan {
 	// Without a list of VMs no zone has capacity, and every group would be
 	// drained as surplus.
 	if in.Snap.Config == nil || in.Snap.ListSeen == 0 {
@@ -241,12 +241,12 @@
 }
 
 // allUnlisted reports whether every member is missing from the platform's list
-// for longer than MissingAfter. A group whose members are all dead is kept
+// for longer than UnlistedAfter. A group whose members are all dead is kept
 // until then: after a mere network partition it is complete again.
 func (p *planner) allUnlisted(g *fleet.Group) bool {
 	return !slices.ContainsFunc(g.Members, func(m fleet.Member) bool {
 		v := p.vms[m.VM]
-		return v != nil && !isUnlisted(v, p.in.Now, &p.in.Tune)
+		return v != nil && !isUnlisted(v, p.in.Now, &p.in.Params)
 	})
 }
 
@@ -266,12 +266,12 @@
 }
 
 // canOrder reports whether the VM may get an order: always if its engine checks
-// fences or the lease was not taken over, else only after UnfencedSettle.
+// fences or the lease was not taken over, else only after UnfencedOrderDelay.
 func (p *planner) canOrder(vm fleet.VM) bool {
 	if !p.in.Grant.TakenOver || p.checksFence(vm) {
 		return true
 	}
-	return p.in.Now.Sub(p.in.Grant.Since) >= p.in.Tune.UnfencedSettle
+	return p.in.Now.Sub(p.in.Grant.Since) >= p.in.Params.UnfencedOrderDelay
 }
 
 func (p *planner) checksFence(vm fleet.VM) bool {
@@ -279,5 +279,5 @@
 }
 
 func (p *planner) deferAction(subject, decision, reason string) {
-	p.out.Notes = append(p.out.Notes, Note{subject, decision, reason})
+	p.out.Deferrals = append(p.out.Deferrals, Deferral{subject, decision, reason})
 }
--- a/internal/group/plan_test.go
+++ b/internal/group/plan_test.go
@@ -115,7 +115,7 @@
 		w.settle(t, 10)
 		w.failProbes(w.group(0).Members[0].VM)
 		dying := &w.vms[w.group(0).Members[1].VM].Probe
-		dying.Failing, dying.Failures = w.now.Add(-300*time.Millisecond), 1
+		dying.FailingSince, dying.Failures = w.now.Add(-300*time.Millisecond), 1
 		is.Equal(kinds(w.plan(t).Changes), "[]")
 	})
 	t.Run("two broken groups yield one serving group", func(t *testing.T) {
@@ -132,7 +132,7 @@
 		w.settle(t, 10)
 		w.failProbes(w.group(0).Members[0].VM)
 		is.Equal(kinds(w.plan(t).Changes), "[]")
-		w.now = w.now.Add(w.tune.DissolveAfter)
+		w.now = w.now.Add(w.tune.DissolveDelay)
 		is.Equal(kinds(w.plan(t).Changes), "[dissolve]")
 	})
 	t.Run("a group that cannot be repaired is replaced at once if VMs are free", func(t *testing.T) {
@@ -165,13 +165,13 @@
 	is.Equal(kinds(w.settle(t, 10)), "[form serve]") // the form is in the other domain
 	is.Equal(w.phases(), "map[serving:3]")           // the dead group is kept: its members may answer again
 	for _, vm := range dead {
-		w.vms[vm].Probe.Failing, w.vms[vm].Probe.Failures = 0, 0
+		w.vms[vm].Probe.FailingSince, w.vms[vm].Probe.Failures = 0, 0
 	}
 	w.setLoad(0)
 	is.Equal(kinds(w.settle(t, 1)), "[drain]") // its members answer again: one group is surplus
 	w.failProbes(dead...)
 	for _, vm := range dead {
-		w.vms[vm].Listed, w.vms[vm].Unlisted = false, w.now.Add(-time.Hour)
+		w.vms[vm].Listed, w.vms[vm].UnlistedSince = false, w.now.Add(-time.Hour)
 	}
 	w.now = w.now.Add(time.Second)
 	for _, c := range w.plan(t).Changes {
@@ -189,7 +189,7 @@
 	w.vms[m].Leaving = true
 	w.setLoad(3)
 	is.Equal(kinds(w.settle(t, 10)), "[drain]")
-	w.now = w.now.Add(w.tune.DrainSettle)
+	w.now = w.now.Add(w.tune.DrainPropagation)
 	w.setLoad(1)
 	is.Equal(kinds(w.settle(t, 1)), "[]")
 	w.setLoad(0)
@@ -207,7 +207,7 @@
 	is.Equal(kinds(w.settle(t, 5)), "[drain]")
 	w.setLoad(0) // idle, but other nodes may not know of the drain yet
 	is.Equal(kinds(w.settle(t, 5)), "[]")
-	w.now = w.now.Add(w.tune.DrainSettle)
+	w.now = w.now.Add(w.tune.DrainPropagation)
 	w.setLoad(0)
 	w.now = w.now.Add(time.Second)
 	w.setLoad(0)
@@ -263,7 +263,7 @@
 func TestLoadsAreBounded(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(specs(spec("a", 4, 4)), 16)
-	w.tune.LoadsAtOnce = 8
+	w.tune.MaxConcurrentLoads = 8
 	w.apply(w.plan(t))
 	p := w.plan(t)
 	is.Equal(countOrders(p, engine.VerbJoin), 8)
@@ -287,7 +287,7 @@
 	w.doc.FenceChecked = []string{"*"}
 	is.Equal(len(w.plan(t).Orders), 2)
 	w.doc.FenceChecked = nil
-	w.now = w.now.Add(w.tune.UnfencedSettle)
+	w.now = w.now.Add(w.tune.UnfencedOrderDelay)
 	is.Equal(len(w.plan(t).Orders), 2)
 }
 
@@ -313,7 +313,7 @@
 		sum := 0
 		for _, z := range []fleet.AvailabilityZone{"y", "z"} {
 			snap.Zone = z
-			sum += Share(&w.doc.Groups[0], total, snap)
+			sum += ZoneShare(&w.doc.Groups[0], total, snap)
 		}
 		is.Equal(sum, want) // z has capacity for three and y for one
 	}
@@ -327,7 +327,7 @@
 		"no targets": func(w *world) { w.targets = nil },
 		"truncated list": func(w *world) {
 			for _, v := range w.vms {
-				v.Listed, v.Unlisted = false, w.now.Add(-time.Hour)
+				v.Listed, v.UnlistedSince = false, w.now.Add(-time.Hour)
 			}
 		},
 	} {
@@ -348,7 +348,7 @@
 		for i := range snap.VMs { // known only from claims and probes
 			snap.VMs[i].Record = fleet.Record{VM: snap.VMs[i].Record.VM}
 		}
-		p := Make(&Input{Now: w.now, Snap: snap, Claims: w.claims, Groups: w.groups, Targets: MinTargets(snap), Grant: w.grant, Tune: w.tune}, w.mem)
+		p := MakePlan(&Input{Now: w.now, Snap: snap, Claims: w.claims, Groups: w.groups, Targets: MinTargets(snap), Grant: w.grant, Params: w.tune}, w.mem)
 		is.Equal(len(p.Changes)+len(p.Orders), 0)
 	})
 	t.Run("a single unlisted VM counts as leaving", func(t *testing.T) {
@@ -356,7 +356,7 @@
 		w := newWorld(specs(spec("a", 2, 2)), 8)
 		w.settle(t, 10)
 		v := w.vms[w.group(0).Members[0].VM]
-		v.Listed, v.Unlisted = false, w.now.Add(-time.Hour)
+		v.Listed, v.UnlistedSince = false, w.now.Add(-time.Hour)
 		is.Equal(kinds(w.plan(t).Changes), "[drain]")
 	})
 }
@@ -382,9 +382,9 @@
 	w.settle(t, 10)
 	p := w.plan(t)
 	is.Equal(p.Specs, []SpecState{{Name: "a", Wanted: 2, Serving: 2}})
-	is.Equal(p.Stranded, 8) // one spare VM with eight accelerators
+	is.Equal(p.StrandedAccelerators, 8) // one spare VM with eight accelerators
 	w.failProbes(w.group(0).Members[0].VM, w.group(0).Members[1].VM)
 	p = w.plan(t)
 	is.Equal(p.Specs, []SpecState{{Name: "a", Wanted: 2, Serving: 1, Other: 1, Down: 1}})
-	is.Equal(p.Stranded, 3*8) // the two remaining members and the spare
+	is.Equal(p.StrandedAccelerators, 3*8) // the two remaining members and the spare
 }
--- a/internal/group/reconciler.go
+++ b/internal/group/reconciler.go
@@ -57,24 +57,24 @@
 	Explain  explain.Recorder
 	Log      *slog.Logger
 	Registry prometheus.Registerer
-	Tune     Tune // zero: DefaultTune
+	Params   Params // zero: DefaultParams
 	Timing   Timing
 }
 
 // Timing holds the reconciler's intervals and limits; zero values select the
 // defaults.
 type Timing struct {
-	Tick         time.Duration // between plans; default 200 ms
-	Read         time.Duration // between the holder's reads of the table, except after failed writes; default 2 s
-	ReadTimeout  time.Duration // of one read of the table; default 2 s
-	SlowRead     time.Duration // minimum between reads of the table by other nodes; default 3 s
-	OrderTimeout time.Duration // of one order; default 1 s
+	PlanInterval        time.Duration // between plans; default 200 ms
+	ReadInterval        time.Duration // between the holder's reads of the table, except after failed writes; default 2 s
+	ReadTimeout         time.Duration // of one read of the table; default 2 s
+	StandbyReadInterval time.Duration // minimum between reads of the table by other nodes; default 3 s
+	OrderTimeout        time.Duration // of one order; default 1 s
 	// CommitTimeout limits one transaction including the client's read-back;
 	// default 3 s.
-	CommitTimeout time.Duration
-	Commits       int           // concurrent transactions; default 8
-	AtOnce        int           // concurrent orders; default 16
-	Margin        time.Duration // remaining lease time required to act; default 500 ms
+	CommitTimeout        time.Duration
+	MaxConcurrentCommits int           // concurrent transactions; default 8
+	MaxConcurrentOrders  int           // concurrent orders; default 16
+	LeaseMargin          time.Duration // remaining lease time required to act; default 500 ms
 }
 
 func (t Timing) withDefaults() Timing {
@@ -83,18 +83,18 @@
 			*d = v
 		}
 	}
-	setDefault(&t.Tick, 200*time.Millisecond)
-	setDefault(&t.Read, 2*time.Second)
+	setDefault(&t.PlanInterval, 200*time.Millisecond)
+	setDefault(&t.ReadInterval, 2*time.Second)
 	setDefault(&t.ReadTimeout, 2*time.Second)
-	setDefault(&t.SlowRead, 3*time.Second)
+	setDefault(&t.StandbyReadInterval, 3*time.Second)
 	setDefault(&t.OrderTimeout, time.Second)
 	setDefault(&t.CommitTimeout, 3*time.Second)
-	setDefault(&t.Margin, 500*time.Millisecond)
-	if t.Commits == 0 {
-		t.Commits = 8
+	setDefault(&t.LeaseMargin, 500*time.Millisecond)
+	if t.MaxConcurrentCommits == 0 {
+		t.MaxConcurrentCommits = 8
 	}
-	if t.AtOnce == 0 {
-		t.AtOnce = 16
+	if t.MaxConcurrentOrders == 0 {
+		t.MaxConcurrentOrders = 16
 	}
 	return t
 }
@@ -110,14 +110,14 @@
 	// nextRead is the earliest time of the next read after a failed one; it limits
 	// reads while the platform is down.
 	nextRead          clock.Instant
-	lastPlan          clock.Instant // in this tenure; 0: none
-	previousDeferrals map[Note]bool // from the previous plan
+	lastPlan          clock.Instant     // in this tenure; 0: none
+	previousDeferrals map[Deferral]bool // from the previous plan
 }
 
 // New returns a reconciler; Run starts it.
 func New(d Deps) *Reconciler {
-	if d.Tune == (Tune{}) {
-		d.Tune = DefaultTune()
+	if d.Params == (Params{}) {
+		d.Params = DefaultParams()
 	}
 	d.Timing = d.Timing.withDefaults()
 	if d.Targets == nil {
@@ -129,7 +129,7 @@
 // Run reconciles until ctx is done. The lease must be released only after Run has
 // returned, because an order may be in flight until then.
 func (r *Reconciler) Run(ctx context.Context) error {
-	tick := time.NewTicker(r.Timing.Tick)
+	tick := time.NewTicker(r.Timing.PlanInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -146,7 +146,7 @@
 func (r *Reconciler) Step(ctx context.Context) {
 	now := r.Clock.Now()
 	grant, ok := r.Lease.Held(now)
-	if !ok || grant.Left(now) < r.Timing.Margin {
+	if !ok || grant.Remaining(now) < r.Timing.LeaseMargin {
 		if r.tenureFence != 0 {
 			r.metrics.resetGauges()
 		}
@@ -155,9 +155,9 @@
 		return
 	}
 	if grant.Fence != r.tenureFence {
-		r.tenureFence, r.rowsStale, r.mem = grant.Fence, true, r.mem.Restart()
+		r.tenureFence, r.rowsStale, r.mem = grant.Fence, true, r.mem.ForNewTenure()
 	}
-	interval := r.Timing.Read
+	interval := r.Timing.ReadInterval
 	if r.rowsStale {
 		interval = 0
 	}
@@ -172,7 +172,7 @@
 // of the table's capacity.
 func (r *Reconciler) standbyReadInterval() time.Duration {
 	const perNode = 50 * time.Millisecond
-	return max(r.Timing.SlowRead, time.Duration(len(r.View.Snapshot().Nodes))*perNode)
+	return max(r.Timing.StandbyReadInterval, time.Duration(len(r.View.Snapshot().Nodes))*perNode)
 }
 
 // refreshRows reads the rows unless they are younger than interval, and reports
@@ -189,7 +189,7 @@
 	fresh, err := readRows(rctx, r.Table, r.Zone, now, r.Log)
 	if err != nil {
 		r.metrics.readFailed.Inc()
-		r.nextRead = r.Clock.Now().Add(r.Timing.Read / 2)
+		r.nextRead = r.Clock.Now().Add(r.Timing.ReadInterval / 2)
 		return false
 	}
 	r.rows, r.rowsStale = fresh, false
@@ -200,9 +200,9 @@
 func (r *Reconciler) planAndApply(ctx context.Context, grant lease.Grant) {
 	snap := r.View.Snapshot()
 	now := r.Clock.Now()
-	plan := Make(&Input{
+	plan := MakePlan(&Input{
 		Now: now, Snap: snap, Claims: r.rows.claims, Groups: r.rows.groupList(),
-		Targets: r.Targets(snap), Grant: grant, Tune: r.Tune,
+		Targets: r.Targets(snap), Grant: grant, Params: r.Params,
 	}, r.mem)
 	since := time.Duration(0)
 	if r.lastPlan != 0 {
@@ -210,7 +210,7 @@
 	}
 	r.lastPlan = now
 	r.metrics.observePlan(r.Clock.Now().Sub(now), since, &plan)
-	r.explainDeferrals(plan.Notes)
+	r.explainDeferrals(plan.Deferrals)
 	if !r.commitAll(ctx, grant, plan.Changes) {
 		return // the orders were planned for rows that may have changed
 	}
@@ -222,7 +222,7 @@
 func (r *Reconciler) commitAll(ctx context.Context, grant lease.Grant, changes []Change) bool {
 	results := make([]platform.Result, len(changes))
 	var eg errgroup.Group
-	eg.SetLimit(r.Timing.Commits)
+	eg.SetLimit(r.Timing.MaxConcurrentCommits)
 	done := make([]bool, len(changes))
 	for i := range changes {
 		eg.Go(func() error {
@@ -262,7 +262,7 @@
 func (r *Reconciler) commit(ctx context.Context, grant lease.Grant, c *Change) (platform.Result, bool) {
 	now := r.Clock.Now()
 	held, ok := r.Lease.Held(now)
-	if !ok || held.Fence != grant.Fence || held.Left(now) < r.Timing.Margin {
+	if !ok || held.Fence != grant.Fence || held.Remaining(now) < r.Timing.LeaseMargin {
 		return platform.Result{}, false
 	}
 	// The lease may have been renewed since the plan was made.
@@ -270,7 +270,7 @@
 	ctx, span := tracer.Start(ctx, "group."+string(c.Kind))
 	defer span.End()
 	span.SetAttributes(attribute.String("group", string(c.Group.ID)), attribute.String("reason", c.Reason))
-	ctx, cancel := context.WithTimeout(ctx, min(r.Timing.CommitTimeout, held.Left(now)))
+	ctx, cancel := context.WithTimeout(ctx, min(r.Timing.CommitTimeout, held.Remaining(now)))
 	defer cancel()
 	c.Txn.Attempt = uuid.NewString()
 	res, err := r.Table.Commit(ctx, c.Txn)
@@ -296,19 +296,19 @@
 const resultCommitted = "committed"
 
 // explainDeferrals records the postponed actions that the previous plan did not have.
-func (r *Reconciler) explainDeferrals(deferrals []Note) {
-	current := make(map[Note]bool, len(deferrals))
+func (r *Reconciler) explainDeferrals(deferrals []Deferral) {
+	current := make(map[Deferral]bool, len(deferrals))
 	for _, n := range deferrals {
 		current[n] = true
 		if !r.previousDeferrals[n] {
-			r.Explain.Note(explain.Step{Subject: n.Subject, Stage: "group", Decision: n.Decision, Reason: n.Reason})
+			r.Explain.Record(explain.Step{Subject: n.Subject, Stage: "group", Decision: n.Decision, Reason: n.Reason})
 		}
 	}
 	r.previousDeferrals = current
 }
 
 func (r *Reconciler) explainChange(c *Change, result string) {
-	r.Explain.Note(explain.Step{
+	r.Explain.Record(explain.Step{
 		Subject: string(c.Group.ID), Stage: "group", Decision: string(c.Kind) + " " + result,
 		Reason: c.Reason, Facts: c.Facts,
 	})
@@ -324,7 +324,7 @@
 	}
 	for i := range snap.Config.Groups {
 		s := &snap.Config.Groups[i]
-		out[s.Name] = Share(s, s.Min, snap)
+		out[s.Name] = ZoneShare(s, s.Min, snap)
 	}
 	return out
 }
--- a/internal/group/repair.go
+++ b/internal/group/repair.go
@@ -32,11 +32,11 @@
 	switch {
 	case ag.assess.state == broken || ag.assess.state == allDead:
 		return "draining, and " + ag.assess.reason, true
-	case elapsed > p.in.Tune.DrainLimit:
+	case elapsed > p.in.Params.DrainTimeout:
 		return "the drain took too long", true
 	case leader == nil || leader.Load.Boot != g.Members[0].Boot || leader.Load.Running+leader.Load.Waiting > 0:
 		return "", false
-	case leader.LoadAt.After(began.Add(p.in.Tune.DrainSettle)):
+	case leader.LoadAt.After(began.Add(p.in.Params.DrainPropagation)):
 		return "drained", true
 	}
 	return "", false
@@ -207,14 +207,14 @@
 }
 
 // dissolveOrWait dissolves a group that cannot be repaired: immediately if other
-// groups meet the target without it, else after DissolveAfter.
+// groups meet the target without it, else after DissolveDelay.
 func (p *planner) dissolveOrWait(ag *assessedGroup) {
 	g := &ag.row.Group
 	waited := p.in.Now.Sub(sinceFirst(p.mem.brokenSince, g.ID, p.in.Now))
 	switch {
 	case !p.isWanted(ag):
 		p.dissolveGroup(ag, ag.assess.reason+"; other groups have taken its place")
-	case waited >= p.in.Tune.DissolveAfter:
+	case waited >= p.in.Params.DissolveDelay:
 		p.dissolveGroup(ag, fmt.Sprintf("%s and its fabric domain had no spare VM for %v", ag.assess.reason, waited))
 	default:
 		p.deferAction(string(g.ID), "wait", ag.assess.reason+" and its fabric domain has no spare VM")
--- a/internal/group/send.go
+++ b/internal/group/send.go
@@ -21,7 +21,7 @@
 // differs from its claim and sends another order; meanwhile the group gets no
 // requests, because not all of its members report its generation.
 func (r *Reconciler) sendOrders(ctx context.Context, grant lease.Grant, orders []VMOrder) {
-	semaphore := make(chan struct{}, r.Timing.AtOnce)
+	semaphore := make(chan struct{}, r.Timing.MaxConcurrentOrders)
 	var wg sync.WaitGroup
 	for i := range orders {
 		select {
@@ -41,7 +41,7 @@
 
 func (r *Reconciler) sendOrder(ctx context.Context, grant lease.Grant, o *VMOrder) {
 	now := r.Clock.Now()
-	left := grant.Left(now) - r.Timing.Margin
+	left := grant.Remaining(now) - r.Timing.LeaseMargin
 	if left <= 0 {
 		return
 	}
@@ -61,7 +61,7 @@
 	} else {
 		r.putState(o.VM, now, res.State)
 	}
-	r.Explain.Note(explain.Step{
+	r.Explain.Record(explain.Step{
 		Subject: string(o.VM), Stage: "order", Decision: string(o.Order.Verb) + " " + result,
 		Reason: "the engine's state differs from its claim",
 		Facts:  []explain.Fact{{Name: "group", Value: string(o.Order.Group)}, {Name: "lease left", Value: left.Round(time.Millisecond).String()}},
--- a/internal/group/share.go
+++ b/internal/group/share.go
@@ -10,11 +10,11 @@
 	"chervilloom/internal/view"
 )
 
-// Share splits total replicas of the spec over its availability zones and
+// ZoneShare splits total replicas of the spec over its availability zones and
 // returns the number for the snapshot's zone. Every zone computes the same split
 // from the spec and the list of VMs, so no coordination is needed. A zone gets no
 // more replicas than its VMs have capacity for.
-func Share(s *config.GroupSpec, total int, snap *view.Snapshot) int {
+func ZoneShare(s *config.GroupSpec, total int, snap *view.Snapshot) int {
 	capacity := zoneCapacity(s, snap)
 	zones := make([]fleet.VM, 0, len(capacity)) // of type VM for TopK
 	for z := range capacity {
--- a/internal/group/sim_test.go
+++ b/internal/group/sim_test.go
@@ -114,7 +114,7 @@
 	n.rec = New(Deps{
 		Zone: "z", Table: n, Orders: n, Lease: n.lease, View: n, Sink: n, Clock: s.clk,
 		Explain: explain.NewStore("n", 100, 10), Log: log, Registry: prometheus.NewRegistry(),
-		Timing: Timing{Commits: 1, AtOnce: 1},
+		Timing: Timing{MaxConcurrentCommits: 1, MaxConcurrentOrders: 1},
 	})
 	n.Put(view.Configured{Revision: s.revision, Document: s.doc})
 	return n
@@ -136,21 +136,21 @@
 
 func (n *simNode) Get(ctx context.Context, table, key string) (platform.Row, error) {
 	if n.platformUnreachable {
-		return platform.Row{}, platform.ErrDown
+		return platform.Row{}, platform.ErrUnavailable
 	}
 	return n.sim.table.Get(ctx, table, key)
 }
 
 func (n *simNode) List(ctx context.Context, table, prefix string) ([]platform.Row, error) {
 	if n.platformUnreachable {
-		return nil, platform.ErrDown
+		return nil, platform.ErrUnavailable
 	}
 	return n.sim.table.List(ctx, table, prefix)
 }
 
 func (n *simNode) Commit(ctx context.Context, txn platform.Txn) (platform.Result, error) {
 	if n.platformUnreachable {
-		return platform.Result{}, platform.ErrDown
+		return platform.Result{}, platform.ErrUnavailable
 	}
 	if f := n.beforeCommit; f != nil {
 		n.beforeCommit = nil
@@ -183,13 +183,13 @@
 				n.failing[r.VM] = now
 			}
 			n.failures[r.VM]++
-			n.Put(view.Probed{VM: r.VM, Sent: now, Failing: n.failing[r.VM], Failures: n.failures[r.VM]})
+			n.Put(view.Probed{VM: r.VM, Sent: now, FailingSince: n.failing[r.VM], Failures: n.failures[r.VM]})
 			continue
 		}
 		n.failures[r.VM] = 0
 		n.Put(view.Probed{VM: r.VM, Sent: now, RTT: time.Millisecond, Answered: true, State: st})
 		if load, err := n.sim.engines.LoadReport(context.Background(), r.Addr); err == nil {
-			n.Put(view.Loaded{At: now, Load: load})
+			n.Put(view.LoadReported{At: now, Load: load})
 		}
 	}
 }
@@ -349,7 +349,7 @@
 	s.run(d)
 	n.paused = false
 	for _, r := range s.list {
-		n.Put(view.Probed{VM: r.VM, Sent: before.Add(1), Failing: before.Add(1), Failures: 1})
+		n.Put(view.Probed{VM: r.VM, Sent: before.Add(1), FailingSince: before.Add(1), Failures: 1})
 	}
 }
 
--- a/internal/group/world_test.go
+++ b/internal/group/world_test.go
@@ -24,7 +24,7 @@
 	groups  []view.TableGroup
 	targets map[string]int
 	grant   lease.Grant
-	tune    Tune
+	tune    Params
 	mem     *Memory
 }
 
@@ -33,14 +33,14 @@
 	w := &world{
 		now: clock.Instant(time.Hour), doc: d, vms: map[fleet.VM]*view.VM{}, claims: map[fleet.VM]view.Claim{},
 		targets: map[string]int{}, grant: lease.Grant{Duty: Duty("z"), Fence: 1, Version: 1},
-		tune: DefaultTune(), mem: NewMemory(),
+		tune: DefaultParams(), mem: NewMemory(),
 	}
 	for _, s := range d.Groups {
 		w.targets[s.Name] = s.Min
 	}
 	for _, r := range list {
 		v := &view.VM{Record: r, Listed: true}
-		v.Probe = view.Probe{State: fleet.EngineState{VM: r.VM, Boot: fleet.BootID("b1-" + string(r.VM))}, Answered: w.now}
+		v.Probe = view.Probe{State: fleet.EngineState{VM: r.VM, Boot: fleet.BootID("b1-" + string(r.VM))}, AnsweredAt: w.now}
 		w.vms[r.VM] = v
 	}
 	return w
@@ -49,8 +49,8 @@
 func (w *world) snapshot() *view.Snapshot {
 	s := &view.Snapshot{At: w.now, Self: fleet.Node{VM: "n", Incarnation: 1}, Zone: "z", Revision: 1, Config: w.doc, ListSeen: w.now}
 	for _, v := range w.vms {
-		if v.Probe.Failing == 0 {
-			v.Probe.Answered = w.now
+		if v.Probe.FailingSince == 0 {
+			v.Probe.AnsweredAt = w.now
 		}
 		s.VMs = append(s.VMs, *v)
 	}
@@ -67,8 +67,8 @@
 // row and on every row that it writes.
 func (w *world) plan(t testing.TB) Plan {
 	t.Helper()
-	p := Make(&Input{
-		Now: w.now, Snap: w.snapshot(), Claims: w.claims, Groups: w.groups, Targets: w.targets, Grant: w.grant, Tune: w.tune,
+	p := MakePlan(&Input{
+		Now: w.now, Snap: w.snapshot(), Claims: w.claims, Groups: w.groups, Targets: w.targets, Grant: w.grant, Params: w.tune,
 	}, w.mem)
 	written := map[string]bool{}
 	for _, c := range p.Changes {
@@ -157,7 +157,7 @@
 func (w *world) failProbes(vms ...fleet.VM) {
 	for _, vm := range vms {
 		p := &w.vms[vm].Probe
-		p.Failing, p.Failures = w.now.Add(-10*time.Second), 30
+		p.FailingSince, p.Failures = w.now.Add(-10*time.Second), 30
 	}
 }
 
--- a/internal/identify/decide.go
+++ b/internal/identify/decide.go
@@ -21,8 +21,8 @@
 	PathServices    = "/services/"
 )
 
-// Facts contains the inputs of Identify other than the request.
-type Facts struct {
+// Inputs contains the inputs of Identify other than the request.
+type Inputs struct {
 	Config       *config.Document
 	Keys         Keys
 	Now          clock.Instant
@@ -32,7 +32,7 @@
 // Identify sets the fields of req that follow from its method, path, header and
 // body. If the request is refused, it returns an error with the outcome "not
 // run".
-func Identify(req *request.Request, f Facts) *outcome.Error {
+func Identify(req *request.Request, f Inputs) *outcome.Error {
 	org, err := authorise(req.Header, f.Keys)
 	if err != nil {
 		return err
@@ -55,7 +55,7 @@
 
 // classify sets the fields of req that follow from its path and body, and
 // returns the timeout of a request without a deadline.
-func classify(req *request.Request, f Facts) (time.Duration, *outcome.Error) {
+func classify(req *request.Request, f Inputs) (time.Duration, *outcome.Error) {
 	path, _, _ := strings.Cut(req.Path, "?")
 	switch {
 	case strings.HasPrefix(path, PathServices):
--- a/internal/identify/identify.go
+++ b/internal/identify/identify.go
@@ -84,7 +84,7 @@
 	if snap.Config == nil {
 		return noConfigurationError()
 	}
-	return Identify(req, Facts{
+	return Identify(req, Inputs{
 		Config:       snap.Config,
 		Keys:         i.currentKeys(snap),
 		Now:          i.opt.Clock.Now(),
@@ -119,7 +119,7 @@
 func noConfigurationError() *outcome.Error {
 	return outcome.New(outcome.NoCapacity, outcome.NotRun,
 		"this node knows no configuration yet",
-		"send the request again, if possible to another node").After(time.Second)
+		"send the request again, if possible to another node").WithRetryAfter(time.Second)
 }
 
 func (i *Identifier) recordDecision(req *request.Request, span trace.Span, err *outcome.Error) {
@@ -140,7 +140,7 @@
 	} else {
 		st.Reason = formatRequest(req)
 	}
-	i.opt.Explain.Note(st)
+	i.opt.Explain.Record(st)
 }
 
 func formatRequest(req *request.Request) string {
--- a/internal/identify/identify_test.go
+++ b/internal/identify/identify_test.go
@@ -48,9 +48,9 @@
 
 const now = clock.Instant(1e12)
 
-func newFacts() Facts {
+func newInputs() Inputs {
 	doc := newDocument()
-	return Facts{Config: doc, Keys: NewKeys(doc), Now: now, ModelTimeout: time.Minute}
+	return Inputs{Config: doc, Keys: NewKeys(doc), Now: now, ModelTimeout: time.Minute}
 }
 
 func newRequest(method, path, body string) *request.Request {
@@ -69,7 +69,7 @@
 func TestIdentifyModelCall(t *testing.T) {
 	is := is.New(t)
 	req := newChatRequest("renewals+kathmandu@v1", `,"max_tokens":12,"stream":true`)
-	is.True(Identify(req, newFacts()) == nil)
+	is.True(Identify(req, newInputs()) == nil)
 	is.Equal(req.Organisation, fleet.Organisation("sagarmatha"))
 	is.Equal(req.Priority, 7)
 	is.Equal(req.Class, request.ClassModel)
@@ -121,7 +121,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			err := Identify(tc.req, newFacts())
+			err := Identify(tc.req, newInputs())
 			is.True(err != nil)
 			is.Equal(err.Kind, tc.kind)
 			is.Equal(err.Outcome, outcome.NotRun)
@@ -167,7 +167,7 @@
 		t.Run(tc.method+" "+tc.path, func(t *testing.T) {
 			is := is.New(t)
 			req := newRequest(tc.method, "/services/counter"+tc.path, "")
-			is.True(Identify(req, newFacts()) == nil)
+			is.True(Identify(req, newInputs()) == nil)
 			is.Equal(req.Class, tc.class)
 			is.Equal(req.Idempotent, tc.class == request.ClassLookup)
 			is.Equal(req.Deadline, now.Add(3*time.Second))
@@ -192,7 +192,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			tc.req.Header.Set(HeaderIdempotent, tc.mark)
-			is.True(Identify(tc.req, newFacts()) == nil)
+			is.True(Identify(tc.req, newInputs()) == nil)
 			is.Equal(tc.req.Idempotent, tc.idempotent)
 			is.Equal(tc.req.Class, tc.class)
 		})
@@ -203,16 +203,16 @@
 	is := is.New(t)
 	req := newChatRequest("plain", "")
 	req.Header.Set(HeaderDeadline, "1500")
-	is.True(Identify(req, newFacts()) == nil)
+	is.True(Identify(req, newInputs()) == nil)
 	is.Equal(req.Deadline, now.Add(1500*time.Millisecond))
 
 	req = newChatRequest("plain", "")
 	req.Header.Set(HeaderDeadline, "9223372036854775807")
-	is.True(Identify(req, newFacts()) == nil)
+	is.True(Identify(req, newInputs()) == nil)
 	is.Equal(req.Deadline, now.Add(MaxTimeout))
 
 	// The time for reading the body counts against the deadline.
-	late := newFacts()
+	late := newInputs()
 	late.Now = now.Add(2 * time.Minute)
 	is.Equal(Identify(newChatRequest("plain", ""), late).Kind, outcome.DeadlineExceeded)
 }
@@ -221,8 +221,8 @@
 	is := is.New(t)
 	a := newChatRequest("plain", "")
 	b := newRequest("POST", PathChat, `{"model":"plain","messages":[{"role":"user","content":[{"type":"text","text":"hel"},"lo",{"type":"image_url"}]}]}`)
-	is.True(Identify(a, newFacts()) == nil)
-	is.True(Identify(b, newFacts()) == nil)
+	is.True(Identify(a, newInputs()) == nil)
+	is.True(Identify(b, newInputs()) == nil)
 	is.Equal(a.Prefix, b.Prefix)
 	is.Equal(a.PromptTokens, b.PromptTokens)
 }
@@ -238,8 +238,8 @@
 	long := strings.Repeat("route knowledge ", 200)
 	a := newRequest("POST", PathCompletions, fmt.Sprintf(`{"model":"plain","prompt":%q}`, long+"a"))
 	b := newRequest("POST", PathCompletions, fmt.Sprintf(`{"model":"plain","prompt":%q}`, long+"b"))
-	is.True(Identify(a, newFacts()) == nil)
-	is.True(Identify(b, newFacts()) == nil)
+	is.True(Identify(a, newInputs()) == nil)
+	is.True(Identify(b, newInputs()) == nil)
 	n := len(a.Prefix)
 	is.True(n > 10)
 	is.Equal(a.Prefix, b.Prefix) // they differ only after the last boundary
@@ -249,7 +249,7 @@
 	is := is.New(t)
 	req := newRequest("GET", PathStreams+"x", "")
 	req.ResumeID = "x"
-	is.True(Identify(req, newFacts()) == nil)
+	is.True(Identify(req, newInputs()) == nil)
 	is.Equal(req.Class, request.ClassModel)
 	is.True(req.Stream)
 }
@@ -265,7 +265,7 @@
 		req := newRequest(method, "/services/counter/receipts", "")
 		req.Header.Set("Last-Event-Id", "17")
 		req.ResumeID = "17"
-		is.True(Identify(req, newFacts()) == nil)
+		is.True(Identify(req, newInputs()) == nil)
 		is.Equal(req.ResumeID, "")
 		is.Equal(req.Header.Get("Last-Event-Id"), "17")
 		is.Equal(req.Idempotent, method == "GET")
@@ -298,7 +298,7 @@
 }
 
 func BenchmarkIdentify(b *testing.B) {
-	f := newFacts()
+	f := newInputs()
 	body := func(n int) string {
 		return fmt.Sprintf(`{"model":"renewals","stream":true,"messages":[{"role":"user","content":%q}]}`, strings.Repeat("renewal ", n/8))
 	}
--- a/internal/kv/bench_test.go
+++ b/internal/kv/bench_test.go
@@ -29,7 +29,7 @@
 		tokens += blockTokens(i + 1)
 	}
 	bytes := float64(tokens) * s.costs.BytesPerToken
-	d := s.costs.PerObject + time.Duration(bytes/s.costs.BytesPerSecond*float64(time.Second))
+	d := s.costs.FixedCost + time.Duration(bytes/s.costs.BytesPerSecond*float64(time.Second))
 	time.Sleep(d)
 }
 
--- a/internal/kv/decide.go
+++ b/internal/kv/decide.go
@@ -36,16 +36,16 @@
 	Generation fleet.Generation
 	Leader     fleet.Member
 	Prefixes   []uint64
-	Saves      time.Duration // expected engine time saved; exports only
+	Savings    time.Duration // expected engine time saved; exports only
 	Reason     string
 }
 
 // Input is the input of Decide.
 type Input struct {
-	Now   clock.Instant
-	Snap  *view.Snapshot
-	Uses  func(fleet.GroupID) []Use // uses counted on this node
-	Costs Costs
+	Now      clock.Instant
+	Snapshot *view.Snapshot
+	Uses     func(fleet.GroupID) []Use // uses counted on this node
+	Costs    Costs
 }
 
 // Reasons of an Action, in addition to those of capacity.AdviseExport.
@@ -62,9 +62,9 @@
 func Decide(input *Input, memory *Memory) []Action {
 	d := decision{input: input, memory: memory}
 	present := map[groupGeneration]bool{}
-	for i := range input.Snap.Groups {
-		g := &input.Snap.Groups[i]
-		if g.Zone != input.Snap.Zone || len(g.Members) == 0 {
+	for i := range input.Snapshot.Groups {
+		g := &input.Snapshot.Groups[i]
+		if g.Zone != input.Snapshot.Zone || len(g.Members) == 0 {
 			continue
 		}
 		present[generationOf(&g.Group)] = true
@@ -119,7 +119,7 @@
 		return
 	case d.memory.lastImported[p] >= obj.exportedAt || since.Add(maxServingBeforeExport) < obj.exportedAt:
 		return
-	case d.input.Now.Sub(obj.exportedAt) > d.input.Costs.Useful || !g.Whole:
+	case d.input.Now.Sub(obj.exportedAt) > d.input.Costs.CacheLifetime || !g.Whole:
 		return
 	}
 	d.memory.lastImported[p] = obj.exportedAt // no retry: a failed import costs no more than a cold cache
@@ -132,7 +132,7 @@
 // that doesn't could be assigned to another model between the check and the move, and
 // would then respond from a KV cache of the wrong weights.
 func (d *decision) checksFence(g *view.Group) bool {
-	doc := d.input.Snap.Config
+	doc := d.input.Snapshot.Config
 	return doc != nil && doc.ChecksFence(string(g.Members[0].VM))
 }
 
@@ -168,11 +168,11 @@
 
 // isConfigured reports whether the configuration has a group spec with the key.
 func (d *decision) isConfigured(k Key) bool {
-	if d.input.Snap.Config == nil {
+	if d.input.Snapshot.Config == nil {
 		return false
 	}
-	for i := range d.input.Snap.Config.Groups {
-		s := &d.input.Snap.Config.Groups[i]
+	for i := range d.input.Snapshot.Config.Groups {
+		s := &d.input.Snapshot.Config.Groups[i]
 		if keyOf(k.Zone, s.Model, s.ModelVer, s.Adapters) == k {
 			return true
 		}
@@ -183,13 +183,13 @@
 // leaderResponds reports whether the latest probe of the leader was answered by the
 // same process in the draining generation. A leader that is leaving still responds.
 func (d *decision) leaderResponds(g *view.Group) bool {
-	i := slices.IndexFunc(d.input.Snap.VMs, func(v view.VM) bool { return v.Record.VM == g.Members[0].VM })
+	i := slices.IndexFunc(d.input.Snapshot.VMs, func(v view.VM) bool { return v.Record.VM == g.Members[0].VM })
 	if i < 0 {
 		return false
 	}
-	pr := &d.input.Snap.VMs[i].Probe
+	pr := &d.input.Snapshot.VMs[i].Probe
 	st := &pr.State
-	return pr.Answered != 0 && pr.Failing == 0 && st.Boot == g.Members[0].Boot &&
+	return pr.AnsweredAt != 0 && pr.FailingSince == 0 && st.Boot == g.Members[0].Boot &&
 		st.Group == g.ID && st.Generation == g.Generation
 }
 
@@ -198,15 +198,15 @@
 func (d *decision) adviseExport(g *view.Group) Action {
 	c := &d.input.Costs
 	uses := d.input.Uses(g.ID)
-	e := capacity.Export{
-		Group: g.ID, Heat: d.heat(g, uses), PrefillPerTok: c.PrefillPerTok,
-		BytesPerSecond: c.BytesPerSecond, Within: c.Within - c.PerObject, Useful: c.Useful,
+	e := capacity.ExportInput{
+		Group: g.ID, PrefixUsage: d.heat(g, uses), PrefillPerToken: c.PrefillPerToken,
+		BytesPerSecond: c.BytesPerSecond, TimeLimit: c.Timeout - c.FixedCost, CacheLifetime: c.CacheLifetime,
 	}
 	best := capacity.AdviseExport(e)
 	chosen := connected(uses, best.Prefixes)
-	e.Heat = slices.DeleteFunc(e.Heat, func(h capacity.Heat) bool { return !chosen[h.Prefix] })
+	e.PrefixUsage = slices.DeleteFunc(e.PrefixUsage, func(h capacity.PrefixUsage) bool { return !chosen[h.Prefix] })
 	a := capacity.AdviseExport(e)
-	saves := a.Saves - 2*c.PerObject
+	saves := a.NetSaving - 2*c.FixedCost
 	switch {
 	case len(a.Prefixes) == 0:
 		return newAction(Skip, g, best.Reason)
@@ -214,21 +214,21 @@
 		return newAction(Skip, g, reasonFixedCost)
 	}
 	out := newAction(Export, g, a.Reason)
-	out.Prefixes, out.Saves = a.Prefixes, saves
+	out.Prefixes, out.Savings = a.Prefixes, saves
 	return out
 }
 
 // heat converts uses into the input of capacity.AdviseExport. The load balancer spreads
 // requests over the zone's nodes, so this node's count is multiplied by their number.
-func (d *decision) heat(g *view.Group, uses []Use) []capacity.Heat {
-	nodes := float64(len(d.input.Snap.ZoneNodes()) + 1)
+func (d *decision) heat(g *view.Group, uses []Use) []capacity.PrefixUsage {
+	nodes := float64(len(d.input.Snapshot.ZoneNodes()) + 1)
 	cachedElsewhere := d.cachedElsewhere(g)
-	out := make([]capacity.Heat, 0, len(uses))
+	out := make([]capacity.PrefixUsage, 0, len(uses))
 	for i := range uses {
 		tokens := blockTokens(uses[i].Depth)
 		_, isCachedElsewhere := cachedElsewhere[uses[i].Prefix]
-		out = append(out, capacity.Heat{
-			Prefix: uses[i].Prefix, Tokens: tokens, PerHour: uses[i].PerHour * nodes,
+		out = append(out, capacity.PrefixUsage{
+			Prefix: uses[i].Prefix, Tokens: tokens, UsesPerHour: uses[i].PerHour * nodes,
 			Bytes: int64(float64(tokens) * d.input.Costs.BytesPerToken), Held: isCachedElsewhere,
 		})
 	}
@@ -241,8 +241,8 @@
 func (d *decision) cachedElsewhere(draining *view.Group) map[uint64]struct{} {
 	out := map[uint64]struct{}{}
 	key := KeyOf(&draining.Group)
-	for i := range d.input.Snap.Groups {
-		g := &d.input.Snap.Groups[i]
+	for i := range d.input.Snapshot.Groups {
+		g := &d.input.Snapshot.Groups[i]
 		if g.Phase != fleet.PhaseServing || !g.Whole || KeyOf(&g.Group) != key {
 			continue
 		}
@@ -250,7 +250,7 @@
 			out[h] = struct{}{}
 		}
 		for _, u := range d.input.Uses(g.ID) {
-			if d.input.Now.Sub(u.Last) <= d.input.Costs.Useful {
+			if d.input.Now.Sub(u.LastUsed) <= d.input.Costs.CacheLifetime {
 				out[u.Prefix] = struct{}{}
 			}
 		}
@@ -279,13 +279,13 @@
 // oldest objects beyond maxObjects.
 func (d *decision) expireObjects() {
 	keys := slices.SortedFunc(maps.Keys(d.memory.objects), func(a, b Key) int {
-		return cmp.Or(cmp.Compare(d.memory.objects[a].exportedAt, d.memory.objects[b].exportedAt), cmp.Compare(a.Object(), b.Object()))
+		return cmp.Or(cmp.Compare(d.memory.objects[a].exportedAt, d.memory.objects[b].exportedAt), cmp.Compare(a.ObjectName(), b.ObjectName()))
 	})
 	for i, k := range keys {
 		o := d.memory.objects[k]
 		a := Action{Kind: Empty, Key: k, Group: o.source}
 		switch {
-		case d.input.Now.Sub(o.exportedAt) > d.input.Costs.Useful:
+		case d.input.Now.Sub(o.exportedAt) > d.input.Costs.CacheLifetime:
 			a.Reason = reasonExpired
 		case len(keys)-i > maxObjects:
 			a.Reason = reasonTooManyObjects
--- a/internal/kv/decide_test.go
+++ b/internal/kv/decide_test.go
@@ -39,7 +39,7 @@
 		g := &groups[i]
 		s.Groups = append(s.Groups, *g)
 		s.VMs = append(s.VMs, view.VM{Record: fleet.Record{VM: g.Members[0].VM}, Probe: view.Probe{
-			Answered: start, State: fleet.EngineState{Boot: "b", Group: g.ID, Generation: g.Generation},
+			AnsweredAt: start, State: fleet.EngineState{Boot: "b", Group: g.ID, Generation: g.Generation},
 		}})
 	}
 	return s
@@ -57,20 +57,20 @@
 	u := NewUses(now)
 	for _, g := range groups {
 		for range n {
-			u.Note(g, longPrompt)
+			u.Record(g, longPrompt)
 		}
 	}
 	return u
 }
 
 func decide(m *Memory, s *view.Snapshot, u *Uses, now clock.Instant) []Action {
-	return Decide(&Input{Now: now, Snap: s, Costs: DefaultCosts(), Uses: func(id fleet.GroupID) []Use { return u.Of(id, now) }}, m)
+	return Decide(&Input{Now: now, Snapshot: s, Costs: DefaultCosts(), Uses: func(id fleet.GroupID) []Use { return u.ForGroup(id, now) }}, m)
 }
 
 func TestExportDecision(t *testing.T) {
 	draining := replica("g", fleet.PhaseDraining, "1", "a")
 	failingLeader := snapshotOf(draining)
-	failingLeader.VMs[0].Probe.Failing = start
+	failingLeader.VMs[0].Probe.FailingSince = start
 	reassignedLeader := snapshotOf(draining)
 	reassignedLeader.VMs[0].Probe.State.Generation = 2
 	sameKeyGroup := replica("h", fleet.PhaseServing, "1", "a")
@@ -118,9 +118,9 @@
 	is := is.New(t)
 	m, u := NewMemory(), recordUses(clock.NewManual(start), 6, "g")
 	s := snapshotOf(replica("g", fleet.PhaseDraining, "1", "a"))
-	s.VMs[0].Probe.Failing = start
+	s.VMs[0].Probe.FailingSince = start
 	is.Equal(decide(m, s, u, start)[0].Reason, reasonLeaderUnavailable)
-	s.VMs[0].Probe.Failing = 0
+	s.VMs[0].Probe.FailingSince = 0
 	is.Equal(decide(m, s, u, start)[0].Kind, Export)
 	is.Equal(len(decide(m, s, u, start)), 0)
 }
@@ -130,7 +130,7 @@
 	is := is.New(t)
 	u := NewUses(clock.NewManual(start))
 	for range 6 {
-		u.Note("g", longPrompt[:2])
+		u.Record("g", longPrompt[:2])
 	}
 	got := decide(NewMemory(), snapshotOf(replica("g", fleet.PhaseDraining, "1", "a")), u, start)
 	is.Equal(got[0].Kind, Skip)
@@ -176,7 +176,7 @@
 			is := is.New(t)
 			m, u := NewMemory(), recordUses(clock.NewManual(start), 6, "g")
 			got := decide(m, snapshotOf(old), u, start)
-			m.Exported(&got[0], start)
+			m.RecordExport(&got[0], start)
 			imports := 0
 			now := start.Add(c.after)
 			for range 3 { // imported at most once
@@ -213,7 +213,7 @@
 			decide(m, snapshotOf(replica("g", fleet.PhaseServing, "1", "a"), n), u, start.Add(-c.before))
 			got := decide(m, snapshotOf(replica("g", fleet.PhaseDraining, "1", "a"), n), u, start)
 			is.Equal(got[0].Kind, Export)
-			m.Exported(&got[0], start)
+			m.RecordExport(&got[0], start)
 			is.Equal(len(decide(m, snapshotOf(n), u, start+1)), c.want)
 		})
 	}
@@ -227,7 +227,7 @@
 	n := replica("n", fleet.PhaseServing, "1", "a")
 	got := decide(m, snapshotOf(replica("g", fleet.PhaseDraining, "1", "a"), n), u, start)
 	is.Equal(got[0].Kind, Export)
-	m.Exported(&got[0], start)
+	m.RecordExport(&got[0], start)
 	is.Equal(len(decide(m, snapshotOf(n), u, start+1)), 0)
 }
 
@@ -235,13 +235,13 @@
 	is := is.New(t)
 	same := keyOf("z", "m", "1", []string{"a", "b"})
 	is.Equal(keyOf("z", "m", "1", []string{"b", "a", "a"}), same)
-	seen := map[string]bool{same.Object(): true}
+	seen := map[string]bool{same.ObjectName(): true}
 	for _, k := range []Key{
 		keyOf("z", "m", "1", nil), keyOf("z", "m", "1", []string{"a+b"}), keyOf("z", "m", "1", []string{"a/b"}),
 		keyOf("z", "m", "1/a", nil), keyOf("z", "m/1", "a", nil), keyOf("z/m", "1", "a", nil), keyOf("y", "m", "1", []string{"a", "b"}),
 	} {
-		is.True(!seen[k.Object()])
-		seen[k.Object()] = true
+		is.True(!seen[k.ObjectName()])
+		seen[k.ObjectName()] = true
 	}
 }
 
@@ -250,17 +250,17 @@
 	m, u := NewMemory(), NewUses(clock.NewManual(start))
 	for i := range 3 * maxObjects {
 		k := keyOf("z", "m", fmt.Sprint(i), nil)
-		m.Exported(&Action{Key: k}, start.Add(time.Duration(i)))
+		m.RecordExport(&Action{Key: k}, start.Add(time.Duration(i)))
 		for _, a := range decide(m, snapshotOf(), u, start.Add(time.Second)) {
 			is.Equal(a.Kind, Empty)
 			is.Equal(a.Reason, reasonTooManyObjects)
-			m.Emptied(a.Key)
+			m.RecordEmptied(a.Key)
 		}
 	}
 	is.Equal(len(m.objects), maxObjects)
 	for _, a := range decide(m, snapshotOf(), u, start.Add(2*time.Hour)) {
 		is.Equal(a.Reason, reasonExpired)
-		m.Emptied(a.Key)
+		m.RecordEmptied(a.Key)
 	}
 	is.Equal(len(m.objects), 0)
 }
@@ -271,15 +271,15 @@
 	u := NewUses(now)
 	for i := range uint64(2 * maxPrefixes) {
 		now.Advance(time.Second)
-		u.Note("g", []uint64{i + 1})
+		u.Record("g", []uint64{i + 1})
 	}
-	is.True(len(u.Of("g", now.Now())) <= maxPrefixes)
+	is.True(len(u.ForGroup("g", now.Now())) <= maxPrefixes)
 	for i := range 2 * maxGroups {
 		now.Advance(time.Second)
-		u.Note(fleet.GroupID(fmt.Sprint(i)), longPrompt)
+		u.Record(fleet.GroupID(fmt.Sprint(i)), longPrompt)
 	}
 	is.Equal(len(u.groups), maxGroups)
-	is.Equal(len(u.Of("g", now.Now())), 0)
+	is.Equal(len(u.ForGroup("g", now.Now())), 0)
 }
 
 func BenchmarkNote(b *testing.B) {
@@ -295,7 +295,7 @@
 				prompt[i] += n // prompts share the first 21 prefixes only
 			}
 		}
-		u.Note("g", prompt)
+		u.Record("g", prompt)
 	}
 }
 
@@ -313,7 +313,7 @@
 	s.Config.FenceChecked = []string{"vm-checked"}
 	out := decide(m, s, u, start)
 	is.Equal(out[0].Kind, Export)
-	m.Exported(&out[0], start)
+	m.RecordExport(&out[0], start)
 	s = snapshotOf(replica("new", fleet.PhaseServing, "1", "a"))
 	s.Config.FenceChecked = []string{"vm-checked"}
 	is.Equal(len(decide(m, s, u, start)), 0)
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -38,21 +38,21 @@
 	return Key{Zone: zone, Model: model, Version: version, Adapters: strings.Join(slices.Compact(names), "+")}
 }
 
-// Object returns the name of the key's object. A new export overwrites the previous one,
+// ObjectName returns the name of the key's object. A new export overwrites the previous one,
 // so there is at most one object per key.
-func (k Key) Object() string {
+func (k Key) ObjectName() string {
 	parts := []string{"kv", url.QueryEscape(string(k.Zone)), url.QueryEscape(k.Model), url.QueryEscape(k.Version), k.Adapters}
 	return strings.Join(parts, "/")
 }
 
 // Costs are the assumed costs of moving and computing KV cache.
 type Costs struct {
-	PrefillPerTok  time.Duration // time to compute a prompt token
-	BytesPerToken  float64       // KV cache size of a token
-	BytesPerSecond float64       // throughput between a replica and the object store
-	PerObject      time.Duration // fixed cost of an export, and of an import
-	Within         time.Duration // timeout of an export or import
-	Useful         time.Duration // how long a prefix is likely to stay cached
+	PrefillPerToken time.Duration // time to compute a prompt token
+	BytesPerToken   float64       // KV cache size of a token
+	BytesPerSecond  float64       // throughput between a replica and the object store
+	FixedCost       time.Duration // fixed cost of an export, and of an import
+	Timeout         time.Duration // timeout of an export or import
+	CacheLifetime   time.Duration // how long a prefix is likely to stay cached
 }
 
 // DefaultCosts returns the costs of a replica of a model with about 70 billion
@@ -60,7 +60,7 @@
 // model set their own.
 func DefaultCosts() Costs {
 	return Costs{
-		PrefillPerTok: 400 * time.Microsecond, BytesPerToken: 320 << 10, BytesPerSecond: 4e9,
-		PerObject: 20 * time.Millisecond, Within: 2 * time.Second, Useful: 30 * time.Minute,
+		PrefillPerToken: 400 * time.Microsecond, BytesPerToken: 320 << 10, BytesPerSecond: 4e9,
+		FixedCost: 20 * time.Millisecond, Timeout: 2 * time.Second, CacheLifetime: 30 * time.Minute,
 	}
 }
--- a/internal/kv/live_test.go
+++ b/internal/kv/live_test.go
@@ -44,17 +44,17 @@
 	}
 	set := probe.Settings{Period: 20 * time.Millisecond, LoadEvery: 40 * time.Millisecond, Timeout: testTimeout}
 	prober := probe.New(set, c.client, c.merger, c.merger, clk, 1, prometheus.NewRegistry())
-	tune := group.DefaultTune()
-	tune.DrainSettle = 50 * time.Millisecond
+	tune := group.DefaultParams()
+	tune.DrainPropagation = 50 * time.Millisecond
 	groups := group.New(group.Deps{
 		Zone: "z", Table: store, Orders: c.client, Lease: c.lease, View: c.merger, Sink: c.merger, Clock: clk,
-		Explain: c.explain, Log: log, Registry: prometheus.NewRegistry(), Tune: tune,
-		Timing: group.Timing{Tick: 20 * time.Millisecond, Read: 100 * time.Millisecond, Margin: 50 * time.Millisecond},
+		Explain: c.explain, Log: log, Registry: prometheus.NewRegistry(), Params: tune,
+		Timing: group.Timing{PlanInterval: 20 * time.Millisecond, ReadInterval: 100 * time.Millisecond, LeaseMargin: 50 * time.Millisecond},
 	})
 	costs := DefaultCosts()
-	costs.Within = testTimeout
+	costs.Timeout = testTimeout
 	mover := New(Options{
-		View: c.merger, Held: c.holdsDuty, Engines: c.client,
+		View: c.merger, HoldsDuty: c.holdsDuty, Engines: c.client,
 		Objects: store, Uses: c.uses, Costs: costs, Clock: clk, Explain: c.explain, Registerer: prometheus.NewRegistry(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/kv/memory.go
+++ b/internal/kv/memory.go
@@ -56,19 +56,19 @@
 	}
 }
 
-// Exporting records that an export is about to start and forgets the key's previous
+// RecordExportStart records that an export is about to start and forgets the key's previous
 // export. The object's content is unknown until the export has succeeded: a failed export
 // may have written part of the data, or the cache of a leader that had been assigned to
 // another generation.
-func (m *Memory) Exporting(a *Action) { delete(m.objects, a.Key) }
+func (m *Memory) RecordExportStart(a *Action) { delete(m.objects, a.Key) }
 
-// Exported records that an export has succeeded.
-func (m *Memory) Exported(a *Action, now clock.Instant) {
+// RecordExport records that an export has succeeded.
+func (m *Memory) RecordExport(a *Action, now clock.Instant) {
 	m.objects[a.Key] = exportedObject{exportedAt: now, source: a.Group, prefixes: a.Prefixes}
 }
 
-// Emptied records that an object must not be imported any more.
-func (m *Memory) Emptied(k Key) { delete(m.objects, k) }
+// RecordEmptied records that an object must not be imported any more.
+func (m *Memory) RecordEmptied(k Key) { delete(m.objects, k) }
 
 // forgetMissing removes the group generations that aren't in present.
 func (m *Memory) forgetMissing(present map[groupGeneration]bool) {
--- a/internal/kv/metrics.go
+++ b/internal/kv/metrics.go
@@ -31,6 +31,6 @@
 	}
 	m.moves.WithLabelValues(string(a.Kind), result).Inc()
 	if a.Kind == Export && err == nil {
-		m.savedSeconds.Add(a.Saves.Seconds())
+		m.savedSeconds.Add(a.Savings.Seconds())
 	}
 }
--- a/internal/kv/mover.go
+++ b/internal/kv/mover.go
@@ -36,7 +36,7 @@
 // Options configures a Mover. Objects, Explain, Log and Registerer may be nil.
 type Options struct {
 	View       view.Source
-	Held       func() bool // reports whether this node currently holds the zone's duty
+	HoldsDuty  func() bool // reports whether this node currently holds the zone's duty
 	Engines    Engines     // the client's timeout must not be shorter than that of a move in Costs
 	Objects    Objects     // if nil, objects stay until they are overwritten
 	Uses       *Uses
@@ -82,17 +82,17 @@
 // Step calls Decide once and executes the actions. A node that doesn't hold the duty
 // resets its memory, which would be out of date when it acquires the duty again.
 func (m *Mover) Step(ctx context.Context) {
-	if !m.opt.Held() {
+	if !m.opt.HoldsDuty() {
 		m.memory = NewMemory()
 		return
 	}
 	now := m.opt.Clock.Now()
 	in := &Input{
-		Now: now, Snap: m.opt.View.Snapshot(), Costs: m.opt.Costs,
-		Uses: func(id fleet.GroupID) []Use { return m.opt.Uses.Of(id, now) },
+		Now: now, Snapshot: m.opt.View.Snapshot(), Costs: m.opt.Costs,
+		Uses: func(id fleet.GroupID) []Use { return m.opt.Uses.ForGroup(id, now) },
 	}
 	for _, a := range Decide(in, m.memory) {
-		if !m.opt.Held() {
+		if !m.opt.HoldsDuty() {
 			return
 		}
 		m.execute(ctx, &a)
@@ -100,19 +100,19 @@
 }
 
 func (m *Mover) execute(ctx context.Context, a *Action) {
-	ctx, cancel := context.WithTimeout(ctx, m.opt.Costs.Within)
+	ctx, cancel := context.WithTimeout(ctx, m.opt.Costs.Timeout)
 	defer cancel()
 	if a.Kind == Export {
-		m.memory.Exporting(a)
+		m.memory.RecordExportStart(a)
 	}
 	start := m.opt.Clock.Now()
 	err := m.perform(ctx, a)
 	duration := m.opt.Clock.Now().Sub(start)
 	if a.Kind == Export && err == nil {
-		m.memory.Exported(a, m.opt.Clock.Now())
+		m.memory.RecordExport(a, m.opt.Clock.Now())
 	}
 	if a.Kind == Empty {
-		m.memory.Emptied(a.Key) // even if it failed: the next export overwrites the object
+		m.memory.RecordEmptied(a.Key) // even if it failed: the next export overwrites the object
 	}
 	m.meter.recordAction(a, err)
 	m.recordResult(a, err, duration)
@@ -126,7 +126,7 @@
 		return m.transfer(ctx, a, m.opt.Engines.ImportKV)
 	case Empty:
 		if m.opt.Objects != nil {
-			return m.opt.Objects.PutObject(ctx, a.Key.Object(), nil)
+			return m.opt.Objects.PutObject(ctx, a.Key.ObjectName(), nil)
 		}
 	}
 	return nil
@@ -143,7 +143,7 @@
 		return err
 	}
 	err := move(ctx, a.Leader.Addr, engine.KVMove{
-		Object: a.Key.Object(), Prefixes: a.Prefixes, Generation: engine.GenerationTag(a.Group, a.Generation),
+		Object: a.Key.ObjectName(), Prefixes: a.Prefixes, Generation: engine.GenerationTag(a.Group, a.Generation),
 	})
 	if err != nil {
 		return err
@@ -173,15 +173,15 @@
 		decision += " failed: " + err.Error()
 	}
 	facts := []explain.Fact{
-		{Name: "object", Value: a.Key.Object()},
+		{Name: "object", Value: a.Key.ObjectName()},
 		{Name: "prefixes", Value: strconv.Itoa(len(a.Prefixes))},
 		{Name: "took", Value: duration.String()},
 	}
 	if a.Kind == Export {
-		facts = append(facts, explain.Fact{Name: "expected to save", Value: a.Saves.String()})
+		facts = append(facts, explain.Fact{Name: "expected to save", Value: a.Savings.String()})
 	}
 	if m.opt.Explain != nil {
-		m.opt.Explain.Note(explain.Step{
+		m.opt.Explain.Record(explain.Step{
 			Subject: string(a.Group), Stage: "kv", Decision: decision, Reason: a.Reason, Facts: slices.Clip(facts),
 		})
 	}
--- a/internal/kv/uses.go
+++ b/internal/kv/uses.go
@@ -20,11 +20,11 @@
 
 // Use describes how often one node has sent a prefix to a group.
 type Use struct {
-	Prefix  uint64
-	Parent  uint64        // the prefix that is one block shorter; 0 if none
-	Depth   int           // number of blocks, including the last one
-	PerHour float64       // rate of uses after the first
-	Last    clock.Instant // time of the latest use
+	Prefix   uint64
+	Parent   uint64        // the prefix that is one block shorter; 0 if none
+	Depth    int           // number of blocks, including the last one
+	PerHour  float64       // rate of uses after the first
+	LastUsed clock.Instant // time of the latest use
 }
 
 // Uses counts the prefixes that this node sends to each group. The count is a sample,
@@ -52,9 +52,9 @@
 	return &Uses{clock: c, groups: make(map[fleet.GroupID]*groupUses)}
 }
 
-// Note counts a prompt sent to a group. prefixes are those of request.Request.Prefix,
+// Record counts a prompt sent to a group. prefixes are those of request.Request.Prefix,
 // shortest first.
-func (u *Uses) Note(id fleet.GroupID, prefixes []uint64) {
+func (u *Uses) Record(id fleet.GroupID, prefixes []uint64) {
 	if len(prefixes) == 0 {
 		return
 	}
@@ -126,8 +126,8 @@
 	}
 }
 
-// Of returns the uses of a group's prefixes at now, shorter prefixes first.
-func (u *Uses) Of(id fleet.GroupID, now clock.Instant) []Use {
+// ForGroup returns the uses of a group's prefixes at now, shorter prefixes first.
+func (u *Uses) ForGroup(id fleet.GroupID, now clock.Instant) []Use {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	g, ok := u.groups[id]
@@ -137,7 +137,7 @@
 	out := make([]Use, 0, len(g.prefixes))
 	for h, c := range g.prefixes {
 		out = append(out, Use{
-			Prefix: h, Parent: c.parent, Depth: c.depth, Last: c.lastUsed,
+			Prefix: h, Parent: c.parent, Depth: c.depth, LastUsed: c.lastUsed,
 			PerHour: c.decayed(now) / usesDecayTime.Hours(),
 		})
 	}
--- a/internal/kv/world_test.go
+++ b/internal/kv/world_test.go
@@ -53,9 +53,9 @@
 // start creates the mover; called again it simulates a restart of the process.
 func (w *moverFixture) start() {
 	costs := DefaultCosts()
-	costs.Within = testTimeout
+	costs.Timeout = testTimeout
 	w.mover = New(Options{
-		View: w.src, Held: func() bool { return w.held }, Engines: w.client, Objects: w.store, Uses: w.uses,
+		View: w.src, HoldsDuty: func() bool { return w.held }, Engines: w.client, Objects: w.store, Uses: w.uses,
 		Costs: costs, Clock: w.now, Explain: w.explain,
 	})
 }
@@ -68,8 +68,8 @@
 
 func (w *moverFixture) engine(name string) *engineNode {
 	e := standin.New(standin.Options{
-		VM: fleet.VM(name), TokensPerSecond: 5000, PrefillTokensPerSecond: w.prefillPerSecond, LoadTime: standin.Immediately,
-		LoadLag: standin.Immediately, CacheEventLag: standin.Immediately, Objects: w.store,
+		VM: fleet.VM(name), TokensPerSecond: 5000, PrefillTokensPerSecond: w.prefillPerSecond, LoadTime: standin.NoDelay,
+		LoadLag: standin.NoDelay, CacheEventLag: standin.NoDelay, Objects: w.store,
 	})
 	srv := httptest.NewServer(e)
 	w.t.Cleanup(func() {
@@ -120,7 +120,7 @@
 	if err := json.NewDecoder(res.Body).Decode(&a); err != nil || res.StatusCode != http.StatusOK {
 		w.t.Fatal(res.StatusCode, err)
 	}
-	w.uses.Note(g.ID, engine.Prefixes("m", "", engine.PromptFields(promptMessages)))
+	w.uses.Record(g.ID, engine.Prefixes("m", "", engine.PromptFields(promptMessages)))
 	return a.Usage.CachedTokens
 }
 
--- a/internal/lease/decide.go
+++ b/internal/lease/decide.go
@@ -26,21 +26,21 @@
 	// restored copy, or a delayed write from before the restore has replaced the newest
 	// row.
 	Era uint64 `json:"era,omitempty"`
-	// Over is a time on the table's clock, in ms, at which the term has certainly ended; 0:
+	// TermEnd is a time on the table's clock, in ms, at which the term has certainly ended; 0:
 	// unknown.
-	Over int64 `json:"over,omitempty"`
+	TermEnd int64 `json:"over,omitempty"`
 }
 
-// Seen is a node's knowledge of the lease row.
-type Seen struct {
-	Row     Row
-	Version uint64        // 0: the row does not exist
-	First   clock.Instant // when this node first saw this version
-	Known   bool          // the row has been read at least once
-	Era     uint64        // era of the table for which Version is valid
-	Clock   int64         // the table's clock at the first read of this version or earlier, in ms; 0: unknown
-	// EraFirst is when this node first saw the era; 0: no earlier era can matter.
-	EraFirst clock.Instant
+// ObservedRow is a node's knowledge of the lease row.
+type ObservedRow struct {
+	Row        Row
+	Version    uint64        // 0: the row does not exist
+	FirstSeen  clock.Instant // when this node first saw this version
+	Known      bool          // the row has been read at least once
+	Era        uint64        // era of the table for which Version is valid
+	TableClock int64         // the table's clock at the first read of this version or earlier, in ms; 0: unknown
+	// EraFirstSeen is when this node first saw the era; 0: no earlier era can matter.
+	EraFirstSeen clock.Instant
 }
 
 // Grant is a lease that this node holds.
@@ -61,8 +61,8 @@
 	return platform.Check{Table: platform.TableLeases, Key: g.Duty, Version: g.Version, Era: g.Era}
 }
 
-// Left returns the remaining time of the term; it is negative after its end.
-func (g Grant) Left(now clock.Instant) time.Duration { return g.Until.Sub(now) }
+// Remaining returns the remaining time of the term; it is negative after its end.
+func (g Grant) Remaining(now clock.Instant) time.Duration { return g.Until.Sub(now) }
 
 // Params are the durations that govern a lease.
 type Params struct {
@@ -98,7 +98,7 @@
 
 // Decide returns the action of node self for the lease row. held is the grant that the node
 // assumes to hold (zero: none), rank its position in rendezvous order among the live nodes.
-func Decide(p Params, seen Seen, held Grant, self fleet.Node, rank int, now clock.Instant) Decision {
+func Decide(p Params, seen ObservedRow, held Grant, self fleet.Node, rank int, now clock.Instant) Decision {
 	if !seen.Known {
 		return Decision{Action: Read, Reason: "the row was never read"}
 	}
@@ -108,7 +108,7 @@
 	return decideCandidate(p, seen, self, rank, now)
 }
 
-func decideHolder(p Params, seen Seen, held Grant, self fleet.Node, now clock.Instant) Decision {
+func decideHolder(p Params, seen ObservedRow, held Grant, self fleet.Node, now clock.Instant) Decision {
 	if seen.Version != held.Version || seen.Row.Owner != self {
 		return Decision{Action: Read, Reason: "the row changed under the holder"}
 	}
@@ -130,11 +130,11 @@
 // remainingTerm returns how much of the holder's term may remain after the first read. The
 // table's clock shows whether the term had ended before this node read the row; without it
 // no node would acquire a duty for more than a term after the loss of all nodes.
-func (s *Seen) remainingTerm() time.Duration {
-	if s.Row.Over == 0 || s.Clock == 0 {
+func (s *ObservedRow) remainingTerm() time.Duration {
+	if s.Row.TermEnd == 0 || s.TableClock == 0 {
 		return s.Row.Term
 	}
-	return min(s.Row.Term, max(0, time.Duration(s.Row.Over-s.Clock)*time.Millisecond))
+	return min(s.Row.Term, max(0, time.Duration(s.Row.TermEnd-s.TableClock)*time.Millisecond))
 }
 
 // fencesPerEra is the number of fences per era; the era forms the higher bits. A table
@@ -145,19 +145,19 @@
 // nextFence returns a fence that has never been issued and is higher than all fences of the
 // current era. If the row was written in the current era, it contains the newest fence.
 // Otherwise the row's version is used, which has grown by at least one with each fence.
-func nextFence(seen Seen) uint64 {
+func nextFence(seen ObservedRow) uint64 {
 	if seen.Row.Era == seen.Era {
 		return seen.Row.Fence + 1
 	}
 	return max(seen.Row.Fence+1, seen.Era*fencesPerEra+seen.Version%fencesPerEra)
 }
 
-func decideCandidate(p Params, seen Seen, self fleet.Node, rank int, now clock.Instant) Decision {
+func decideCandidate(p Params, seen ObservedRow, self fleet.Node, rank int, now clock.Instant) Decision {
 	next := Row{Owner: self, Fence: nextFence(seen), Term: p.Term}
 	// The owner's own process may acquire its row immediately: it has stopped acting on the
 	// earlier grant.
 	free := seen.Version == 0 || seen.Row.Released || seen.Row.Owner == self
-	ready := seen.First.Add(time.Duration(rank) * p.Step)
+	ready := seen.FirstSeen.Add(time.Duration(rank) * p.Step)
 	reason := "no node holds it"
 	if !free {
 		// The holder counts from before it sent the write, this node from when it first
@@ -166,11 +166,11 @@
 		ready = ready.Add(seen.remainingTerm() + p.Margin)
 		reason = "the term of " + seen.Row.Owner.String() + " and the margin are over"
 	}
-	if seen.EraFirst != 0 {
+	if seen.EraFirstSeen != 0 {
 		// The row may be a restored copy, whatever it contains: another node may have
 		// acquired or renewed the lease since, and acts on it until its term ends, which is
 		// counted from before the restore.
-		ready = max(ready, seen.EraFirst.Add(max(p.Term, seen.Row.Term)+p.Margin+time.Duration(rank)*p.Step))
+		ready = max(ready, seen.EraFirstSeen.Add(max(p.Term, seen.Row.Term)+p.Margin+time.Duration(rank)*p.Step))
 	}
 	if now.Before(ready) {
 		return Decision{Action: Wait, Wake: ready, Reason: "held by " + seen.Row.Owner.String() + " or a higher-ranked node tries first"}
