--- a/internal/lease/decide_test.go
+++ b/internal/lease/decide_test.go
@@ -33,23 +33,23 @@
 func TestDecide(t *testing.T) {
 	p := Params{Term: 6 * time.Second, Margin: time.Second, Step: 2 * time.Second}
 	at := func(d time.Duration) clock.Instant { return clock.Instant(time.Hour).Add(d) }
-	byB := Seen{Row: Row{Owner: nodeB, Fence: 4, Term: 6 * time.Second}, Version: 9, First: at(0), Known: true}
+	byB := ObservedRow{Row: Row{Owner: nodeB, Fence: 4, Term: 6 * time.Second}, Version: 9, FirstSeen: at(0), Known: true}
 	byA := byB
 	byA.Row.Owner = nodeA
 	released := byB
 	released.Row.Released = true
 	grant := Grant{Fence: 4, Version: 9, Until: at(6 * time.Second)}
 	for name, c := range map[string]struct {
-		seen Seen
+		seen ObservedRow
 		held Grant
 		rank int
 		now  clock.Instant
 		want Action
 	}{
-		"never read":                         {Seen{}, Grant{}, 0, at(0), Read},
-		"no row":                             {Seen{Known: true, First: at(0)}, Grant{}, 0, at(0), Acquire},
-		"no row, second in rank":             {Seen{Known: true, First: at(0)}, Grant{}, 1, at(0), Wait},
-		"no row, second in rank, later":      {Seen{Known: true, First: at(0)}, Grant{}, 1, at(2 * time.Second), Acquire},
+		"never read":                         {ObservedRow{}, Grant{}, 0, at(0), Read},
+		"no row":                             {ObservedRow{Known: true, FirstSeen: at(0)}, Grant{}, 0, at(0), Acquire},
+		"no row, second in rank":             {ObservedRow{Known: true, FirstSeen: at(0)}, Grant{}, 1, at(0), Wait},
+		"no row, second in rank, later":      {ObservedRow{Known: true, FirstSeen: at(0)}, Grant{}, 1, at(2 * time.Second), Acquire},
 		"released":                           {released, Grant{}, 0, at(0), Acquire},
 		"held by another, term not ended":    {byB, Grant{}, 0, at(6 * time.Second), Wait},
 		"held by another, in the margin":     {byB, Grant{}, 0, at(7*time.Second - 1), Wait},
@@ -59,7 +59,7 @@
 		"holder, a third of the term passed": {byA, grant, 0, at(2 * time.Second), Renew},
 		"holder, term ended":                 {byA, grant, 0, at(6 * time.Second), Read},
 		"holder, row written by another":     {byB, grant, 0, at(time.Second), Read},
-		"holder of an outdated version":      {Seen{Row: byA.Row, Version: 10, Known: true}, grant, 0, at(time.Second), Read},
+		"holder of an outdated version":      {ObservedRow{Row: byA.Row, Version: 10, Known: true}, grant, 0, at(time.Second), Read},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -41,17 +41,17 @@
 	Rank func() int
 	// Acquired is called when the lease has been acquired; nil: no call.
 	Acquired func()
-	// Ranks is the number of ranks that watch the lease; 0: defaultMaxRanks.
-	Ranks int
-	Log   *slog.Logger
-	// Poll is the interval between two reads of a lease held by another node; 0: a sixth of
+	// MaxRanks is the number of ranks that watch the lease; 0: defaultMaxRanks.
+	MaxRanks int
+	Log      *slog.Logger
+	// PollInterval is the interval between two reads of a lease held by another node; 0: a sixth of
 	// the term.
-	Poll time.Duration
+	PollInterval time.Duration
 	// Era returns the newest known era of the table; nil: the table has no eras.
 	Era func() uint64
-	// New reports that the table has just been created, so that no earlier lease can be
+	// TableIsNew reports that the table has just been created, so that no earlier lease can be
 	// active.
-	New bool
+	TableIsNew bool
 	// Term returns the term set by the configuration in force; nil: the term in Params. A
 	// row written before a change keeps its own term.
 	Term func() time.Duration
@@ -59,7 +59,7 @@
 	mu      sync.Mutex
 	current Grant
 	// Used by Run's goroutine only.
-	seen    Seen
+	seen    ObservedRow
 	rowRead bool // the row has been read since this process started
 	// tableClock is the table's clock in the answer to the write that was sent at
 	// tableClockSentAt; 0: unknown in this era.
@@ -114,7 +114,7 @@
 func (m *Manager) Step(ctx context.Context) time.Duration {
 	m.updateTerm()
 	rank := m.Rank()
-	poll := m.Poll
+	poll := m.PollInterval
 	if poll == 0 {
 		poll = m.Params.Term / 6
 	}
@@ -124,7 +124,7 @@
 		return m.Params.Term / 6
 	}
 	if held.Fence == 0 {
-		if rank >= cmp.Or(m.Ranks, defaultMaxRanks) {
+		if rank >= cmp.Or(m.MaxRanks, defaultMaxRanks) {
 			return poll
 		}
 		if !m.read(ctx) {
@@ -190,9 +190,9 @@
 	if row.Era != m.seen.Era {
 		m.tableClock = 0
 	}
-	m.seen = Seen{
-		Row: r, Version: row.Version, First: now, Known: true, Clock: row.Clock,
-		Era: row.Era, EraFirst: m.eraFirst(r, row.Era, now),
+	m.seen = ObservedRow{
+		Row: r, Version: row.Version, FirstSeen: now, Known: true, TableClock: row.ClockMs,
+		Era: row.Era, EraFirstSeen: m.eraFirst(r, row.Era, now),
 	}
 	m.rowRead = true
 	return nil
@@ -205,8 +205,8 @@
 func (m *Manager) eraFirst(r Row, era uint64, now clock.Instant) clock.Instant {
 	switch {
 	case m.rowRead && era == m.seen.Era:
-		return m.seen.EraFirst
-	case era == 0 || !m.rowRead && (m.New || r.Era == era):
+		return m.seen.EraFirstSeen
+	case era == 0 || !m.rowRead && (m.TableIsNew || r.Era == era):
 		return 0
 	}
 	return now
@@ -245,7 +245,7 @@
 	// The term starts here: a slow answer makes the lease shorter for the holder, never
 	// longer than the wait of other nodes.
 	sent := m.Clock.Now()
-	d.Next.Era, d.Next.Over = m.seen.Era, m.termEnd(sent, d.Next.Term)
+	d.Next.Era, d.Next.TermEnd = m.seen.Era, m.termEnd(sent, d.Next.Term)
 	value, err := json.Marshal(d.Next)
 	if err != nil {
 		m.Log.Error("lease row cannot be encoded", "duty", m.Duty, "err", err)
@@ -260,7 +260,7 @@
 	defer cancel()
 	res, err := m.Table.Commit(wctx, txn)
 	if err == nil {
-		m.tableClock, m.tableClockSentAt = res.Clock, sent
+		m.tableClock, m.tableClockSentAt = res.ClockMs, sent
 	}
 	switch {
 	case errors.Is(err, platform.ErrAmbiguous):
@@ -307,7 +307,7 @@
 		g.TakenOver = before.Version != 0 && !before.Row.Released && before.Row.Owner != m.Self
 		m.Log.Info("lease acquired", "duty", m.Duty, "fence", g.Fence, "reason", d.Reason)
 	}
-	m.seen.Row, m.seen.Version, m.seen.First, m.seen.Clock = d.Next, version, sent, 0
+	m.seen.Row, m.seen.Version, m.seen.FirstSeen, m.seen.TableClock = d.Next, version, sent, 0
 	m.setGrant(g)
 }
 
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -31,14 +31,14 @@
 
 func (t *fakeTable) Get(context.Context, string, string) (platform.Row, error) {
 	if t.down {
-		return platform.Row{}, platform.ErrDown
+		return platform.Row{}, platform.ErrUnavailable
 	}
 	return t.row, nil
 }
 
 func (t *fakeTable) Commit(_ context.Context, txn platform.Txn) (platform.Result, error) {
 	if t.down {
-		return platform.Result{}, platform.ErrDown
+		return platform.Result{}, platform.ErrUnavailable
 	}
 	t.clock.Advance(t.delayBefore)
 	landed := t.row.Version == txn.Checks[0].Version
@@ -263,11 +263,11 @@
 	m.Step(context.Background())
 	g, held := m.Held(clk.Now())
 	is.True(held)
-	is.Equal(g.Left(clk.Now()), 6*time.Second)
+	is.Equal(g.Remaining(clk.Now()), 6*time.Second)
 	term = 30 * time.Second
 	clk.Advance(5 * time.Second)
 	m.Step(context.Background())
 	g, held = m.Held(clk.Now())
 	is.True(held)
-	is.Equal(g.Left(clk.Now()), 30*time.Second)
+	is.Equal(g.Remaining(clk.Now()), 30*time.Second)
 }
--- a/internal/lease/over_test.go
+++ b/internal/lease/over_test.go
@@ -39,7 +39,7 @@
 		{5000, 4000, time.Second}, {5000, 6000, 0},
 		{9000, 1000, 3 * time.Second}, // the clock was set back
 	} {
-		s := Seen{Row: Row{Term: 3 * time.Second, Over: c.over}, Clock: c.clock}
+		s := ObservedRow{Row: Row{Term: 3 * time.Second, TermEnd: c.over}, TableClock: c.clock}
 		if got := s.remainingTerm(); got != c.left {
 			t.Errorf("over %d, clock %d: %v left, want %v", c.over, c.clock, got, c.left)
 		}
--- a/internal/lease/restore_test.go
+++ b/internal/lease/restore_test.go
@@ -94,13 +94,13 @@
 func (s *tableClient) currentRow() platform.Row {
 	s.newestEra = s.restoringTable.era
 	row := s.row
-	row.Era, row.Clock = s.newestEra, s.clockMillis()
+	row.Era, row.ClockMs = s.newestEra, s.clockMillis()
 	return row
 }
 
 func (s *tableClient) Get(context.Context, string, string) (platform.Row, error) {
 	if s.faulty && s.rng.IntN(8) == 0 {
-		return platform.Row{}, platform.ErrDown
+		return platform.Row{}, platform.ErrUnavailable
 	}
 	return s.currentRow(), nil
 }
@@ -117,7 +117,7 @@
 	s.clock.Advance(time.Duration(s.rng.IntN(20)) * time.Millisecond)
 	switch {
 	case fate < 5:
-		return platform.Result{}, platform.ErrDown
+		return platform.Result{}, platform.ErrUnavailable
 	case fate < 12:
 		at := s.clock.Now().Add(time.Duration(s.rng.IntN(5000)) * time.Millisecond)
 		s.lateWrites = append(s.lateWrites, lateWrite{at, txn})
@@ -133,7 +133,7 @@
 	if row.Era != checked {
 		return platform.Result{}, fmt.Errorf("%w: %w", platform.ErrAmbiguous, platform.ErrRestored)
 	}
-	return platform.Result{Committed: landed, Clock: row.Clock, Rows: []platform.Row{row}}, nil
+	return platform.Result{Committed: landed, ClockMs: row.ClockMs, Rows: []platform.Row{row}}, nil
 }
 
 // restoreSim simulates a few nodes that compete for one duty.
@@ -167,8 +167,8 @@
 	self := fleet.Node{VM: fleet.VM(fmt.Sprint("n", i)), Incarnation: fleet.Incarnation(w.clock.Now())}
 	m := &Manager{
 		Duty: "d", Self: self, Params: DefaultParams(1500 * time.Millisecond), Table: s, Clock: w.clock,
-		Rank: func() int { return i }, Log: slog.New(slog.DiscardHandler), Poll: 700 * time.Millisecond,
-		Era: func() uint64 { return s.newestEra }, New: isNew,
+		Rank: func() int { return i }, Log: slog.New(slog.DiscardHandler), PollInterval: 700 * time.Millisecond,
+		Era: func() uint64 { return s.newestEra }, TableIsNew: isNew,
 	}
 	m.Acquired = func() {
 		fence := m.grant().Fence
--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -28,10 +28,10 @@
 				if err != nil || r.Whole() != r.Sent || r.NotSent > 0 {
 					b.Fatal("not all requests were answered")
 				}
-				b.ReportMetric(float64(r.Late.P50), "late-p50-us")
-				b.ReportMetric(float64(r.Late.P99), "late-p99-us")
-				b.ReportMetric(float64(r.Late.P999), "late-p99.9-us")
-				b.ReportMetric(float64(r.Late.Max), "late-max-us")
+				b.ReportMetric(float64(r.SendDelay.P50), "late-p50-us")
+				b.ReportMetric(float64(r.SendDelay.P99), "late-p99-us")
+				b.ReportMetric(float64(r.SendDelay.P999), "late-p99.9-us")
+				b.ReportMetric(float64(r.SendDelay.Max), "late-max-us")
 				b.ReportMetric(float64(r.Kinds[0].Total.P50), "total-p50-us")
 				b.ReportMetric(float64(r.Kinds[0].Total.P99), "total-p99-us")
 			}
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -140,7 +140,7 @@
 	} else {
 		method, body = k.Method, []byte(expandTemplate(k.Body, s))
 		path = expandTemplate(k.Path, s)
-		if !c.side.Bare {
+		if !c.side.DirectToService {
 			path = pathServices + k.Service + path
 		}
 	}
--- a/internal/load/compare.go
+++ b/internal/load/compare.go
@@ -11,19 +11,19 @@
 // Comparison is the result of one plan sent to two sides in alternation, so that
 // both were measured on the same machine at the same time.
 type Comparison struct {
-	Sides [2]*Report   `json:"sides"`
-	Added []Difference `json:"added"`
+	Sides       [2]*Report          `json:"sides"`
+	Differences []LatencyDifference `json:"added"`
 }
 
-// Difference is the latency of the first side minus that of the second, in
+// LatencyDifference is the latency of the first side minus that of the second, in
 // microseconds.
-type Difference struct {
-	Kind string `json:"kind"`
-	What string `json:"what"` // total, first token or between tokens
-	Mean int64  `json:"mean_us"`
-	P50  int64  `json:"p50_us"`
-	P90  int64  `json:"p90_us"`
-	P99  int64  `json:"p99_us"`
+type LatencyDifference struct {
+	Kind   string `json:"kind"`
+	Metric string `json:"what"` // total, first token or between tokens
+	Mean   int64  `json:"mean_us"`
+	P50    int64  `json:"p50_us"`
+	P90    int64  `json:"p90_us"`
+	P99    int64  `json:"p99_us"`
 }
 
 // Compare sends the plan's requests to two sides in alternation, half of the rate
@@ -51,8 +51,8 @@
 	if a.Count == 0 || b.Count == 0 {
 		return
 	}
-	c.Added = append(c.Added, Difference{
-		Kind: kind, What: what, Mean: a.Mean - b.Mean, P50: a.P50 - b.P50, P90: a.P90 - b.P90, P99: a.P99 - b.P99,
+	c.Differences = append(c.Differences, LatencyDifference{
+		Kind: kind, Metric: what, Mean: a.Mean - b.Mean, P50: a.P50 - b.P50, P90: a.P90 - b.P90, P99: a.P99 - b.P99,
 	})
 }
 
@@ -69,8 +69,8 @@
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "%s above %s\tmean\tp50\tp90\tp99\t\n", c.Sides[0].Name, c.Sides[1].Name)
-	for _, d := range c.Added {
-		fmt.Fprintf(t, "%s %s\t%s\t%s\t%s\t%s\t\n", d.Kind, d.What, formatMicros(d.Mean), formatMicros(d.P50), formatMicros(d.P90), formatMicros(d.P99))
+	for _, d := range c.Differences {
+		fmt.Fprintf(t, "%s %s\t%s\t%s\t%s\t%s\t\n", d.Kind, d.Metric, formatMicros(d.Mean), formatMicros(d.P50), formatMicros(d.P90), formatMicros(d.P99))
 	}
 	return t.Flush()
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -44,15 +44,15 @@
 	Name    string
 	Targets []string          // ip:port, used round robin
 	Header  map[string]string // sent with every request
-	// Bare is true if the targets are instances of a plain service and not nodes:
+	// DirectToService is true if the targets are instances of a plain service and not nodes:
 	// request paths then have no /services/NAME prefix.
-	Bare bool
+	DirectToService bool
 }
 
 // run validates the plan and the targets and sends request i of the schedule to
 // side i modulo the number of sides. It returns one report per side.
 func run(ctx context.Context, p *Plan, sides []Side) ([]*Report, error) {
-	if problems := p.Check(nil, nil); problems != nil {
+	if problems := p.Validate(nil, nil); problems != nil {
 		return nil, problems
 	}
 	clients := make([]*client, len(sides))
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -253,7 +253,7 @@
 			if tries[key] > 1 {
 				return
 			}
-			e := outcome.New(outcome.Overloaded, outcome.NotRun, "full", "come back").After(time.Second)
+			e := outcome.New(outcome.Overloaded, outcome.NotRun, "full", "come back").WithRetryAfter(time.Second)
 			e.SetHeaders(w.Header())
 			w.WriteHeader(e.Kind.Status())
 			w.Write(e.JSON("id"))
@@ -296,7 +296,7 @@
 	})
 	c, err := Compare(t.Context(), lookupPlan(20),
 		Side{Name: "node", Targets: []string{through.target()}},
-		Side{Name: "direct", Targets: []string{direct.target()}, Bare: true, Header: map[string]string{"Engine-Generation": "g/1"}})
+		Side{Name: "direct", Targets: []string{direct.target()}, DirectToService: true, Header: map[string]string{"Engine-Generation": "g/1"}})
 	is.NoErr(err)
 	is.Equal(c.Sides[0].Whole(), 10)
 	is.Equal(c.Sides[1].Whole(), 10)
@@ -304,7 +304,7 @@
 		is.True(strings.HasPrefix(through.requests[i], "GET /services/s/"))
 		is.True(!strings.HasPrefix(direct.requests[i], "GET /services/"))
 	}
-	is.Equal(len(c.Added), 1)
+	is.Equal(len(c.Differences), 1)
 	is.NoErr(c.WriteTable(io.Discard))
 	is.NoErr(c.WriteJSON(io.Discard))
 	_, err = Compare(t.Context(), lookupPlan(1), Side{Name: "x", Targets: []string{"127.0.0.1:1"}}, Side{Name: "x"})
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -61,14 +61,14 @@
 	ArrivalsConstant = "constant"
 )
 
-// Type is the type of a request, which decides how it is sent and checked.
-type Type string
+// RequestType is the type of a request, which decides how it is sent and checked.
+type RequestType string
 
 // The types of request.
 const (
-	TypeLookup  Type = "lookup"  // a call of a plain service that may be repeated
-	TypeReceipt Type = "receipt" // a call of a plain service that must run at most once
-	TypeChat    Type = "chat"    // a model call
+	TypeLookup  RequestType = "lookup"  // a call of a plain service that may be repeated
+	TypeReceipt RequestType = "receipt" // a call of a plain service that must run at most once
+	TypeChat    RequestType = "chat"    // a model call
 )
 
 // Ways to ensure that a receipt runs at most once.
@@ -80,9 +80,9 @@
 // Request is one kind of request in the mix. "{n}" in Path, Body and Contains is
 // replaced by the number of the request in the run.
 type Request struct {
-	Name   string `yaml:"name" json:"name"` // of the kind in the report
-	Type   Type   `yaml:"type" json:"type"`
-	Weight int    `yaml:"weight,omitempty" json:"weight"` // relative share of the requests, default 1
+	Name   string      `yaml:"name" json:"name"` // of the kind in the report
+	Type   RequestType `yaml:"type" json:"type"`
+	Weight int         `yaml:"weight,omitempty" json:"weight"` // relative share of the requests, default 1
 	// Contains is a text that must occur in the answer; otherwise the answer is
 	// counted as wrong.
 	Contains string          `yaml:"contains,omitempty" json:"contains,omitempty"`
@@ -108,7 +108,7 @@
 	p := &Plan{}
 	source, decoding := yamlcheck.Decode(name, data, p)
 	p.setDefaults()
-	if problems := p.Check(source, decoding); problems != nil {
+	if problems := p.Validate(source, decoding); problems != nil {
 		return nil, problems
 	}
 	return p, nil
@@ -141,9 +141,9 @@
 	}
 }
 
-// Check validates the plan and returns all problems as one error, or nil. source
+// Validate validates the plan and returns all problems as one error, or nil. source
 // and decoding may be nil for a plan that was not parsed from YAML.
-func (p *Plan) Check(source *yamlcheck.Source, decoding yamlcheck.Problems) error {
+func (p *Plan) Validate(source *yamlcheck.Source, decoding yamlcheck.Problems) error {
 	c := &planChecker{Checker: yamlcheck.NewChecker(source, decoding), plan: p}
 	c.checkTopLevel()
 	c.checkOrganisations()
@@ -299,7 +299,7 @@
 }
 
 // rejectUnusedKeys reports each key in written that does not apply to the request type.
-func (c *planChecker) rejectUnusedKeys(path string, t Type, written map[string]bool, inOrder ...string) {
+func (c *planChecker) rejectUnusedKeys(path string, t RequestType, written map[string]bool, inOrder ...string) {
 	for _, k := range inOrder {
 		if written[k] {
 			c.Addf(yamlcheck.Key(path, k), "leave it out", "%s does not apply to a %s", k, t)
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -17,23 +17,23 @@
 	Sent    int      `json:"sent"`
 	// NotSent is the number of requests that were due while InFlight others were
 	// in flight.
-	NotSent int      `json:"not_sent"`
-	Retries int      `json:"retries"`
-	Late    Latency  `json:"late"` // from intended to actual start: the error of the load tool itself
-	Kinds   []Kind   `json:"kinds"`
-	Seconds []Second `json:"seconds"`
+	NotSent   int            `json:"not_sent"`
+	Retries   int            `json:"retries"`
+	SendDelay Latency        `json:"late"` // from intended to actual start: the error of the load tool itself
+	Kinds     []KindReport   `json:"kinds"`
+	Seconds   []SecondCounts `json:"seconds"`
 }
 
-// Kind has the results of one kind of request.
-type Kind struct {
-	Name          string  `json:"name"`
-	Type          Type    `json:"type"`
-	Outcomes      []Count `json:"outcomes"`          // most frequent first
-	Details       []Count `json:"details,omitempty"` // explanations of failures; the number of different ones is limited
-	Tokens        int     `json:"tokens,omitempty"`
-	Total         Latency `json:"total"` // whole answers only
-	FirstToken    Latency `json:"first_token"`
-	BetweenTokens Latency `json:"between_tokens"`
+// KindReport has the results of one kind of request.
+type KindReport struct {
+	Name          string      `json:"name"`
+	Type          RequestType `json:"type"`
+	Outcomes      []Count     `json:"outcomes"`          // most frequent first
+	Details       []Count     `json:"details,omitempty"` // explanations of failures; the number of different ones is limited
+	Tokens        int         `json:"tokens,omitempty"`
+	Total         Latency     `json:"total"` // whole answers only
+	FirstToken    Latency     `json:"first_token"`
+	BetweenTokens Latency     `json:"between_tokens"`
 }
 
 // Count is the number of occurrences of an outcome or detail.
@@ -60,8 +60,8 @@
 	Micros     int64   `json:"us"`
 }
 
-// Second counts the requests that were due in one second, by outcome.
-type Second struct {
+// SecondCounts counts the requests that were due in one second, by outcome.
+type SecondCounts struct {
 	Second  int `json:"second"` // from the start of the run
 	Whole   int `json:"whole"`
 	Refused int `json:"refused"` // rejected as not run
@@ -108,7 +108,7 @@
 		writeLatencyRow(t, k.Name+" first token", &k.FirstToken)
 		writeLatencyRow(t, k.Name+" between tokens", &k.BetweenTokens)
 	}
-	writeLatencyRow(t, "send delay", &r.Late)
+	writeLatencyRow(t, "send delay", &r.SendDelay)
 	if err := t.Flush(); err != nil {
 		return err
 	}
--- a/internal/load/svg.go
+++ b/internal/load/svg.go
@@ -127,12 +127,12 @@
 var outcomeSeries = []struct {
 	name   string
 	colour string
-	count  func(*Second) int
+	count  func(*SecondCounts) int
 }{
-	{"whole", "#3a7d44", func(s *Second) int { return s.Whole }},
-	{"refused", "#e0a030", func(s *Second) int { return s.Refused }},
-	{"failed", "#c8553d", func(s *Second) int { return s.Failed }},
-	{"not sent", "#999999", func(s *Second) int { return s.NotSent }},
+	{"whole", "#3a7d44", func(s *SecondCounts) int { return s.Whole }},
+	{"refused", "#e0a030", func(s *SecondCounts) int { return s.Refused }},
+	{"failed", "#c8553d", func(s *SecondCounts) int { return s.Failed }},
+	{"not sent", "#999999", func(s *SecondCounts) int { return s.NotSent }},
 }
 
 func (p *plot) drawOutcomes(r *Report) {
@@ -163,7 +163,7 @@
 }
 
 // drawBar draws the stacked bar of one second.
-func (p *plot) drawBar(s *Second, x, width, y, scale float64) {
+func (p *plot) drawBar(s *SecondCounts, x, width, y, scale float64) {
 	for _, o := range outcomeSeries {
 		h := float64(o.count(s)) * scale
 		if h == 0 {
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -23,7 +23,7 @@
 	plan      *Plan
 	kinds     []kindTally
 	sendDelay *hdrhistogram.Histogram
-	seconds   []Second // by second of the intended start
+	seconds   []SecondCounts // by second of the intended start
 	sent      int
 	notSent   int
 	retries   int
@@ -51,7 +51,7 @@
 			total: newHistogram(), first: newHistogram(), gap: newHistogram(),
 		}
 	}
-	t.seconds = make([]Second, int((time.Duration(p.Duration)+time.Second-1)/time.Second))
+	t.seconds = make([]SecondCounts, int((time.Duration(p.Duration)+time.Second-1)/time.Second))
 	for i := range t.seconds {
 		t.seconds[i].Second = i
 	}
@@ -112,11 +112,11 @@
 	r := &Report{
 		Name: s.Name, Targets: s.Targets, Plan: p,
 		Sent: t.sent, NotSent: t.notSent, Retries: t.retries,
-		Late: latencyStatistics(t.sendDelay), Seconds: t.seconds,
+		SendDelay: latencyStatistics(t.sendDelay), Seconds: t.seconds,
 	}
 	for i := range t.kinds {
 		k := &t.kinds[i]
-		r.Kinds = append(r.Kinds, Kind{
+		r.Kinds = append(r.Kinds, KindReport{
 			Name: p.Requests[i].Name, Type: p.Requests[i].Type,
 			Outcomes: sortedCounts(k.outcomes), Details: sortedCounts(k.details), Tokens: k.tokens,
 			Total: latencyStatistics(k.total), FirstToken: latencyStatistics(k.first), BetweenTokens: latencyStatistics(k.gap),
--- a/internal/logwalk/logwalk.go
+++ b/internal/logwalk/logwalk.go
@@ -67,18 +67,18 @@
 	return strings.Join(parts, " ")
 }
 
-// Step is a log line related to the request, with its age at the request's end.
-type Step struct {
-	Line Line
-	Age  time.Duration // negative: logged after the request's end
-	Why  string        // relation to the request
+// RelatedLine is a log line related to the request, with its age at the request's end.
+type RelatedLine struct {
+	Line     Line
+	Age      time.Duration // negative: logged after the request's end
+	Relation string        // relation to the request
 }
 
 // Explanation contains the log lines about a request and those related to it.
 type Explanation struct {
-	Request string
-	Own     []Line // lines with the request's id, in order of time
-	Facts   []Step // related lines of all nodes, in order of time
+	Request      string
+	OwnLines     []Line        // lines with the request's id, in order of time
+	RelatedLines []RelatedLine // related lines of all nodes, in order of time
 }
 
 // maxLineBytes is the maximum length of a line, in bytes. Read returns an error for a
@@ -150,21 +150,21 @@
 	"node starts", "node leaves",
 }
 
-// Walk collects the lines with the request's id and the related lines of all
+// ExplainRequest collects the lines with the request's id and the related lines of all
 // nodes. Own is empty if no line has the id.
-func Walk(lines []Line, request string) Explanation {
+func ExplainRequest(lines []Line, request string) Explanation {
 	ex := Explanation{Request: request}
 	for _, l := range lines {
 		if l.Request == request {
-			ex.Own = append(ex.Own, l)
+			ex.OwnLines = append(ex.OwnLines, l)
 		}
 	}
-	if len(ex.Own) == 0 {
+	if len(ex.OwnLines) == 0 {
 		return ex
 	}
-	slices.SortStableFunc(ex.Own, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	end := ex.Own[len(ex.Own)-1]
-	tried, fp := triedEndpoints(ex.Own), firstFingerprint(ex.Own)
+	slices.SortStableFunc(ex.OwnLines, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	end := ex.OwnLines[len(ex.OwnLines)-1]
+	tried, fp := triedEndpoints(ex.OwnLines), firstFingerprint(ex.OwnLines)
 	noGroup := len(tried) == 0 && end.Stage == stagePick
 	newest := map[string]Line{}
 	for _, l := range lines {
@@ -173,15 +173,15 @@
 			newest[l.Message] = l
 		}
 		if why := relation(&l, tried, noGroup, age); why != "" {
-			ex.Facts = append(ex.Facts, Step{l, age, why})
+			ex.RelatedLines = append(ex.RelatedLines, RelatedLine{l, age, why})
 		} else if fp != "" && l.Fingerprint == fp && l.Request != request && slices.Contains(fingerprintMessages, l.Message) {
-			ex.Facts = append(ex.Facts, Step{l, age, "an equal request, with any id"})
+			ex.RelatedLines = append(ex.RelatedLines, RelatedLine{l, age, "an equal request, with any id"})
 		}
 	}
 	for _, l := range newest {
-		ex.Facts = append(ex.Facts, Step{l, end.Time.Sub(l.Time), "what " + end.VM + " knew"})
+		ex.RelatedLines = append(ex.RelatedLines, RelatedLine{l, end.Time.Sub(l.Time), "what " + end.VM + " knew"})
 	}
-	slices.SortStableFunc(ex.Facts, func(a, b Step) int { return cmp.Compare(b.Age, a.Age) })
+	slices.SortStableFunc(ex.RelatedLines, func(a, b RelatedLine) int { return cmp.Compare(b.Age, a.Age) })
 	return ex
 }
 
@@ -245,12 +245,12 @@
 
 // Print writes the explanation as text: the related lines, then the request's own.
 func (ex *Explanation) Print(w io.Writer) error {
-	for _, f := range ex.Facts {
-		if _, err := fmt.Fprintf(w, "%8.3f s before  %-18s %s  [%s]\n    %s\n", f.Age.Seconds(), f.Line.VM, f.Line.Message, f.Why, f.Line.Fields()); err != nil {
+	for _, f := range ex.RelatedLines {
+		if _, err := fmt.Fprintf(w, "%8.3f s before  %-18s %s  [%s]\n    %s\n", f.Age.Seconds(), f.Line.VM, f.Line.Message, f.Relation, f.Line.Fields()); err != nil {
 			return err
 		}
 	}
-	for _, l := range ex.Own {
+	for _, l := range ex.OwnLines {
 		if _, err := fmt.Fprintf(w, "%s  %-18s %s\n    %s\n", l.Time.Format(time.RFC3339Nano), l.VM, l.Message, l.Fields()); err != nil {
 			return err
 		}
--- a/internal/logwalk/logwalk_test.go
+++ b/internal/logwalk/logwalk_test.go
@@ -27,8 +27,8 @@
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(walkLogs))
 	is.NoErr(err)
-	ex := Walk(lines, "r1")
-	is.Equal(len(ex.Own), 2)
+	ex := ExplainRequest(lines, "r1")
+	is.Equal(len(ex.OwnLines), 2)
 	var text strings.Builder
 	is.NoErr(ex.Print(&text))
 	got := text.String()
@@ -54,9 +54,9 @@
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(quarantineLogs))
 	is.NoErr(err)
-	ex := Walk(lines, "r9")
-	is.Equal(len(ex.Own), 1)
-	is.Equal(len(ex.Facts), 3)
+	ex := ExplainRequest(lines, "r9")
+	is.Equal(len(ex.OwnLines), 1)
+	is.Equal(len(ex.RelatedLines), 3)
 	var text strings.Builder
 	is.NoErr(ex.Print(&text))
 	is.True(strings.Contains(text.String(), `"e1"`))
@@ -68,7 +68,7 @@
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(walkLogs))
 	is.NoErr(err)
-	is.Equal(len(Walk(lines, "r3").Own), 0)
+	is.Equal(len(ExplainRequest(lines, "r3").OwnLines), 0)
 }
 
 func TestReadDirReadsAllFiles(t *testing.T) {
--- a/internal/logwalk/losses.go
+++ b/internal/logwalk/losses.go
@@ -24,10 +24,10 @@
 	Example              string // id of the first of the requests in the logs
 }
 
-// Losses counts the lost and late requests by windows of the given length. The result
+// CountLosses counts the lost and late requests by windows of the given length. The result
 // is sorted by window, then by number of requests, the largest first. Requests that
 // were answered in time are not counted.
-func Losses(lines []Line, window time.Duration) []Loss {
+func CountLosses(lines []Line, window time.Duration) []Loss {
 	zones := map[string]string{}
 	var first time.Time
 	for _, l := range lines {
--- a/internal/logwalk/losses_test.go
+++ b/internal/logwalk/losses_test.go
@@ -25,7 +25,7 @@
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(lossLogs))
 	is.NoErr(err)
-	got := Losses(lines, 2*time.Second)
+	got := CountLosses(lines, 2*time.Second)
 	is.Equal(len(got), 5)
 	is.Equal(got[0], Loss{
 		Zone: "a", Route: "r", Model: "m", Reason: "late: the first event", Requests: 2, Endpoints: 3, FreeSlots: 5, Example: "r1",
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -34,7 +34,7 @@
 				}
 			}
 			if !now.Before(s.nextProbe) {
-				s.nextProbe = now.Add(s.cfg.Period)
+				s.nextProbe = now.Add(s.cfg.PingPeriod)
 				for _, vm := range s.sortedVMs {
 					s.addAction(Send{To: vm, Message: &Message{Kind: KindGossip, Self: s.self}})
 				}
@@ -52,16 +52,16 @@
 }
 
 func newDetectors() []detector {
-	plainTimeout := Defaults()
-	plainTimeout.Indirect, plainTimeout.Suspicion = 0, 0
-	noIndirect := Defaults()
-	noIndirect.Indirect = 0
+	plainTimeout := DefaultConfig()
+	plainTimeout.IndirectPings, plainTimeout.SuspicionTimeout = 0, 0
+	noIndirect := DefaultConfig()
+	noIndirect.IndirectPings = 0
 	return []detector{
-		{name: "swim", cfg: Defaults()},
+		{name: "swim", cfg: DefaultConfig()},
 		{name: "no-indirect", cfg: noIndirect},
 		{name: "plain-timeout", cfg: plainTimeout},
-		{name: "all-to-all-3s", cfg: Defaults(), step: newHeartbeatDetector(3 * time.Second)},
-		{name: "all-to-all-6s", cfg: Defaults(), step: newHeartbeatDetector(6 * time.Second)},
+		{name: "all-to-all-3s", cfg: DefaultConfig(), step: newHeartbeatDetector(3 * time.Second)},
+		{name: "all-to-all-6s", cfg: DefaultConfig(), step: newHeartbeatDetector(6 * time.Second)},
 	}
 }
 
@@ -80,7 +80,7 @@
 			m.lastHeard = f.now
 		}
 		a.updates = updateQueue{}
-		a.nextProbe = f.now.Add(time.Duration(f.rng.Int64N(int64(d.cfg.Period))))
+		a.nextProbe = f.now.Add(time.Duration(f.rng.Int64N(int64(d.cfg.PingPeriod))))
 	}
 	f.run(5 * time.Second)
 	return f
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -18,8 +18,8 @@
 	Left
 )
 
-// View returns the status as a view.NodeState.
-func (s Status) View() view.NodeState {
+// NodeState returns the status as a view.NodeState.
+func (s Status) NodeState() view.NodeState {
 	return [...]view.NodeState{view.NodeAlive, view.NodeSuspect, view.NodeDead, view.NodeLeft}[s]
 }
 
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -202,7 +202,7 @@
 	if m == nil {
 		return ""
 	}
-	return m.Status.View()
+	return m.Status.NodeState()
 }
 
 // hasConverged reports whether every running node sees every other running node
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -77,7 +77,7 @@
 	if m := s.members[vm]; m != nil && m.Status != Alive {
 		out = append(out, m.Entry)
 	}
-	for _, about := range s.updates.next(s.cfg.NewsPerPacket, s.cfg.maxSends(s.liveCount+1)) {
+	for _, about := range s.updates.next(s.cfg.UpdatesPerMessage, s.cfg.maxSends(s.liveCount+1)) {
 		m := s.members[about]
 		if m == nil || about == vm {
 			continue // this node's entry is in every message already
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -86,11 +86,11 @@
 	if m == nil {
 		return
 	}
-	if s.cfg.Indirect == 0 {
+	if s.cfg.IndirectPings == 0 {
 		return
 	}
 	s.send(m, &Message{Kind: KindPing, Seq: p.seq})
-	for _, via := range s.randomAlive(s.cfg.Indirect, p.node.VM) {
+	for _, via := range s.randomAlive(s.cfg.IndirectPings, p.node.VM) {
 		s.send(via, &Message{Kind: KindPingReq, Seq: p.seq, Target: m.VM, Addr: m.Addr})
 	}
 }
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -77,7 +77,7 @@
 func TestConvergesAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "nodes")
-		f := newTestFleet(n, rapid.Uint64().Draw(t, "seed"), Defaults())
+		f := newTestFleet(n, rapid.Uint64().Draw(t, "seed"), DefaultConfig())
 		checkNoRegression(t, f)
 		f.run(5 * time.Second)
 		for range rapid.IntRange(1, 8).Draw(t, "faults") {
@@ -117,7 +117,7 @@
 			continue
 		}
 		for vm, m := range n.members {
-			out = append(out, fmt.Sprintf("%s:%s#%d=%s", n.self.VM, vm, m.Incarnation, m.Status.View()))
+			out = append(out, fmt.Sprintf("%s:%s#%d=%s", n.self.VM, vm, m.Incarnation, m.Status.NodeState()))
 		}
 	}
 	slices.Sort(out)
@@ -150,7 +150,7 @@
 func TestSimulationIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	run := func() (int, int, clock.Instant) {
-		f := newTestFleet(20, 7, Defaults())
+		f := newTestFleet(20, 7, DefaultConfig())
 		f.lossRate = 0.1
 		f.run(20 * time.Second)
 		f.kill(3)
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -24,7 +24,7 @@
 	// SendAddr sends to the node of the deployment that listens at the address.
 	SendAddr(addr, topic string, payload []byte) error
 	Subscribe(topic string, f func(from fleet.Node, payload []byte))
-	Learn(vm fleet.VM, addr string)
+	SetPeerAddr(vm fleet.VM, addr string)
 }
 
 const (
@@ -222,7 +222,7 @@
 		return s.opts.Mesh.SendAddr(a.Addr, Topic, payload)
 	}
 	if a.Addr != "" {
-		s.opts.Mesh.Learn(a.To, a.Addr)
+		s.opts.Mesh.SetPeerAddr(a.To, a.Addr)
 	}
 	return s.opts.Mesh.Send(a.To, Topic, payload)
 }
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	state := membership.New(node, "z", mesh.Addr(), membership.Defaults(), rand.New(rand.NewPCG(uint64(node.Incarnation), 1)))
+	state := membership.New(node, "z", mesh.Addr(), membership.DefaultConfig(), rand.New(rand.NewPCG(uint64(node.Incarnation), 1)))
 	service, err := membership.NewService(membership.Options{State: state, Mesh: mesh, Log: log})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -155,8 +155,8 @@
 // Self returns this node's entry.
 func (s *State) Self() Entry { return s.self }
 
-// Live returns the number of other members that are alive or suspect.
-func (s *State) Live() int { return s.liveCount }
+// LiveCount returns the number of other members that are alive or suspect.
+func (s *State) LiveCount() int { return s.liveCount }
 
 // Nodes returns the known state of all other members, by VM.
 func (s *State) Nodes() []view.Node {
@@ -164,8 +164,8 @@
 	for _, vm := range s.sortedVMs {
 		m := s.members[vm]
 		out = append(out, view.Node{
-			Node: m.Node(), Zone: m.Zone, Addr: m.Addr, State: m.Status.View(),
-			Since: m.statusSince, Heard: m.lastHeard, Revision: m.Revision, Draining: m.Draining,
+			Node: m.Node(), Zone: m.Zone, Addr: m.Addr, State: m.Status.NodeState(),
+			StateSince: m.statusSince, LastHeard: m.lastHeard, Revision: m.Revision, Draining: m.Draining,
 		})
 	}
 	return out
@@ -192,7 +192,7 @@
 	s.checkProbes(now)
 	s.expireSuspects(now)
 	if !now.Before(s.nextProbe) {
-		s.nextProbe = now.Add(s.cfg.Period)
+		s.nextProbe = now.Add(s.cfg.PingPeriod)
 		s.pingNext(now)
 	}
 	if !now.Before(s.nextGossip) {
@@ -217,7 +217,7 @@
 // that start together do not run in lockstep.
 func (s *State) schedulePeriodicWork(now clock.Instant) {
 	phase := func(d time.Duration) clock.Instant { return now.Add(time.Duration(s.rng.Int64N(int64(d)))) }
-	s.nextProbe = phase(s.cfg.Period)
+	s.nextProbe = phase(s.cfg.PingPeriod)
 	s.nextGossip = phase(s.cfg.GossipPeriod)
 	s.nextSync = phase(s.cfg.SyncPeriod)
 	s.nextDead = now
@@ -241,7 +241,7 @@
 		m := s.members[vm]
 		m.refuteDeadline = m.refuteDeadline.Add(gap)
 	}
-	if gap > s.cfg.PauseLimit {
+	if gap > s.cfg.PauseThreshold {
 		s.bumpVersion(urgent)
 		s.addAction(Paused{Gap: gap})
 	}
@@ -294,7 +294,7 @@
 	s.sortedVMs = slices.DeleteFunc(s.sortedVMs, func(vm fleet.VM) bool {
 		m := s.members[vm]
 		age := now.Sub(m.statusSince)
-		gone := (m.Status == Dead && age > s.cfg.ForgetDead) || (m.Status == Left && age > s.cfg.ForgetLeft)
+		gone := (m.Status == Dead && age > s.cfg.DeadRetention) || (m.Status == Left && age > s.cfg.LeftRetention)
 		if gone {
 			delete(s.members, vm)
 			s.changed = true
--- a/internal/membership/state_test.go
+++ b/internal/membership/state_test.go
@@ -16,7 +16,7 @@
 
 func TestJoin(t *testing.T) {
 	for _, n := range []int{2, 6, 50} {
-		f := newTestFleet(n, 1, Defaults())
+		f := newTestFleet(n, 1, DefaultConfig())
 		is.New(t).True(f.converge(time.Minute))
 	}
 }
@@ -25,7 +25,7 @@
 // be.
 func TestDeadNodeIsDetected(t *testing.T) {
 	is := is.New(t)
-	f := newTestFleet(6, 1, Defaults())
+	f := newTestFleet(6, 1, DefaultConfig())
 	is.True(f.converge(time.Minute))
 	f.kill(3)
 	f.run(30 * time.Second)
@@ -48,7 +48,7 @@
 // must be accepted again.
 func TestPausedNodeRejoins(t *testing.T) {
 	is := is.New(t)
-	f := newTestFleet(6, 1, Defaults())
+	f := newTestFleet(6, 1, DefaultConfig())
 	is.True(f.converge(time.Minute))
 	f.pause(2, 40*time.Second)
 	f.run(39 * time.Second)
@@ -69,7 +69,7 @@
 // earlier incarnation must change nothing.
 func TestRestartReplacesEarlierIncarnation(t *testing.T) {
 	is := is.New(t)
-	f := newTestFleet(6, 1, Defaults())
+	f := newTestFleet(6, 1, DefaultConfig())
 	is.True(f.converge(time.Minute))
 	f.kill(1)
 	f.run(2 * time.Second)
@@ -86,7 +86,7 @@
 // others.
 func TestLeftIsNotDead(t *testing.T) {
 	is := is.New(t)
-	f := newTestFleet(6, 1, Defaults())
+	f := newTestFleet(6, 1, DefaultConfig())
 	is.True(f.converge(time.Minute))
 	f.execute(f.nodes[4], f.nodes[4].Step(f.now, Leave{}))
 	f.run(time.Second)
@@ -103,7 +103,7 @@
 // When the partition heals, both must find each other without seeds.
 func TestPartitionHeals(t *testing.T) {
 	is := is.New(t)
-	f := newTestFleet(9, 1, Defaults())
+	f := newTestFleet(9, 1, DefaultConfig())
 	is.True(f.converge(time.Minute))
 	f.isCut = func(a, b *testNode) bool { return (a.index%3 == 0) != (b.index%3 == 0) }
 	f.run(3 * time.Minute)
@@ -142,8 +142,8 @@
 // for ever.
 func TestForgottenMemberIsNotReadded(t *testing.T) {
 	is := is.New(t)
-	cfg := Defaults()
-	cfg.ForgetDead = 2 * time.Minute
+	cfg := DefaultConfig()
+	cfg.DeadRetention = 2 * time.Minute
 	f := newTestFleet(6, 1, cfg)
 	is.True(f.converge(time.Minute))
 	f.kill(5)
@@ -162,7 +162,7 @@
 // detect that it is replaced.
 func TestLowerIncarnationIsReplaced(t *testing.T) {
 	is := is.New(t)
-	s := New(fleet.Node{VM: "a", Incarnation: 1}, "z", "10.0.0.1:1", Defaults(), rand.New(rand.NewPCG(1, 1)))
+	s := New(fleet.Node{VM: "a", Incarnation: 1}, "z", "10.0.0.1:1", DefaultConfig(), rand.New(rand.NewPCG(1, 1)))
 	old := Entry{VM: "a", Incarnation: 5, Status: Dead}
 	peer := Entry{VM: "b", Incarnation: 1, Version: 1}
 	actions := s.Step(1, Received{From: peer.Node(), Message: &Message{Kind: KindGossip, Self: peer, Entries: []Entry{old}}})
@@ -173,7 +173,7 @@
 // is rejected.
 func TestMismatchedSenderIsRejected(t *testing.T) {
 	is := is.New(t)
-	s := New(fleet.Node{VM: "a", Incarnation: 1}, "z", "10.0.0.1:1", Defaults(), rand.New(rand.NewPCG(1, 1)))
+	s := New(fleet.Node{VM: "a", Incarnation: 1}, "z", "10.0.0.1:1", DefaultConfig(), rand.New(rand.NewPCG(1, 1)))
 	s.Step(1, Received{From: fleet.Node{VM: "c", Incarnation: 1}, Message: &Message{Kind: KindGossip, Self: Entry{VM: "b", Incarnation: 1}}})
 	is.Equal(len(s.Nodes()), 0)
 }
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -20,7 +20,7 @@
 	if s.liveCount == 0 {
 		return s.cfg.JoinPeriod
 	}
-	return s.cfg.DeadPeriod
+	return s.cfg.ReconnectPeriod
 }
 
 // syncAbsent starts a state comparison with one dead member or unknown seed.
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -13,7 +13,7 @@
 // startMesh starts a mesh on a free port and stops it at the end of the test.
 func startMesh(t *testing.T, receive func(Message)) *Mesh {
 	t.Helper()
-	m := &Mesh{Log: slog.New(slog.DiscardHandler), Receive: receive}
+	m := &Mesh{Log: slog.New(slog.DiscardHandler), OnMessage: receive}
 	if err := m.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -43,9 +43,9 @@
 
 func (n *Node) buildMover() {
 	n.prefixUses = kv.NewUses(n.clock)
-	n.moveEngines = engine.NewClient(engine.WithTimeout(kv.DefaultCosts().Within))
+	n.moveEngines = engine.NewClient(engine.WithTimeout(kv.DefaultCosts().Timeout))
 	n.mover = kv.New(kv.Options{
-		View: n.view, Held: n.holdsGroupLease, Engines: n.moveEngines, Objects: n.platform, Uses: n.prefixUses,
+		View: n.view, HoldsDuty: n.holdsGroupLease, Engines: n.moveEngines, Objects: n.platform, Uses: n.prefixUses,
 		Clock: n.clock, Explain: n.explainStore, Log: n.log, Registerer: n.reg,
 	})
 }
@@ -61,8 +61,8 @@
 // because the lease holder publishes the groups' rows.
 func (n *Node) buildGossip() {
 	n.gossip = view.NewGossip(view.GossipOptions{
-		View: n.view, Clock: n.clock, Send: n.mesh, First: membership.TopK, Log: n.log, Registry: n.reg,
-		Holds: n.holdsGroupLease,
+		View: n.view, Clock: n.clock, Sender: n.mesh, First: membership.TopK, Log: n.log, Registry: n.reg,
+		HoldsLease: n.holdsGroupLease,
 	})
 	n.mesh.Subscribe(view.TopicZone, n.gossip.HandleZone)
 	n.mesh.Subscribe(view.TopicRemote, n.gossip.HandleRemote)
@@ -73,7 +73,7 @@
 func (n *Node) buildConfig() {
 	n.config = revision.NewKeeper(revision.Options{
 		Table: n.platform, Peers: n.mesh, Nodes: n.liveNodes,
-		Poll: time.Duration(n.settings.Timing.RevisionPoll), Seed: seed(), Log: n.log, Metrics: n.reg,
+		MinPollInterval: time.Duration(n.settings.Timing.RevisionPoll), Seed: seed(), Log: n.log, Metrics: n.reg,
 	})
 	n.mesh.Subscribe(revision.TopicAnnounce, n.config.HandleAnnounce)
 	n.mesh.HandleCall(revision.MethodHighest, n.config.HandleHighest)
--- a/internal/node/eject.go
+++ b/internal/node/eject.go
@@ -33,10 +33,10 @@
 }
 
 // Pick chooses a destination and counts the request's prefix for a group.
-func (e ejectingRouter) Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.Tried) (route.Choice, *outcome.Error) {
+func (e ejectingRouter) Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.TriedDestination) (route.Choice, *outcome.Error) {
 	c, err := e.pickUsable(req, snap, now, tried)
 	if err == nil && c.Kind == route.ToGroup {
-		e.uses.Note(c.Group.ID, req.Prefix)
+		e.uses.Record(c.Group.ID, req.Prefix)
 	}
 	return c, err
 }
@@ -44,9 +44,9 @@
 // pickUsable repeats the router's choice without the ejected destinations. If no
 // other destination is left, it returns the first choice, since an ejected
 // destination is better than none.
-func (e ejectingRouter) pickUsable(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.Tried) (route.Choice, *outcome.Error) {
+func (e ejectingRouter) pickUsable(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []route.TriedDestination) (route.Choice, *outcome.Error) {
 	first, err := e.Router.Pick(req, snap, now, tried)
-	if err != nil || e.ejector.Usable(destinationID(first)) {
+	if err != nil || e.ejector.AllowRequest(destinationID(first)) {
 		return first, err
 	}
 	excluded := append(slices.Clone(tried), exclusion(first))
@@ -55,7 +55,7 @@
 		if err != nil {
 			return first, nil
 		}
-		if e.ejector.Usable(destinationID(next)) {
+		if e.ejector.AllowRequest(destinationID(next)) {
 			return next, nil
 		}
 		excluded = append(excluded, exclusion(next))
@@ -81,14 +81,14 @@
 	return retry.ID(c.Node)
 }
 
-func exclusion(c route.Choice) route.Tried {
+func exclusion(c route.Choice) route.TriedDestination {
 	switch c.Kind {
 	case route.ToGroup:
-		return route.Tried{Group: c.Group.ID}
+		return route.TriedDestination{Group: c.Group.ID}
 	case route.ToEndpoint:
-		return route.Tried{VM: c.VM.Record.VM}
+		return route.TriedDestination{VM: c.VM.Record.VM}
 	}
-	return route.Tried{Node: c.Node}
+	return route.TriedDestination{Node: c.Node}
 }
 
 // updateCandidates passes the current destinations to the ejector and the
--- a/internal/node/leaving.go
+++ b/internal/node/leaving.go
@@ -21,7 +21,7 @@
 	}
 	reason := "operator " + by
 	n.view.Put(view.MarkLeaving{VM: req.VM, Boot: vm.Probe.State.Boot, Reason: reason})
-	n.explainStore.Note(explain.Step{Subject: string(req.VM), Stage: "drain", Decision: "leaving", Reason: reason})
+	n.explainStore.Record(explain.Step{Subject: string(req.VM), Stage: "drain", Decision: "leaving", Reason: reason})
 	if err := n.engines.Leave(ctx, vm.Record.Addr); err != nil {
 		return merry.Errorf("only this node knows that %s is leaving, the endpoint did not answer; order it again: %w", req.VM, err)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -157,7 +157,7 @@
 func (n *Node) build() error {
 	n.platform = platform.NewClient(n.settings.Platform.URL,
 		platform.WithLogger(n.log), platform.WithRegisterer(n.reg),
-		platform.WithTryTimeout(time.Duration(n.settings.Timing.PlatformTimeout)))
+		platform.WithRequestTimeout(time.Duration(n.settings.Timing.PlatformTimeout)))
 	n.engines = engine.NewClient(engine.WithRegisterer(n.reg))
 	n.view = view.NewMerger(n.self, n.settings.Zone, n.clock)
 	if err := n.buildPeers(); err != nil {
--- a/internal/node/path.go
+++ b/internal/node/path.go
@@ -38,18 +38,18 @@
 	n.buildPressure()
 	n.dispatcher = dispatch.New(dispatch.Options{
 		View: n.view, Clock: n.clock, Router: ejectingRouter{n.router, n.ejector, n.prefixUses}, Retry: n.retries, Peers: n.mesh,
-		Prober: n.prober, Answers: n.pingNode, Explain: n.explainStore, Log: n.log, Registerer: n.reg,
+		Prober: n.prober, NodeResponds: n.pingNode, Explain: n.explainStore, Log: n.log, Registerer: n.reg,
 		Quarantine: n.quarantine, Backpressure: n.pressure,
 	})
 	keyed := filter.Chain(n.dispatcher,
 		acc.Timed("once", n.once.Filter()),
 		acc.Timed("admit", n.admit.Filter()))
-	callers := filter.Chain(keyed, acc.Filter, acc.Timed("identify", once.Before(ident.Filter)))
+	callers := filter.Chain(keyed, acc.Filter, acc.Timed("identify", once.WrapRefusals(ident.Filter)))
 	n.mesh.SetHandler(relayHandler{key: filter.Chain(keyed, acc.Filter), dispatch: filter.Chain(n.dispatcher, acc.Filter, acc.Timed("admit", n.admit.Filter()))})
 	n.accept = accept.New(accept.Options{
 		Handler: callers, View: n.view, Clock: n.clock, Log: n.log, Registerer: n.reg,
 		BodyLimit: int64(n.settings.BodyLimit), Ready: n.isReady, Tickets: n.once.Tickets(),
-		Authorise: ident.Organisation, Notice: time.Duration(n.settings.Timing.DrainNotice),
+		Authorise: ident.Organisation, DrainNotice: time.Duration(n.settings.Timing.DrainNotice),
 	})
 	return nil
 }
@@ -62,7 +62,7 @@
 	n.once, err = once.New(once.Options{
 		Self: n.self, Table: n.platform, Peers: n.mesh, View: n.view, Clock: n.clock,
 		Log: n.log, Explain: n.explainStore, Registerer: n.reg, Secret: secret,
-		Authorise: ident.Organisation, Owns: n.isOwner,
+		Authorise: ident.Organisation, OwnsDuty: n.isOwner,
 	})
 	return err
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -28,7 +28,7 @@
 		return err
 	}
 	rng := rand.New(rand.NewPCG(seed(), seed()))
-	state := membership.New(n.self, n.settings.Zone, n.peerAddr(), membership.Defaults(), rng)
+	state := membership.New(n.self, n.settings.Zone, n.peerAddr(), membership.DefaultConfig(), rng)
 	n.members, err = membership.NewService(membership.Options{
 		State: state, Mesh: n.mesh, Clock: n.clock, Log: n.log, Registerer: n.reg,
 		OnPause: n.handlePause, OnReplaced: n.handleReplaced,
@@ -69,8 +69,8 @@
 			Incarnation: n.self.Incarnation, Zone: n.settings.Zone, Peer: n.peerAddr(),
 			Caller: n.caller.Addr().String(), Operator: n.operator.Addr().String(),
 		},
-		Table: n.platform, Log: n.log, Found: n.setDiscovered,
-		Owns: n.isOwner, Alive: n.isAlive, Clock: n.clock,
+		Table: n.platform, Log: n.log, OnPeersChanged: n.setDiscovered,
+		OwnsDuty: n.isOwner, IsAlive: n.isAlive, Clock: n.clock,
 	})
 	n.listPoller = &view.ListPoller{
 		List: recordingLister{n.platform, n.directory}, Clock: n.clock, View: n.view, Log: n.log,
@@ -104,7 +104,7 @@
 func (l recordingLister) VMs(ctx context.Context) ([]fleet.Record, error) {
 	records, err := l.list.VMs(ctx)
 	if err == nil {
-		l.directory.Listed(records)
+		l.directory.UpdateListed(records)
 	}
 	return records, err
 }
--- a/internal/node/pressure.go
+++ b/internal/node/pressure.go
@@ -23,10 +23,10 @@
 func (n *Node) buildPressure() {
 	n.pressure = backpressure.New(backpressure.Options{
 		Node: string(n.self.VM), Clock: n.clock, Log: n.log, Registerer: n.reg,
-		Order: n.pressureNodeOrder, Leaves: n.markEndpointLeaving,
-		Announce: func(m backpressure.Notice) { n.broadcast(topicPressure, m) },
+		SenderOrder: n.pressureNodeOrder, OnLeaving: n.markEndpointLeaving,
+		Broadcast: func(m backpressure.Notice) { n.broadcast(topicPressure, m) },
 	})
-	subscribe(n, topicPressure, n.pressure.Hear)
+	subscribe(n, topicPressure, n.pressure.Receive)
 }
 
 // pressureNodeOrder returns the nodes in rendezvous order for an endpoint. The
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -29,12 +29,12 @@
 	n.quarantineRows = &quarantine.Rows{Get: n.platform.Get, Commit: n.platform.Commit, Table: platform.TableQuarantine, Log: n.log}
 	n.quarantine = (&quarantine.Guard{
 		Node: string(n.self.VM), Clock: n.clock, Log: n.log,
-		Tell: n.sendToTallyNodes, Announce: func(m quarantine.Message) { n.broadcast(topicQuarantine, m) },
-		Keep: func(v quarantine.Verdict) { go n.storeQuarantined(v) },
-		Drop: func(fp quarantine.Fingerprint) { go n.quarantineRows.Drop(context.Background(), fp) },
-		Try:  n.quarantineRows.Try,
+		SendToTalliers: n.sendToTallyNodes, Broadcast: func(m quarantine.Message) { n.broadcast(topicQuarantine, m) },
+		Persist:         func(v quarantine.Verdict) { go n.storeQuarantined(v) },
+		DeletePersisted: func(fp quarantine.Fingerprint) { go n.quarantineRows.Delete(context.Background(), fp) },
+		AcquireTrial:    n.quarantineRows.AcquireTrial,
 	}).Init(n.reg)
-	subscribe(n, topicQuarantine, n.quarantine.Hear)
+	subscribe(n, topicQuarantine, n.quarantine.Receive)
 }
 
 // sendToTallyNodes sends a message to the tally nodes, which rendezvous hashing makes
@@ -63,7 +63,7 @@
 		n.log.Info("quarantined request is not kept; the nodes that know it refuse it", "fingerprint", v.Fingerprint, "err", err)
 		return
 	}
-	n.quarantineRows.Keep(ctx, v, row, n.quarantine.Knows)
+	n.quarantineRows.Persist(ctx, v, row, n.quarantine.IsQuarantined)
 }
 
 // runQuarantine sends and evaluates ends until ctx ends. It reads the stored quarantine
@@ -86,13 +86,13 @@
 		n.log.Info("quarantined requests not read; new ones still arrive from the other nodes", "error", err)
 		return
 	}
-	n.quarantine.TakeKept(n.quarantineRows.Read(rows))
+	n.quarantine.ApplyPersisted(n.quarantineRows.ParseVerdicts(rows))
 	if !n.isOwner(topicQuarantine) {
 		return
 	}
 	for _, b := range n.quarantine.Banned() {
-		if b.Over() {
-			n.quarantineRows.Drop(ctx, b.Fingerprint)
+		if b.IsExpired() {
+			n.quarantineRows.Delete(ctx, b.Fingerprint)
 		}
 	}
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -75,7 +75,7 @@
 	for _, m := range snap.Nodes {
 		out = append(out, operator.NodeStatus{
 			Node: m.Node.String(), Zone: string(m.Zone), State: string(m.State),
-			Heard: ageSince(now, m.Heard), Revision: m.Revision, Draining: m.Draining,
+			Heard: ageSince(now, m.LastHeard), Revision: m.Revision, Draining: m.Draining,
 		})
 	}
 	return out
@@ -107,7 +107,7 @@
 		vm := &snap.VMs[i]
 		st := operator.EndpointStatus{
 			VM: string(vm.Record.VM), Kind: string(vm.Record.Kind), Zone: string(vm.Record.Zone),
-			Domain: string(vm.Record.Domain), State: endpointState(snap, vm), SeenAgo: ageSince(now, vm.Probe.Answered),
+			Domain: string(vm.Record.Domain), State: endpointState(snap, vm), SeenAgo: ageSince(now, vm.Probe.AnsweredAt),
 		}
 		if vm.Claim != nil {
 			st.Group = string(vm.Claim.Group)
@@ -126,9 +126,9 @@
 		return "elsewhere"
 	case vm.Leaving:
 		return "leaving"
-	case vm.Probe.Answered == 0 && vm.Probe.Failing == 0:
+	case vm.Probe.AnsweredAt == 0 && vm.Probe.FailingSince == 0:
 		return "unseen"
-	case vm.Probe.Failing != 0:
+	case vm.Probe.FailingSince != 0:
 		return "failing"
 	}
 	return "present"
@@ -138,7 +138,7 @@
 	st := operator.DutyStatus{Duty: n.leases.Duty}
 	if grant, held := n.leases.Held(now); held {
 		st.Owner, st.Held = n.self.String(), true
-		st.Fence, st.Left = grant.Fence, grant.Left(now)
+		st.Fence, st.Left = grant.Fence, grant.Remaining(now)
 	}
 	return []operator.DutyStatus{st}
 }
--- a/internal/once/before.go
+++ b/internal/once/before.go
@@ -8,11 +8,11 @@
 	"chervilloom/internal/request"
 )
 
-// Before wraps a filter that runs before the Keeper's filter, so that its
+// WrapRefusals wraps a filter that runs before the Keeper's filter, so that its
 // refusals report the right outcome for calls with a key or ticket: errors of f
 // itself are passed through Refusal, errors of the filters after it are left
 // unchanged.
-func Before(f filter.Filter) filter.Filter {
+func WrapRefusals(f filter.Filter) filter.Filter {
 	return func(next filter.Handler) filter.Handler {
 		h := f(filter.Func(func(ctx context.Context, req *request.Request, w answer.Writer) {
 			if wrapped, ok := w.(*refusalWriter); ok {
--- a/internal/once/bench_test.go
+++ b/internal/once/bench_test.go
@@ -63,7 +63,7 @@
 	from := time.Now()
 	g := &receivedAnswer{}
 	f.net.paths[at.opt.Self.VM].Serve(context.Background(), req, g)
-	if !g.end.Whole {
+	if !g.end.Complete {
 		return -time.Since(from)
 	}
 	return time.Since(from)
@@ -87,8 +87,8 @@
 // BenchmarkCalls sends calls to six nodes in an open loop. The platform answers
 // each request after 3 ms; the links between nodes have no latency.
 func BenchmarkCalls(b *testing.B) {
-	every10 := WriteLimits{Gap: 10 * time.Millisecond}
-	single := WriteLimits{Batch: 1, InFlight: 256, Gap: 1, NoteDelay: 1, Notes: 1e6}
+	every10 := WriteLimits{MinInterval: 10 * time.Millisecond}
+	single := WriteLimits{BatchRows: 1, InFlight: 256, MinInterval: 1, NoteDelay: 1, NotesPerSecond: 1e6}
 	for _, c := range []struct {
 		mechanism, writes string
 		limits            WriteLimits
@@ -127,7 +127,7 @@
 // both answered and refused calls.
 func BenchmarkOutage(b *testing.B) {
 	down := map[string]standin.Faults{
-		"503": {Down: standin.DownRefused}, "closed": {Down: standin.DownClose}, "silent": {Slow: config.Duration(time.Hour)},
+		"503": {Down: standin.DownUnavailable}, "closed": {Down: standin.DownClose}, "silent": {Slow: config.Duration(time.Hour)},
 	}
 	for _, name := range []string{"503", "closed", "silent"} {
 		for _, mechanism := range []string{"key", "ticket elsewhere"} {
--- a/internal/once/claims.go
+++ b/internal/once/claims.go
@@ -27,18 +27,18 @@
 func (k *Keeper) claimEvent(id string, result writeResult, current platform.Row) Event {
 	switch result {
 	case writeCommitted:
-		return Claimed{Version: current.Version}
+		return ClaimCommitted{Version: current.Version}
 	case writeFailed:
 		return ClaimFailed{}
 	case writeAmbiguous:
-		return ClaimUnclear{}
+		return ClaimAmbiguous{}
 	}
-	f, err := rowFacts(current, k.opt.WallNow(), k.opt.Skew)
+	f, err := rowFacts(current, k.opt.WallNow(), k.opt.MaxClockSkew)
 	if err != nil {
 		k.opt.Log.Error("cannot decode key row; row left unchanged", "key", id, "err", err)
 		return ClaimFailed{}
 	}
-	return Taken{Row: f}
+	return ClaimConflict{Row: f}
 }
 
 func (k *Keeper) newRow(s RowState, body Hash) keyRow {
@@ -94,7 +94,7 @@
 			batch = append(batch, op)
 		}
 	}
-	for chunk := range slices.Chunk(batch, k.opt.Write.Batch) {
+	for chunk := range slices.Chunk(batch, k.opt.Write.BatchRows) {
 		if ctx.Err() != nil {
 			break
 		}
@@ -104,7 +104,7 @@
 }
 
 func (k *Keeper) answerForRow(s *memoryEntry) *keptAnswer {
-	if s.answer == nil || s.answerBytes > k.opt.MaxRecorded {
+	if s.answer == nil || s.answerBytes > k.opt.MaxRecordedAnswerBytes {
 		return nil
 	}
 	return s.answer
@@ -113,6 +113,6 @@
 // hasOutcome reports whether the row already contains the outcome: an earlier
 // write of it was committed although the response was lost.
 func (k *Keeper) hasOutcome(current platform.Row) bool {
-	f, err := rowFacts(current, k.opt.WallNow(), k.opt.Skew)
+	f, err := rowFacts(current, k.opt.WallNow(), k.opt.MaxClockSkew)
 	return err == nil && f.Holder == k.opt.Self && (f.State == RowRan || f.State == RowUnresolved)
 }
--- a/internal/once/commit.go
+++ b/internal/once/commit.go
@@ -50,7 +50,7 @@
 	case err == nil:
 		w.markAvailable()
 		return finishRefused(batch, res.Rows)
-	case errors.Is(err, platform.ErrDown), errors.Is(err, platform.ErrRefused):
+	case errors.Is(err, platform.ErrUnavailable), errors.Is(err, platform.ErrRejected):
 		w.markUnavailable(err)
 		finishAll(batch, writeFailed)
 		return nil
--- a/internal/once/edge_test.go
+++ b/internal/once/edge_test.go
@@ -50,7 +50,7 @@
 	run := filter.Func(func(ctx context.Context, req *request.Request, w answer.Writer) {
 		disconnect()
 		if ctx.Err() != nil {
-			w.Finish(answer.End{Error: outcome.Of(ctx.Err())})
+			w.Finish(answer.End{Error: outcome.FromError(ctx.Err())})
 			return
 		}
 		b.endpoint.Serve(ctx, req, w)
@@ -86,7 +86,7 @@
 	b := newTestCluster(t)
 	b.start("a")
 	b.endpoint.body = strings.Repeat("x", 65<<10)
-	is.True(b.send("a", withKey("k")).end.Whole)
+	is.True(b.send("a", withKey("k")).end.Complete)
 	again := b.send("a", withKey("k"))
 	is.Equal(again.outcome(), outcome.Ran)
 	is.Equal(again.end.Error.Kind, outcome.AnswerCut)
@@ -123,9 +123,9 @@
 	}
 	t.Run("memory full", func(t *testing.T) {
 		is := is.New(t)
-		is.True(b.send("a", withTicket(good)).end.Whole)
+		is.True(b.send("a", withTicket(good)).end.Complete)
 		is.Equal(b.send("a", withTicket(k.newTicket("org"))).outcome(), outcome.NotRun)
-		is.True(b.send("a", withTicket(good)).end.Whole) // no entry was evicted to make room
+		is.True(b.send("a", withTicket(good)).end.Complete) // no entry was evicted to make room
 		is.Equal(b.endpoint.runs.Load(), int64(1))
 	})
 }
@@ -138,7 +138,7 @@
 	rec := httptest.NewRecorder()
 	k.Tickets().ServeHTTP(rec, httptest.NewRequest(http.MethodPost, "/tickets?count=2", nil))
 	is.Equal(rec.Code, http.StatusCreated)
-	is.True(b.send("a", withTicket(rec.Header().Get(TicketHeader))).end.Whole)
+	is.True(b.send("a", withTicket(rec.Header().Get(TicketHeader))).end.Complete)
 	rec = httptest.NewRecorder()
 	k.Tickets().ServeHTTP(rec, httptest.NewRequest(http.MethodPost, "/tickets?count=65", nil))
 	is.Equal(rec.Code, http.StatusBadRequest)
@@ -167,11 +167,11 @@
 	// another node must get the first answer, not "unknown".
 	is := is.New(t)
 	b := newTestCluster(t)
-	b.limits.Notes = 1e-9 // no outcome is written before Flush
+	b.limits.NotesPerSecond = 1e-9 // no outcome is written before Flush
 	k := b.start("a")
 	b.start("b")
 	k.writer.noteLimiter.AllowN(time.Now(), 1)
-	is.True(b.send("a", withKey("k")).end.Whole)
+	is.True(b.send("a", withKey("k")).end.Complete)
 	is.Equal(k.Flush(context.Background()), 0)
 	b.net.setPath("a", nil)
 	is.Equal(b.send("b", withKey("k")).body, "receipt 1")
@@ -199,6 +199,6 @@
 	is.Equal(b.table.rows["org/00"].Version, uint64(1))
 
 	// A row that has not expired is not deleted.
-	fresh := keyRow{State: RowRan, Expires: now.Add(-k.opt.Skew).UnixMilli()}
+	fresh := keyRow{State: RowRan, Expires: now.Add(-k.opt.MaxClockSkew).UnixMilli()}
 	is.Equal(len(k.newDeletion(platform.Row{}, []platform.Row{{Version: 1, Value: fresh.encode()}}).Writes), 1)
 }
--- a/internal/once/entry.go
+++ b/internal/once/entry.go
@@ -52,28 +52,28 @@
 type (
 	// Call: a caller sent a try.
 	Call struct{ Body Hash }
-	// Left: the caller stopped waiting for the claim.
-	Left struct{}
-	// Claimed: the claim was committed to the table.
-	Claimed struct{ Version uint64 }
-	// Taken: the row was not at the version that the claim expected; Row is its
+	// CallerLeft: the caller stopped waiting for the claim.
+	CallerLeft struct{}
+	// ClaimCommitted: the claim was committed to the table.
+	ClaimCommitted struct{ Version uint64 }
+	// ClaimConflict: the row was not at the version that the claim expected; Row is its
 	// current state.
-	Taken struct{ Row RowFacts }
+	ClaimConflict struct{ Row RowFacts }
 	// ClaimFailed: the claim was certainly not committed and never will be.
 	ClaimFailed struct{}
-	// ClaimUnclear: the claim may have been committed or may still be.
-	ClaimUnclear struct{}
+	// ClaimAmbiguous: the claim may have been committed or may still be.
+	ClaimAmbiguous struct{}
 	// Ended: the dispatch ended with the outcome.
 	Ended struct{ Outcome outcome.Outcome }
 )
 
-func (Call) event()         {}
-func (Left) event()         {}
-func (Claimed) event()      {}
-func (Taken) event()        {}
-func (ClaimFailed) event()  {}
-func (ClaimUnclear) event() {}
-func (Ended) event()        {}
+func (Call) event()           {}
+func (CallerLeft) event()     {}
+func (ClaimCommitted) event() {}
+func (ClaimConflict) event()  {}
+func (ClaimFailed) event()    {}
+func (ClaimAmbiguous) event() {}
+func (Ended) event()          {}
 
 // RowFacts is the content of a row as found by a claim.
 type RowFacts struct {
@@ -90,19 +90,19 @@
 
 // The verbs.
 const (
-	Nothing       Verb = iota
-	WriteClaim         // write the claim, if the row is at Action.Version
-	AwaitClaim         // wait for the claim of an earlier try
-	Dispatch           // dispatch the call; happens at most once per claim
-	Replay             // send the first answer from memory
-	ReplayRow          // send the first answer from the row
-	PassOn             // forward the call to Action.Holder
-	TellRunning        // refuse: the first try is in progress
-	TellReused         // refuse: the key was used with another body
-	TellUnknown        // refuse: whether the call ran is unknown
-	TellNoClaim        // refuse: not dispatched, as the key could not be claimed
-	WriteOutcome       // write the outcome to the row
-	WriteReleased      // write to the row that the key is free again
+	Nothing         Verb = iota
+	WriteClaim           // write the claim, if the row is at Action.Version
+	AwaitClaim           // wait for the claim of an earlier try
+	Dispatch             // dispatch the call; happens at most once per claim
+	Replay               // send the first answer from memory
+	ReplayRow            // send the first answer from the row
+	Forward              // forward the call to Action.Holder
+	RefuseRunning        // refuse: the first try is in progress
+	RefuseKeyReused      // refuse: the key was used with another body
+	RefuseUnknown        // refuse: whether the call ran is unknown
+	RefuseNoClaim        // refuse: not dispatched, as the key could not be claimed
+	WriteOutcome         // write the outcome to the row
+	WriteReleased        // write to the row that the key is free again
 )
 
 var verbNames = [...]string{"nothing", "write-claim", "await-claim", "dispatch", "replay", "replay-row", "pass-on",
@@ -115,8 +115,8 @@
 type Action struct {
 	Verb    Verb
 	Version uint64      // WriteClaim, WriteOutcome, WriteReleased: the expected row version
-	Holder  fleet.Node  // PassOn: the node to forward to
-	Ran     bool        // PassOn: the call ran according to the row; the holder may have the answer
+	Holder  fleet.Node  // Forward: the node to forward to
+	Ran     bool        // Forward: the call ran according to the row; the holder may have the answer
 	Answer  *keptAnswer // ReplayRow: nil if it was too large
 	Reason  string
 }
@@ -131,18 +131,18 @@
 	switch ev := ev.(type) {
 	case Call:
 		return decideCall(e, ev)
-	case Left:
-		return decideLeft(e)
-	case Claimed:
-		return decideClaimed(e, ev)
-	case Taken:
-		return decideTaken(self, e, ev.Row)
+	case CallerLeft:
+		return decideCallerLeft(e)
+	case ClaimCommitted:
+		return decideClaimCommitted(e, ev)
+	case ClaimConflict:
+		return decideClaimConflict(self, e, ev.Row)
 	case ClaimFailed:
 		e.State, e.Waiting = e.Prior, false
-		return e, Action{Verb: TellNoClaim, Reason: "the claim did not land"}
-	case ClaimUnclear:
+		return e, Action{Verb: RefuseNoClaim, Reason: "the claim did not land"}
+	case ClaimAmbiguous:
 		e.State, e.Waiting = Abandoned, false
-		return e, Action{Verb: TellNoClaim, Reason: "whether the claim landed is not known; nothing was dispatched"}
+		return e, Action{Verb: RefuseNoClaim, Reason: "whether the claim landed is not known; nothing was dispatched"}
 	case Ended:
 		return decideEnded(e, ev.Outcome)
 	}
@@ -162,11 +162,11 @@
 	case e.State == Claiming:
 		// This includes other bodies: until the claim is committed, the key may
 		// belong to another node and may have run there with this body.
-		return e, Action{Verb: TellRunning, Reason: "an earlier try waits for the claim"}
+		return e, Action{Verb: RefuseRunning, Reason: "an earlier try waits for the claim"}
 	case !same:
-		return e, Action{Verb: TellReused, Reason: "the key was first used with another body"}
+		return e, Action{Verb: RefuseKeyReused, Reason: "the key was first used with another body"}
 	case e.State == Running:
-		return e, Action{Verb: TellRunning, Reason: "the first try is in progress"}
+		return e, Action{Verb: RefuseRunning, Reason: "the first try is in progress"}
 	}
 	return e, Action{Verb: Replay, Reason: "the first try has ended"}
 }
@@ -181,15 +181,15 @@
 	return e, Action{Verb: WriteClaim, Version: e.Version, Reason: "nothing was dispatched for the key by this life"}
 }
 
-func decideLeft(e Entry) (Entry, Action) {
+func decideCallerLeft(e Entry) (Entry, Action) {
 	if e.State != Claiming {
 		return e, Action{}
 	}
 	e.Waiting = false
-	return e, Action{Verb: TellNoClaim, Reason: "the table did not answer in time"}
+	return e, Action{Verb: RefuseNoClaim, Reason: "the table did not answer in time"}
 }
 
-func decideClaimed(e Entry, ev Claimed) (Entry, Action) {
+func decideClaimCommitted(e Entry, ev ClaimCommitted) (Entry, Action) {
 	e.Version = ev.Version
 	if !e.Waiting {
 		// The caller has already received "not-run" for this try, so it must not be
@@ -201,8 +201,8 @@
 	return e, Action{Verb: Dispatch, Reason: "claimed"}
 }
 
-// decideTaken handles a row that was not at the version expected by the claim.
-func decideTaken(self fleet.Node, e Entry, r RowFacts) (Entry, Action) {
+// decideClaimConflict handles a row that was not at the version expected by the claim.
+func decideClaimConflict(self fleet.Node, e Entry, r RowFacts) (Entry, Action) {
 	switch {
 	case r.Version == 0 || r.Expired || r.State == RowReleased:
 		return decideClaimAgain(e, r, "the row is free")
@@ -213,18 +213,18 @@
 	e = Entry{Keyed: true}
 	switch {
 	case r.Body != body:
-		return e, Action{Verb: TellReused, Reason: "the row names another body"}
+		return e, Action{Verb: RefuseKeyReused, Reason: "the row names another body"}
 	case r.State == RowRan && r.Answer == nil && r.Holder != self:
-		return e, Action{Verb: PassOn, Holder: r.Holder, Ran: true, Reason: "it ran; the holder may have the answer"}
+		return e, Action{Verb: Forward, Holder: r.Holder, Ran: true, Reason: "it ran; the holder may have the answer"}
 	case r.State == RowRan:
 		return e, Action{Verb: ReplayRow, Answer: r.Answer, Reason: "the row tells that it ran"}
 	case r.State == RowUnresolved:
-		return e, Action{Verb: TellUnknown, Reason: "the row tells that the outcome is not known"}
+		return e, Action{Verb: RefuseUnknown, Reason: "the row tells that the outcome is not known"}
 	case r.Holder == self:
 		// This incarnation no longer has an entry for the row; the call may have run.
-		return e, Action{Verb: TellUnknown, Reason: "the row is this life's, which does not remember it"}
+		return e, Action{Verb: RefuseUnknown, Reason: "the row is this life's, which does not remember it"}
 	}
-	return e, Action{Verb: PassOn, Holder: r.Holder, Reason: "the row names another holder"}
+	return e, Action{Verb: Forward, Holder: r.Holder, Reason: "the row names another holder"}
 }
 
 func decideClaimAgain(e Entry, r RowFacts, reason string) (Entry, Action) {
--- a/internal/once/fake_test.go
+++ b/internal/once/fake_test.go
@@ -40,7 +40,7 @@
 
 func (f *fakeTable) Get(_ context.Context, _, key string) (platform.Row, error) {
 	if f.down.Load() || f.failReads.Load() {
-		return platform.Row{}, platform.ErrDown
+		return platform.Row{}, platform.ErrUnavailable
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,10 +61,10 @@
 
 func (f *fakeTable) Commit(ctx context.Context, txn platform.Txn) (platform.Result, error) {
 	if f.down.Load() {
-		return platform.Result{}, platform.ErrDown
+		return platform.Result{}, platform.ErrUnavailable
 	}
 	if f.refuse.Load() {
-		return platform.Result{}, platform.ErrRefused
+		return platform.Result{}, platform.ErrRejected
 	}
 	f.commits.Add(1)
 	res := f.apply(txn)
@@ -134,14 +134,14 @@
 }
 
 func (n *fakeNet) Relay(ctx context.Context, to fleet.VM, req *request.Request, w answer.Writer) *outcome.Error {
-	h := n.path(to, req.From)
+	h := n.path(to, req.ForwardedBy)
 	if h == nil {
 		return outcome.New(outcome.EndpointFailed, outcome.NotRun, "node not reached", "try again")
 	}
 	received := &receivedAnswer{}
 	h.Serve(ctx, req, received)
 	switch {
-	case n.path(to, req.From) == nil:
+	case n.path(to, req.ForwardedBy) == nil:
 		return outcome.New(outcome.EndpointFailed, outcome.Unknown, "the link broke", "look up")
 	case !received.started:
 		return received.end.Error
@@ -165,7 +165,7 @@
 func (g *receivedAnswer) Finish(e answer.End)        { g.end = e }
 
 func (g *receivedAnswer) outcome() outcome.Outcome {
-	if g.end.Whole {
+	if g.end.Complete {
 		return outcome.Ran
 	}
 	return g.end.Error.Outcome
@@ -186,7 +186,7 @@
 	e.runs.Add(1)
 	w.Start(answer.Head{Status: 200})
 	w.Frame(answer.Frame{Data: []byte(e.body)})
-	w.Finish(answer.End{Whole: true, Bytes: uint64(len(e.body))})
+	w.Finish(answer.End{Complete: true, Bytes: uint64(len(e.body))})
 }
 
 // testCluster is a set of nodes that share a table and an endpoint.
@@ -205,7 +205,7 @@
 	return &testCluster{
 		t: t, table: newFakeTable(), net: &fakeNet{paths: map[fleet.VM]filter.Handler{}},
 		endpoint: &endpoint{body: "receipt 1"}, clock: clock.NewManual(1),
-		limits: WriteLimits{Gap: time.Microsecond, NoteDelay: time.Millisecond},
+		limits: WriteLimits{MinInterval: time.Microsecond, NoteDelay: time.Millisecond},
 	}
 }
 
@@ -229,7 +229,7 @@
 	b.lastIncarnation++
 	k, stop := startKeeper(Options{
 		Self: fleet.Node{VM: vm, Incarnation: b.lastIncarnation}, Table: b.table, Peers: b.net, View: testView(), Clock: b.clock,
-		Write: b.limits, SweepEvery: time.Hour, MaxEntries: b.maxEntries, ClaimWait: 10 * time.Second,
+		Write: b.limits, SweepInterval: time.Hour, MaxEntries: b.maxEntries, ClaimTimeout: 10 * time.Second,
 	})
 	b.t.Cleanup(stop)
 	b.net.setPath(vm, k.Filter()(b.endpoint))
--- a/internal/once/memory.go
+++ b/internal/once/memory.go
@@ -127,10 +127,10 @@
 	}
 	s := sh.entries[id]
 	if s == nil || s.decided != decided {
-		return Action{Verb: TellNoClaim, Reason: "another try waits for the claim"}
+		return Action{Verb: RefuseNoClaim, Reason: "another try waits for the claim"}
 	}
 	var act Action
-	s.Entry, act = Decide(m.self, s.Entry, Left{})
+	s.Entry, act = Decide(m.self, s.Entry, CallerLeft{})
 	return act
 }
 
--- a/internal/once/meters.go
+++ b/internal/once/meters.go
@@ -55,7 +55,7 @@
 		return "committed"
 	case err == nil:
 		return "refused"
-	case errors.Is(err, platform.ErrDown):
+	case errors.Is(err, platform.ErrUnavailable):
 		return "down"
 	}
 	return "unclear"
--- a/internal/once/model_test.go
+++ b/internal/once/model_test.go
@@ -101,7 +101,7 @@
 	m.txns = append(m.txns, p)
 	m.mu.Unlock()
 	if closed {
-		return platform.Result{}, platform.ErrDown
+		return platform.Result{}, platform.ErrUnavailable
 	}
 	select {
 	case err := <-p.answer:
@@ -153,7 +153,7 @@
 		m.countRun(t)
 		w.Start(answer.Head{Status: 200})
 		w.Frame(answer.Frame{Data: []byte(body)})
-		w.Finish(answer.End{Whole: true})
+		w.Finish(answer.End{Complete: true})
 	case "end not run":
 		w.Finish(answer.End{Error: outcome.New(outcome.NoCapacity, outcome.NotRun, "no capacity", "later")})
 	case "end unknown ran":
@@ -210,7 +210,7 @@
 	defer m.mu.Unlock()
 	t.done, t.outcome = true, t.answer.outcome()
 	switch {
-	case t.answer.end.Whole && t.answer.body != fmt.Sprintf("answer to %s %s", t.key, t.body):
+	case t.answer.end.Complete && t.answer.body != fmt.Sprintf("answer to %s %s", t.key, t.body):
 		m.fail("a try of %s %s got %q", t.key, t.body, t.answer.body)
 	case t.outcome == outcome.Ran && m.runsByKey[t.key] == 0:
 		m.fail("%s was answered ran but has not run", t.key)
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -48,36 +48,36 @@
 	Secret []byte
 	// Authorise returns the organisation of a caller that requests a ticket.
 	Authorise func(http.Header) (fleet.Organisation, *outcome.Error)
-	// Owns reports whether this node owns the duty of the subject (SweepSubject).
-	Owns func(subject string) bool
-
-	TicketLife  time.Duration // default 30min
-	ClaimWait   time.Duration // timeout of a caller's wait for a claim; default 1s
-	Skew        time.Duration // maximum difference between the wall clocks of nodes; default 5min
-	MaxEntries  int           // maximum number of keys and tickets in memory; default 200,000
-	MaxHeld     int64         // maximum total bytes of first answers in memory; default 64 MiB
-	MaxAnswer   int           // maximum bytes of one first answer in memory; default 64 KiB
-	MaxRecorded int           // maximum bytes of one first answer in the table; default 4 KiB
-	SweepEvery  time.Duration // default 5s
-	SweepBatch  int           // maximum rows deleted per sweep; default 100
-	Write       WriteLimits
+	// OwnsDuty reports whether this node owns the duty of the subject (SweepSubject).
+	OwnsDuty func(subject string) bool
+
+	TicketTTL              time.Duration // default 30min
+	ClaimTimeout           time.Duration // timeout of a caller's wait for a claim; default 1s
+	MaxClockSkew           time.Duration // maximum difference between the wall clocks of nodes; default 5min
+	MaxEntries             int           // maximum number of keys and tickets in memory; default 200,000
+	MaxStoredBytes         int64         // maximum total bytes of first answers in memory; default 64 MiB
+	MaxAnswerBytes         int           // maximum bytes of one first answer in memory; default 64 KiB
+	MaxRecordedAnswerBytes int           // maximum bytes of one first answer in the table; default 4 KiB
+	SweepInterval          time.Duration // default 5s
+	SweepBatchRows         int           // maximum rows deleted per sweep; default 100
+	Write                  WriteLimits
 }
 
 func (o Options) withDefaults() Options {
-	setDefault(&o.TicketLife, 30*time.Minute)
-	setDefault(&o.ClaimWait, time.Second)
-	setDefault(&o.Skew, 5*time.Minute)
+	setDefault(&o.TicketTTL, 30*time.Minute)
+	setDefault(&o.ClaimTimeout, time.Second)
+	setDefault(&o.MaxClockSkew, 5*time.Minute)
 	setDefault(&o.MaxEntries, 200_000)
-	setDefault(&o.MaxHeld, 64<<20)
-	setDefault(&o.MaxAnswer, 64<<10)
-	setDefault(&o.MaxRecorded, 4<<10)
-	setDefault(&o.SweepEvery, 5*time.Second)
-	setDefault(&o.SweepBatch, 100)
+	setDefault(&o.MaxStoredBytes, 64<<20)
+	setDefault(&o.MaxAnswerBytes, 64<<10)
+	setDefault(&o.MaxRecordedAnswerBytes, 4<<10)
+	setDefault(&o.SweepInterval, 5*time.Second)
+	setDefault(&o.SweepBatchRows, 100)
 	if o.WallNow == nil {
 		o.WallNow = time.Now
 	}
-	if o.Owns == nil {
-		o.Owns = func(string) bool { return false }
+	if o.OwnsDuty == nil {
+		o.OwnsDuty = func(string) bool { return false }
 	}
 	o.Write = o.Write.withDefaults()
 	return o
@@ -106,7 +106,7 @@
 		return nil, errors.New("once: the VM name is longer than 255 bytes; use a shorter one")
 	}
 	k := &Keeper{opt: opt, ticketCodec: newTicketCodec(opt.Secret)}
-	k.mem = newMemory(opt.Self, opt.MaxEntries, opt.MaxHeld)
+	k.mem = newMemory(opt.Self, opt.MaxEntries, opt.MaxStoredBytes)
 	k.metrics = newMetrics(opt.Registerer, k.mem)
 	k.writer = newWriter(opt.Table, opt.Clock, opt.Log, k.metrics, opt.Write)
 	return k, nil
@@ -195,7 +195,7 @@
 	if t.k.opt.Explain == nil {
 		return
 	}
-	t.k.opt.Explain.Note(explain.Step{
+	t.k.opt.Explain.Record(explain.Step{
 		Subject: t.req.ID, Stage: "once", Decision: act.Verb.String(), Reason: act.Reason,
 		Facts: []explain.Fact{{Name: t.mechanism, Value: t.id}},
 	})
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -31,7 +31,7 @@
 			is.Equal(first.body, "receipt 1")
 			is.Equal(first.head.Header.Get(KeyStateHeader), KeyStateFirst)
 			is.Equal(again.body, "receipt 1")
-			is.True(again.end.Whole)
+			is.True(again.end.Complete)
 			is.Equal(again.head.Header.Get(KeyStateHeader), KeyStateRepeat)
 			is.Equal(b.endpoint.runs.Load(), int64(1))
 		})
@@ -46,7 +46,7 @@
 	k := b.start("a")
 	b.start("b")
 	call := withTicket(k.newTicket("org"))
-	is.True(b.send("b", call).end.Whole)
+	is.True(b.send("b", call).end.Complete)
 	b.net.setPath("a", nil)
 	is.Equal(b.send("b", call).outcome(), outcome.Unknown)
 	b.start("a")
@@ -109,8 +109,8 @@
 	is.Equal(passedOn.outcome(), outcome.NotRun)
 	is.Equal(passedOn.end.Error.Kind, outcome.NoCapacity)
 	b.endpoint.fail.Store(nil)
-	is.True(b.send("b", withKey("k")).end.Whole)
-	is.True(b.send("a", withKey("k")).end.Whole)
+	is.True(b.send("b", withKey("k")).end.Complete)
+	is.True(b.send("a", withKey("k")).end.Complete)
 	is.Equal(b.endpoint.runs.Load(), int64(1))
 }
 
@@ -119,7 +119,7 @@
 	b := newTestCluster(t)
 	b.start("a")
 	b.start("b")
-	is.True(b.send("a", withKey("k")).end.Whole)
+	is.True(b.send("a", withKey("k")).end.Complete)
 	for _, vm := range []fleet.VM{"a", "b"} {
 		g := b.send(vm, func(r *request.Request) { r.Key, r.Body = "k", []byte("driver 8") })
 		is.Equal(g.end.Error.Kind, outcome.KeyReused)
@@ -140,7 +140,7 @@
 	is.Equal(b.endpoint.runs.Load(), int64(0))
 	b.table.failReads.Store(false)
 	b.clock.Advance(maxPause) // claims are sent to the table again
-	is.True(b.send("b", withKey("k")).end.Whole)
-	is.True(b.send("a", withKey("k")).end.Whole)
+	is.True(b.send("b", withKey("k")).end.Complete)
+	is.True(b.send("a", withKey("k")).end.Complete)
 	is.Equal(b.endpoint.runs.Load(), int64(1))
 }
--- a/internal/once/recorder.go
+++ b/internal/once/recorder.go
@@ -72,7 +72,7 @@
 		return
 	}
 	r.finished = true
-	if !e.Whole {
+	if !e.Complete {
 		e.Error = r.failure(e.Error)
 	}
 	r.kept.End = e
@@ -85,7 +85,7 @@
 func (r *recorder) failure(e *outcome.Error) *outcome.Error {
 	switch {
 	case e == nil:
-		return outcome.Of(errNoReason)
+		return outcome.FromError(errNoReason)
 	case r.started && e.Outcome == outcome.NotRun:
 		// If an answer has started, the call may have run.
 		c := *e
@@ -97,9 +97,9 @@
 
 func (r *recorder) outcome(e answer.End) (outcome.Outcome, *keptAnswer, int, *outcome.Error) {
 	switch {
-	case e.Whole && r.overLimit:
+	case e.Complete && r.overLimit:
 		return outcome.Ran, nil, 0, nil
-	case e.Whole:
+	case e.Complete:
 		return outcome.Ran, &r.kept, r.size, nil
 	}
 	return e.Error.Outcome, nil, 0, e.Error
--- a/internal/once/refuse.go
+++ b/internal/once/refuse.go
@@ -44,7 +44,7 @@
 
 func stillRunning() *outcome.Error {
 	return outcome.New(outcome.StillRunning, outcome.Unknown, "the first try of this call is in progress",
-		"repeat the call with the same key or ticket after the advised time").After(retryAfterRunning)
+		"repeat the call with the same key or ticket after the advised time").WithRetryAfter(retryAfterRunning)
 }
 
 func keyReused() *outcome.Error {
@@ -59,7 +59,7 @@
 
 func holderUnreachable() *outcome.Error {
 	return outcome.New(outcome.HolderLost, outcome.Unknown, "the node that holds the state of this call cannot be reached now",
-		"repeat the call with the same key or ticket; if this lasts, look up in your records whether it took effect").After(retryAfterHolder)
+		"repeat the call with the same key or ticket; if this lasts, look up in your records whether it took effect").WithRetryAfter(retryAfterHolder)
 }
 
 func answerNotStored() *outcome.Error {
@@ -69,12 +69,12 @@
 
 func noClaim() *outcome.Error {
 	return outcome.New(outcome.PlatformDown, outcome.NotRun, "the key could not be claimed in the platform's table, so nothing was sent",
-		"repeat the call with the same key after the advised time, or ask for a ticket, which needs no table").After(retryAfterPlatform)
+		"repeat the call with the same key after the advised time, or ask for a ticket, which needs no table").WithRetryAfter(retryAfterPlatform)
 }
 
 func tooManyKeys() *outcome.Error {
 	return outcome.New(outcome.Overloaded, outcome.NotRun, "this node holds as many keys and tickets as it may",
-		"repeat the call after the advised time").After(retryAfterFull)
+		"repeat the call after the advised time").WithRetryAfter(retryAfterFull)
 }
 
 func badTicket(cause error) *outcome.Error {
--- a/internal/once/relayed.go
+++ b/internal/once/relayed.go
@@ -52,7 +52,7 @@
 
 // Finish implements answer.Writer.
 func (s *refusalEncoder) Finish(e answer.End) {
-	if s.started || e.Whole || e.Error == nil {
+	if s.started || e.Complete || e.Error == nil {
 		s.Writer.Finish(e)
 		return
 	}
@@ -63,7 +63,7 @@
 	// Errors are ignored: if the forwarding node is gone, Finish must still be called.
 	s.Writer.Start(answer.Head{Status: e.Error.Kind.Status(), Header: http.Header{refusalHeader: {"1"}}})
 	s.Writer.Frame(answer.Frame{Data: b})
-	s.Writer.Finish(answer.End{Whole: true, Frames: 1, Bytes: uint64(len(b)), Hash: xxhash.Sum64(b)})
+	s.Writer.Finish(answer.End{Complete: true, Frames: 1, Bytes: uint64(len(b)), Hash: xxhash.Sum64(b)})
 }
 
 // refusalDecoder is the answer.Writer on the forwarding node: it decodes refusals.
@@ -98,10 +98,10 @@
 // refusal returns the holder's refusal, or nil if no complete one was received.
 func (u *refusalDecoder) refusal() *outcome.Error {
 	var r refusal
-	if !u.refused || !u.end.Whole || cbor.Unmarshal(u.body.Bytes(), &r) != nil {
+	if !u.refused || !u.end.Complete || cbor.Unmarshal(u.body.Bytes(), &r) != nil {
 		return nil
 	}
-	return outcome.New(r.Kind, r.Outcome, r.Message, r.Remedy).After(r.RetryAfter)
+	return outcome.New(r.Kind, r.Outcome, r.Message, r.Remedy).WithRetryAfter(r.RetryAfter)
 }
 
 // forward forwards the try to the node that holds the state of the call.
@@ -113,7 +113,7 @@
 	forwarded := *t.req
 	forwarded.Stage = request.StageKey
 	forwarded.Hops++
-	forwarded.From = t.k.opt.Self.VM
+	forwarded.ForwardedBy = t.k.opt.Self.VM
 	u := &refusalDecoder{w: t.w}
 	err := t.k.opt.Peers.Relay(ctx, act.Holder.VM, &forwarded, u)
 	switch holderRefusal := u.refusal(); {
--- a/internal/once/schedule_test.go
+++ b/internal/once/schedule_test.go
@@ -129,7 +129,7 @@
 		}
 		p.answer <- nil
 	case "refuse down":
-		p.answer <- platform.ErrDown
+		p.answer <- platform.ErrUnavailable
 	default:
 		m.failReads.Store(how == "lose answer blind")
 		if !p.applied {
@@ -188,7 +188,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, t := range m.tries[from:] {
-		if !t.answer.end.Whole && t.answer.end.Error.Kind == outcome.StillRunning {
+		if !t.answer.end.Complete && t.answer.end.Error.Kind == outcome.StillRunning {
 			m.fail("%s is stuck", t.key)
 		}
 	}
@@ -236,7 +236,7 @@
 	m.mu.Lock()
 	m.closed = true
 	for _, p := range m.txns {
-		p.answer <- platform.ErrDown
+		p.answer <- platform.ErrUnavailable
 	}
 	m.mu.Unlock()
 	for _, stop := range m.stops {
--- a/internal/once/sweep.go
+++ b/internal/once/sweep.go
@@ -27,17 +27,17 @@
 type sweepPosition struct{ next int }
 
 func (k *Keeper) sweepLoop(ctx context.Context) {
-	clock.Every(ctx, k.opt.SweepEvery, func() { k.sweepOnce(ctx) })
+	clock.Every(ctx, k.opt.SweepInterval, func() { k.sweepOnce(ctx) })
 }
 
 func (k *Keeper) sweepOnce(ctx context.Context) {
 	for i, id := range k.mem.sweep(k.opt.Clock.Now()) {
-		if i == k.opt.Write.Queue/2 {
+		if i == k.opt.Write.QueueCapacity/2 {
 			break // the rest follows in the next sweep
 		}
 		k.writeOutcome(id)
 	}
-	if !k.opt.Owns(SweepSubject) {
+	if !k.opt.OwnsDuty(SweepSubject) {
 		return
 	}
 	if err := k.sweepTable(ctx); err != nil {
@@ -91,11 +91,11 @@
 	txn.Checks = append(txn.Checks, platform.Check{Table: platform.TableKeys, Key: sweepRow, Version: sweepState.Version})
 	txn.Writes = append(txn.Writes, platform.Write{Table: platform.TableKeys, Key: sweepRow})
 	for _, row := range rows {
-		if len(txn.Writes) > k.opt.SweepBatch {
+		if len(txn.Writes) > k.opt.SweepBatchRows {
 			break
 		}
 		r, err := decodeRow(row.Value)
-		if err != nil || !r.isExpired(k.opt.WallNow(), 2*k.opt.Skew) {
+		if err != nil || !r.isExpired(k.opt.WallNow(), 2*k.opt.MaxClockSkew) {
 			continue
 		}
 		txn.Checks = append(txn.Checks, platform.Check{Table: platform.TableKeys, Key: row.Key, Version: row.Version})
--- a/internal/once/ticket.go
+++ b/internal/once/ticket.go
@@ -24,8 +24,8 @@
 var (
 	// ErrTicketMalformed means that the text is not a ticket issued under the secret.
 	ErrTicketMalformed = errors.New("once: malformed ticket; send it exactly as returned by POST /tickets")
-	// ErrTicketForeign means that the ticket was issued under another secret.
-	ErrTicketForeign = errors.New("once: the ticket was issued under another secret; configure the same secret on all nodes")
+	// ErrTicketOtherSecret means that the ticket was issued under another secret.
+	ErrTicketOtherSecret = errors.New("once: the ticket was issued under another secret; configure the same secret on all nodes")
 )
 
 const (
@@ -74,7 +74,7 @@
 		return Ticket{}, ErrTicketMalformed
 	}
 	if [secretIDBytes]byte(b[1:1+secretIDBytes]) != s.secretID {
-		return Ticket{}, ErrTicketForeign
+		return Ticket{}, ErrTicketOtherSecret
 	}
 	body, mac := b[:len(b)-macBytes], b[len(b)-macBytes:]
 	if !hmac.Equal(mac, s.mac(body)) {
--- a/internal/once/tickets.go
+++ b/internal/once/tickets.go
@@ -68,7 +68,7 @@
 	if k.mem.isFull() {
 		return nil, tooManyKeys()
 	}
-	body := &ticketsBody{ExpiresIn: int64(k.opt.TicketLife / time.Second)}
+	body := &ticketsBody{ExpiresIn: int64(k.opt.TicketTTL / time.Second)}
 	for range count {
 		body.Tickets = append(body.Tickets, k.newTicket(org))
 	}
@@ -87,7 +87,7 @@
 func (k *Keeper) newTicket(org fleet.Organisation) string {
 	return k.ticketCodec.encode(Ticket{
 		Holder: k.opt.Self, ID: newTicketID(), Organisation: org,
-		Expires: k.opt.Clock.Now().Add(k.opt.TicketLife),
+		Expires: k.opt.Clock.Now().Add(k.opt.TicketTTL),
 	})
 }
 
--- a/internal/once/try.go
+++ b/internal/once/try.go
@@ -54,11 +54,11 @@
 	ctx, cancel := t.runContext(ctx)
 	defer cancel()
 	rec := &recorder{
-		w: t.w, ticket: t.req.Ticket, limit: t.k.opt.MaxAnswer,
+		w: t.w, ticket: t.req.Ticket, limit: t.k.opt.MaxAnswerBytes,
 		onEnd: t.recordEnd, cancel: cancel,
 	}
 	// A panic in the next handler must not leave the entry in Running forever.
-	defer rec.Finish(answer.End{Error: outcome.Of(errNoReason)})
+	defer rec.Finish(answer.End{Error: outcome.FromError(errNoReason)})
 	t.next.Serve(ctx, t.req, rec)
 }
 
@@ -104,7 +104,7 @@
 	t := k.newTry(req, w, next, mechanismTicket)
 	ticket, err := k.ticketCodec.decode(req.Ticket)
 	switch {
-	case err == ErrTicketForeign:
+	case err == ErrTicketOtherSecret:
 		t.refuse(foreignTicket(err))
 		return
 	case err != nil:
@@ -116,7 +116,7 @@
 	}
 	t.id = ticketID(ticket)
 	if ticket.Holder != k.opt.Self {
-		act := Action{Verb: PassOn, Holder: ticket.Holder, Reason: "the ticket names another holder"}
+		act := Action{Verb: Forward, Holder: ticket.Holder, Reason: "the ticket names another holder"}
 		t.recordDecision(act)
 		t.forward(ctx, act)
 		return
@@ -143,7 +143,7 @@
 func (k *Keeper) serveKey(ctx context.Context, req *request.Request, w answer.Writer, next filter.Handler) {
 	t := k.newTry(req, w, next, mechanismKey)
 	t.id = rowKey(req.Organisation, req.Key)
-	expires := t.startedAt.Add(t.claimValidity + 2*k.opt.Skew)
+	expires := t.startedAt.Add(t.claimValidity + 2*k.opt.MaxClockSkew)
 	act, s, ok := k.mem.beginCall(t.id, true, t.hash, expires)
 	if !ok {
 		t.refuseBeforeLookup(tooManyKeys())
@@ -167,13 +167,13 @@
 		t.replayFromMemory(s)
 	case ReplayRow:
 		t.replayFromRow(act.Answer)
-	case PassOn:
+	case Forward:
 		t.forward(ctx, act)
-	case TellRunning:
+	case RefuseRunning:
 		t.refuse(stillRunning())
-	case TellReused:
+	case RefuseKeyReused:
 		t.refuse(keyReused())
-	case TellNoClaim:
+	case RefuseNoClaim:
 		t.refuseBeforeLookup(noClaim())
 	default:
 		t.refuse(holderLost())
@@ -189,7 +189,7 @@
 		t.k.metrics.claimSeconds.Observe(time.Since(start).Seconds())
 		span.End()
 	}()
-	timer := time.NewTimer(t.k.opt.ClaimWait)
+	timer := time.NewTimer(t.k.opt.ClaimTimeout)
 	defer timer.Stop()
 	ctx, cancel := t.withDeadline(ctx)
 	defer cancel()
--- a/internal/once/writer.go
+++ b/internal/once/writer.go
@@ -69,23 +69,23 @@
 
 // WriteLimits limits the load of one node on the table.
 type WriteLimits struct {
-	Gap       time.Duration // minimum interval between the starts of commits; default 25ms, with which six nodes commit at most 240 times per second
-	InFlight  int           // maximum concurrent commits; default 4
-	Batch     int           // maximum rows per commit; default 64
-	Notes     float64       // maximum outcomes per second; default 25
-	NoteDelay time.Duration // maximum time that an outcome waits for a claim to share its commit; default 100ms
-	Timeout   time.Duration // timeout of one commit; default 2s
-	Queue     int           // capacity of the claim queue and of the note queue; default 1024
+	MinInterval    time.Duration // minimum interval between the starts of commits; default 25ms, with which six nodes commit at most 240 times per second
+	InFlight       int           // maximum concurrent commits; default 4
+	BatchRows      int           // maximum rows per commit; default 64
+	NotesPerSecond float64       // maximum outcomes per second; default 25
+	NoteDelay      time.Duration // maximum time that an outcome waits for a claim to share its commit; default 100ms
+	Timeout        time.Duration // timeout of one commit; default 2s
+	QueueCapacity  int           // capacity of the claim queue and of the note queue; default 1024
 }
 
 func (l WriteLimits) withDefaults() WriteLimits {
-	setDefault(&l.Gap, 25*time.Millisecond)
+	setDefault(&l.MinInterval, 25*time.Millisecond)
 	setDefault(&l.InFlight, 4)
-	setDefault(&l.Batch, 64)
-	setDefault(&l.Notes, 25)
+	setDefault(&l.BatchRows, 64)
+	setDefault(&l.NotesPerSecond, 25)
 	setDefault(&l.NoteDelay, 100*time.Millisecond)
 	setDefault(&l.Timeout, 2*time.Second)
-	setDefault(&l.Queue, 1024)
+	setDefault(&l.QueueCapacity, 1024)
 	return l
 }
 
@@ -107,8 +107,8 @@
 func newWriter(t Table, c clock.Clock, log *slog.Logger, m *metrics, l WriteLimits) *writer {
 	return &writer{
 		table: t, clock: c, log: log, metrics: m, limits: l,
-		claims: ring.NewQueue[write](l.Queue), notes: ring.NewQueue[write](l.Queue),
-		noteLimiter: rate.NewLimiter(rate.Limit(l.Notes), 2*int(l.Notes)+1),
+		claims: ring.NewQueue[write](l.QueueCapacity), notes: ring.NewQueue[write](l.QueueCapacity),
+		noteLimiter: rate.NewLimiter(rate.Limit(l.NotesPerSecond), 2*int(l.NotesPerSecond)+1),
 		collecting:  make(chan struct{}, 1),
 	}
 }
@@ -184,7 +184,7 @@
 	if !ok {
 		return nil, false
 	}
-	if !clock.Sleep(ctx, w.limits.Gap-time.Since(w.lastCommitStart)) {
+	if !clock.Sleep(ctx, w.limits.MinInterval-time.Since(w.lastCommitStart)) {
 		first.done(writeFailed, platform.Row{})
 		return nil, false
 	}
@@ -230,7 +230,7 @@
 }
 
 func (w *writer) appendQueued(batch []write, q *ring.Queue[write]) []write {
-	for len(batch) < w.limits.Batch {
+	for len(batch) < w.limits.BatchRows {
 		select {
 		case op := <-q.C():
 			batch = append(batch, op)
@@ -252,7 +252,7 @@
 // notePause.
 func (w *writer) markUnavailable(err error) {
 	pause := min(max(time.Duration(w.nextPause.Load()), firstPause), maxPause)
-	if errors.Is(err, platform.ErrLimited) {
+	if errors.Is(err, platform.ErrRateLimited) {
 		pause = firstPause
 		w.notesPausedUntil.Store(int64(w.clock.Now().Add(notePause)))
 	}
--- a/internal/operator/auth.go
+++ b/internal/operator/auth.go
@@ -56,9 +56,9 @@
 	return name, ok
 }
 
-// HashOf returns the token hash of the named operator. Console sessions are
+// TokenHash returns the token hash of the named operator. Console sessions are
 // signed with it, so that changing the token ends them.
-func (a *Authenticator) HashOf(name string) (hash string, ok bool) {
+func (a *Authenticator) TokenHash(name string) (hash string, ok bool) {
 	for _, t := range a.tokens {
 		if t.Name == name {
 			return strings.ToLower(t.Hash), true
@@ -67,16 +67,16 @@
 	return "", false
 }
 
-// Blocked reports whether the remote address has exhausted its failed attempts.
-func (a *Authenticator) Blocked(remote string) bool {
+// IsBlocked reports whether the remote address has exhausted its failed attempts.
+func (a *Authenticator) IsBlocked(remote string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	l := a.failures[remoteIP(remote)]
 	return l != nil && l.Tokens() < 1
 }
 
-// Failed counts a failed attempt of the remote address.
-func (a *Authenticator) Failed(remote string) {
+// RecordFailure counts a failed attempt of the remote address.
+func (a *Authenticator) RecordFailure(remote string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	ip := remoteIP(remote)
@@ -103,7 +103,7 @@
 // has an operator's token in "Authorization: Bearer", and refuses it otherwise.
 func (a *Authenticator) Require(h func(w http.ResponseWriter, r *http.Request, operator string)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if a.Blocked(r.RemoteAddr) {
+		if a.IsBlocked(r.RemoteAddr) {
 			w.Header().Set("Retry-After", "10")
 			http.Error(w, "too many wrong tokens from this address; wait and try again", http.StatusTooManyRequests)
 			return
@@ -111,7 +111,7 @@
 		token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		name, known := a.Verify(token)
 		if !ok || !known {
-			a.Failed(r.RemoteAddr)
+			a.RecordFailure(r.RemoteAddr)
 			w.Header().Set("WWW-Authenticate", "Bearer")
 			http.Error(w, "an operator's token is needed: send Authorization: Bearer TOKEN", http.StatusUnauthorized)
 			return
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -74,8 +74,8 @@
 	return &c
 }
 
-// After returns a copy of e that asks the caller to retry after d.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e that asks the caller to retry after d.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
@@ -93,9 +93,9 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Of returns err as an *Error. An error of another type becomes Internal with outcome
+// FromError returns err as an *Error. An error of another type becomes Internal with outcome
 // Unknown, because its effects are not known.
-func Of(err error) *Error {
+func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
 		return e
--- a/internal/peer/answer_test.go
+++ b/internal/peer/answer_test.go
@@ -137,7 +137,7 @@
 	err := a.Relay(testContext(t), "b", testRequest("q"), r)
 	is.True(err == nil)
 	is.Equal(r.text(), "all of it")
-	is.True(!r.end.Whole)
+	is.True(!r.end.Complete)
 	is.Equal(r.end.Error.Kind, outcome.AnswerCut)
 }
 
@@ -160,7 +160,7 @@
 func TestFaultyHandlers(t *testing.T) {
 	start := func(w answer.Writer) { w.Start(answer.Head{Status: 200, Stream: true}) }
 	frame := func(w answer.Writer, at uint64) { w.Frame(answer.Frame{Offset: at, Data: []byte("x")}) }
-	end := answer.End{Whole: true}
+	end := answer.End{Complete: true}
 	for name, serve := range map[string]func(answer.Writer){
 		"returns without Finish": func(w answer.Writer) { start(w); frame(w, 0) },
 		"panics":                 func(w answer.Writer) { start(w); frame(w, 0); panic("test") },
@@ -171,7 +171,7 @@
 		"has another hash": func(w answer.Writer) {
 			start(w)
 			frame(w, 0)
-			w.Finish(answer.End{Whole: true, Frames: 1, Bytes: 1, Hash: 1})
+			w.Finish(answer.End{Complete: true, Frames: 1, Bytes: 1, Hash: 1})
 		},
 		"sends too long an event": func(w answer.Writer) {
 			start(w)
@@ -194,7 +194,7 @@
 				return
 			}
 			is.True(err == nil)
-			is.True(!r.end.Whole)
+			is.True(!r.end.Complete)
 			is.True(r.end.Error != nil)
 		})
 	}
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -28,7 +28,7 @@
 	return filter.Func(func(_ context.Context, _ *request.Request, w answer.Writer) {
 		w.Start(answer.Head{Status: 200})
 		w.Frame(answer.Frame{Data: body})
-		w.Finish(answer.End{Whole: true})
+		w.Finish(answer.End{Complete: true})
 	})
 }
 
@@ -86,7 +86,7 @@
 			for i := c; i < b.N; i += callers {
 				w := &discard{}
 				start := time.Now()
-				if err := here.Relay(ctx, "b", req, w); err != nil || !w.end.Whole {
+				if err := here.Relay(ctx, "b", req, w); err != nil || !w.end.Complete {
 					b.Error("not whole: ", err)
 					return
 				}
@@ -199,7 +199,7 @@
 			b.Fatal(err)
 		}
 		l.add(time.Since(start))
-		here.Forget("b")
+		here.RemovePeer("b")
 	}
 	l.report(b)
 }
--- a/internal/peer/bounds_test.go
+++ b/internal/peer/bounds_test.go
@@ -32,7 +32,7 @@
 			}
 			w.Start(answer.Head{Status: 200})
 			w.Frame(answer.Frame{Data: bytes.Repeat([]byte("x"), size)})
-			w.Finish(answer.End{Whole: true})
+			w.Finish(answer.End{Complete: true})
 		})
 	})
 	exchangeAddrs(a, b)
@@ -45,11 +45,11 @@
 	for i := range 50 {
 		r := &recorder{}
 		is.True(a.Relay(ctx, "b", testRequest(fmt.Sprint(i)), r) == nil)
-		is.True(r.end.Whole)
+		is.True(r.end.Complete)
 	}
 	close(resume)
 	is.True(<-done == nil)
-	is.True(slow.end.Whole)
+	is.True(slow.end.Complete)
 	is.Equal(len(slow.text()), size)
 }
 
@@ -67,7 +67,7 @@
 			case <-resume:
 			case <-ctx.Done():
 			}
-			w.Finish(answer.End{Whole: true})
+			w.Finish(answer.End{Complete: true})
 		})
 	})
 	exchangeAddrs(a, b)
@@ -109,7 +109,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			a.opts.Ready = 100 * time.Millisecond
+			a.opts.ReadyTimeout = 100 * time.Millisecond
 			a.SetPeers([]Peer{{VM: "c", Addr: "127.0.0.1:9"}})
 			req := testRequest("q")
 			c.change(req)
@@ -128,7 +128,7 @@
 	b := startMesh(t, "b", func(o *Options) {
 		o.Handler = filter.Func(func(_ context.Context, req *request.Request, w answer.Writer) {
 			got <- req
-			w.Finish(answer.End{Error: outcome.New(outcome.NoCapacity, outcome.NotRun, "m", "r").After(3 * time.Second)})
+			w.Finish(answer.End{Error: outcome.New(outcome.NoCapacity, outcome.NotRun, "m", "r").WithRetryAfter(3 * time.Second)})
 		})
 	})
 	exchangeAddrs(a, b)
@@ -143,10 +143,10 @@
 			is.Equal(err.Kind, outcome.NoCapacity)
 			is.Equal(err.RetryAfter, 3*time.Second)
 			r := <-got
-			is.Equal(r.From, fleet.VM("a"))
+			is.Equal(r.ForwardedBy, fleet.VM("a"))
 			is.True(bytes.Equal(r.Body, req.Body))
 			is.True(r.Deadline.Sub(r.Arrived) <= req.Deadline.Sub(req.Arrived)+time.Millisecond)
-			r.From, r.Body, r.Arrived, r.Deadline, r.TraceParent = "", req.Body, req.Arrived, req.Deadline, req.TraceParent
+			r.ForwardedBy, r.Body, r.Arrived, r.Deadline, r.TraceParent = "", req.Body, req.Arrived, req.Deadline, req.TraceParent
 			is.Equal(r, req)
 		})
 	}
@@ -157,7 +157,7 @@
 func TestFullQueueKeepsNewestMessages(t *testing.T) {
 	is := is.New(t)
 	a, b := startMesh(t, "a", nil), startMesh(t, "b", nil)
-	a.SetDepth("digest", 1)
+	a.SetQueueDepth("digest", 1)
 	got := make(chan string, 256)
 	for _, topic := range []string{"digest", "list"} {
 		b.Subscribe(topic, func(_ fleet.Node, p []byte) { got <- topic + string(p) })
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -226,7 +226,7 @@
 	ch.mu.Lock()
 	ch.activeRelays++
 	ch.mu.Unlock()
-	c, err := ch.get(ctx, relayDialFactor*ch.link.mesh.opts.Ready)
+	c, err := ch.get(ctx, relayDialFactor*ch.link.mesh.opts.ReadyTimeout)
 	if err != nil {
 		ch.release()
 	}
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -76,14 +76,14 @@
 	Clock      clock.Clock    // default clock.Boot
 	Log        *slog.Logger
 	Registerer prometheus.Registerer // nil: metrics are counted but not exposed
-	// Silence is the idle timeout of relay connections: relays fail when nothing
+	// RelayIdleTimeout is the idle timeout of relay connections: relays fail when nothing
 	// was received for this long. QUIC answers keep-alives whatever the peer's
 	// handlers do, so a timeout means a dead, partitioned or paused peer and not
 	// a slow answer. Default 6 s.
-	Silence time.Duration
-	// Ready is the timeout for the peer to send Ready for a relayed request. The
+	RelayIdleTimeout time.Duration
+	// ReadyTimeout is the timeout for the peer to send Ready for a relayed request. The
 	// dial of a relay connection may take twice as long. Default 1 s.
-	Ready time.Duration
+	ReadyTimeout time.Duration
 	// MaxRelays limits the concurrent requests that one peer relays to this node;
 	// further ones are refused as not run. Default 4096.
 	MaxRelays int
@@ -96,8 +96,8 @@
 	if o.Log == nil {
 		o.Log = slog.Default()
 	}
-	o.Silence = cmp.Or(o.Silence, defaultIdleTimeout)
-	o.Ready = cmp.Or(o.Ready, defaultReadyTimeout)
+	o.RelayIdleTimeout = cmp.Or(o.RelayIdleTimeout, defaultIdleTimeout)
+	o.ReadyTimeout = cmp.Or(o.ReadyTimeout, defaultReadyTimeout)
 	o.MaxRelays = cmp.Or(o.MaxRelays, defaultMaxRelays)
 }
 
@@ -188,7 +188,7 @@
 		MaxIncomingUniStreams:          maxUniStreams,
 	}
 	if protocol == relayProtocol {
-		c.MaxIdleTimeout, c.KeepAlivePeriod = m.opts.Silence, m.opts.Silence/keepAlivesPerTimeout
+		c.MaxIdleTimeout, c.KeepAlivePeriod = m.opts.RelayIdleTimeout, m.opts.RelayIdleTimeout/keepAlivesPerTimeout
 	}
 	return c
 }
@@ -313,20 +313,20 @@
 // dial.
 func (m *Mesh) SetPeers(peers []Peer) {
 	for _, p := range peers {
-		m.Learn(p.VM, p.Addr)
+		m.SetPeerAddr(p.VM, p.Addr)
 	}
 }
 
-// Learn sets the address of one VM; see SetPeers.
-func (m *Mesh) Learn(vm fleet.VM, addr string) {
+// SetPeerAddr sets the address of one VM; see SetPeers.
+func (m *Mesh) SetPeerAddr(vm fleet.VM, addr string) {
 	if vm == m.opts.Self.VM || addr == "" {
 		return
 	}
 	m.link(vm).setAddr(addr)
 }
 
-// Forget closes the link to the VM and discards its address.
-func (m *Mesh) Forget(vm fleet.VM) {
+// RemovePeer closes the link to the VM and discards its address.
+func (m *Mesh) RemovePeer(vm fleet.VM) {
 	m.mu.Lock()
 	l := m.links[vm]
 	delete(m.links, vm)
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -17,10 +17,10 @@
 	messageTimeout       = 2 * time.Second // to write or to read one message
 )
 
-// SetDepth sets the capacity of the topic's send queue, which exists for each
+// SetQueueDepth sets the capacity of the topic's send queue, which exists for each
 // peer. Use 1 for a topic where a newer message supersedes the older one. The
 // default is 64. Call it before the topic's first Send.
-func (m *Mesh) SetDepth(topic string, depth int) {
+func (m *Mesh) SetQueueDepth(topic string, depth int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.depths[topic] = max(depth, 1)
--- a/internal/peer/network_test.go
+++ b/internal/peer/network_test.go
@@ -24,7 +24,7 @@
 // an address, so all traffic passes through the relay.
 func startLinkWithRelay(t *testing.T, h filter.Handler) (a, b *Mesh, net *netfault.Relay) {
 	t.Helper()
-	short := func(o *Options) { o.Silence, o.Handler = time.Second, h }
+	short := func(o *Options) { o.RelayIdleTimeout, o.Handler = time.Second, h }
 	a, b = startMesh(t, "a", short), startMesh(t, "b", short)
 	net, err := netfault.NewRelay(b.Addr())
 	if err != nil {
@@ -62,7 +62,7 @@
 			net.Cut(false, false)
 			is.True(eventually(ctx, func() bool {
 				r := &recorder{}
-				return a.Relay(ctx, "b", testRequest("healed"), r) == nil && r.end.Whole
+				return a.Relay(ctx, "b", testRequest("healed"), r) == nil && r.end.Complete
 			}))
 			select {
 			case <-ended: // the context of the handler on the other node was cancelled
@@ -98,7 +98,7 @@
 			ctx := testContext(t)
 			is.True(a.Relay(ctx, "b", testRequest("before"), &recorder{}) == nil)
 			net.Cut(true, true)
-			a.opts.Ready = 100 * time.Millisecond
+			a.opts.ReadyTimeout = 100 * time.Millisecond
 			req := testRequest("in the cut")
 			req.Idempotent = c.idempotent
 			err := a.Relay(ctx, "b", req, &recorder{})
@@ -122,7 +122,7 @@
 	a.SetPeers([]Peer{{VM: "b", Addr: net.Addr()}})
 	ctx := testContext(t)
 	is.True(a.Relay(ctx, "b", testRequest("opens the link"), &recorder{}) == nil)
-	net.Loss(0.2)
+	net.SetLoss(0.2)
 	var wg sync.WaitGroup
 	results := make([]recorder, callers)
 	for i := range callers {
@@ -130,7 +130,7 @@
 	}
 	wg.Wait()
 	for i := range results {
-		is.True(results[i].end != nil && results[i].end.Whole)
+		is.True(results[i].end != nil && results[i].end.Complete)
 		is.Equal(results[i].text(), wantTokens(id(i), length))
 	}
 }
--- a/internal/peer/observe_test.go
+++ b/internal/peer/observe_test.go
@@ -64,7 +64,7 @@
 			case <-resume:
 			case <-ctx.Done():
 			}
-			w.Finish(answer.End{Whole: true})
+			w.Finish(answer.End{Complete: true})
 		})
 	})
 	exchangeAddrs(a, b)
@@ -79,7 +79,7 @@
 	manual.Advance(10 * relayUnusedTimeout)
 	ch.closeUnused(manual.Now())
 	close(resume)
-	is.True((<-done).end.Whole)
+	is.True((<-done).end.Complete)
 	ch.closeUnused(manual.Now())
 	is.True(ch.isConnected())
 	manual.Advance(relayUnusedTimeout)
@@ -87,7 +87,7 @@
 	is.True(!ch.isConnected())
 	again := &recorder{}
 	is.True(a.Relay(ctx, "b", req, again) == nil)
-	is.True(again.end.Whole)
+	is.True(again.end.Complete)
 }
 
 // The bytes of a link must be counted while it is open, not only when it closes.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -40,7 +40,7 @@
 	o := Options{
 		Self: fleet.Node{VM: vm, Incarnation: 1}, Zone: "z1", Listen: "127.0.0.1:0",
 		Identity: id, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Ready: testTimeout, // a slow test machine must not cause timeouts
+		ReadyTimeout: testTimeout, // a slow test machine must not cause timeouts
 	}
 	if change != nil {
 		change(&o)
@@ -134,7 +134,7 @@
 		for i := range n {
 			w.Frame(answer.Frame{Offset: uint64(i), Data: fmt.Appendf(nil, "%s-%d ", req.ID, i)})
 		}
-		w.Finish(answer.End{Whole: true})
+		w.Finish(answer.End{Complete: true})
 	})
 }
 
@@ -155,7 +155,7 @@
 	err := a.Relay(testContext(t), "b", testRequest("q1"), r)
 	is.True(err == nil)
 	is.Equal(r.text(), wantTokens("q1", 20))
-	is.True(r.end.Whole)
+	is.True(r.end.Complete)
 	is.Equal(r.end.Frames, uint64(20))
 }
 
@@ -178,7 +178,7 @@
 	for i := range callers {
 		is.True(errs[i] == nil)
 		is.Equal(results[i].text(), wantTokens(fmt.Sprint("q", i), length))
-		is.True(results[i].end.Whole)
+		is.True(results[i].end.Complete)
 	}
 }
 
@@ -274,7 +274,7 @@
 	r := &recorder{onHead: cancel}
 	err := a.Relay(ctx, "b", testRequest("q"), r)
 	is.True(err == nil) // the answer had started and was finished as cut
-	is.True(!r.end.Whole)
+	is.True(!r.end.Complete)
 	is.Equal(r.end.Error.Kind, outcome.CallerGone)
 	select {
 	case <-cancelled:
@@ -298,7 +298,7 @@
 	r := &recorder{onHead: func() { go b.Close() }}
 	err := a.Relay(testContext(t), "b", testRequest("q"), r)
 	is.True(err == nil)
-	is.True(!r.end.Whole)
+	is.True(!r.end.Complete)
 	is.Equal(r.end.Error.Kind, outcome.AnswerCut)
 }
 
@@ -313,7 +313,7 @@
 			w.Start(answer.Head{Status: 200})
 			<-resume
 			w.Frame(answer.Frame{Data: []byte("late")})
-			w.Finish(answer.End{Whole: true})
+			w.Finish(answer.End{Complete: true})
 		})
 	})
 	exchangeAddrs(a, b)
@@ -338,7 +338,7 @@
 	is.NoErr(b.Drain(ctx))
 	b.Close()
 	is.True(<-relayed == nil)
-	is.True(first.end.Whole)
+	is.True(first.end.Complete)
 	is.Equal(first.text(), "late")
 }
 
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -142,7 +142,7 @@
 // awaitReady reads Ready, or the End frame of a refusal.
 func (h *hop) awaitReady(c *conn, s *quic.Stream) (*endFrame, error) {
 	packets := func() uint64 { return c.ConnectionStats().PacketsReceived }
-	wait := newReadyWait(h.mesh.opts.Ready, packets, func(t time.Time) { s.SetReadDeadline(t) })
+	wait := newReadyWait(h.mesh.opts.ReadyTimeout, packets, func(t time.Time) { s.SetReadDeadline(t) })
 	defer wait.stop()
 	kind, content, err := h.frames.next(maxAnswerBytes)
 	switch {
@@ -219,17 +219,17 @@
 		return h.contextError(ctx)
 	}
 	return outcome.New(outcome.EndpointFailed, outcome.NotRun, "another node of the system can't be reached", remedyRetry).
-		WithCause(err).After(retryAfterLinkFailure)
+		WithCause(err).WithRetryAfter(retryAfterLinkFailure)
 }
 
 func (h *hop) streamError(err error) *outcome.Error {
 	var full *quic.StreamLimitReachedError
 	if errors.As(err, &full) {
 		return outcome.New(outcome.Overloaded, outcome.NotRun, "the link to another node carries as many requests as it may", remedyRetry).
-			WithCause(err).After(retryAfterStreamLimit)
+			WithCause(err).WithRetryAfter(retryAfterStreamLimit)
 	}
 	return outcome.New(outcome.EndpointFailed, outcome.NotRun, "the link to another node broke", remedyRetry).
-		WithCause(err).After(retryAfterLinkFailure)
+		WithCause(err).WithRetryAfter(retryAfterLinkFailure)
 }
 
 // contextError returns the error of a request whose context ended before End arrived.
@@ -250,10 +250,10 @@
 		return h.contextError(ctx)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return outcome.New(outcome.EndpointFailed, h.outcomeWithoutEnd(), "another node of the system doesn't answer", h.remedyWithoutEnd()).
-			WithCause(err).After(retryAfterLinkFailure)
+			WithCause(err).WithRetryAfter(retryAfterLinkFailure)
 	}
 	return outcome.New(outcome.EndpointFailed, h.outcomeWithoutEnd(), "the link to another node broke", h.remedyWithoutEnd()).
-		WithCause(err).After(retryAfterLinkFailure)
+		WithCause(err).WithRetryAfter(retryAfterLinkFailure)
 }
 
 // finishCut finishes an answer that was received only in part. Its outcome is
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -19,7 +19,7 @@
 // serveRelay answers one request relayed by another node.
 func (m *Mesh) serveRelay(c *conn, s *quic.Stream) {
 	if !m.relaysInFlight.begin(true) {
-		m.refuse(s, outcome.New(outcome.ShuttingDown, outcome.NotRun, "this node takes no new work", remedyRetry).After(retryAfterLinkFailure))
+		m.refuse(s, outcome.New(outcome.ShuttingDown, outcome.NotRun, "this node takes no new work", remedyRetry).WithRetryAfter(retryAfterLinkFailure))
 		return
 	}
 	defer m.relaysInFlight.end()
@@ -45,7 +45,7 @@
 	h := m.handler.Load()
 	switch {
 	case h == nil:
-		m.refuse(s, outcome.New(outcome.ShuttingDown, outcome.NotRun, "this node doesn't take requests yet", remedyRetry).After(retryAfterLinkFailure))
+		m.refuse(s, outcome.New(outcome.ShuttingDown, outcome.NotRun, "this node doesn't take requests yet", remedyRetry).WithRetryAfter(retryAfterLinkFailure))
 		return true
 	case req.Hops > maxHops:
 		m.refuse(s, outcome.New(outcome.Internal, outcome.NotRun, "the request has gone through too many nodes", remedyRetry))
@@ -124,7 +124,7 @@
 		watchPeerClose(in, cancel)
 	})
 	if !started {
-		m.refuse(s, outcome.New(outcome.ShuttingDown, outcome.NotRun, "this node takes no new work", remedyRetry).After(retryAfterLinkFailure))
+		m.refuse(s, outcome.New(outcome.ShuttingDown, outcome.NotRun, "this node takes no new work", remedyRetry).WithRetryAfter(retryAfterLinkFailure))
 		return true
 	}
 	ctx, span := startServeSpan(ctx, c.node.VM, req)
@@ -256,9 +256,9 @@
 func (w *relayWriter) incompleteReason(e *answer.End) *outcome.Error {
 	cut := outcome.New(outcome.AnswerCut, outcome.Unknown, "the answer was cut", remedyLookUp)
 	switch {
-	case !e.Whole && e.Error != nil:
+	case !e.Complete && e.Error != nil:
 		return e.Error
-	case !e.Whole:
+	case !e.Complete:
 		return outcome.New(outcome.Internal, outcome.Unknown, "the answer ended without a reason", remedyLookUp)
 	case !w.started:
 		return outcome.New(outcome.Internal, outcome.Unknown, "the answer ended before it began", remedyLookUp)
--- a/internal/peer/taker.go
+++ b/internal/peer/taker.go
@@ -95,7 +95,7 @@
 
 func (t *answerReader) wholeEnd() answer.End {
 	t.complete = true
-	return answer.End{Whole: true, Frames: t.sum.frames, Bytes: t.sum.bytes, Hash: t.sum.hash.Sum64()}
+	return answer.End{Complete: true, Frames: t.sum.frames, Bytes: t.sum.bytes, Hash: t.sum.hash.Sum64()}
 }
 
 func (t *answerReader) cutEnd(err *outcome.Error) answer.End {
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -125,7 +125,7 @@
 		Arrived: now.Add(-f.Age), Target: f.Target, Service: f.Service, Method: f.Method,
 		Path: f.Path, Header: f.Header, Body: body, Stream: f.Stream, Prefix: f.Prefix,
 		PromptTokens: f.PromptTokens, MaxTokens: f.MaxTokens, ResumeID: f.ResumeID,
-		Stage: f.Stage, Hops: f.Hops, From: from,
+		Stage: f.Stage, Hops: f.Hops, ForwardedBy: from,
 	}
 	if f.Remaining != 0 {
 		r.Deadline = now.Add(f.Remaining)
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -42,25 +42,25 @@
 	maxResponseBytes      = 64 << 20
 )
 
-// ErrLimited means that the platform rejected the request because the rate limit is
-// exceeded. Errors that wrap it also wrap ErrDown: nothing was changed.
-var ErrLimited = errors.New("platform: over its rate limit; send fewer requests")
+// ErrRateLimited means that the platform rejected the request because the rate limit is
+// exceeded. Errors that wrap it also wrap ErrUnavailable: nothing was changed.
+var ErrRateLimited = errors.New("platform: over its rate limit; send fewer requests")
 
-// ErrRefused means that the platform rejected the request as invalid. Nothing was
+// ErrRejected means that the platform rejected the request as invalid. Nothing was
 // changed, and a retry fails again.
-var ErrRefused = errors.New("platform: refused the request; it does not fit the platform's protocol")
+var ErrRejected = errors.New("platform: refused the request; it does not fit the platform's protocol")
 
 var errResponseTooLarge = errors.New("an answer of more than 64 MiB; keep objects and tables smaller")
 
 // Option configures a Client.
 type Option func(*Client)
 
-// WithTryTimeout sets the timeout of one HTTP request; the default is 2 s.
-func WithTryTimeout(d time.Duration) Option { return func(c *Client) { c.requestTimeout = d } }
+// WithRequestTimeout sets the timeout of one HTTP request; the default is 2 s.
+func WithRequestTimeout(d time.Duration) Option { return func(c *Client) { c.requestTimeout = d } }
 
-// WithSettleTimeout limits the time that Commit spends resolving a lost response, in
+// WithResolveTimeout limits the time that Commit spends resolving a lost response, in
 // addition to the deadline of the caller's context; the default is 5 s.
-func WithSettleTimeout(d time.Duration) Option { return func(c *Client) { c.resolveTimeout = d } }
+func WithResolveTimeout(d time.Duration) Option { return func(c *Client) { c.resolveTimeout = d } }
 
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -204,7 +204,7 @@
 
 func decode(body []byte, v any) error {
 	if err := json.Unmarshal(body, v); err != nil {
-		return fmt.Errorf("%w: answer that is not of the protocol: %w", ErrDown, err)
+		return fmt.Errorf("%w: answer that is not of the protocol: %w", ErrUnavailable, err)
 	}
 	return nil
 }
@@ -259,11 +259,11 @@
 func (a *httpResult) noEffectError() error {
 	switch {
 	case a.err == nil && a.status == http.StatusTooManyRequests:
-		return fmt.Errorf("%w: %w", ErrDown, ErrLimited)
+		return fmt.Errorf("%w: %w", ErrUnavailable, ErrRateLimited)
 	case a.err == nil && a.status/100 == 4 && a.status != http.StatusRequestTimeout:
-		return fmt.Errorf("%w: %w", ErrRefused, a.cause())
+		return fmt.Errorf("%w: %w", ErrRejected, a.cause())
 	default:
-		return fmt.Errorf("%w: %w", ErrDown, a.cause())
+		return fmt.Errorf("%w: %w", ErrUnavailable, a.cause())
 	}
 }
 
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -143,7 +143,7 @@
 // that does, resending is safe.
 func TestUncheckedWriteIsNotAppliedTwice(t *testing.T) {
 	is := is.New(t)
-	s, ctx := newFixture(t, platform.WithSettleTimeout(100*time.Millisecond))
+	s, ctx := newFixture(t, platform.WithResolveTimeout(100*time.Millisecond))
 	blind := platform.Txn{Writes: []platform.Write{{Table: "t", Key: "k", Value: []byte("v")}}}
 	s.setFaults(standin.Faults{DropBefore: 1, ForgetAttempts: true})
 	_, err := s.client.Commit(ctx, blind)
@@ -177,7 +177,7 @@
 				panic(http.ErrAbortHandler)
 			}))
 			defer srv.Close()
-			c := platform.NewClient(srv.URL, platform.WithSettleTimeout(100*time.Millisecond))
+			c := platform.NewClient(srv.URL, platform.WithResolveTimeout(100*time.Millisecond))
 			defer c.Close()
 			res, err := c.Commit(context.Background(), put("k", "own", 0))
 			if forget {
@@ -190,18 +190,18 @@
 	}
 }
 
-// ErrDown guarantees that nothing changed; ErrAmbiguous doesn't. A refused connection
+// ErrUnavailable guarantees that nothing changed; ErrAmbiguous doesn't. A refused connection
 // or a 429 can't have changed anything. A connection closed without a response, or a
 // 503, may have.
 func TestOutageErrors(t *testing.T) {
-	settle := platform.WithSettleTimeout(50 * time.Millisecond)
+	settle := platform.WithResolveTimeout(50 * time.Millisecond)
 	for _, tt := range []struct {
 		name   string
 		faults standin.Faults
 		write  error
 	}{
 		{"closed without answer", standin.Faults{Down: standin.DownClose}, platform.ErrAmbiguous},
-		{"503", standin.Faults{Down: standin.DownRefused}, platform.ErrAmbiguous},
+		{"503", standin.Faults{Down: standin.DownUnavailable}, platform.ErrAmbiguous},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -209,11 +209,11 @@
 			s.setFaults(tt.faults)
 			_, err := s.client.Commit(ctx, put("k", "v", 0))
 			is.True(errors.Is(err, tt.write))
-			is.True(!errors.Is(err, platform.ErrDown))
+			is.True(!errors.Is(err, platform.ErrUnavailable))
 			_, err = s.client.Get(ctx, "t", "k")
-			is.True(errors.Is(err, platform.ErrDown))
+			is.True(errors.Is(err, platform.ErrUnavailable))
 			_, err = s.client.VMs(ctx)
-			is.True(errors.Is(err, platform.ErrDown))
+			is.True(errors.Is(err, platform.ErrUnavailable))
 			err = s.client.PutObject(ctx, "o", []byte("x"))
 			is.True(errors.Is(err, platform.ErrAmbiguous))
 		})
@@ -226,9 +226,9 @@
 		c := platform.NewClient("http://"+l.Addr().String(), settle)
 		defer c.Close()
 		_, err = c.Commit(context.Background(), put("k", "v", 0))
-		is.True(errors.Is(err, platform.ErrDown))
+		is.True(errors.Is(err, platform.ErrUnavailable))
 		is.True(!errors.Is(err, platform.ErrAmbiguous))
-		is.True(errors.Is(c.PutObject(context.Background(), "o", nil), platform.ErrDown))
+		is.True(errors.Is(c.PutObject(context.Background(), "o", nil), platform.ErrUnavailable))
 	})
 	t.Run("over the rate", func(t *testing.T) {
 		is := is.New(t)
@@ -245,10 +245,10 @@
 			return nil
 		}
 		err := limited(func() error { _, err := c.Commit(context.Background(), put("k", "v", 0)); return err })
-		is.True(errors.Is(err, platform.ErrDown))
-		is.True(errors.Is(err, platform.ErrLimited))
+		is.True(errors.Is(err, platform.ErrUnavailable))
+		is.True(errors.Is(err, platform.ErrRateLimited))
 		err = limited(func() error { _, err := c.Get(context.Background(), "t", "k"); return err })
-		is.True(errors.Is(err, platform.ErrLimited))
+		is.True(errors.Is(err, platform.ErrRateLimited))
 	})
 }
 
@@ -261,10 +261,10 @@
 	c := platform.NewClient(srv.URL)
 	defer c.Close()
 	_, err := c.Commit(t.Context(), put("k", "v", 0))
-	is.True(errors.Is(err, platform.ErrRefused))
-	is.True(!errors.Is(err, platform.ErrDown))
+	is.True(errors.Is(err, platform.ErrRejected))
+	is.True(!errors.Is(err, platform.ErrUnavailable))
 	_, err = c.Get(t.Context(), "t", "k")
-	is.True(errors.Is(err, platform.ErrRefused))
+	is.True(errors.Is(err, platform.ErrRejected))
 }
 
 // The platform applies a write received over a reused connection and closes it without
@@ -272,7 +272,7 @@
 // it would resend it by itself and the write would be applied twice.
 func TestTransportDoesNotRetryWrites(t *testing.T) {
 	is := is.New(t)
-	s, ctx := newFixture(t, platform.WithSettleTimeout(50*time.Millisecond))
+	s, ctx := newFixture(t, platform.WithResolveTimeout(50*time.Millisecond))
 	_, err := s.client.Get(ctx, "t", "k") // opens the connection that the write reuses
 	is.NoErr(err)
 	s.setFaults(standin.Faults{LoseAnswers: standin.Always, ForgetAttempts: true})
@@ -297,7 +297,7 @@
 	}))
 	defer srv.Close()
 	defer close(release)
-	c := platform.NewClient(srv.URL, platform.WithTryTimeout(50*time.Millisecond))
+	c := platform.NewClient(srv.URL, platform.WithRequestTimeout(50*time.Millisecond))
 	defer c.Close()
 	res, err := c.Commit(context.Background(), put("k", "v", 0))
 	is.NoErr(err)
@@ -380,8 +380,8 @@
 		_, _ = w.Write(make([]byte, bound+1))
 	}))
 	t.Cleanup(srv.Close)
-	c := platform.NewClient(srv.URL, platform.WithTryTimeout(testTimeout))
+	c := platform.NewClient(srv.URL, platform.WithRequestTimeout(testTimeout))
 	t.Cleanup(c.Close)
 	_, err := c.GetObject(t.Context(), "weights")
-	is.True(errors.Is(err, platform.ErrDown))
+	is.True(errors.Is(err, platform.ErrUnavailable))
 }
--- a/internal/platform/metrics.go
+++ b/internal/platform/metrics.go
@@ -62,13 +62,13 @@
 		return "ok"
 	case errors.Is(err, ErrAmbiguous):
 		return "ambiguous"
-	case errors.Is(err, ErrLimited):
+	case errors.Is(err, ErrRateLimited):
 		return "limited"
 	case errors.Is(err, ErrNotFound):
 		return "not_found"
-	case errors.Is(err, ErrRefused):
+	case errors.Is(err, ErrRejected):
 		return "refused"
-	case errors.Is(err, ErrDown):
+	case errors.Is(err, ErrUnavailable):
 		return "down"
 	default:
 		return "error"
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -22,9 +22,9 @@
 	// restored from an older copy starts a new era and assigns versions again, so
 	// versions of different eras aren't comparable. 0 if the table sends no eras.
 	Era uint64 `json:"era,omitempty"`
-	// Clock is the table's monotonic clock at the time of the response, in ms; 0 if the
+	// ClockMs is the table's monotonic clock at the time of the response, in ms; 0 if the
 	// table sends none. Clocks of different eras aren't comparable.
-	Clock int64 `json:"clock,omitempty"`
+	ClockMs int64 `json:"clock,omitempty"`
 	// Attempt is the ID of the transaction that wrote this version. A writer whose
 	// response was lost reads it back to find out whether its write was applied.
 	Attempt string `json:"attempt"`
@@ -40,8 +40,8 @@
 	Era     uint64 `json:"era,omitempty"`
 }
 
-// Same reports whether both are the same version of one row.
-func (r Row) Same(other Row) bool { return r.Version == other.Version && r.Era == other.Era }
+// SameVersion reports whether both are the same version of one row.
+func (r Row) SameVersion(other Row) bool { return r.Version == other.Version && r.Era == other.Era }
 
 // Write sets or deletes a row within a transaction.
 type Write struct {
@@ -62,15 +62,15 @@
 // Result is the result of a transaction.
 type Result struct {
 	Committed bool  `json:"committed"`
-	Clock     int64 `json:"clock,omitempty"` // the table's monotonic clock at the time of the response, in ms; 0 if it sends none
+	ClockMs   int64 `json:"clock,omitempty"` // the table's monotonic clock at the time of the response, in ms; 0 if it sends none
 	Rows      []Row `json:"rows"`            // the rows written if committed, otherwise the current rows of the failed checks
 }
 
 // Errors of the platform's client.
 var (
-	// ErrDown means that the platform is unavailable, and that the request certainly had
+	// ErrUnavailable means that the platform is unavailable, and that the request certainly had
 	// no effect or was a read.
-	ErrDown = errors.New("platform: not reachable; what is formed goes on serving, try again later")
+	ErrUnavailable = errors.New("platform: not reachable; what is formed goes on serving, try again later")
 	// ErrAmbiguous means that a write may or may not have been applied and that reading
 	// back didn't resolve it.
 	ErrAmbiguous = errors.New("platform: the answer to a write was lost; read the rows back before deciding")
--- a/internal/platform/proxy_test.go
+++ b/internal/platform/proxy_test.go
@@ -41,7 +41,7 @@
 		return (&net.Dialer{}).DialContext(ctx, network, addr)
 	}
 	c := platform.NewClient(srv.URL, platform.WithDial(dial),
-		platform.WithTryTimeout(time.Second), platform.WithSettleTimeout(testTimeout))
+		platform.WithRequestTimeout(time.Second), platform.WithResolveTimeout(testTimeout))
 	t.Cleanup(func() {
 		c.Close()
 		proxy.Stop()
--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -18,12 +18,12 @@
 
 // Stats holds the counters of one engine since its last restart.
 type Stats struct {
-	Entries    int
-	Events     uint64
-	Gaps       uint64
-	Missed     uint64 // events missing in the gaps
-	Distrusted uint64 // entries dropped because of gaps
-	evictions  uint64
+	Entries          int
+	Events           uint64
+	Gaps             uint64
+	MissedEvents     uint64 // events missing in the gaps
+	DroppedAfterGaps uint64 // entries dropped because of gaps
+	evictions        uint64
 }
 
 // Index holds one set per engine.
@@ -55,9 +55,9 @@
 	s.dropDoubted(now)
 }
 
-// Set returns the prefixes that are probably in the engine's cache, or nil if the engine
+// Prefixes returns the prefixes that are probably in the engine's cache, or nil if the engine
 // is unknown. It returns the same map until the set is rebuilt.
-func (x *Index) Set(vm fleet.VM, now clock.Instant) map[uint64]struct{} {
+func (x *Index) Prefixes(vm fleet.VM, now clock.Instant) map[uint64]struct{} {
 	s, ok := x.sets[vm]
 	if !ok {
 		return nil
@@ -66,10 +66,10 @@
 	return s.publish(now)
 }
 
-// Changed returns the prefixes of an engine and whether they differ from those of the
+// PrefixesChanged returns the prefixes of an engine and whether they differ from those of the
 // previous call. The first call for an incarnation always reports a change, so that the
 // prefixes published for the previous incarnation are replaced.
-func (x *Index) Changed(vm fleet.VM, now clock.Instant) (map[uint64]struct{}, bool) {
+func (x *Index) PrefixesChanged(vm fleet.VM, now clock.Instant) (map[uint64]struct{}, bool) {
 	s, ok := x.sets[vm]
 	if !ok {
 		return nil, false
@@ -81,17 +81,17 @@
 	return m, changed
 }
 
-// Last returns the highest sequence number received from the incarnation, for requesting
+// LastSequence returns the highest sequence number received from the incarnation, for requesting
 // later events; 0 if the incarnation is unknown.
-func (x *Index) Last(vm fleet.VM, boot fleet.BootID) uint64 {
+func (x *Index) LastSequence(vm fleet.VM, boot fleet.BootID) uint64 {
 	if s, ok := x.sets[vm]; ok && s.boot == boot {
 		return s.lastSequence
 	}
 	return 0
 }
 
-// Forget removes an engine.
-func (x *Index) Forget(vm fleet.VM) { delete(x.sets, vm) }
+// Remove removes an engine.
+func (x *Index) Remove(vm fleet.VM) { delete(x.sets, vm) }
 
 // Stats returns the counters of an engine's current incarnation.
 func (x *Index) Stats(vm fleet.VM) Stats {
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -28,7 +28,7 @@
 }
 
 func containsPrefix(x *Index, hash uint64, now clock.Instant) bool {
-	_, ok := x.Set("vm", now)[hash]
+	_, ok := x.Prefixes("vm", now)[hash]
 	return ok
 }
 
@@ -63,7 +63,7 @@
 	x.Apply("vm", "b2", []engine.CacheEvent{stored(1, 9)}, start)
 	is.True(!containsPrefix(x, 7, start))
 	is.True(containsPrefix(x, 9, start))
-	is.Equal(x.Last("vm", "b1"), uint64(0))
+	is.Equal(x.LastSequence("vm", "b1"), uint64(0))
 }
 
 // A batch of events with evictions is lost. The entries from before the gap must not stay
@@ -80,7 +80,7 @@
 	x.Apply("vm", "b1", []engine.CacheEvent{stored(41, 200)}, start)
 	st := x.Stats("vm")
 	is.Equal(st.Gaps, uint64(1))
-	is.Equal(st.Missed, uint64(20))
+	is.Equal(st.MissedEvents, uint64(20))
 	is.Equal(st.Entries, 21) // no eviction was received, so none is assumed in the gap
 	later := start.Add(doubtDuration)
 	is.True(!containsPrefix(x, 119, later))
@@ -98,18 +98,18 @@
 	x.Apply("vm", "b1", []engine.CacheEvent{stored(51, 200)}, start)
 	is.True(!containsPrefix(x, 100, start))
 	is.True(containsPrefix(x, 119, start))
-	is.Equal(x.Stats("vm").Distrusted, uint64(5)) // half of the ten missed events
+	is.Equal(x.Stats("vm").DroppedAfterGaps, uint64(5)) // half of the ten missed events
 }
 
 func TestPublishedSetIsNotModified(t *testing.T) {
 	is := is.New(t)
 	x := New(0)
 	x.Apply("vm", "b1", []engine.CacheEvent{stored(1, 7)}, start)
-	old := x.Set("vm", start)
+	old := x.Prefixes("vm", start)
 	x.Apply("vm", "b1", []engine.CacheEvent{evicted(2, 7)}, start)
 	later := start.Add(rebuildInterval)
 	is.Equal(len(old), 1)
-	is.Equal(len(x.Set("vm", later)), 0)
+	is.Equal(len(x.Prefixes("vm", later)), 0)
 }
 
 // After any events the set must be within its limit and consistently linked, and equal to
@@ -132,7 +132,7 @@
 			x.Apply("vm", "b", []engine.CacheEvent{{Sequence: seq, Prefix: h, Evicted: gone}}, start)
 		}
 		checkLinks(t, x.sets["vm"])
-		got := x.Set("vm", start.Add(time.Second))
+		got := x.Prefixes("vm", start.Add(time.Second))
 		if len(got) > limit {
 			t.Fatalf("%d prefixes exceed the limit of %d", len(got), limit)
 		}
@@ -198,7 +198,7 @@
 		}
 		vm := vmName(e)
 		x.Apply(vm, "b", events, start)
-		x.Set(vm, start)
+		x.Prefixes(vm, start)
 	}
 	return x
 }
--- a/internal/prefix/set.go
+++ b/internal/prefix/set.go
@@ -75,11 +75,11 @@
 // them again. A wrong hint costs the computation of one prompt.
 func (s *cacheSet) recordGap(missed uint64, now clock.Instant) {
 	s.stats.Gaps++
-	s.stats.Missed += missed
+	s.stats.MissedEvents += missed
 	lost := uint64(float64(missed)*s.evictionShare() + 0.5)
 	for ; lost > 0 && s.oldest != noSlot; lost-- {
 		s.remove(s.oldest)
-		s.stats.Distrusted++
+		s.stats.DroppedAfterGaps++
 	}
 	if n := len(s.doubts); n == maxDoubts {
 		s.doubts[n-1].upTo = s.lastSequence
@@ -108,7 +108,7 @@
 		next := s.entries[i].newer
 		if s.entries[i].sequence <= sequence {
 			s.remove(i)
-			s.stats.Distrusted++
+			s.stats.DroppedAfterGaps++
 		}
 		i = next
 	}
--- a/internal/probe/bench_test.go
+++ b/internal/probe/bench_test.go
@@ -69,6 +69,6 @@
 	share := twoWatchers()
 	b.ReportAllocs()
 	for b.Loop() {
-		Watched(w.snap, share)
+		WatchedEndpoints(w.snap, share)
 	}
 }
--- a/internal/probe/cache.go
+++ b/internal/probe/cache.go
@@ -15,13 +15,13 @@
 func (p *Prober) updateCache(ctx context.Context, t *target, boot fleet.BootID) {
 	ctx, cancel := context.WithTimeout(ctx, p.settings.Timeout)
 	defer cancel()
-	events, err := p.endpoints.CacheEvents(ctx, t.record.Addr, t.cache.Last(t.record.VM, boot))
+	events, err := p.endpoints.CacheEvents(ctx, t.record.Addr, t.cache.LastSequence(t.record.VM, boot))
 	if err != nil {
 		return // only a hint; the next poll requests events from the same sequence number
 	}
 	now := p.clock.Now()
 	t.cache.Apply(t.record.VM, boot, events, now)
-	if set, changed := t.cache.Changed(t.record.VM, now); changed {
-		p.sink.Put(view.Cached{VM: t.record.VM, Boot: boot, Prefixes: set})
+	if set, changed := t.cache.PrefixesChanged(t.record.VM, now); changed {
+		p.sink.Put(view.CacheReported{VM: t.record.VM, Boot: boot, Prefixes: set})
 	}
 }
--- a/internal/probe/cache_test.go
+++ b/internal/probe/cache_test.go
@@ -40,7 +40,7 @@
 func (p putEvents) lastPrefixes() []uint64 {
 	var got []uint64
 	if len(p) > 0 {
-		got = slices.Sorted(maps.Keys(p[len(p)-1].(view.Cached).Prefixes))
+		got = slices.Sorted(maps.Keys(p[len(p)-1].(view.CacheReported).Prefixes))
 	}
 	return got
 }
--- a/internal/probe/check.go
+++ b/internal/probe/check.go
@@ -14,8 +14,8 @@
 	"chervilloom/internal/view"
 )
 
-// ErrNotWhole is wrapped by the errors of Check.
-var ErrNotWhole = errors.New("probe: the group is not whole")
+// ErrGroupIncomplete is wrapped by the errors of Check.
+var ErrGroupIncomplete = errors.New("probe: the group is not whole")
 
 // Probe probes all members immediately. It returns the time until which the results are
 // fresh, and whether every member reports the group's generation and its expected boot
@@ -34,7 +34,7 @@
 
 func (p *Prober) check(ctx context.Context, g *fleet.Group) (clock.Instant, error) {
 	if len(g.Members) == 0 {
-		return 0, fmt.Errorf("%w: %s has no members", ErrNotWhole, g.ID)
+		return 0, fmt.Errorf("%w: %s has no members", ErrGroupIncomplete, g.ID)
 	}
 	key := fmt.Sprintf("%s/%d", g.ID, g.Generation)
 	shared := p.checks.DoChan(key, func() (any, error) {
@@ -45,7 +45,7 @@
 	case r := <-shared:
 		return r.Val.(clock.Instant), r.Err
 	case <-ctx.Done():
-		return 0, fmt.Errorf("%w: %s: %w", ErrNotWhole, g.ID, ctx.Err())
+		return 0, fmt.Errorf("%w: %s: %w", ErrGroupIncomplete, g.ID, ctx.Err())
 	}
 }
 
@@ -75,12 +75,12 @@
 	if err != nil {
 		// Failures stays 0: the checks of many requests may fail at once, and must not
 		// count as consecutive probe failures.
-		p.sink.Put(view.Probed{VM: m.VM, Sent: sent, Failing: sent})
-		return sent, fmt.Errorf("%w: %s: %w", ErrNotWhole, m.VM, err)
+		p.sink.Put(view.Probed{VM: m.VM, Sent: sent, FailingSince: sent})
+		return sent, fmt.Errorf("%w: %s: %w", ErrGroupIncomplete, m.VM, err)
 	}
 	p.sink.Put(view.Probed{VM: m.VM, Sent: sent, RTT: p.clock.Now().Sub(sent), Answered: true, State: st})
-	if fault := view.StateFault(g, m, &st); fault != "" {
-		return sent, fmt.Errorf("%w: %s %s", ErrNotWhole, m.VM, fault)
+	if fault := view.MemberFault(g, m, &st); fault != "" {
+		return sent, fmt.Errorf("%w: %s %s", ErrGroupIncomplete, m.VM, fault)
 	}
 	return sent, nil
 }
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -158,7 +158,7 @@
 			view.Node{Node: fleet.Node{VM: "dead"}, Zone: "z", State: view.NodeDead},
 			view.Node{Node: fleet.Node{VM: "draining"}, Zone: "z", State: view.NodeAlive, Draining: true},
 			view.Node{Node: fleet.Node{VM: "other"}, Zone: "y", State: view.NodeAlive})
-		for _, r := range Watched(w.snap, twoWatchers()) {
+		for _, r := range WatchedEndpoints(w.snap, twoWatchers()) {
 			count[r.VM]++
 		}
 	}
@@ -181,7 +181,7 @@
 		is.True(!p[0].Answered)
 		is.Equal(p[0].Failures, 1)
 		is.Equal(p[2].Failures, 3)
-		is.Equal(p[2].Failing, p[0].Sent)
+		is.Equal(p[2].FailingSince, p[0].Sent)
 	}
 	eventually(t, "probe replies", func() bool { return len(w.probed("vm000")) >= 2 })
 	is.True(w.probed("vm000")[0].Answered)
@@ -192,8 +192,8 @@
 	eventually(t, "loads and prefixes", func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		loads := slices.ContainsFunc(w.events, func(ev view.Event) bool { _, ok := ev.(view.Loaded); return ok })
-		return loads && slices.ContainsFunc(w.events, func(ev view.Event) bool { _, ok := ev.(view.Cached); return ok })
+		loads := slices.ContainsFunc(w.events, func(ev view.Event) bool { _, ok := ev.(view.LoadReported); return ok })
+		return loads && slices.ContainsFunc(w.events, func(ev view.Event) bool { _, ok := ev.(view.CacheReported); return ok })
 	})
 }
 
@@ -253,7 +253,7 @@
 			if ok {
 				is.Equal(until, clk.Now().Add(view.DefaultProbeFresh))
 			} else {
-				is.True(errors.Is(p.Check(context.Background(), &newGroup(3).Group), ErrNotWhole))
+				is.True(errors.Is(p.Check(context.Background(), &newGroup(3).Group), ErrGroupIncomplete))
 			}
 			for _, vm := range []fleet.VM{"vm000", "vm001", "vm002"} {
 				for _, r := range w.probed(vm) {
--- a/internal/probe/prober.go
+++ b/internal/probe/prober.go
@@ -93,7 +93,7 @@
 // refresh updates the targets from the latest snapshot.
 func (p *Prober) refresh() {
 	now := p.clock.Now()
-	wanted := Watched(p.source.Snapshot(), &p.assignment)
+	wanted := WatchedEndpoints(p.source.Snapshot(), &p.assignment)
 	keep := make(map[fleet.VM]bool, len(wanted))
 	for _, r := range wanted {
 		keep[r.VM] = true
@@ -206,7 +206,7 @@
 			t.failingSince = e.Sent
 		}
 		t.consecutiveFailures++
-		e.Failing, e.Failures = t.failingSince, t.consecutiveFailures
+		e.FailingSince, e.Failures = t.failingSince, t.consecutiveFailures
 	}
 	p.sink.Put(e)
 }
@@ -219,5 +219,5 @@
 		return // the next report replaces it; probes detect whether the VM is alive
 	}
 	load.VM = t.record.VM
-	p.sink.Put(view.Loaded{At: p.clock.Now(), Load: load})
+	p.sink.Put(view.LoadReported{At: p.clock.Now(), Load: load})
 }
--- a/internal/probe/watch.go
+++ b/internal/probe/watch.go
@@ -5,9 +5,9 @@
 	"chervilloom/internal/view"
 )
 
-// Watched returns the endpoints of the snapshot's availability zone that are assigned to
+// WatchedEndpoints returns the endpoints of the snapshot's availability zone that are assigned to
 // its own node among the zone's usable nodes.
-func Watched(snap *view.Snapshot, assignment *view.Assignment) []fleet.Record {
+func WatchedEndpoints(snap *view.Snapshot, assignment *view.Assignment) []fleet.Record {
 	assignment.Update(append(snap.ZoneNodes(), snap.Self.VM))
 	var out []fleet.Record
 	for i := range snap.VMs {
--- a/internal/quarantine/bans.go
+++ b/internal/quarantine/bans.go
@@ -46,8 +46,8 @@
 // acquireTrial requests the single trial run of a suspect, or of a request whose ban has run its
 // time. An error is also logged.
 func (g *Guard) acquireTrial(ctx context.Context, b *ban, v Verdict) (granted bool, err error) {
-	v.Tries++
-	granted, err = g.Try(ctx, v)
+	v.Trials++
+	granted, err = g.AcquireTrial(ctx, v)
 	if err != nil {
 		g.Log.Info("trial run of a request could not be requested", "suspect", v.Suspect, "fingerprint", v.Fingerprint, "err", err)
 	}
@@ -57,13 +57,13 @@
 	g.mu.Lock()
 	b.Verdict, b.since, b.hasTrial = v, g.Clock.Now(), true
 	g.mu.Unlock()
-	g.Log.Info("quarantined request is tried", "suspect", v.Suspect, "fingerprint", v.Fingerprint, "ends", v.Ends, "tries", v.Tries)
+	g.Log.Info("quarantined request is tried", "suspect", v.Suspect, "fingerprint", v.Fingerprint, "ends", v.Crashes, "tries", v.Trials)
 	return true, nil
 }
 
 // Sound records a successful run. It releases a suspect, lifts a ban whose trial run this was,
 // and otherwise reports the runs of a banned request to the other nodes.
-func (g *Guard) Sound(fp Fingerprint) {
+func (g *Guard) RunSucceeded(fp Fingerprint) {
 	g.mu.Lock()
 	g.history.add(fp, g.Clock.Now())
 	b, runs := g.bans[fp], g.history.runs(fp)
@@ -84,9 +84,9 @@
 // clients may send the same request all day, and some of these nodes have seen none of its
 // crashes.
 func (g *Guard) reportSuccesses(fp Fingerprint, runs int) {
-	m := Message{Node: g.Node, Sound: &SoundRuns{fp, runs}}
-	g.Hear(m)
-	g.Tell(m)
+	m := Message{Node: g.Node, Successes: &SuccessfulRuns{fp, runs}}
+	g.Receive(m)
+	g.SendToTalliers(m)
 }
 
 // answerQuery reports the successful runs of the request at this node, if there are any.
@@ -99,9 +99,9 @@
 	}
 }
 
-// TakeKept applies the verdicts that were read from the platform's table. A ban whose row was
+// ApplyPersisted applies the verdicts that were read from the platform's table. A ban whose row was
 // present and stays missing for missingRowTimeout was lifted by another node.
-func (g *Guard) TakeKept(persisted []Verdict) {
+func (g *Guard) ApplyPersisted(persisted []Verdict) {
 	now := g.Clock.Now()
 	present := map[Fingerprint]bool{}
 	for _, v := range persisted {
@@ -155,17 +155,17 @@
 	return lifted && now.Sub(at) < d
 }
 
-// Knows reports whether the request is refused here or is a suspect.
-func (g *Guard) Knows(fp Fingerprint) bool {
+// IsQuarantined reports whether the request is refused here or is a suspect.
+func (g *Guard) IsQuarantined(fp Fingerprint) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.bans[fp] != nil
 }
 
-// Restored marks all bans as not persisted, so that they are written again. It is called after
+// TableRestored marks all bans as not persisted, so that they are written again. It is called after
 // the platform's table was restored from an older copy: the rows are gone although nobody has
 // lifted the bans.
-func (g *Guard) Restored() {
+func (g *Guard) TableRestored() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, b := range g.bans {
@@ -176,12 +176,12 @@
 // Banned is a ban with its age, and whether it has a row in the platform's table.
 type Banned struct {
 	Verdict
-	Age  time.Duration
-	Kept bool
+	Age       time.Duration
+	Persisted bool
 }
 
-// Over reports whether the ban has expired and its row is to be deleted.
-func (b Banned) Over() bool { return b.Age > b.retention() }
+// IsExpired reports whether the ban has expired and its row is to be deleted.
+func (b Banned) IsExpired() bool { return b.Age > b.retention() }
 
 // retention is how long a ban is kept if no trial run is requested.
 func (v Verdict) retention() time.Duration {
@@ -210,7 +210,7 @@
 	g.mu.Lock()
 	b := g.bans[v.Fingerprint]
 	if b != nil && b.Suspect == v.Suspect || b != nil && v.Suspect {
-		if b.Suspect == v.Suspect && v.Tries > b.Tries {
+		if b.Suspect == v.Suspect && v.Trials > b.Trials {
 			b.Verdict, b.since, b.trialRequestedAt = v, now, now // another node makes the trial run
 		}
 		g.mu.Unlock()
@@ -229,11 +229,11 @@
 	g.mu.Unlock()
 	if v.Suspect {
 		g.metrics.suspects.Inc()
-		g.Log.Info("request is limited to one run at a time", "fingerprint", v.Fingerprint, "ends", v.Ends, "attempts", v.Attempts, "source", source)
+		g.Log.Info("request is limited to one run at a time", "fingerprint", v.Fingerprint, "ends", v.Crashes, "attempts", v.Attempts, "source", source)
 		g.keepOneRun(v)
 	} else {
 		g.metrics.found.Inc()
-		g.Log.Warn("request is quarantined", "fingerprint", v.Fingerprint, "ends", v.Ends, "attempts", v.Attempts, "source", source, "for_ms", banDuration.Milliseconds())
+		g.Log.Warn("request is quarantined", "fingerprint", v.Fingerprint, "ends", v.Crashes, "attempts", v.Attempts, "source", source, "for_ms", banDuration.Milliseconds())
 	}
 	if runs > 0 {
 		g.reportSuccesses(v.Fingerprint, runs)
@@ -274,9 +274,9 @@
 	if !g.unban(fp, reason) {
 		return
 	}
-	g.Announce(Message{Node: g.Node, Lifted: []Fingerprint{fp}})
-	if g.Drop != nil {
-		g.Drop(fp)
+	g.Broadcast(Message{Node: g.Node, Lifted: []Fingerprint{fp}})
+	if g.DeletePersisted != nil {
+		g.DeletePersisted(fp)
 	}
 }
 
--- a/internal/quarantine/checks.go
+++ b/internal/quarantine/checks.go
@@ -54,11 +54,11 @@
 	return h.Sum32()
 }
 
-// Broke records that an attempt at an endpoint failed, for whatever reason, and has the endpoint
+// AttemptFailed records that an attempt at an endpoint failed, for whatever reason, and has the endpoint
 // checked. The failure counts as a crash only if the endpoint refuses connections afterwards:
 // one that resets a connection, sends garbage or is unreachable has not crashed. The request's
 // retry waits for the check.
-func (g *Guard) Broke(endpoint, addr string, fp Fingerprint, attempt uint32) {
+func (g *Guard) AttemptFailed(endpoint, addr string, fp Fingerprint, attempt uint32) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if check := g.startCheck(endpoint, addr, fp, attempt); check != nil {
@@ -66,9 +66,9 @@
 	}
 }
 
-// Recalled records that an attempt at an endpoint was recalled. The request may already be
+// AttemptRecalled records that an attempt at an endpoint was recalled. The request may already be
 // crashing the endpoint, so it is checked, but the request's retry does not wait for the check.
-func (g *Guard) Recalled(endpoint, addr string, fp Fingerprint, attempt uint32) {
+func (g *Guard) AttemptRecalled(endpoint, addr string, fp Fingerprint, attempt uint32) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.startCheck(endpoint, addr, fp, attempt)
@@ -91,7 +91,7 @@
 		g.checksByEndpoint[endpoint] = check
 		g.work.Go(func() { g.checkEndpoint(check, endpoint, addr) })
 	}
-	check.unreported = append(check.unreported, Run{Fingerprint: fp, Attempt: attempt, Sound: g.history.runs(fp)})
+	check.unreported = append(check.unreported, Run{Fingerprint: fp, Attempt: attempt, Successes: g.history.runs(fp)})
 	return check
 }
 
@@ -115,8 +115,8 @@
 		return
 	}
 	g.metrics.crashes.Inc()
-	if g.Ended != nil {
-		g.Ended(endpoint)
+	if g.EndpointCrashed != nil {
+		g.EndpointCrashed(endpoint)
 	}
 	g.Tick() // report at once: another node may be about to send the same request
 }
@@ -162,7 +162,7 @@
 func (g *Guard) awaitCheck(ctx context.Context, fp Fingerprint) (crashed bool) {
 	g.mu.Lock()
 	check, wait := g.checksByRequest[fp], checkWait
-	if g.tally.Saw(fp) >= minSuspectCrashes {
+	if g.tally.CrashCount(fp) >= minSuspectCrashes {
 		wait = suspectCheckWait
 	}
 	delete(g.checksByRequest, fp)
@@ -185,11 +185,11 @@
 
 // takeUnreportedCrashes returns each run at a crashed endpoint once, and deletes checks that
 // completed more than checkRetention ago. g.mu is held.
-func (g *Guard) takeUnreportedCrashes(now clock.Instant) []End {
-	var crashes []End
+func (g *Guard) takeUnreportedCrashes(now clock.Instant) []CrashReport {
+	var crashes []CrashReport
 	for endpoint, check := range g.checksByEndpoint {
 		if check.crashed && len(check.unreported) > 0 {
-			crashes = append(crashes, End{endpoint, check.unreported, check.startedAt})
+			crashes = append(crashes, CrashReport{endpoint, check.unreported, check.startedAt})
 			check.unreported = nil
 		}
 		if check.finishedAt != 0 && now.Sub(check.finishedAt) > checkRetention {
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -21,26 +21,26 @@
 	Node  string // name of this node
 	Clock clock.Clock
 	Log   *slog.Logger
-	// Tell sends a message to the nodes that tally.
-	Tell func(Message)
-	// Announce sends a message to all other nodes.
-	Announce func(Message)
-	// Keep persists a verdict, so that it survives a restart of this node; nil: verdicts are
+	// SendToTalliers sends a message to the nodes that tally.
+	SendToTalliers func(Message)
+	// Broadcast sends a message to all other nodes.
+	Broadcast func(Message)
+	// Persist persists a verdict, so that it survives a restart of this node; nil: verdicts are
 	// not persisted.
-	Keep func(Verdict)
+	Persist func(Verdict)
 	// Drop deletes the persisted verdict of a request that was lifted or released; may be nil.
-	Drop func(Fingerprint)
-	// Try reports whether this node may make the single trial run of a suspect, or of a request
+	DeletePersisted func(Fingerprint)
+	// AcquireTrial reports whether this node may make the single trial run of a suspect, or of a request
 	// whose ban has run its time. On success the verdict that it is passed becomes the one all
 	// nodes know, and no other node may make that run. It is called before the request is sent.
 	// An error means that the answer is unknown now. nil: no trial runs, and no request becomes
 	// a suspect.
-	Try func(context.Context, Verdict) (bool, error)
+	AcquireTrial func(context.Context, Verdict) (bool, error)
 	// Dial connects to an endpoint to check whether it listens; nil: TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
-	// Ended is called for each endpoint that crashed while requests of this node ran there; may
+	// EndpointCrashed is called for each endpoint that crashed while requests of this node ran there; may
 	// be nil.
-	Ended func(endpoint string)
+	EndpointCrashed func(endpoint string)
 
 	metrics    *metrics
 	standalone bool
@@ -89,11 +89,11 @@
 	return g
 }
 
-// Alone returns a guard that exchanges no messages and uses only its own evidence. It judges on
+// NewStandalone returns a guard that exchanges no messages and uses only its own evidence. It judges on
 // each call of Refused, since nobody calls Tick.
-func Alone(c clock.Clock, log *slog.Logger) *Guard {
+func NewStandalone(c clock.Clock, log *slog.Logger) *Guard {
 	nobody := func(Message) {}
-	g := (&Guard{Clock: c, Log: log, Tell: nobody, Announce: nobody}).Init(nil)
+	g := (&Guard{Clock: c, Log: log, SendToTalliers: nobody, Broadcast: nobody}).Init(nil)
 	g.standalone = true
 	return g
 }
@@ -146,7 +146,7 @@
 		return Verdict{}, false
 	}
 	now, v := g.Clock.Now(), b.Verdict
-	due := g.Try != nil && b.isTrialDue(now)
+	due := g.AcquireTrial != nil && b.isTrialDue(now)
 	if due {
 		b.trialRequestedAt = now
 	}
@@ -178,20 +178,20 @@
 	g.removeExpired(now)
 	g.mu.Unlock()
 	for _, m := range messages {
-		g.Tell(m)
+		g.SendToTalliers(m)
 	}
 	if len(queries) > 0 {
-		g.Announce(Message{Node: g.Node, Ask: queries})
+		g.Broadcast(Message{Node: g.Node, Queries: queries})
 	}
 	for _, v := range append(suspects, found...) {
 		g.ban(v, "tally")
-		if !g.Knows(v.Fingerprint) {
+		if !g.IsQuarantined(v.Fingerprint) {
 			continue // lifted at once because of this node's own successful runs
 		}
-		if g.Keep != nil {
-			g.Keep(v)
+		if g.Persist != nil {
+			g.Persist(v)
 		}
-		g.Announce(Message{Node: g.Node, Found: []Verdict{v}})
+		g.Broadcast(Message{Node: g.Node, Found: []Verdict{v}})
 	}
 }
 
@@ -202,7 +202,7 @@
 
 // newSuspects returns the suspects that have no ban yet. g.mu is held.
 func (g *Guard) newSuspects() []Verdict {
-	if g.Try == nil {
+	if g.AcquireTrial == nil {
 		return nil
 	}
 	return slices.DeleteFunc(g.tally.Suspects(g.isFoundHarmful), func(v Verdict) bool { return g.bans[v.Fingerprint] != nil })
@@ -223,7 +223,7 @@
 		default:
 			pending[v.Fingerprint] = now
 			queries = append(queries, v.Fingerprint)
-			g.tally.NoteSound(g.Node, v.Fingerprint, g.history.runs(v.Fingerprint)) // this node's own answer
+			g.tally.RecordSuccesses(g.Node, v.Fingerprint, g.history.runs(v.Fingerprint)) // this node's own answer
 		}
 	}
 	g.queriedAt = pending
@@ -245,37 +245,37 @@
 
 // noteEvidence adds the crashes of a message to the tally. g.mu is held.
 func (g *Guard) noteEvidence(m Message, now clock.Instant) {
-	for _, e := range m.Ends {
-		if g.tally.Note(m.Node, e, now) {
+	for _, e := range m.Crashes {
+		if g.tally.AddCrash(m.Node, e, now) {
 			g.Log.Info("crash of an endpoint tallied", "endpoint", e.Endpoint, "from", m.Node, "requests", len(e.Runs))
 		}
 		g.hasNewEvidence = true
 	}
 }
 
-// Hear processes a message of another node.
-func (g *Guard) Hear(m Message) {
+// Receive processes a message of another node.
+func (g *Guard) Receive(m Message) {
 	now := g.Clock.Now()
 	g.mu.Lock()
 	g.noteEvidence(m, now)
 	harmless := false
-	if s := m.Sound; s != nil {
-		g.tally.NoteSound(m.Node, s.Fingerprint, s.Runs)
+	if s := m.Successes; s != nil {
+		g.tally.RecordSuccesses(m.Node, s.Fingerprint, s.Runs)
 		if b := g.bans[s.Fingerprint]; b != nil {
 			// The tally may have been cleared: a row that was written while another node lifted
 			// the ban restores it.
 			b.successes.record(m.Node, s.Runs)
-			harmless = b.successes.isHarmless(b.Ends)
+			harmless = b.successes.isHarmless(b.Crashes)
 		}
 	}
 	g.mu.Unlock()
 	if harmless {
 		const reason = "its successful runs far outnumber the crashes"
-		if !g.release(m.Sound.Fingerprint, reason) {
-			g.lift(m.Sound.Fingerprint, reason)
+		if !g.release(m.Successes.Fingerprint, reason) {
+			g.lift(m.Successes.Fingerprint, reason)
 		}
 	}
-	for _, fp := range m.Ask {
+	for _, fp := range m.Queries {
 		g.answerQuery(fp)
 	}
 	for _, v := range m.Found {
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -34,25 +34,25 @@
 		sendToOthers := func(m Message) {
 			for _, o := range tc.nodes {
 				if o != g {
-					o.Hear(m)
+					o.Receive(m)
 				}
 			}
 		}
-		g.Tell, g.Announce = sendToOthers, sendToOthers
-		g.Keep = func(v Verdict) {
+		g.SendToTalliers, g.Broadcast = sendToOthers, sendToOthers
+		g.Persist = func(v Verdict) {
 			tc.mu.Lock()
 			defer tc.mu.Unlock()
 			tc.persisted[v.Fingerprint] = v
 		}
-		g.Drop = func(fp Fingerprint) {
+		g.DeletePersisted = func(fp Fingerprint) {
 			tc.mu.Lock()
 			defer tc.mu.Unlock()
 			delete(tc.persisted, fp)
 		}
-		g.Try = func(_ context.Context, v Verdict) (bool, error) {
+		g.AcquireTrial = func(_ context.Context, v Verdict) (bool, error) {
 			tc.mu.Lock()
 			defer tc.mu.Unlock()
-			if tc.persisted[v.Fingerprint].Tries+1 != v.Tries {
+			if tc.persisted[v.Fingerprint].Trials+1 != v.Trials {
 				return false, nil // another node has the trial
 			}
 			tc.persisted[v.Fingerprint] = v
@@ -93,7 +93,7 @@
 			persisted = append(persisted, v)
 		}
 		for _, g := range tc.nodes {
-			g.TakeKept(persisted)
+			g.ApplyPersisted(persisted)
 			g.Tick()
 		}
 	}
@@ -101,7 +101,7 @@
 
 // crashEndpoint crashes an endpoint under a request of a client attempt at a node.
 func (tc *testCluster) crashEndpoint(node int, endpoint string, fp Fingerprint, attempt uint32) {
-	tc.nodes[node].Broke(endpoint, "gone", fp, attempt)
+	tc.nodes[node].AttemptFailed(endpoint, "gone", fp, attempt)
 	synctest.Wait()
 	tc.advance(200 * time.Millisecond)
 }
@@ -162,7 +162,7 @@
 		tc.advance(banDuration + time.Minute)
 		_, refused := tc.nodes[1].Refused(context.Background(), "bad")
 		is.True(!refused)
-		tc.nodes[1].Sound("bad")
+		tc.nodes[1].RunSucceeded("bad")
 		is.Equal(tc.countRefusing("bad"), 0)
 		is.Equal(len(tc.persisted), 0)
 		tc.crashEndpoint(0, "later", "bad", 20)
@@ -177,8 +177,8 @@
 	runInBubble(t, func(is *is.I) {
 		tc := newTestCluster(6)
 		for range 10 {
-			tc.nodes[4].Sound("hot")
-			tc.nodes[5].Sound("hot")
+			tc.nodes[4].RunSucceeded("hot")
+			tc.nodes[5].RunSucceeded("hot")
 		}
 		for i := range 4 {
 			tc.crashEndpoint(i, fmt.Sprintf("e%d", i), "hot", uint32(i))
@@ -198,11 +198,11 @@
 	runInBubble(t, func(is *is.I) {
 		tc := newTestCluster(6)
 		for range 10 {
-			tc.nodes[4].Sound("hot")
-			tc.nodes[5].Sound("hot")
+			tc.nodes[4].RunSucceeded("hot")
+			tc.nodes[5].RunSucceeded("hot")
 		}
-		tc.nodes[0].ban(Verdict{Fingerprint: "hot", Ends: 4, Attempts: 4}, "tally")
-		tc.nodes[0].Announce(Message{Node: "0", Found: []Verdict{{Fingerprint: "hot", Ends: 4, Attempts: 4}}})
+		tc.nodes[0].ban(Verdict{Fingerprint: "hot", Crashes: 4, Attempts: 4}, "tally")
+		tc.nodes[0].Broadcast(Message{Node: "0", Found: []Verdict{{Fingerprint: "hot", Crashes: 4, Attempts: 4}}})
 		tc.advance(time.Second)
 		is.Equal(tc.countRefusing("hot"), 0)
 		is.Equal(len(tc.persisted), 0)
@@ -215,7 +215,7 @@
 	runInBubble(t, func(is *is.I) {
 		tc := newTestCluster(2)
 		for i := range 20 {
-			tc.nodes[i%2].Broke(fmt.Sprintf("e%d", i), "stands", "good", uint32(i))
+			tc.nodes[i%2].AttemptFailed(fmt.Sprintf("e%d", i), "stands", "good", uint32(i))
 			synctest.Wait()
 			tc.advance(200 * time.Millisecond)
 		}
@@ -229,21 +229,21 @@
 func TestPersistedVerdictsReachNodesThatMissedMessages(t *testing.T) {
 	runInBubble(t, func(is *is.I) {
 		tc := newTestCluster(2)
-		late := (&Guard{Node: "late", Clock: tc.clock, Log: slog.New(slog.DiscardHandler), Tell: func(Message) {}}).Init(nil)
+		late := (&Guard{Node: "late", Clock: tc.clock, Log: slog.New(slog.DiscardHandler), SendToTalliers: func(Message) {}}).Init(nil)
 		tc.crashRepeatedly("bad")
 		kept := []Verdict{tc.persisted["bad"]}
-		late.TakeKept(kept)
+		late.ApplyPersisted(kept)
 		_, refused := late.Refused(context.Background(), "bad")
 		is.True(refused)
-		late.TakeKept(nil)
+		late.ApplyPersisted(nil)
 		tc.clock.Advance(missingRowTimeout / 2)
-		late.TakeKept(kept)
-		late.TakeKept(nil)
+		late.ApplyPersisted(kept)
+		late.ApplyPersisted(nil)
 		tc.clock.Advance(missingRowTimeout / 2)
-		late.TakeKept(nil)
+		late.ApplyPersisted(nil)
 		is.Equal(len(late.Banned()), 1)
 		tc.clock.Advance(missingRowTimeout)
-		late.TakeKept(nil)
+		late.ApplyPersisted(nil)
 		is.Equal(len(late.Banned()), 0)
 	})
 }
@@ -254,9 +254,9 @@
 	runInBubble(t, func(is *is.I) {
 		tc := newTestCluster(1)
 		tc.crashRepeatedly("bad")
-		is.True(!tc.nodes[0].Banned()[0].Over())
+		is.True(!tc.nodes[0].Banned()[0].IsExpired())
 		tc.clock.Advance(banRetention + time.Second)
-		is.True(tc.nodes[0].Banned()[0].Over())
+		is.True(tc.nodes[0].Banned()[0].IsExpired())
 		unkept := (&Guard{Node: "x", Clock: tc.clock, Log: slog.New(slog.DiscardHandler)}).Init(nil)
 		unkept.ban(Verdict{Fingerprint: "bad"}, "x")
 		tc.clock.Advance(banRetention + time.Second)
@@ -282,15 +282,15 @@
 			for k := range runs {
 				runs[k] = Run{Fingerprint: Fingerprint(fmt.Sprintf("%d-%d", i, k)), Attempt: uint32(k)}
 			}
-			g.Hear(Message{Node: "n", Ends: []End{{Endpoint: fmt.Sprintf("e%d", i), Runs: runs}}})
-			g.Sound(Fingerprint(fmt.Sprint(i)))
+			g.Receive(Message{Node: "n", Crashes: []CrashReport{{Endpoint: fmt.Sprintf("e%d", i), Runs: runs}}})
+			g.RunSucceeded(Fingerprint(fmt.Sprint(i)))
 		}
 		is.Equal(len(g.tally.order), maxCrashes)
 		is.Equal(len(g.tally.crashes), maxCrashes)
 		is.True(len(g.tally.byFingerprint) <= maxCrashes*maxRunsPerCrash)
 		is.True(len(g.history.current)+len(g.history.previous) <= 2*maxHistory)
 		for i := range 2 * maxChecks {
-			g.Broke(fmt.Sprint(i), "gone", "p", 1)
+			g.AttemptFailed(fmt.Sprint(i), "gone", "p", 1)
 		}
 		is.Equal(len(g.checksByEndpoint), maxChecks)
 		synctest.Wait()
@@ -304,14 +304,14 @@
 func TestPackedEvidenceFitsPackets(t *testing.T) {
 	is := is.New(t)
 	const packet = 1400 // bytes
-	var ends []End
+	var ends []CrashReport
 	fp := Of("org", "POST", "h", "/x", nil)
 	for i := range 60 {
 		runs := make([]Run, 1+i%40)
 		for k := range runs {
 			runs[k] = Run{fp, 4294967295, 999}
 		}
-		ends = append(ends, End{Endpoint: "i-0123456789~1790000000000", Runs: runs})
+		ends = append(ends, CrashReport{Endpoint: "i-0123456789~1790000000000", Runs: runs})
 	}
 	sent, packed := 0, 0
 	for _, e := range ends {
@@ -321,7 +321,7 @@
 		raw, err := json.Marshal(map[string]any{"quarantine": m})
 		is.NoErr(err)
 		is.True(len(raw) <= packet)
-		for _, e := range m.Ends {
+		for _, e := range m.Crashes {
 			packed += len(e.Runs)
 		}
 	}
@@ -334,7 +334,7 @@
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	g := Alone(clock.Boot{}, slog.New(slog.DiscardHandler))
+	g := NewStandalone(clock.Boot{}, slog.New(slog.DiscardHandler))
 	is.Equal(g.probeLiveness(ln.Addr().String()), Connected)
 	ln.Close()
 	is.Equal(g.probeLiveness(ln.Addr().String()), Refused)
@@ -346,7 +346,7 @@
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	g := Alone(clock.Boot{}, slog.New(slog.DiscardHandler))
+	g := NewStandalone(clock.Boot{}, slog.New(slog.DiscardHandler))
 	dial := g.Dial
 	g.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, addr)
@@ -362,19 +362,19 @@
 	runInBubble(t, func(is *is.I) {
 		tc := newTestCluster(2)
 		tc.nodes[0].Dial = delayedDial(dialTimeout / 2)
-		tc.nodes[0].Broke("e", "gone", "bad", 1)
+		tc.nodes[0].AttemptFailed("e", "gone", "bad", 1)
 		tc.clock.Advance(2 * checkRetention) // the node was paused
 		tc.nodes[0].Tick()
 		time.Sleep(dialTimeout)
 		synctest.Wait()
-		is.Equal(tc.nodes[1].tally.Saw("bad"), 1)
+		is.Equal(tc.nodes[1].tally.CrashCount("bad"), 1)
 	})
 }
 
 // Guards against a crash that goes undetected because the first connections time out.
 func TestCrashIsDetectedAfterDialTimeouts(t *testing.T) {
 	runInBubble(t, func(is *is.I) {
-		g := Alone(clock.NewManual(clock.Instant(time.Hour)), slog.New(slog.DiscardHandler))
+		g := NewStandalone(clock.NewManual(clock.Instant(time.Hour)), slog.New(slog.DiscardHandler))
 		dials := 0
 		g.Dial = func(ctx context.Context, _ string) (net.Conn, error) {
 			if dials++; dials < 3 {
@@ -394,7 +394,7 @@
 func TestRetryWaitsForEndpointCheck(t *testing.T) {
 	runInBubble(t, func(is *is.I) {
 		const roundTrip = 3 * time.Millisecond
-		g := Alone(clock.NewManual(clock.Instant(time.Hour)), slog.New(slog.DiscardHandler))
+		g := NewStandalone(clock.NewManual(clock.Instant(time.Hour)), slog.New(slog.DiscardHandler))
 		g.Dial = delayedDial(roundTrip)
 		ended := 0
 		for attempt := range uint32(3) {
@@ -403,14 +403,14 @@
 					break
 				}
 				ended++
-				g.Broke(fmt.Sprintf("e%d", ended), "gone", "bad", attempt)
+				g.AttemptFailed(fmt.Sprintf("e%d", ended), "gone", "bad", attempt)
 			}
 			g.Clock.(*clock.Manual).Advance(time.Second)
 		}
 		is.Equal(ended, minCrashesFewAttempts)
 
 		g.Dial = delayedDial(checkTimeout)
-		g.Broke("silent", "silent", "good", 1)
+		g.AttemptFailed("silent", "silent", "good", 1)
 		begun := time.Now()
 		_, refused := g.Refused(context.Background(), "good")
 		is.True(!refused)
@@ -418,11 +418,11 @@
 		time.Sleep(2 * checkTimeout) // until the check has completed
 
 		for i := range minSuspectCrashes {
-			g.Hear(Message{Node: "n", Ends: []End{{Endpoint: fmt.Sprint("x", i), Runs: []Run{{Fingerprint: "suspect", Attempt: 1}}}}})
+			g.Receive(Message{Node: "n", Crashes: []CrashReport{{Endpoint: fmt.Sprint("x", i), Runs: []Run{{Fingerprint: "suspect", Attempt: 1}}}}})
 		}
 		const slow = 5 * checkWait
 		g.Dial = delayedDial(slow)
-		g.Broke("e", "gone", "suspect", 1)
+		g.AttemptFailed("e", "gone", "suspect", 1)
 		begun = time.Now()
 		g.Refused(context.Background(), "suspect")
 		is.Equal(time.Since(begun), slow)
@@ -432,21 +432,21 @@
 // Guards against checks that outlive their guard.
 func TestClosedGuardStartsNoChecks(t *testing.T) {
 	runInBubble(t, func(is *is.I) {
-		g := Alone(clock.NewManual(clock.Instant(time.Hour)), slog.New(slog.DiscardHandler))
+		g := NewStandalone(clock.NewManual(clock.Instant(time.Hour)), slog.New(slog.DiscardHandler))
 		near, far := net.Pipe()
 		dials := 0
 		g.Dial = func(context.Context, string) (net.Conn, error) {
 			dials++
 			return near, nil
 		}
-		g.Broke("e", "stands", "fp", 1)
+		g.AttemptFailed("e", "stands", "fp", 1)
 		synctest.Wait()
 		begun := time.Now()
 		g.Close()
 		is.Equal(time.Since(begun), time.Duration(0)) // of the virtual clock
 		_, err := far.Read(make([]byte, 1))
 		is.Equal(err, io.EOF)
-		g.Broke("f", "stands", "fp", 2)
+		g.AttemptFailed("f", "stands", "fp", 2)
 		synctest.Wait()
 		is.Equal(dials, 1)
 	})
@@ -459,15 +459,15 @@
 	c := clock.NewManual(clock.Instant(time.Hour))
 	var found, kept int
 	g := (&Guard{
-		Node: "0", Clock: c, Log: slog.New(slog.DiscardHandler), Tell: func(Message) {},
-		Announce: func(m Message) { found += len(m.Found) },
-		Keep:     func(Verdict) { kept++ },
+		Node: "0", Clock: c, Log: slog.New(slog.DiscardHandler), SendToTalliers: func(Message) {},
+		Broadcast: func(m Message) { found += len(m.Found) },
+		Persist:   func(Verdict) { kept++ },
 	}).Init(nil)
 	for range 20 {
-		g.Sound("hot")
+		g.RunSucceeded("hot")
 	}
 	for i := range 4 {
-		g.Hear(Message{Node: "1", Ends: []End{{Endpoint: fmt.Sprint(i), Runs: []Run{{Fingerprint: "hot", Attempt: uint32(i)}}}}})
+		g.Receive(Message{Node: "1", Crashes: []CrashReport{{Endpoint: fmt.Sprint(i), Runs: []Run{{Fingerprint: "hot", Attempt: uint32(i)}}}}})
 		for range 20 {
 			c.Advance(100 * time.Millisecond)
 			g.Tick()
@@ -481,13 +481,13 @@
 func TestLateFindingDoesNotUndoLift(t *testing.T) {
 	runInBubble(t, func(is *is.I) {
 		tc := newTestCluster(1)
-		g, found := tc.nodes[0], Verdict{Fingerprint: "hot", Ends: 4, Attempts: 4}
-		g.Hear(Message{Node: "n", Lifted: []Fingerprint{"hot"}})
-		g.Hear(Message{Node: "n", Found: []Verdict{found}})
-		g.TakeKept([]Verdict{found})
+		g, found := tc.nodes[0], Verdict{Fingerprint: "hot", Crashes: 4, Attempts: 4}
+		g.Receive(Message{Node: "n", Lifted: []Fingerprint{"hot"}})
+		g.Receive(Message{Node: "n", Found: []Verdict{found}})
+		g.ApplyPersisted([]Verdict{found})
 		is.Equal(tc.countRefusing("hot"), 0)
 		tc.advance(lateFindingWindow)
-		g.Hear(Message{Node: "n", Found: []Verdict{found}})
+		g.Receive(Message{Node: "n", Found: []Verdict{found}})
 		is.Equal(tc.countRefusing("hot"), 1) // found again
 	})
 }
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -54,10 +54,10 @@
 // the evidence.
 type Verdict struct {
 	Fingerprint Fingerprint `json:"f"`
-	Ends        int         `json:"ends"`     // crashes that it has seen and that no other request explains
+	Crashes     int         `json:"ends"`     // crashes that it has seen and that no other request explains
 	Attempts    int         `json:"attempts"` // client attempts that saw a crash
-	// Tries is the number of trial runs that were granted since the finding.
-	Tries int `json:"tries,omitempty"`
+	// Trials is the number of trial runs that were granted since the finding.
+	Trials int `json:"tries,omitempty"`
 	// Suspect is set if the request is not found harmful but limited to one run at a time.
 	Suspect bool `json:"suspect,omitempty"`
 }
@@ -112,23 +112,23 @@
 func (t *Tally) judgeRequest(fp Fingerprint, found map[Fingerprint]bool, now clock.Instant) (Verdict, bool) {
 	ev := t.byFingerprint[fp]
 	own := t.unexplainedCrashes(fp, found)
-	v := Verdict{Fingerprint: fp, Ends: len(own), Attempts: len(ev.attempts)}
-	if v.Ends < minHarmfulCrashes || v.Attempts < minHarmfulAttempts || ev.isHarmless() {
+	v := Verdict{Fingerprint: fp, Crashes: len(own), Attempts: len(ev.attempts)}
+	if v.Crashes < minHarmfulCrashes || v.Attempts < minHarmfulAttempts || ev.isHarmless() {
 		return v, false
 	}
 	third, last := own[minHarmfulCrashes-1], own[len(own)-1]
 	if now.Sub(third.at) > settleTime && !t.hasMassLoss(own) {
 		return v, true // requests that moved along with it have finished
 	}
-	if v.Attempts < conclusiveAttempts && v.Ends < minCrashesFewAttempts {
+	if v.Attempts < conclusiveAttempts && v.Crashes < minCrashesFewAttempts {
 		return v, false
 	}
 	settled := last.at.Sub(third.at) > settleTime
-	if !settled && v.Attempts < conclusiveAttempts && minSeenPerMissed*t.countMissed(fp, own) > v.Ends {
+	if !settled && v.Attempts < conclusiveAttempts && minSeenPerMissed*t.countMissed(fp, own) > v.Crashes {
 		return v, false
 	}
 	margin := minMissedByOthers
-	if settled || v.Ends >= manyCrashes {
+	if settled || v.Crashes >= manyCrashes {
 		margin = 1
 	}
 	return v, t.allOthersMissed(fp, own, margin)
--- a/internal/quarantine/message.go
+++ b/internal/quarantine/message.go
@@ -4,14 +4,14 @@
 // changes nothing.
 type Message struct {
 	Node string `json:"n"` // the sender
-	// Ends is sent to the nodes that tally.
-	Ends []End `json:"e,omitempty"`
+	// Crashes is sent to the nodes that tally.
+	Crashes []CrashReport `json:"e,omitempty"`
 	// Sound is sent to them as well: the sender's successful runs of a request that was found
 	// harmful.
-	Sound *SoundRuns `json:"s,omitempty"`
-	// Ask is sent to all nodes: requests that are about to be found harmful. Nodes that have
+	Successes *SuccessfulRuns `json:"s,omitempty"`
+	// Queries is sent to all nodes: requests that are about to be found harmful. Nodes that have
 	// seen successful runs of them report these.
-	Ask []Fingerprint `json:"a,omitempty"`
+	Queries []Fingerprint `json:"a,omitempty"`
 	// Found, Lifted and Released are sent to all nodes as well. Released requests are no longer
 	// suspects; their crashes stay in the tallies.
 	Found    []Verdict     `json:"v,omitempty"`
@@ -19,8 +19,8 @@
 	Released []Fingerprint `json:"f,omitempty"`
 }
 
-// SoundRuns is the number of recent successful runs of a request at a node.
-type SoundRuns struct {
+// SuccessfulRuns is the number of recent successful runs of a request at a node.
+type SuccessfulRuns struct {
 	Fingerprint Fingerprint `json:"f"`
 	Runs        int         `json:"k"`
 }
@@ -30,7 +30,7 @@
 const itemsPerMessage = 24
 
 // packCrashes distributes crashes over messages of at most itemsPerMessage items.
-func packCrashes(node string, crashes []End) []Message {
+func packCrashes(node string, crashes []CrashReport) []Message {
 	var out []Message
 	remaining := 0
 	for _, e := range crashes {
@@ -41,7 +41,7 @@
 			}
 			n := min(remaining-1, len(e.Runs))
 			last := &out[len(out)-1]
-			last.Ends = append(last.Ends, End{e.Endpoint, e.Runs[:n], e.at})
+			last.Crashes = append(last.Crashes, CrashReport{e.Endpoint, e.Runs[:n], e.at})
 			e.Runs, remaining = e.Runs[n:], remaining-1-n
 		}
 	}
--- a/internal/quarantine/refusal.go
+++ b/internal/quarantine/refusal.go
@@ -8,7 +8,7 @@
 	if v.Suspect {
 		return outcome.New(outcome.Suspect, outcome.NotRun,
 			"endpoints ended while they ran this request, and another run of it is under way",
-			"send it again").After(suspectRetryAfter)
+			"send it again").WithRetryAfter(suspectRetryAfter)
 	}
 	return outcome.New(outcome.Quarantined, outcome.NotRun, "endpoints end when they run this request",
 		"send another request; this one is tried again in some minutes")
--- a/internal/quarantine/rows.go
+++ b/internal/quarantine/rows.go
@@ -50,16 +50,16 @@
 	return err == nil && res.Committed
 }
 
-// Keep writes a request's row, unless the stored one is at least as strong. It deletes the row
+// Persist writes a request's row, unless the stored one is at least as strong. It deletes the row
 // again if isKnown is false afterwards: the ban was lifted while the row was written.
-func (r *Rows) Keep(ctx context.Context, v Verdict, previous platform.Row, isKnown func(Fingerprint) bool) {
-	if r.Less(previous, v) && r.Write(ctx, v, previous) && !isKnown(v.Fingerprint) {
-		r.Drop(ctx, v.Fingerprint)
+func (r *Rows) Persist(ctx context.Context, v Verdict, previous platform.Row, isKnown func(Fingerprint) bool) {
+	if r.IsWeaker(previous, v) && r.Write(ctx, v, previous) && !isKnown(v.Fingerprint) {
+		r.Delete(ctx, v.Fingerprint)
 	}
 }
 
-// Less reports whether a row is absent, or marks as a suspect a request that v finds harmful.
-func (r *Rows) Less(row platform.Row, v Verdict) bool {
+// IsWeaker reports whether a row is absent, or marks as a suspect a request that v finds harmful.
+func (r *Rows) IsWeaker(row platform.Row, v Verdict) bool {
 	stored, err := r.parseVerdict(row)
 	return row.Version == 0 || err == nil && stored.Suspect && !v.Suspect
 }
@@ -68,9 +68,9 @@
 // the same time.
 const trialRounds = 2
 
-// Try acquires the single trial run of a request for this node, and reports whether it did. An
+// AcquireTrial acquires the single trial run of a request for this node, and reports whether it did. An
 // error means that the row could not be read.
-func (r *Rows) Try(ctx context.Context, v Verdict) (bool, error) {
+func (r *Rows) AcquireTrial(ctx context.Context, v Verdict) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, rowTimeout)
 	defer cancel()
 	for range trialRounds {
@@ -95,11 +95,11 @@
 		return v.Suspect
 	}
 	stored, err := r.parseVerdict(row)
-	return err == nil && stored.Suspect == v.Suspect && stored.Tries < v.Tries
+	return err == nil && stored.Suspect == v.Suspect && stored.Trials < v.Trials
 }
 
 // Drop deletes a request's row.
-func (r *Rows) Drop(ctx context.Context, fp Fingerprint) {
+func (r *Rows) Delete(ctx context.Context, fp Fingerprint) {
 	ctx, cancel := context.WithTimeout(ctx, rowTimeout)
 	defer cancel()
 	_, err := r.Commit(ctx, platform.Txn{
@@ -111,9 +111,9 @@
 	}
 }
 
-// Read returns the verdicts in rows. Rows without the prefix are skipped, unreadable ones are
+// ParseVerdicts returns the verdicts in rows. Rows without the prefix are skipped, unreadable ones are
 // logged and skipped.
-func (r *Rows) Read(rows []platform.Row) []Verdict {
+func (r *Rows) ParseVerdicts(rows []platform.Row) []Verdict {
 	var out []Verdict
 	for _, row := range rows {
 		if !strings.HasPrefix(row.Key, r.Prefix) {
--- a/internal/quarantine/runs.go
+++ b/internal/quarantine/runs.go
@@ -28,10 +28,10 @@
 	return true
 }
 
-// Begin records the start of a run and returns the function that records its end. recall is
+// BeginRun records the start of a run and returns the function that records its end. recall is
 // called if the request becomes a suspect and another run continues; nil: the run must not be
 // cancelled, since the request may not run again.
-func (g *Guard) Begin(fp Fingerprint, recall func()) (end func()) {
+func (g *Guard) BeginRun(fp Fingerprint, recall func()) (end func()) {
 	r := &run{recall: recall}
 	g.mu.Lock()
 	g.runs[fp] = append(g.runs[fp], r)
--- a/internal/quarantine/suspects.go
+++ b/internal/quarantine/suspects.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		own := t.unexplainedCrashes(fp, found)
-		v := Verdict{Fingerprint: fp, Ends: len(own), Attempts: len(ev.attempts), Suspect: true}
+		v := Verdict{Fingerprint: fp, Crashes: len(own), Attempts: len(ev.attempts), Suspect: true}
 		if isSuspicious(v) && own[len(own)-1].at.After(ev.releasedAt) {
 			out = append(out, v)
 		}
@@ -56,7 +56,7 @@
 }
 
 func isSuspicious(v Verdict) bool {
-	return v.Ends >= minSuspectCrashesOneAttempt || v.Ends >= minSuspectCrashes && v.Attempts >= minSuspectAttempts
+	return v.Crashes >= minSuspectCrashesOneAttempt || v.Crashes >= minSuspectCrashes && v.Attempts >= minSuspectAttempts
 }
 
 // Release removes the request from the suspects until it sees another crash.
@@ -92,9 +92,9 @@
 	if !g.clearSuspect(fp, reason) {
 		return false
 	}
-	g.Announce(Message{Node: g.Node, Released: []Fingerprint{fp}})
-	if g.Drop != nil {
-		g.Drop(fp)
+	g.Broadcast(Message{Node: g.Node, Released: []Fingerprint{fp}})
+	if g.DeletePersisted != nil {
+		g.DeletePersisted(fp)
 	}
 	return true
 }
--- a/internal/quarantine/suspects_test.go
+++ b/internal/quarantine/suspects_test.go
@@ -55,12 +55,12 @@
 			waited = time.Since(begun)
 		}()
 		time.Sleep(suspectRunWait / 2)
-		tc.nodes[1].Sound("good")
+		tc.nodes[1].RunSucceeded("good")
 		synctest.Wait()
 		is.Equal(waited, suspectRunWait/2)
 		is.Equal(tc.countRefusing("good"), 0)
 		is.Equal(len(tc.persisted), 0)
-		is.Equal(tc.nodes[0].tally.Saw("good"), minSuspectCrashes) // the crashes stay in the tally
+		is.Equal(tc.nodes[0].tally.CrashCount("good"), minSuspectCrashes) // the crashes stay in the tally
 	})
 }
 
@@ -70,14 +70,14 @@
 		tc := newTestCluster(1)
 		tc.makeSuspect("good")
 		kept := []Verdict{tc.persisted["good"]}
-		tc.nodes[0].Sound("good")
-		tc.nodes[0].TakeKept(kept)
+		tc.nodes[0].RunSucceeded("good")
+		tc.nodes[0].ApplyPersisted(kept)
 		is.Equal(len(tc.nodes[0].Banned()), 0)
 	})
 }
 
 func acquiresTrial(r *Rows, v Verdict) bool {
-	ok, err := r.Try(context.Background(), v)
+	ok, err := r.AcquireTrial(context.Background(), v)
 	return ok && err == nil
 }
 
@@ -96,26 +96,26 @@
 		},
 		Log: slog.New(slog.DiscardHandler),
 	}
-	v := Verdict{Fingerprint: "bad", Ends: 2, Suspect: true, Tries: 1}
+	v := Verdict{Fingerprint: "bad", Crashes: 2, Suspect: true, Trials: 1}
 	is.True(acquiresTrial(r, v))
 	is.True(!acquiresTrial(r, v)) // another node has it
-	v.Tries++
+	v.Trials++
 	is.True(acquiresTrial(r, v))
-	found := Verdict{Fingerprint: "bad", Ends: 3}
-	is.True(r.Less(stored, found))
+	found := Verdict{Fingerprint: "bad", Crashes: 3}
+	is.True(r.IsWeaker(stored, found))
 	is.True(r.Write(t.Context(), found, stored))
-	is.True(!r.Less(stored, v))
-	v.Tries++
+	is.True(!r.IsWeaker(stored, v))
+	v.Trials++
 	is.True(!acquiresTrial(r, v)) // it is no longer a suspect
 }
 
 // Guards against a suspicion that a standalone node, which has no table, could never end.
 func TestStandaloneNodeHasNoSuspects(t *testing.T) {
 	runInBubble(t, func(is *is.I) {
-		g := Alone(clock.NewManual(clock.Instant(time.Hour)), slog.New(slog.DiscardHandler))
+		g := NewStandalone(clock.NewManual(clock.Instant(time.Hour)), slog.New(slog.DiscardHandler))
 		g.Dial = fakeDial
 		for i := range uint32(minSuspectCrashes) {
-			g.Broke(string(rune('a'+i)), "gone", "bad", i)
+			g.AttemptFailed(string(rune('a'+i)), "gone", "bad", i)
 			synctest.Wait()
 			g.Clock.(*clock.Manual).Advance(time.Second)
 		}
@@ -131,11 +131,11 @@
 		tc := newTestCluster(3)
 		var recalled atomic.Int32
 		for i := range 6 {
-			tc.nodes[i%3].Begin("bad", func() { recalled.Add(1) })
+			tc.nodes[i%3].BeginRun("bad", func() { recalled.Add(1) })
 		}
 		var once atomic.Bool
-		tc.nodes[0].Begin("bad", nil) // must not be cancelled
-		end := tc.nodes[1].Begin("bad", func() { once.Store(true) })
+		tc.nodes[0].BeginRun("bad", nil) // must not be cancelled
+		end := tc.nodes[1].BeginRun("bad", func() { once.Store(true) })
 		end()
 		tc.makeSuspect("bad")
 		synctest.Wait()
@@ -151,9 +151,9 @@
 		tc := newTestCluster(3)
 		var recalled atomic.Int32
 		for i, g := range tc.nodes {
-			g.Try = func(context.Context, Verdict) (bool, error) { return false, errors.New("away") }
+			g.AcquireTrial = func(context.Context, Verdict) (bool, error) { return false, errors.New("away") }
 			for range i + 1 {
-				g.Begin("bad", func() { recalled.Add(1) })
+				g.BeginRun("bad", func() { recalled.Add(1) })
 			}
 		}
 		tc.makeSuspect("bad")
@@ -168,9 +168,9 @@
 	runInBubble(t, func(is *is.I) {
 		tc := newTestCluster(1)
 		g := tc.nodes[0]
-		g.ban(Verdict{Fingerprint: "bad", Ends: 3}, "x")
+		g.ban(Verdict{Fingerprint: "bad", Crashes: 3}, "x")
 		for i := range 2 * maxBans {
-			g.ban(Verdict{Fingerprint: Fingerprint(strconv.Itoa(i)), Ends: 2, Suspect: true}, "x")
+			g.ban(Verdict{Fingerprint: Fingerprint(strconv.Itoa(i)), Crashes: 2, Suspect: true}, "x")
 		}
 		is.True(g.isFoundHarmful("bad"))
 		is.Equal(g.countSuspects(), maxSuspects)
@@ -192,13 +192,13 @@
 			time.AfterFunc(minConnectionLife/2, func() { ended = true; far.Close() })
 			return near, nil
 		}
-		tc.nodes[0].Recalled("e", "ends", "bad", 1)
+		tc.nodes[0].AttemptRecalled("e", "ends", "bad", 1)
 		begun := time.Now()
 		tc.nodes[0].Refused(context.Background(), "bad")
 		is.Equal(time.Since(begun), time.Duration(0)) // the retry waits for no check
 		time.Sleep(minConnectionLife)
 		synctest.Wait()
-		is.Equal(tc.nodes[1].tally.Saw("bad"), 1)
+		is.Equal(tc.nodes[1].tally.CrashCount("bad"), 1)
 	})
 }
 
@@ -213,9 +213,9 @@
 		},
 		Log: slog.New(slog.DiscardHandler),
 	}
-	r.Keep(t.Context(), Verdict{Fingerprint: "hot", Ends: 4}, platform.Row{}, func(Fingerprint) bool { return true })
+	r.Persist(t.Context(), Verdict{Fingerprint: "hot", Crashes: 4}, platform.Row{}, func(Fingerprint) bool { return true })
 	is.Equal(len(writes), 1)
-	r.Keep(t.Context(), Verdict{Fingerprint: "hot", Ends: 4}, platform.Row{}, func(Fingerprint) bool { return false })
+	r.Persist(t.Context(), Verdict{Fingerprint: "hot", Crashes: 4}, platform.Row{}, func(Fingerprint) bool { return false })
 	is.Equal(len(writes), 3)
 	is.True(writes[2].Delete)
 }
--- a/internal/quarantine/tally.go
+++ b/internal/quarantine/tally.go
@@ -20,11 +20,11 @@
 type Run struct {
 	Fingerprint Fingerprint `json:"f"`
 	Attempt     uint32      `json:"a"`           // AttemptID; distinguishes client attempts with the same fingerprint
-	Sound       int         `json:"s,omitempty"` // recent successful runs of the request at the reporting node
+	Successes   int         `json:"s,omitempty"` // recent successful runs of the request at the reporting node
 }
 
-// End reports the crash of an endpoint and the requests that one node had there.
-type End struct {
+// CrashReport reports the crash of an endpoint and the requests that one node had there.
+type CrashReport struct {
 	Endpoint string `json:"e"` // identifies one process lifetime of the endpoint
 	Runs     []Run  `json:"r"`
 	// at is when this node saw the crash; 0 for a report of another node, which arrives within
@@ -56,8 +56,8 @@
 	releasedAt clock.Instant // when a run of the suspect last succeeded
 }
 
-// Note adds a node's report of a crash, and returns whether it is the first report of it.
-func (t *Tally) Note(node string, e End, now clock.Instant) (first bool) {
+// AddCrash adds a node's report of a crash, and returns whether it is the first report of it.
+func (t *Tally) AddCrash(node string, e CrashReport, now clock.Instant) (first bool) {
 	if t.crashes == nil {
 		t.crashes, t.byFingerprint = map[string]*crash{}, map[Fingerprint]*requestEvidence{}
 	}
@@ -95,7 +95,7 @@
 		known.runs[r.Fingerprint] = append(attempts, r.Attempt)
 		ev.attempts[r.Attempt] = true
 	}
-	ev.successes.record(node, r.Sound)
+	ev.successes.record(node, r.Successes)
 }
 
 // evictOld deletes crashes that are older than crashRetention, and the oldest ones above
@@ -125,15 +125,15 @@
 	}
 }
 
-// NoteSound records the number of recent successful runs of a request at a node.
-func (t *Tally) NoteSound(node string, fp Fingerprint, runs int) {
+// RecordSuccesses records the number of recent successful runs of a request at a node.
+func (t *Tally) RecordSuccesses(node string, fp Fingerprint, runs int) {
 	if ev := t.byFingerprint[fp]; ev != nil {
 		ev.successes.record(node, runs)
 	}
 }
 
-// Saw returns how many crashes the request has seen.
-func (t *Tally) Saw(fp Fingerprint) int {
+// CrashCount returns how many crashes the request has seen.
+func (t *Tally) CrashCount(fp Fingerprint) int {
 	if ev := t.byFingerprint[fp]; ev != nil {
 		return len(ev.crashes)
 	}
--- a/internal/quarantine/world_test.go
+++ b/internal/quarantine/world_test.go
@@ -260,12 +260,12 @@
 			w.thirdCrash[by] = w.now
 		}
 	}
-	reports := map[string]*End{}
+	reports := map[string]*CrashReport{}
 	var nodes []string
 	for _, f := range h.runs {
 		e := reports[f.node]
 		if e == nil {
-			e = &End{Endpoint: h.name}
+			e = &CrashReport{Endpoint: h.name}
 			reports[f.node] = e
 			nodes = append(nodes, f.node)
 		}
@@ -274,7 +274,7 @@
 	}
 	for _, node := range nodes {
 		if w.rng.Float64() >= w.lostReportShare {
-			w.tally.Note(node, *reports[node], clock.Instant(w.now+time.Hour))
+			w.tally.AddCrash(node, *reports[node], clock.Instant(w.now+time.Hour))
 		}
 	}
 	w.schedule(reportDelay, w.judgeTally)
@@ -329,9 +329,9 @@
 	for node := range w.nodes {
 		name := fmt.Sprint(node)
 		successes.record(name, w.successes[name+"/"+string(fp)])
-		w.tally.NoteSound(name, fp, successes[name])
+		w.tally.RecordSuccesses(name, fp, successes[name])
 	}
-	if successes.isHarmless(w.tally.Saw(fp)) {
+	if successes.isHarmless(w.tally.CrashCount(fp)) {
 		delete(w.bannedAt, fp)
 	}
 }
--- a/internal/relay/eventid.go
+++ b/internal/relay/eventid.go
@@ -89,16 +89,16 @@
 	return nonce + "-" + organisationTag(org, nonce) + "-" + string(node)
 }
 
-// Owns reports whether the stream id was created for the organisation. A forged tag does
+// OwnsStream reports whether the stream id was created for the organisation. A forged tag does
 // not help: no engine has a stream with that nonce and another tag.
-func Owns(org fleet.Organisation, stream string) bool {
+func OwnsStream(org fleet.Organisation, stream string) bool {
 	parts := strings.SplitN(stream, "-", 3)
 	return len(parts) == 3 && parts[1] == organisationTag(org, parts[0])
 }
 
-// NodeOf returns the node that requested the stream from the engine, or "" for a malformed
+// RequestingNode returns the node that requested the stream from the engine, or "" for a malformed
 // stream id.
-func NodeOf(stream string) fleet.VM {
+func RequestingNode(stream string) fleet.VM {
 	parts := strings.SplitN(stream, "-", 3)
 	if len(parts) < 3 {
 		return ""
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -105,8 +105,8 @@
 			s := NewStream(StreamRef{VM: "e", Group: "g", Generation: 1, Stream: "s"}, 0)
 			_, err := readOffsets(s, tc.in)
 			is.True(errors.Is(err, tc.err))
-			is.Equal(s.Whole(), tc.err == io.EOF)
-			is.Equal(Resumable(err), tc.resume)
+			is.Equal(s.IsComplete(), tc.err == io.EOF)
+			is.Equal(IsResumable(err), tc.resume)
 		})
 	}
 }
@@ -123,9 +123,9 @@
 		events = append(events, lastEvent("s", n, n), doneEvent)
 		s := NewStream(StreamRef{VM: "e", Group: "g", Stream: "s"}, 0)
 		var got []uint64
-		for !s.Whole() {
+		for !s.IsComplete() {
 			back := rapid.IntRange(0, 3).Draw(t, "repeated")
-			from := max(int(s.From())-back, 0)
+			from := max(int(s.ResumeOffset())-back, 0)
 			rest := strings.Join(events[from:], "")
 			cut := rapid.IntRange(0, len(rest)).Draw(t, "cut")
 			offsets, err := readOffsets(s, rest[:cut])
@@ -173,11 +173,11 @@
 func TestStreamIDIsOwnedByItsOrganisation(t *testing.T) {
 	is := is.New(t)
 	id := NewStreamID("sagarmatha", "entry-1")
-	is.Equal(NodeOf(id), fleet.VM("entry-1"))
-	is.Equal(NodeOf("x"), fleet.VM(""))
-	is.True(Owns("sagarmatha", id))
-	is.True(!Owns("lapwise", id))
-	is.True(!Owns("sagarmatha", "x"))
+	is.Equal(RequestingNode(id), fleet.VM("entry-1"))
+	is.Equal(RequestingNode("x"), fleet.VM(""))
+	is.True(OwnsStream("sagarmatha", id))
+	is.True(!OwnsStream("lapwise", id))
+	is.True(!OwnsStream("sagarmatha", "x"))
 	is.True(id != NewStreamID("sagarmatha", "entry-1"))
 }
 
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -44,19 +44,19 @@
 // Ref returns where the stream runs.
 func (s *Stream) Ref() StreamRef { return s.ref }
 
-// Next returns the offset of the next event.
-func (s *Stream) Next() uint64 { return s.nextOffset }
+// NextOffset returns the offset of the next event.
+func (s *Stream) NextOffset() uint64 { return s.nextOffset }
 
-// From returns the offset to resume at: that of the last event that was read. The event is
+// ResumeOffset returns the offset to resume at: that of the last event that was read. The event is
 // requested again because it may be the last one of the stream, which only its content
 // shows; an engine has no event after the last one.
-func (s *Stream) From() uint64 { return max(s.nextOffset, 1) - 1 }
+func (s *Stream) ResumeOffset() uint64 { return max(s.nextOffset, 1) - 1 }
 
-// Whole reports whether the stream was read to its end mark.
-func (s *Stream) Whole() bool { return s.complete }
+// IsComplete reports whether the stream was read to its end mark.
+func (s *Stream) IsComplete() bool { return s.complete }
 
-// Resumable reports whether a stream that failed with err can be resumed.
-func Resumable(err error) bool {
+// IsResumable reports whether a stream that failed with err can be resumed.
+func IsResumable(err error) bool {
 	for _, final := range []error{errCount, errMalformed, errForeign, errEngine, ErrTooLong} {
 		if errors.Is(err, final) {
 			return false
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -57,5 +57,5 @@
 	ResumeID     string      // Last-Event-ID of a truncated stream; empty: a new request
 	Stage        Stage
 	Hops         int      // number of nodes passed before this one
-	From         fleet.VM // node that forwarded the request; empty: received from a caller
+	ForwardedBy  fleet.VM // node that forwarded the request; empty: received from a caller
 }
--- a/internal/retry/backoff.go
+++ b/internal/retry/backoff.go
@@ -7,7 +7,7 @@
 // together.
 type Backoff struct {
 	Base time.Duration // minimum wait; default 5ms
-	Most time.Duration // maximum wait; default 500ms
+	Max  time.Duration // maximum wait; default 500ms
 }
 
 const (
@@ -18,7 +18,7 @@
 
 func (b Backoff) withDefaults() Backoff {
 	setDefault(&b.Base, defaultBase)
-	setDefault(&b.Most, defaultMost)
+	setDefault(&b.Max, defaultMost)
 	return b
 }
 
@@ -26,6 +26,6 @@
 // in [0, 1).
 func (b Backoff) Next(last time.Duration, draw float64) time.Duration {
 	b = b.withDefaults()
-	upper := min(jitterFactor*max(last, b.Base), b.Most)
-	return min(b.Base+time.Duration(draw*float64(upper-b.Base)), b.Most)
+	upper := min(jitterFactor*max(last, b.Base), b.Max)
+	return min(b.Base+time.Duration(draw*float64(upper-b.Base)), b.Max)
 }
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -19,12 +19,12 @@
 
 // BudgetOptions configures a Budget. Zero values are replaced by the defaults.
 type BudgetOptions struct {
-	Ratio   float64 // retries per first try; default 0.1
-	Floor   float64 // retries per second allowed at any traffic; default 1
-	Burst   float64 // maximum unused retries that accumulate; default 10
-	Backoff Backoff // for the wait before an allowed retry
-	Seed    uint64
-	Clock   clock.Clock // default: a monotonic clock
+	Ratio        float64 // retries per first try; default 0.1
+	MinPerSecond float64 // retries per second allowed at any traffic; default 1
+	Burst        float64 // maximum unused retries that accumulate; default 10
+	Backoff      Backoff // for the wait before an allowed retry
+	Seed         uint64
+	Clock        clock.Clock // default: a monotonic clock
 
 	Registerer prometheus.Registerer // nil: none
 }
@@ -74,14 +74,14 @@
 // NewBudget returns a Budget with a full burst.
 func NewBudget(o BudgetOptions) *Budget {
 	setDefault(&o.Ratio, defaultRatio)
-	setDefault(&o.Floor, defaultFloor)
+	setDefault(&o.MinPerSecond, defaultFloor)
 	setDefault(&o.Burst, defaultBurst)
 	if o.Clock == nil {
 		o.Clock = newSteadyClock()
 	}
 	b := &Budget{
-		clock: o.Clock, backoff: o.Backoff.withDefaults(), floor: o.Floor,
-		retryCost: earnTime(1, o.Floor), burst: earnTime(o.Burst, o.Floor),
+		clock: o.Clock, backoff: o.Backoff.withDefaults(), floor: o.MinPerSecond,
+		retryCost: earnTime(1, o.MinPerSecond), burst: earnTime(o.Burst, o.MinPerSecond),
 	}
 	b.SetRatio(o.Ratio)
 	b.randomState.Store(o.Seed)
@@ -108,7 +108,7 @@
 func (b *Budget) SetRatio(ratio float64) { b.firstCredit.Store(int64(earnTime(ratio, b.floor))) }
 
 // First counts the first try of a request.
-func (b *Budget) First(c request.Class) {
+func (b *Budget) CountFirst(c request.Class) {
 	at := &b.accounts[classIndex(c)].spentUntil
 	// spendRetry limits the credit to the burst; this only prevents an overflow if no
 	// retry is ever requested.
--- a/internal/retry/domain_test.go
+++ b/internal/retry/domain_test.go
@@ -115,7 +115,7 @@
 	for _, t := range c.counts {
 		t.requests++
 	}
-	d.retryBudget.First(request.ClassModel)
+	d.retryBudget.CountFirst(request.ClassModel)
 	d.try(c)
 }
 
@@ -157,7 +157,7 @@
 	for {
 		i := d.rng.IntN(endpoints)
 		known := i < failedEndpoints && d.now >= faultFrom+routerLag && d.now < faultTo+routerLag
-		if !known && (!d.ejection || d.ejector.Usable(d.ids[i])) {
+		if !known && (!d.ejection || d.ejector.AllowRequest(d.ids[i])) {
 			return i
 		}
 	}
--- a/internal/retry/ejector.go
+++ b/internal/retry/ejector.go
@@ -52,14 +52,14 @@
 	e.step("", Candidates{IDs: ids}, true)
 }
 
-// Usable reports whether a request may be sent to the candidate now. After an ejection it
+// AllowRequest reports whether a request may be sent to the candidate now. After an ejection it
 // grants a single trial request, so it must be called only for the candidate that the
 // request is sent to, and the result must be reported.
-func (e *Ejector) Usable(id ID) bool {
+func (e *Ejector) AllowRequest(id ID) bool {
 	if !e.Ejected(id) {
 		return true
 	}
-	return e.step(id, Wanted{ID: id}, false).Verdict != Refuse
+	return e.step(id, SendRequested{ID: id}, false).Verdict != Refuse
 }
 
 // Ejected reports whether the candidate is ejected or in its trial. It changes no state.
@@ -88,7 +88,7 @@
 		e.ejections.WithLabelValues(d.Reason).Inc()
 		e.log.Warn("ejected", "id", id, "reason", d.Reason, "ejected_seconds", d.Until.Sub(now).Seconds())
 		publish = true
-	case Return:
+	case Restore:
 		e.log.Info("ejection ended", "id", id)
 		publish = true
 	}
--- a/internal/retry/outliers.go
+++ b/internal/retry/outliers.go
@@ -10,13 +10,13 @@
 
 // OutlierOptions configures the ejection. Zero values are replaced by the defaults.
 type OutlierOptions struct {
-	Consecutive int           // consecutive failures that cause an ejection; default 5
-	MinRequests int           // minimum results in the window for comparing rates; default 20
-	Margin      float64       // failure rate above the peers' median that causes an ejection; default 0.25
-	MaxShare    float64       // maximum share of candidates ejected at once; default 0.3
-	First       time.Duration // duration of a candidate's first ejection; default 2s
-	Longest     time.Duration // maximum duration of an ejection; default 60s
-	Trial       time.Duration // timeout of a trial's result; default 5s
+	Consecutive  int           // consecutive failures that cause an ejection; default 5
+	MinRequests  int           // minimum results in the window for comparing rates; default 20
+	Margin       float64       // failure rate above the peers' median that causes an ejection; default 0.25
+	MaxShare     float64       // maximum share of candidates ejected at once; default 0.3
+	BaseEjection time.Duration // duration of a candidate's first ejection; default 2s
+	MaxEjection  time.Duration // maximum duration of an ejection; default 60s
+	TrialTimeout time.Duration // timeout of a trial's result; default 5s
 }
 
 func (o OutlierOptions) withDefaults() OutlierOptions {
@@ -24,9 +24,9 @@
 	setDefault(&o.MinRequests, 20)
 	setDefault(&o.Margin, 0.25)
 	setDefault(&o.MaxShare, 0.3)
-	setDefault(&o.First, 2*time.Second)
-	setDefault(&o.Longest, time.Minute)
-	setDefault(&o.Trial, 5*time.Second)
+	setDefault(&o.BaseEjection, 2*time.Second)
+	setDefault(&o.MaxEjection, time.Minute)
+	setDefault(&o.TrialTimeout, 5*time.Second)
 	return o
 }
 
@@ -45,25 +45,25 @@
 	Succeeded struct{ ID ID }
 	// Failed reports a failure caused by the candidate.
 	Failed struct{ ID ID }
-	// Wanted asks whether a request may be sent.
-	Wanted struct{ ID ID }
+	// SendRequested asks whether a request may be sent.
+	SendRequested struct{ ID ID }
 )
 
-func (Candidates) event() {}
-func (Succeeded) event()  {}
-func (Failed) event()     {}
-func (Wanted) event()     {}
+func (Candidates) event()    {}
+func (Succeeded) event()     {}
+func (Failed) event()        {}
+func (SendRequested) event() {}
 
 // Verdict is the result of an event.
 type Verdict uint8
 
 // Verdicts.
 const (
-	Keep   Verdict = iota // nothing changed; a wanted request may be sent
-	Eject                 // ejected until Decision.Until
-	Refuse                // a wanted request must not be sent: the candidate is ejected
-	Trial                 // the wanted request may be sent as the single trial
-	Return                // the trial succeeded and the ejection ended
+	NoChange Verdict = iota // nothing changed; a wanted request may be sent
+	Eject                   // ejected until Decision.Until
+	Refuse                  // a wanted request must not be sent: the candidate is ejected
+	Trial                   // the wanted request may be sent as the single trial
+	Restore                 // the trial succeeded and the ejection ended
 )
 
 // Decision is a verdict with its reason.
@@ -116,7 +116,7 @@
 		return s.succeeded(now, s.members[ev.ID])
 	case Failed:
 		return s.failed(now, s.members[ev.ID])
-	case Wanted:
+	case SendRequested:
 		return s.wanted(now, s.members[ev.ID])
 	}
 	return Decision{}
@@ -173,13 +173,13 @@
 	// Results from before the ejection belong to a failure that is over.
 	*m = candidateState{ejections: m.ejections, restoredAt: now}
 	s.ejected--
-	return Decision{Verdict: Return, Reason: "the trial succeeded"}
+	return Decision{Verdict: Restore, Reason: "the trial succeeded"}
 }
 
 // reducePenalty shortens the next ejection of a candidate that has not been ejected for
 // longer than the maximum ejection.
 func (s *Outliers) reducePenalty(now clock.Instant, m *candidateState) {
-	if m.ejections > 0 && !m.ejected && now.Sub(m.restoredAt) > s.opt.Longest {
+	if m.ejections > 0 && !m.ejected && now.Sub(m.restoredAt) > s.opt.MaxEjection {
 		m.ejections--
 		m.restoredAt = now
 	}
@@ -211,7 +211,7 @@
 		}
 		s.ejected++
 	}
-	duration := min(s.opt.First<<min(m.ejections, 10), s.opt.Longest)
+	duration := min(s.opt.BaseEjection<<min(m.ejections, 10), s.opt.MaxEjection)
 	m.ejections++
 	m.ejected, m.trialStarted, m.ejectedUntil = true, 0, now.Add(duration)
 	return Decision{Verdict: Eject, Until: m.ejectedUntil, Reason: reason}
@@ -251,7 +251,7 @@
 		return Decision{}
 	case now.Before(m.ejectedUntil):
 		return Decision{Verdict: Refuse, Reason: reasonEjected}
-	case m.trialStarted != 0 && now.Sub(m.trialStarted) < s.opt.Trial:
+	case m.trialStarted != 0 && now.Sub(m.trialStarted) < s.opt.TrialTimeout:
 		return Decision{Verdict: Refuse, Reason: "a trial is under way"}
 	}
 	// Also reached if the result of the previous trial never arrived.
