--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -33,8 +33,8 @@
 				c.Advance(time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms")) * time.Millisecond)
 			case 1:
 				firsts++
-				b.First(request.ClassModel)
-				b.First(request.ClassLookup) // tries of another class earn nothing here
+				b.CountFirst(request.ClassModel)
+				b.CountFirst(request.ClassLookup) // tries of another class earn nothing here
 			default:
 				ok, wait := b.Allow(request.ClassModel)
 				if ok {
@@ -60,7 +60,7 @@
 		b, last := Backoff{}.withDefaults(), time.Duration(0)
 		for range 20 {
 			next := b.Next(last, rapid.Float64Range(0, 0.999).Draw(t, "draw"))
-			if next < b.Base || next > min(b.Most, jitterFactor*max(last, b.Base)) {
+			if next < b.Base || next > min(b.Max, jitterFactor*max(last, b.Base)) {
 				t.Fatalf("%v follows %v", next, last)
 			}
 			last = next
@@ -93,7 +93,7 @@
 			case 1:
 				s.Step(now, Succeeded{ID: id})
 			case 2:
-				s.Step(now, Wanted{ID: id})
+				s.Step(now, SendRequested{ID: id})
 			case 3:
 				s.Step(now, Candidates{IDs: all[:rapid.IntRange(1, 12).Draw(t, "candidates")]})
 			default:
@@ -103,9 +103,9 @@
 				t.Fatalf("%d of %d ejected", s.ejected, n)
 			}
 		}
-		now = now.Add(s.opt.Longest)
+		now = now.Add(s.opt.MaxEjection)
 		for id := range s.members {
-			if s.Step(now, Wanted{ID: id}).Verdict == Refuse {
+			if s.Step(now, SendRequested{ID: id}).Verdict == Refuse {
 				t.Fatalf("%s is refused after the longest ejection", id)
 			}
 		}
@@ -121,22 +121,22 @@
 	e := NewEjector(OutlierOptions{}, c, slog.New(slog.NewTextHandler(io.Discard, nil)), nil)
 	e.SetCandidates(ids(10))
 	for range 5 {
-		is.True(e.Usable("e3"))
+		is.True(e.AllowRequest("e3"))
 		e.Report("e3", true)
 	}
 	is.True(e.Ejected("e3"))
-	is.True(!e.Usable("e3"))
+	is.True(!e.AllowRequest("e3"))
 	c.Advance(2 * time.Second)
-	is.True(e.Usable("e3"))  // the trial
-	is.True(!e.Usable("e3")) // only one
+	is.True(e.AllowRequest("e3"))  // the trial
+	is.True(!e.AllowRequest("e3")) // only one
 	e.Report("e3", true)
 	c.Advance(2 * time.Second)
-	is.True(!e.Usable("e3")) // twice as long
+	is.True(!e.AllowRequest("e3")) // twice as long
 	c.Advance(2 * time.Second)
-	is.True(e.Usable("e3"))
+	is.True(e.AllowRequest("e3"))
 	e.Report("e3", false)
 	is.True(!e.Ejected("e3"))
-	is.True(e.Usable("e3"))
+	is.True(e.AllowRequest("e3"))
 }
 
 func TestRateIsComparedWithPeers(t *testing.T) {
@@ -166,7 +166,7 @@
 func BenchmarkAllow(b *testing.B) {
 	for name, c := range map[string]clock.Clock{"boot": clock.Boot{}, "steady": nil} {
 		b.Run(name, func(b *testing.B) {
-			budget := NewBudget(BudgetOptions{Clock: c, Burst: 1e9, Floor: 1e6})
+			budget := NewBudget(BudgetOptions{Clock: c, Burst: 1e9, MinPerSecond: 1e6})
 			b.ReportAllocs()
 			for b.Loop() {
 				budget.Allow(request.ClassModel)
@@ -179,7 +179,7 @@
 	budget := NewBudget(BudgetOptions{})
 	b.ReportAllocs()
 	for b.Loop() {
-		budget.First(request.ClassModel)
+		budget.CountFirst(request.ClassModel)
 	}
 }
 
@@ -189,7 +189,7 @@
 	b.Run("usable", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			e.Usable("e7")
+			e.AllowRequest("e7")
 		}
 	})
 	b.Run("report", func(b *testing.B) {
--- a/internal/retry/windowed.go
+++ b/internal/retry/windowed.go
@@ -7,12 +7,12 @@
 	"chervilloom/internal/clock"
 )
 
-// Windowed limits repeats over any time window to a ratio of the first tries in the
+// WindowedBudget limits repeats over any time window to a ratio of the first tries in the
 // window plus a fixed slack. All of them may be used at once: if an endpoint with thirty
 // streams fails, all streams are repeated within a few milliseconds. A token bucket with
 // the same mean rate had six repeats and left the other streams to their clients. It is
 // safe for concurrent use.
-type Windowed struct {
+type WindowedBudget struct {
 	Clock  clock.Clock
 	Window time.Duration
 	Ratio  float64
@@ -51,14 +51,14 @@
 	return n
 }
 
-func (w *Windowed) advance() {
+func (w *WindowedBudget) advance() {
 	now := int64(w.Clock.Now()) / int64(w.Window/windowedSlots)
 	w.firsts.advance(now)
 	w.repeats.advance(now)
 }
 
 // First counts the first try of a request.
-func (w *Windowed) First() {
+func (w *WindowedBudget) CountFirst() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
@@ -66,7 +66,7 @@
 }
 
 // Allow consumes one repeat from the budget and reports whether one was available.
-func (w *Windowed) Allow() bool {
+func (w *WindowedBudget) Allow() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
--- a/internal/retry/windowed_test.go
+++ b/internal/retry/windowed_test.go
@@ -20,10 +20,10 @@
 func TestAllStreamsOfALostEngineRepeatAtOnce(t *testing.T) {
 	is := is.New(t)
 	c := &manualClock{now: clock.Instant(time.Hour)}
-	w := &Windowed{Clock: c, Window: 10 * time.Second, Ratio: 0.16, Slack: func() float64 { return 13 }}
+	w := &WindowedBudget{Clock: c, Window: 10 * time.Second, Ratio: 0.16, Slack: func() float64 { return 13 }}
 	for range 250 {
 		c.now = c.now.Add(40 * time.Millisecond)
-		w.First()
+		w.CountFirst()
 	}
 	for range 30 {
 		is.True(w.Allow())
@@ -40,12 +40,12 @@
 			slack  = 5.0
 		)
 		c := &manualClock{now: clock.Instant(time.Hour)}
-		w := &Windowed{Clock: c, Window: window, Ratio: ratio, Slack: func() float64 { return slack }}
+		w := &WindowedBudget{Clock: c, Window: window, Ratio: ratio, Slack: func() float64 { return slack }}
 		var first, repeat []clock.Instant
 		for range rapid.IntRange(1, 400).Draw(r, "events") {
 			c.now = c.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(r, "pause")) * time.Millisecond)
 			if rapid.IntRange(0, 2).Draw(r, "kind") == 0 {
-				w.First()
+				w.CountFirst()
 				first = append(first, c.now)
 				continue
 			}
--- a/internal/revision/accept.go
+++ b/internal/revision/accept.go
@@ -53,7 +53,7 @@
 		k.applyConflict(err)
 		return nil, err
 	}
-	k.applyEvent(Got{k.parseRecord(rec)})
+	k.applyEvent(RevisionReceived{k.parseRecord(rec)})
 	return rec, nil
 }
 
@@ -64,24 +64,24 @@
 // the revision counts as lost and the next number is above it; otherwise no
 // revision could be accepted here any more.
 func (k *Keeper) checkUnavailable(ctx context.Context, state *State, p *Proposal) error {
-	if state.Seen.Compare(state.Highest()) <= 0 {
+	if state.HighestSeen.Compare(state.Highest()) <= 0 {
 		return nil
 	}
 	head, err := k.store.Head(ctx)
 	if err != nil {
 		return platformDownError(err)
 	}
-	if head.Stamp.Compare(state.Seen) >= 0 {
+	if head.Stamp.Compare(state.HighestSeen) >= 0 {
 		return nil
 	}
 	if left := k.opts.LostAfter - time.Since(k.lastHeardTime()); left > 0 {
 		return &Refused{
-			Reason: fmt.Sprintf("revision %d was in force elsewhere, and neither a peer nor the table hands it out", state.Seen.Number),
+			Reason: fmt.Sprintf("revision %d was in force elsewhere, and neither a peer nor the table hands it out", state.HighestSeen.Number),
 			Remedy: fmt.Sprintf("nothing changed, try again; unless it turns up it counts as lost in %s", left.Round(time.Second)),
 		}
 	}
-	k.opts.Log.Error("announced revision is lost; the next revision gets a higher number", "lost", state.Seen.String())
-	p.Above = state.Seen.Number
+	k.opts.Log.Error("announced revision is lost; the next revision gets a higher number", "lost", state.HighestSeen.String())
+	p.ReservedNumber = state.HighestSeen.Number
 	return nil
 }
 
--- a/internal/revision/bench_test.go
+++ b/internal/revision/bench_test.go
@@ -70,7 +70,7 @@
 			for i := range n {
 				vm := fleet.VM(fmt.Sprintf("vm-%d", i))
 				k := revision.NewKeeper(revision.Options{
-					Table: tab, Peers: port{m, vm}, Nodes: func() []fleet.VM { return m.others(vm) }, JoinWait: -1,
+					Table: tab, Peers: port{m, vm}, Nodes: func() []fleet.VM { return m.others(vm) }, JoinTimeout: -1,
 				})
 				m.update(func() { m.keepers[vm] = k })
 				nodes = append(nodes, k)
--- a/internal/revision/decide.go
+++ b/internal/revision/decide.go
@@ -11,10 +11,10 @@
 // back into a table that lost them.
 const MemorySize = 16
 
-// Held is a revision in a node's memory. Document is nil if this node cannot
+// HeldRevision is a revision in a node's memory. Document is nil if this node cannot
 // use it, such as one written for a newer version of the program; it is still
 // passed on to other nodes.
-type Held struct {
+type HeldRevision struct {
 	*Record
 	Document *config.Document
 }
@@ -25,11 +25,11 @@
 	// Joined is set once a peer has answered or the wait for one has expired.
 	// Before that no revision is in force: the table may have been restored to
 	// an older state than that of the peers.
-	Joined    bool
-	PeerHeard bool   // a peer answered with a revision of its own
-	Memory    []Held // in ascending order of stamps, at most MemorySize
-	InForce   Held   // the highest usable revision; Record is nil if there is none
-	Seen      Stamp  // the highest stamp known, whether or not the revision is in memory
+	Joined      bool
+	PeerReplied bool           // a peer answered with a revision of its own
+	Memory      []HeldRevision // in ascending order of stamps, at most MemorySize
+	InForce     HeldRevision   // the highest usable revision; Record is nil if there is none
+	HighestSeen Stamp          // the highest stamp known, whether or not the revision is in memory
 }
 
 // Highest returns the stamp of the highest revision in memory, or the zero
@@ -61,36 +61,36 @@
 }
 
 func (s *State) search(stamp Stamp) (int, bool) {
-	return slices.BinarySearchFunc(s.Memory, stamp, func(h Held, t Stamp) int { return h.Stamp.Compare(t) })
+	return slices.BinarySearchFunc(s.Memory, stamp, func(h HeldRevision, t Stamp) int { return h.Stamp.Compare(t) })
 }
 
 // Event is an input of Decide.
 type Event interface{ event() }
 
-// Heard reports that Stamp is the highest revision of a peer.
-type Heard struct {
+// StampReceived reports that Stamp is the highest revision of a peer.
+type StampReceived struct {
 	From  fleet.VM
 	Stamp Stamp
-	// Answer is set if the peer replied to a request of this run of the
+	// IsReply is set if the peer replied to a request of this run of the
 	// process. Only such a reply ends the wait at startup: an announcement may
 	// have been in flight since before the restart, and a node that joined on
 	// it could put a revision in force that is no longer the peer's highest.
-	Answer bool
+	IsReply bool
 }
 
 // HeadRead reports the stamp read from the head of the table.
 type HeadRead struct{ Stamp Stamp }
 
-// Got reports a revision that was fetched, or accepted by this node.
-type Got struct{ Held }
+// RevisionReceived reports a revision that was fetched, or accepted by this node.
+type RevisionReceived struct{ HeldRevision }
 
-// Joined reports that the wait for a peer's answer at startup is over.
-type Joined struct{}
+// JoinEnded reports that the wait for a peer's answer at startup is over.
+type JoinEnded struct{}
 
-func (Heard) event()    {}
-func (HeadRead) event() {}
-func (Got) event()      {}
-func (Joined) event()   {}
+func (StampReceived) event()    {}
+func (HeadRead) event()         {}
+func (RevisionReceived) event() {}
+func (JoinEnded) event()        {}
 
 // Action is an output of Decide, to be executed by the caller.
 type Action interface{ action() }
@@ -106,7 +106,7 @@
 
 // Install puts a revision in force. Its stamp is higher than that of the
 // previous one.
-type Install struct{ Held }
+type Install struct{ HeldRevision }
 
 // Announce broadcasts the highest revision to the peers.
 type Announce struct{ Stamp Stamp }
@@ -114,22 +114,22 @@
 // HealTable writes revisions that the table lost back into it.
 type HealTable struct{}
 
-// Report notifies the operators of two revisions that were accepted
+// ReportClash notifies the operators of two revisions that were accepted
 // independently of each other. The content of Loser is no longer in force; its
 // author has to apply it again.
-type Report struct{ Winner, Loser Stamp }
+type ReportClash struct{ Winner, Loser Stamp }
 
-// Refuse notifies the operators that this node cannot use a revision and keeps
+// ReportUnusable notifies the operators that this node cannot use a revision and keeps
 // the current one in force.
-type Refuse struct{ Stamp Stamp }
+type ReportUnusable struct{ Stamp Stamp }
 
-func (FetchPeer) action()  {}
-func (FetchTable) action() {}
-func (Install) action()    {}
-func (Announce) action()   {}
-func (HealTable) action()  {}
-func (Report) action()     {}
-func (Refuse) action()     {}
+func (FetchPeer) action()      {}
+func (FetchTable) action()     {}
+func (Install) action()        {}
+func (Announce) action()       {}
+func (HealTable) action()      {}
+func (ReportClash) action()    {}
+func (ReportUnusable) action() {}
 
 // Decide returns the state after the event and the actions to execute.
 //
@@ -139,21 +139,21 @@
 // converge on the same one.
 func Decide(s State, e Event) (State, []Action) {
 	switch e := e.(type) {
-	case Heard:
-		return s.onHeard(e)
+	case StampReceived:
+		return s.onStampReceived(e)
 	case HeadRead:
 		return s.onHeadRead(e)
-	case Got:
-		return s.onGot(e.Held)
-	case Joined:
+	case RevisionReceived:
+		return s.onRevisionReceived(e.HeldRevision)
+	case JoinEnded:
 		s.Joined = true
 		return s.install(nil)
 	}
 	return s, nil
 }
 
-func (s State) onHeard(e Heard) (State, []Action) {
-	s.PeerHeard = s.PeerHeard || (e.Answer && e.Stamp.Number > 0)
+func (s State) onStampReceived(e StampReceived) (State, []Action) {
+	s.PeerReplied = s.PeerReplied || (e.IsReply && e.Stamp.Number > 0)
 	if e.Stamp.Compare(s.Highest()) <= 0 {
 		return s, nil
 	}
@@ -175,12 +175,12 @@
 }
 
 func (s *State) raiseSeen(stamp Stamp) {
-	if stamp.Compare(s.Seen) > 0 {
-		s.Seen = stamp
+	if stamp.Compare(s.HighestSeen) > 0 {
+		s.HighestSeen = stamp
 	}
 }
 
-func (s State) onGot(h Held) (State, []Action) {
+func (s State) onRevisionReceived(h HeldRevision) (State, []Action) {
 	at, known := s.search(h.Stamp)
 	if known {
 		return s, nil
@@ -193,7 +193,7 @@
 		s.Memory = s.Memory[extra:]
 	}
 	if h.Document == nil {
-		actions = append(actions, Refuse{h.Stamp})
+		actions = append(actions, ReportUnusable{h.Stamp})
 	}
 	if top {
 		actions = append(actions, Announce{h.Stamp})
@@ -222,7 +222,7 @@
 
 // detectClashes returns a Report for each revision in memory that was accepted
 // independently of h.
-func (s *State) detectClashes(h Held) []Action {
+func (s *State) detectClashes(h HeldRevision) []Action {
 	var out []Action
 	for _, m := range s.Memory {
 		winner, loser := m, h
@@ -230,7 +230,7 @@
 			winner, loser = h, m
 		}
 		if isIndependent(winner.Record, loser.Record) {
-			out = append(out, Report{Winner: winner.Stamp, Loser: loser.Stamp})
+			out = append(out, ReportClash{Winner: winner.Stamp, Loser: loser.Stamp})
 		}
 	}
 	return out
--- a/internal/revision/fake_test.go
+++ b/internal/revision/fake_test.go
@@ -51,7 +51,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.countRequest(ctx) {
-		return platform.Row{}, platform.ErrDown
+		return platform.Row{}, platform.ErrUnavailable
 	}
 	row := t.rows[name+"/"+key]
 	if t.deliverAfter > 0 {
@@ -91,7 +91,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.countRequest(ctx) {
-		return platform.Result{}, platform.ErrDown
+		return platform.Result{}, platform.ErrUnavailable
 	}
 	if t.delayWrites > 0 {
 		t.delayWrites--
--- a/internal/revision/keeper.go
+++ b/internal/revision/keeper.go
@@ -28,9 +28,9 @@
 
 // Default values of Options.
 const (
-	DefaultPoll     = 5 * time.Second
-	DefaultDigest   = 2 * time.Second
-	DefaultJoinWait = 2 * time.Second
+	DefaultPollInterval   = 5 * time.Second
+	DefaultDigestInterval = 2 * time.Second
+	DefaultJoinTimeout    = 2 * time.Second
 	// DefaultLostAfter is longer than the restart of a node or a short
 	// partition.
 	DefaultLostAfter = time.Minute
@@ -42,17 +42,17 @@
 	Peers Peers             // nil: single node
 	Nodes func() []fleet.VM // returns the other live nodes; nil: none
 	Now   func() time.Time  // wall clock for the time of acceptance; nil: time.Now
-	// Poll is the minimum interval between two reads of the table's head by
+	// MinPollInterval is the minimum interval between two reads of the table's head by
 	// this node; it grows with the number of nodes, see PollInterval. Default
 	// 5s.
-	Poll time.Duration
-	// Digest is the minimum interval between two announcements of the highest
+	MinPollInterval time.Duration
+	// MinDigestInterval is the minimum interval between two announcements of the highest
 	// revision; it grows with the number of nodes, see DigestInterval. Default
 	// 2s.
-	Digest time.Duration
-	// JoinWait is how long a starting node waits for a peer's answer before it
+	MinDigestInterval time.Duration
+	// JoinTimeout is how long a starting node waits for a peer's answer before it
 	// relies on the table alone. Default 2s; negative: no wait.
-	JoinWait time.Duration
+	JoinTimeout time.Duration
 	// LostAfter is how long proposals are refused after a peer announced a
 	// revision that is available neither from a peer nor from the table.
 	// Default 1m.
@@ -67,16 +67,16 @@
 		o.Nodes = func() []fleet.VM { return nil }
 	}
 	if o.Peers == nil {
-		o.Peers, o.JoinWait = noPeers{}, -1
+		o.Peers, o.JoinTimeout = noPeers{}, -1
 	}
-	if o.Poll <= 0 {
-		o.Poll = DefaultPoll
+	if o.MinPollInterval <= 0 {
+		o.MinPollInterval = DefaultPollInterval
 	}
-	if o.Digest <= 0 {
-		o.Digest = DefaultDigest
+	if o.MinDigestInterval <= 0 {
+		o.MinDigestInterval = DefaultDigestInterval
 	}
-	if o.JoinWait == 0 {
-		o.JoinWait = DefaultJoinWait
+	if o.JoinTimeout == 0 {
+		o.JoinTimeout = DefaultJoinTimeout
 	}
 	if o.LostAfter <= 0 {
 		o.LostAfter = DefaultLostAfter
@@ -188,8 +188,8 @@
 	state, actions := Decide(k.state, e)
 	wasJoined := k.state.Joined
 	k.state = state
-	k.metrics.seen.Set(float64(state.Seen.Number))
-	if h, ok := e.(Heard); ok && h.Stamp.Compare(state.Highest()) > 0 {
+	k.metrics.seen.Set(float64(state.HighestSeen.Number))
+	if h, ok := e.(StampReceived); ok && h.Stamp.Compare(state.Highest()) > 0 {
 		k.lastHeardAt = time.Now()
 	}
 	if state.Joined && !wasJoined {
@@ -205,7 +205,7 @@
 func (k *Keeper) execute(a Action) {
 	switch a := a.(type) {
 	case Install:
-		k.install(a.Held)
+		k.install(a.HeldRevision)
 	case FetchPeer:
 		k.fetches.Put(a.From, pendingFetch{from: a.From, stamp: a.Stamp})
 	case FetchTable:
@@ -214,18 +214,18 @@
 		notify(k.announce)
 	case HealTable:
 		notify(k.heal)
-	case Report:
+	case ReportClash:
 		k.metrics.clashes.Inc()
 		k.opts.Log.Error("two revisions were accepted independently of each other; apply the content of the loser again if it is still needed",
 			"winner", a.Winner.String(), "loser", a.Loser.String())
-	case Refuse:
+	case ReportUnusable:
 		k.metrics.refused.Inc()
 		k.opts.Log.Error("cannot use revision, keeping the current one; run one version of the program on all nodes",
 			"revision", a.Stamp.String())
 	}
 }
 
-func (k *Keeper) install(h Held) {
+func (k *Keeper) install(h HeldRevision) {
 	k.current.Store(&currentRevision{stamp: h.Stamp, document: h.Document})
 	k.metrics.inForce.Set(float64(h.Stamp.Number))
 	k.opts.Log.Info("configuration in force", "revision", h.Stamp.String(), "author", h.Author)
@@ -255,11 +255,11 @@
 
 // parseRecord parses a record's document. The returned Document is nil if that
 // fails.
-func (k *Keeper) parseRecord(rec *Record) Held {
+func (k *Keeper) parseRecord(rec *Record) HeldRevision {
 	d, err := config.Parse("", rec.Document)
 	if err != nil {
 		k.opts.Log.Error("cannot parse document of revision", "revision", rec.Stamp.String(), "error", err)
-		return Held{Record: rec}
+		return HeldRevision{Record: rec}
 	}
-	return Held{Record: rec, Document: d}
+	return HeldRevision{Record: rec, Document: d}
 }
--- a/internal/revision/keeper_test.go
+++ b/internal/revision/keeper_test.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// noJoinWait is the JoinWait of a first node, which has no peers.
+	// noJoinWait is the JoinTimeout of a first node, which has no peers.
 	noJoinWait = -1
-	// longJoinWait is the JoinWait of a node with peers; the wait ends with the
+	// longJoinWait is the JoinTimeout of a node with peers; the wait ends with the
 	// first answer.
 	longJoinWait = 15 * time.Second
 )
@@ -29,7 +29,7 @@
 	t.Helper()
 	opts := revision.Options{
 		Table: tab, Peers: port{m, vm}, Nodes: func() []fleet.VM { return m.others(vm) },
-		Poll: 50 * time.Millisecond, Digest: 30 * time.Millisecond, JoinWait: joinWait,
+		MinPollInterval: 50 * time.Millisecond, MinDigestInterval: 30 * time.Millisecond, JoinTimeout: joinWait,
 	}
 	for _, c := range change {
 		c(&opts)
@@ -93,7 +93,7 @@
 func TestDigestReplacesLostAnnouncement(t *testing.T) {
 	m, tab := newMesh(), newTable()
 	a, _ := startKeeper(t, m, tab, "a", noJoinWait)
-	b, _ := startKeeper(t, m, tab, "b", noJoinWait, func(o *revision.Options) { o.Poll = time.Hour })
+	b, _ := startKeeper(t, m, tab, "b", noJoinWait, func(o *revision.Options) { o.MinPollInterval = time.Hour })
 	acceptAll(t, a, 0, 1)
 	awaitRevision(t, b, 1)
 	m.update(func() { m.cutOff["b"] = true })
@@ -195,7 +195,7 @@
 	a, _ := startKeeper(t, m, tab, "a", noJoinWait)
 	acceptAll(t, a, 0, 1)
 	damaged := &damagedPeer{asked: make(chan struct{}, 1)}
-	k := revision.NewKeeper(revision.Options{Table: tab, Peers: damaged, Poll: time.Hour, JoinWait: noJoinWait})
+	k := revision.NewKeeper(revision.Options{Table: tab, Peers: damaged, MinPollInterval: time.Hour, JoinTimeout: noJoinWait})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = k.Run(ctx) }()
@@ -294,7 +294,7 @@
 	rec, err := revision.NewStore(tab, nil).Accept(newTestContext(t), newProposal(0, 1), nil)
 	is.NoErr(err)
 	gone := &unreachablePeers{}
-	k := revision.NewKeeper(revision.Options{Table: tab, Peers: gone, Poll: time.Millisecond, JoinWait: noJoinWait})
+	k := revision.NewKeeper(revision.Options{Table: tab, Peers: gone, MinPollInterval: time.Millisecond, JoinTimeout: noJoinWait})
 	announce, err := cbor.Marshal(revision.Announcement{Stamp: rec.Stamp})
 	is.NoErr(err)
 	const peers = 20
--- a/internal/revision/spread.go
+++ b/internal/revision/spread.go
@@ -59,20 +59,20 @@
 }
 
 // runJoin asks the peers until this node has the highest revision they report,
-// or JoinWait expires. The answer of a peer without any revision is ignored:
+// or JoinTimeout expires. The answer of a peer without any revision is ignored:
 // two nodes that start together know nothing of earlier revisions.
 func (k *Keeper) runJoin(ctx context.Context) {
-	defer k.applyEvent(Joined{})
-	if k.opts.JoinWait < 0 {
+	defer k.applyEvent(JoinEnded{})
+	if k.opts.JoinTimeout < 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.opts.JoinWait)
+	ctx, cancel := context.WithTimeout(ctx, k.opts.JoinTimeout)
 	defer cancel()
 	for {
 		k.askPeers(ctx)
 		k.fetchPending(ctx)
 		state := k.snapshot()
-		if state.PeerHeard && state.Seen == state.Highest() {
+		if state.PeerReplied && state.HighestSeen == state.Highest() {
 			return
 		}
 		if !clock.Sleep(ctx, joinRetryInterval) {
@@ -98,7 +98,7 @@
 	_ = g.Wait() // the calls return no error
 	for i, stamp := range stamps {
 		if stamp.Number > 0 {
-			k.applyEvent(Heard{From: nodes[i], Stamp: stamp, Answer: true})
+			k.applyEvent(StampReceived{From: nodes[i], Stamp: stamp, IsReply: true})
 		}
 	}
 }
@@ -124,7 +124,7 @@
 func (k *Keeper) runPoll(ctx context.Context, r *rand.Rand) {
 	for {
 		k.poll(ctx)
-		if !clock.Sleep(ctx, addJitter(PollInterval(k.opts.Poll, 1+len(k.opts.Nodes())), r)) {
+		if !clock.Sleep(ctx, addJitter(PollInterval(k.opts.MinPollInterval, 1+len(k.opts.Nodes())), r)) {
 			return
 		}
 	}
@@ -166,7 +166,7 @@
 // unreachable peers, their timeouts would delay the one source that answers.
 // Later digests announce the revision again.
 func (k *Keeper) fetchPending(ctx context.Context) {
-	pending := k.fetches.Take()
+	pending := k.fetches.Drain()
 	slices.SortStableFunc(pending, func(a, b pendingFetch) int {
 		return cmp.Or(b.stamp.Compare(a.stamp), cmp.Compare(b.from, a.from))
 	})
@@ -198,7 +198,7 @@
 		return
 	}
 	k.metrics.fetches.WithLabelValues(source, "done").Inc()
-	k.applyEvent(Got{k.parseRecord(rec)})
+	k.applyEvent(RevisionReceived{k.parseRecord(rec)})
 }
 
 func (k *Keeper) fetchTable(ctx context.Context, f pendingFetch) (*Record, error) {
@@ -231,7 +231,7 @@
 // periodically for peers that missed the announcement.
 func (k *Keeper) runAnnounce(ctx context.Context, r *rand.Rand) {
 	for {
-		interval := addJitter(DigestInterval(k.opts.Digest, 1+len(k.opts.Nodes())), r)
+		interval := addJitter(DigestInterval(k.opts.MinDigestInterval, 1+len(k.opts.Nodes())), r)
 		timer := time.NewTimer(interval)
 		select {
 		case <-ctx.Done():
@@ -256,7 +256,7 @@
 			return
 		case <-k.heal:
 			if k.isMissingIntermediate(ctx) {
-				clock.Sleep(ctx, healDelayPolls*k.opts.Poll)
+				clock.Sleep(ctx, healDelayPolls*k.opts.MinPollInterval)
 			}
 			k.healTable(ctx)
 		}
@@ -305,7 +305,7 @@
 		k.opts.Log.Warn("cannot decode announcement; dropped", "from", from.String(), "error", err)
 		return
 	}
-	k.applyEvent(Heard{From: from.VM, Stamp: a.Stamp})
+	k.applyEvent(StampReceived{From: from.VM, Stamp: a.Stamp})
 }
 
 // HandleHighest returns this node's highest stamp. A node that has not joined
--- a/internal/revision/store.go
+++ b/internal/revision/store.go
@@ -74,8 +74,8 @@
 	return rec, row.Version, err
 }
 
-// MaxHistory is the maximum number of revisions that History returns.
-const MaxHistory = 100
+// MaxHistoryLength is the maximum number of revisions that History returns.
+const MaxHistoryLength = 100
 
 // History returns up to n revisions, newest first. Revisions missing from the
 // table are omitted.
@@ -86,7 +86,7 @@
 	}
 	var out []*Record
 	number := head.Stamp.Number
-	for range min(n, MaxHistory) {
+	for range min(n, MaxHistoryLength) {
 		if number == 0 {
 			break
 		}
@@ -108,10 +108,10 @@
 	BaseHash uint64 // hash of the base revision; 0: not checked
 	Document []byte
 	Author   string
-	// Above is the number of a revision that was announced but is available
+	// ReservedNumber is the number of a revision that was announced but is available
 	// neither from a peer nor from the table. The new revision gets a higher
 	// number. 0: none.
-	Above uint64
+	ReservedNumber uint64
 }
 
 const (
@@ -166,12 +166,12 @@
 		return nil, s.conflictError(ctx, p, head.Stamp)
 	}
 	rec := &Record{
-		Stamp:    Stamp{Number: max(head.Stamp.Number, p.Above) + 1, Time: at.UnixMilli(), Hash: config.Hash(p.Document)},
+		Stamp:    Stamp{Number: max(head.Stamp.Number, p.ReservedNumber) + 1, Time: at.UnixMilli(), Hash: config.Hash(p.Document)},
 		Document: p.Document, Author: p.Author,
 		Base: head.Stamp.Number, BaseHash: head.Stamp.Hash, Attempt: s.newAttempt(),
 	}
 	_, err = s.table.Commit(ctx, rec.transaction(head))
-	if errors.Is(err, platform.ErrDown) {
+	if errors.Is(err, platform.ErrUnavailable) {
 		return nil, platformDownError(err)
 	}
 	// The row decides whatever the answer was: a refusal may follow a first
@@ -183,9 +183,9 @@
 	return p.Base == head.Number && (p.BaseHash == 0 || p.BaseHash == head.Hash)
 }
 
-// Retained is how many revisions the table keeps; accepting one more deletes
+// RetainedRevisions is how many revisions the table keeps; accepting one more deletes
 // the oldest.
-const Retained = 1000
+const RetainedRevisions = 1000
 
 // transaction returns the transaction that accepts r after head. It checks the
 // head row against concurrent authors, and the new row against a table of which
@@ -203,8 +203,8 @@
 			{Table: table, Key: headKey, Value: encodeHead(r)},
 		},
 	}
-	if r.Stamp.Number > Retained {
-		oldest := rowKey(r.Stamp.Number - Retained)
+	if r.Stamp.Number > RetainedRevisions {
+		oldest := rowKey(r.Stamp.Number - RetainedRevisions)
 		txn.Writes = append(txn.Writes, platform.Write{Table: table, Key: oldest, Delete: true})
 	}
 	return txn
--- a/internal/revision/store_test.go
+++ b/internal/revision/store_test.go
@@ -260,7 +260,7 @@
 	tab := newTable()
 	s := revision.NewStore(tab, nil)
 	const surplus = 3
-	for n := range revision.Retained + surplus {
+	for n := range revision.RetainedRevisions + surplus {
 		_, err := s.Accept(ctx, newProposal(uint64(n), n%100+1), nil)
 		is.NoErr(err)
 	}
@@ -268,7 +268,7 @@
 	is.True(errors.Is(err, revision.ErrNoRevision))
 	_, err = s.Get(ctx, surplus+1)
 	is.NoErr(err)
-	is.Equal(len(tab.backup()), revision.Retained+1) // plus the head row
+	is.Equal(len(tab.backup()), revision.RetainedRevisions+1) // plus the head row
 }
 
 // Tests that a document with invalid UTF-8 is rejected. The row is JSON, which
--- a/internal/revision/wire_test.go
+++ b/internal/revision/wire_test.go
@@ -63,7 +63,7 @@
 func TestPlatformDownOverHTTP(t *testing.T) {
 	is, ctx := is.New(t), newTestContext(t)
 	s, p := newHTTPStore(t)
-	p.SetFaults(standinplatform.Faults{Down: standinplatform.DownRefused})
+	p.SetFaults(standinplatform.Faults{Down: standinplatform.DownUnavailable})
 	_, err := s.Accept(ctx, newProposal(0, 1), nil)
 	var refused *revision.Refused
 	is.True(errors.As(err, &refused))
--- a/internal/revision/world_test.go
+++ b/internal/revision/world_test.go
@@ -109,9 +109,9 @@
 		w.queue(n, func() { w.fetchTable(n, a.Stamp) })
 	case revision.HealTable:
 		w.queue(n, func() { w.heal(n) })
-	case revision.Report:
+	case revision.ReportClash:
 		n.reportedClashes++
-	case revision.Refuse:
+	case revision.ReportUnusable:
 		w.t.Fatalf("%s cannot use a document that was accepted", n.vm)
 	}
 }
@@ -125,7 +125,7 @@
 		if to != n {
 			w.queue(to, func() {
 				if to.partition == n.partition {
-					w.applyEvent(to, revision.Heard{From: n.vm, Stamp: stamp})
+					w.applyEvent(to, revision.StampReceived{From: n.vm, Stamp: stamp})
 				}
 			})
 		}
@@ -136,12 +136,12 @@
 	return w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return n.vm == vm })]
 }
 
-func newHeldRecord(rec *revision.Record) revision.Held {
+func newHeldRecord(rec *revision.Record) revision.HeldRevision {
 	d, err := config.Parse("", rec.Document)
 	if err != nil {
 		panic(err)
 	}
-	return revision.Held{Record: rec, Document: d}
+	return revision.HeldRevision{Record: rec, Document: d}
 }
 
 func (w *world) fetchPeer(n *node, a revision.FetchPeer) {
@@ -150,14 +150,14 @@
 		return
 	}
 	if rec := from.state.Find(a.Stamp); rec != nil {
-		w.applyEvent(n, revision.Got{Held: newHeldRecord(rec)})
+		w.applyEvent(n, revision.RevisionReceived{HeldRevision: newHeldRecord(rec)})
 	}
 }
 
 func (w *world) fetchTable(n *node, stamp revision.Stamp) {
 	defer w.setTableReachability(n)()
 	if rec, err := n.store.Get(context.Background(), stamp.Number); err == nil {
-		w.applyEvent(n, revision.Got{Held: newHeldRecord(rec)})
+		w.applyEvent(n, revision.RevisionReceived{HeldRevision: newHeldRecord(rec)})
 	}
 }
 
@@ -182,7 +182,7 @@
 		if peer == n || peer.partition != n.partition || !peer.state.Joined || stamp.Number == 0 {
 			continue
 		}
-		w.applyEvent(n, revision.Heard{From: peer.vm, Stamp: stamp, Answer: true})
+		w.applyEvent(n, revision.StampReceived{From: peer.vm, Stamp: stamp, IsReply: true})
 		if stamp.Compare(n.state.Highest()) > 0 {
 			w.fetchPeer(n, revision.FetchPeer{From: peer.vm, Stamp: stamp})
 		}
@@ -191,7 +191,7 @@
 
 func (w *world) join(n *node) {
 	w.askPeers(n)
-	w.applyEvent(n, revision.Joined{})
+	w.applyEvent(n, revision.JoinEnded{})
 }
 
 // accept proposes a new document at a node, as Keeper does.
@@ -204,16 +204,16 @@
 	p.Document = fmt.Appendf(p.Document, "# %d\n", w.weight)
 	w.askPeers(n)
 	defer w.setTableReachability(n)()
-	if n.state.Seen.Compare(n.state.Highest()) > 0 {
+	if n.state.HighestSeen.Compare(n.state.Highest()) > 0 {
 		head, err := n.store.Head(context.Background())
 		if err != nil {
 			return
 		}
-		if head.Stamp.Compare(n.state.Seen) < 0 {
+		if head.Stamp.Compare(n.state.HighestSeen) < 0 {
 			if rapid.Bool().Draw(w.t, "wait") {
 				return
 			}
-			p.Above = n.state.Seen.Number
+			p.ReservedNumber = n.state.HighestSeen.Number
 		}
 	}
 	rec, err := n.store.Accept(context.Background(), p, n.state.Records())
@@ -228,7 +228,7 @@
 	switch {
 	case err == nil:
 		w.accepted = append(w.accepted, rec)
-		w.applyEvent(n, revision.Got{Held: newHeldRecord(rec)})
+		w.applyEvent(n, revision.RevisionReceived{HeldRevision: newHeldRecord(rec)})
 		if n.inForce != rec.Stamp {
 			w.t.Fatalf("%s accepted revision %s but has %s in force", n.vm, rec.Stamp, n.inForce)
 		}
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -64,8 +64,8 @@
 // Wake returns a channel that receives after a Put; one receive may represent several Puts.
 func (l *Latest[K, V]) Wake() <-chan struct{} { return l.wake }
 
-// Take removes and returns all values in order of their keys' arrival.
-func (l *Latest[K, V]) Take() []V {
+// Drain removes and returns all values in order of their keys' arrival.
+func (l *Latest[K, V]) Drain() []V {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make([]V, 0, len(l.order))
--- a/internal/roster/bench_test.go
+++ b/internal/roster/bench_test.go
@@ -26,7 +26,7 @@
 			h := Hint{ID: r.Service("s")[0].ID, Member: Membership{Group: "g", Epoch: 1, State: Open}}
 			b.ReportAllocs()
 			for b.Loop() {
-				r.With(h, 2)
+				r.WithHint(h, 2)
 			}
 		})
 	}
--- a/internal/roster/departed.go
+++ b/internal/roster/departed.go
@@ -26,8 +26,8 @@
 	if r.Partial {
 		return false // the sending node has made this check with newer sequences
 	}
-	restored := r.restoredAt != 0 && r.Asked.Sub(r.restoredAt) < restoreGrace
-	return e.Sequence <= sequence && (restored || e.ID.Born() != 0)
+	restored := r.restoredAt != 0 && r.RequestedAt.Sub(r.restoredAt) < restoreGrace
+	return e.Sequence <= sequence && (restored || e.ID.StartMillis() != 0)
 }
 
 // recordDepartures copies the recent departures of the old roster and adds those that the new
@@ -35,13 +35,13 @@
 func (r *Roster) recordDepartures(old *Roster) {
 	r.departures = make(map[ID]departure, len(old.departures))
 	for id, d := range old.departures {
-		if r.Asked.Sub(d.missingSince) < restoreGrace {
+		if r.RequestedAt.Sub(d.missingSince) < restoreGrace {
 			r.departures[id] = d
 		}
 	}
 	for _, e := range old.byID {
 		if r.Get(e.ID) == nil && (e.Draining || !r.Partial && !old.Partial) {
-			r.departures[e.ID] = departure{sequence: e.Sequence, wasDraining: e.Draining, missingSince: r.Asked}
+			r.departures[e.ID] = departure{sequence: e.Sequence, wasDraining: e.Draining, missingSince: r.RequestedAt}
 		}
 	}
 }
--- a/internal/roster/life.go
+++ b/internal/roster/life.go
@@ -14,18 +14,18 @@
 // idSeparator separates the name from the start time. A name never contains it.
 const idSeparator = "~"
 
-// Life returns the ID of the process that started at born, in Unix ms of the endpoint's own
+// NewID returns the ID of the process that started at born, in Unix ms of the endpoint's own
 // clock; 0: unknown. Start times are compared only between incarnations of the same name.
-func Life(name string, born uint64) ID {
+func NewID(name string, born uint64) ID {
 	if born == 0 {
 		return ID(name)
 	}
 	return ID(name + idSeparator + strconv.FormatUint(born, 10))
 }
 
-// ValidName reports whether name can be part of an ID: it is neither empty nor contains the
+// IsValidName reports whether name can be part of an ID: it is neither empty nor contains the
 // separator.
-func ValidName(name string) bool { return name != "" && !strings.Contains(name, idSeparator) }
+func IsValidName(name string) bool { return name != "" && !strings.Contains(name, idSeparator) }
 
 // Name returns the endpoint's name, which is the same for all its incarnations.
 func (id ID) Name() string {
@@ -33,8 +33,8 @@
 	return name
 }
 
-// Born returns the start time of the process in Unix ms of its own clock; 0: unknown.
-func (id ID) Born() uint64 {
+// StartMillis returns the start time of the process in Unix ms of its own clock; 0: unknown.
+func (id ID) StartMillis() uint64 {
 	_, text, _ := strings.Cut(string(id), idSeparator)
 	born, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
@@ -45,7 +45,7 @@
 
 // Before reports whether id is an earlier incarnation of the same endpoint.
 func (id ID) Before(other ID) bool {
-	return id.Name() == other.Name() && id.Born() < other.Born()
+	return id.Name() == other.Name() && id.StartMillis() < other.StartMillis()
 }
 
 // Rejected is an entry of the platform's list that describes no usable endpoint.
--- a/internal/roster/life_test.go
+++ b/internal/roster/life_test.go
@@ -9,22 +9,22 @@
 
 func TestIncarnations(t *testing.T) {
 	is := is.New(t)
-	first, second := Life("i-1", 1790000000000), Life("i-1", 1790000000001)
+	first, second := NewID("i-1", 1790000000000), NewID("i-1", 1790000000001)
 	is.True(first != second)
 	is.True(first.Before(second))
 	is.True(!second.Before(first))
-	is.True(!first.Before(Life("i-2", 1790000000001)))
+	is.True(!first.Before(NewID("i-2", 1790000000001)))
 	is.Equal(second.Name(), "i-1")
-	is.Equal(second.Born(), uint64(1790000000001))
-	is.Equal(Life("i-1", 0), ID("i-1")) // start time unknown
-	is.True(Life("i-1", 0).Before(first))
-	is.True(!ValidName(string(first)))
+	is.Equal(second.StartMillis(), uint64(1790000000001))
+	is.Equal(NewID("i-1", 0), ID("i-1")) // start time unknown
+	is.True(NewID("i-1", 0).Before(first))
+	is.True(!IsValidName(string(first)))
 }
 
 // endpointIDs returns the ids of all endpoints.
 func endpointIDs(r *Roster) []ID {
 	var out []ID
-	r.All(func(e *Endpoint) { out = append(out, e.ID) })
+	r.ForEach(func(e *Endpoint) { out = append(out, e.ID) })
 	return out
 }
 
@@ -34,15 +34,15 @@
 // both incarnations.
 func TestRestartedEndpointLosesEarlierState(t *testing.T) {
 	is := is.New(t)
-	old := Endpoint{ID: Life("a", 5), Service: "s", Draining: true}
+	old := Endpoint{ID: NewID("a", 5), Service: "s", Draining: true}
 	r := Merge(Empty(), Listing{Endpoints: []Endpoint{old}}, at(0), 0)
-	r = r.With(Hint{ID: old.ID, Model: "m", Member: Membership{Group: "g", State: Open}}, at(time.Second))
+	r = r.WithHint(Hint{ID: old.ID, Model: "m", Member: Membership{Group: "g", State: Open}}, at(time.Second))
 	back := at(time.Second)
-	r = Merge(r, Listing{Endpoints: []Endpoint{{ID: Life("a", 6), Service: "s"}}}, back, back)
-	is.Equal(endpointIDs(r), []ID{Life("a", 6)})
-	is.True(r.Get(Life("a", 6)).Usable())
-	is.True(!r.Get(Life("a", 6)).Leads())
-	is.Equal(r.With(Hint{ID: old.ID, Member: Membership{State: Open}}, back), r) // hint about the earlier incarnation
+	r = Merge(r, Listing{Endpoints: []Endpoint{{ID: NewID("a", 6), Service: "s"}}}, back, back)
+	is.Equal(endpointIDs(r), []ID{NewID("a", 6)})
+	is.True(r.Get(NewID("a", 6)).Usable())
+	is.True(!r.Get(NewID("a", 6)).IsServingHead())
+	is.Equal(r.WithHint(Hint{ID: old.ID, Member: Membership{State: Open}}, back), r) // hint about the earlier incarnation
 }
 
 // Guards against an entry of an earlier incarnation that replaces the current one. After an
@@ -50,9 +50,9 @@
 // time, is listed after one of the new incarnation and is ignored. If it is still listed after
 // staleIncarnationGrace, it is the live one and the later start time was not its own.
 func TestEntryOfEarlierIncarnationIsIgnored(t *testing.T) {
-	for _, earlier := range []ID{Life("a", 5), Life("a", 0)} {
+	for _, earlier := range []ID{NewID("a", 5), NewID("a", 0)} {
 		is := is.New(t)
-		r := Merge(Empty(), Listing{Endpoints: []Endpoint{{ID: Life("a", 6), Service: "s"}}}, at(0), 0)
+		r := Merge(Empty(), Listing{Endpoints: []Endpoint{{ID: NewID("a", 6), Service: "s"}}}, at(0), 0)
 		stale := []Endpoint{{ID: earlier, Service: "s"}}
 		r = Merge(r, Listing{Endpoints: stale}, at(time.Second), 0)
 		is.Equal(len(endpointIDs(r)), 0)
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -45,8 +45,8 @@
 	Model    string     `json:"model,omitempty"`    // model of the newest group; engines only
 	Member   Membership `json:"member,omitzero"`
 	// Instants of this VM's clock, not valid on another VM.
-	Missing clock.Instant `json:"-"` // when it was first missing from the list; 0: listed
-	Hinted  clock.Instant `json:"-"` // when a hint set Model and Member; 0: they are from the list
+	MissingSince clock.Instant `json:"-"` // when it was first missing from the list; 0: listed
+	HintedAt     clock.Instant `json:"-"` // when a hint set Model and Member; 0: they are from the list
 }
 
 // Usable reports whether new work may be sent to the endpoint.
@@ -54,10 +54,10 @@
 
 // TakesRequests reports whether requests are sent to the endpoint itself: it is a plain one,
 // or the head of a group that accepts requests.
-func (e *Endpoint) TakesRequests() bool { return e.Domain == "" || e.Leads() }
+func (e *Endpoint) TakesRequests() bool { return e.Domain == "" || e.IsServingHead() }
 
-// Leads reports whether the endpoint is the head of a group that accepts requests.
-func (e *Endpoint) Leads() bool { return e.Member.Rank == 0 && e.Member.State == Open }
+// IsServingHead reports whether the endpoint is the head of a group that accepts requests.
+func (e *Endpoint) IsServingHead() bool { return e.Member.Rank == 0 && e.Member.State == Open }
 
 // Listing is the result of one read of the platform's list.
 type Listing struct {
@@ -71,7 +71,7 @@
 
 // Roster is a snapshot of the endpoints.
 type Roster struct {
-	Asked        clock.Instant // when the list was requested; the list is at least as new
+	RequestedAt  clock.Instant // when the list was requested; the list is at least as new
 	Era          uint64        // era of the platform's table
 	Partial      bool          // only endpoints for which TakesRequests is true
 	restoredAt   clock.Instant // when a list of this era was first requested; 0: no earlier era was known
@@ -105,15 +105,15 @@
 // Service returns the endpoints of a service. The caller must not modify the slice.
 func (r *Roster) Service(name string) []*Endpoint { return r.byService[name] }
 
-// All calls f for every endpoint, in the order of their ids.
-func (r *Roster) All(f func(*Endpoint)) {
+// ForEach calls f for every endpoint, in the order of their ids.
+func (r *Roster) ForEach(f func(*Endpoint)) {
 	for _, e := range r.byID {
 		f(e)
 	}
 }
 
-// Known reports whether a list has been read.
-func (r *Roster) Known() bool { return r.Asked != 0 }
+// IsLoaded reports whether a list has been read.
+func (r *Roster) IsLoaded() bool { return r.RequestedAt != 0 }
 
 // staleIncarnationGrace is how long an entry of an earlier incarnation is ignored after the later
 // one was listed: an entry from before the restart may reappear after an outage of the platform,
@@ -135,14 +135,14 @@
 	return true
 }
 
-// LapseGrace is how long a missing endpoint is kept after an outage of the platform. Entries
+// OutageGrace is how long a missing endpoint is kept after an outage of the platform. Entries
 // expire during an outage, and live endpoints rewrite them within 2 s of its end; without
 // the grace all endpoints would be dropped at once after each outage.
-const LapseGrace = 2 * time.Second
+const OutageGrace = 2 * time.Second
 
 // Merge returns the roster after a list that was requested at asked. recovered is when this
 // node last reconnected to the platform (0: it never lost the connection). A missing endpoint
-// is dropped, except within LapseGrace after recovered or after a restore of the table, when
+// is dropped, except within OutageGrace after recovered or after a restore of the table, when
 // it is kept unchanged. A list of an earlier era than the known one is ignored.
 func Merge(old *Roster, l Listing, asked, recovered clock.Instant) *Roster {
 	if l.Era < old.Era {
@@ -150,14 +150,14 @@
 	}
 	listed := l.Endpoints
 	next := &Roster{
-		Asked:        asked,
+		RequestedAt:  asked,
 		Era:          l.Era,
 		Partial:      l.Partial,
 		restoredAt:   old.restoredAt,
 		byID:         make([]*Endpoint, 0, len(listed)),
 		incarnations: make(map[string]incarnation, len(listed)),
 	}
-	if l.Era > old.Era && old.Known() {
+	if l.Era > old.Era && old.IsLoaded() {
 		next.restoredAt = asked
 	}
 	if !l.Partial { // for a partial list the sending node applies the grace
@@ -180,20 +180,20 @@
 			if e.Sequence != prev.Sequence && next.isStale(e, prev.Sequence) {
 				e.Model, e.Member, e.Staged, e.Sequence = prev.Model, prev.Member, prev.Staged, prev.Sequence
 			}
-			if prev.Hinted.After(asked) {
-				e.Model, e.Member, e.Hinted = prev.Model, prev.Member, prev.Hinted
+			if prev.HintedAt.After(asked) {
+				e.Model, e.Member, e.HintedAt = prev.Model, prev.Member, prev.HintedAt
 			}
 		}
 		next.byID = append(next.byID, e)
 	}
-	if recovered != 0 && asked.Sub(recovered) < LapseGrace {
-		old.All(func(e *Endpoint) {
+	if recovered != 0 && asked.Sub(recovered) < OutageGrace {
+		old.ForEach(func(e *Endpoint) {
 			if _, listed := next.incarnations[e.ID.Name()]; listed {
 				return
 			}
 			kept := *e
-			if kept.Missing == 0 {
-				kept.Missing = asked
+			if kept.MissingSince == 0 {
+				kept.MissingSince = asked
 			}
 			next.byID = append(next.byID, &kept)
 		})
@@ -211,7 +211,7 @@
 		return
 	}
 	for _, e := range old.byID {
-		if _, listed := r.incarnations[e.ID.Name()]; !listed && e.Hinted.After(r.Asked) && e.Leads() {
+		if _, listed := r.incarnations[e.ID.Name()]; !listed && e.HintedAt.After(r.RequestedAt) && e.IsServingHead() {
 			r.byID = append(r.byID, e)
 		}
 	}
@@ -272,11 +272,11 @@
 	Entry *Endpoint `json:"entry,omitempty"`
 }
 
-// With returns the roster after a hint that was received at now. The hint is valid until a
+// WithHint returns the roster after a hint that was received at now. The hint is valid until a
 // list that was requested later. A hint about an endpoint that is not listed, or about an
 // older group than the listed one, is ignored, except that a partial roster adds a head that
 // starts to accept requests.
-func (r *Roster) With(h Hint, now clock.Instant) *Roster {
+func (r *Roster) WithHint(h Hint, now clock.Instant) *Roster {
 	e := r.Get(h.ID)
 	if e == nil && r.Partial && h.Member.State == Open {
 		e = h.Entry
@@ -285,7 +285,7 @@
 		return r
 	}
 	changed := *e
-	changed.Model, changed.Member, changed.Hinted = h.Model, h.Member, now
+	changed.Model, changed.Member, changed.HintedAt = h.Model, h.Member, now
 	changed.Draining = changed.Draining || r.departures[h.ID].wasDraining
 	return r.withEndpoint(&changed)
 }
@@ -296,10 +296,10 @@
 	return ok && id.Before(known.id)
 }
 
-// Leaving returns the roster after a message that endpoints are draining (leaving) or no
+// WithDepartures returns the roster after a message that endpoints are draining (leaving) or no
 // longer listed (gone). It makes new work stop within the time that the platform allows. A
 // complete roster ignores gone and drops an endpoint when the next list lacks it.
-func (r *Roster) Leaving(leaving, gone []ID) *Roster {
+func (r *Roster) WithDepartures(leaving, gone []ID) *Roster {
 	for _, id := range leaving {
 		if e := r.Get(id); e != nil && e.Usable() {
 			changed := *e
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -17,7 +17,7 @@
 
 // Guards against dropping all endpoints after an outage of the platform that was longer than
 // the lifetime of entries: the list is nearly empty until the endpoints have rewritten their
-// entries. A missing endpoint is kept for LapseGrace and dropped after it.
+// entries. A missing endpoint is kept for OutageGrace and dropped after it.
 func TestMissingEndpointsAreKeptAfterOutage(t *testing.T) {
 	is := is.New(t)
 	full := []Endpoint{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}}
@@ -25,7 +25,7 @@
 	back := at(10 * time.Second)
 	r = Merge(r, Listing{Endpoints: []Endpoint{{ID: "a", Service: "s"}}}, back.Add(time.Second), back)
 	is.Equal(countEndpoints(r, "s"), 2)
-	r = Merge(r, Listing{Endpoints: []Endpoint{{ID: "a", Service: "s"}}}, back.Add(LapseGrace), back)
+	r = Merge(r, Listing{Endpoints: []Endpoint{{ID: "a", Service: "s"}}}, back.Add(OutageGrace), back)
 	is.Equal(countEndpoints(r, "s"), 1)
 }
 
@@ -55,12 +55,12 @@
 	ready := Endpoint{ID: "a", Service: "s", Member: Membership{Group: "g", Epoch: 3, State: Ready}}
 	r := Merge(Empty(), Listing{Endpoints: []Endpoint{ready}}, at(0), 0)
 	open := Hint{ID: "a", Model: "m", Member: Membership{Group: "g", Epoch: 3, State: Open}}
-	r = r.With(open, at(200*time.Millisecond))
-	is.True(r.Get("a").Leads())
+	r = r.WithHint(open, at(200*time.Millisecond))
+	is.True(r.Get("a").IsServingHead())
 	r = Merge(r, Listing{Endpoints: []Endpoint{ready}}, at(100*time.Millisecond), 0)
-	is.True(r.Get("a").Leads())
+	is.True(r.Get("a").IsServingHead())
 	r = Merge(r, Listing{Endpoints: []Endpoint{ready}}, at(300*time.Millisecond), 0)
-	is.True(!r.Get("a").Leads())
+	is.True(!r.Get("a").IsServingHead())
 }
 
 // Guards against a late hint about an older group that changes an endpoint in a newer one.
@@ -68,14 +68,14 @@
 	is := is.New(t)
 	newer := Endpoint{ID: "a", Service: "s", Member: Membership{Group: "h", Epoch: 4, State: Open}}
 	r := Merge(Empty(), Listing{Endpoints: []Endpoint{newer}}, at(0), 0)
-	r = r.With(Hint{ID: "a", Member: Membership{Group: "g", Epoch: 3, State: Closing}}, at(time.Second))
-	is.True(r.Get("a").Leads())
-	is.Equal(r.With(Hint{ID: "unknown"}, at(time.Second)), r)
+	r = r.WithHint(Hint{ID: "a", Member: Membership{Group: "g", Epoch: 3, State: Closing}}, at(time.Second))
+	is.True(r.Get("a").IsServingHead())
+	is.Equal(r.WithHint(Hint{ID: "unknown"}, at(time.Second)), r)
 }
 
 // listing returns a list with the entry of one endpoint.
 func listing(era, sequence uint64, draining bool) Listing {
-	e := Endpoint{ID: Life("i", 7), Service: "s", Sequence: sequence, Draining: draining}
+	e := Endpoint{ID: NewID("i", 7), Service: "s", Sequence: sequence, Draining: draining}
 	return Listing{Era: era, Endpoints: []Endpoint{e}}
 }
 
@@ -105,7 +105,7 @@
 				r = Merge(r, Listing{Era: 1}, now.Add(time.Second), 0)
 			}
 			r = Merge(r, c.restored, now.Add(2*time.Second), 0)
-			e := r.Get(Life("i", 7))
+			e := r.Get(NewID("i", 7))
 			is.Equal(e != nil && e.Usable(), c.usable)
 		})
 	}
@@ -121,15 +121,15 @@
 	entry := func(id ID, sequence uint64, group string) Endpoint {
 		return Endpoint{ID: id, Service: "s", Sequence: sequence, Member: Membership{Group: group, State: Open}}
 	}
-	r := Merge(Empty(), Listing{Era: 1, Endpoints: []Endpoint{entry("old", 9, "g2"), entry(Life("i", 7), 9, "g2")}}, now, 0)
-	same := Merge(r, Listing{Era: 1, Endpoints: []Endpoint{entry("old", 1, "g3"), entry(Life("i", 7), 7, "g1")}}, now.Add(time.Second), 0)
+	r := Merge(Empty(), Listing{Era: 1, Endpoints: []Endpoint{entry("old", 9, "g2"), entry(NewID("i", 7), 9, "g2")}}, now, 0)
+	same := Merge(r, Listing{Era: 1, Endpoints: []Endpoint{entry("old", 1, "g3"), entry(NewID("i", 7), 7, "g1")}}, now.Add(time.Second), 0)
 	is.Equal(same.Get("old").Member.Group, "g3")
-	is.Equal(same.Get(Life("i", 7)).Member.Group, "g2")
+	is.Equal(same.Get(NewID("i", 7)).Member.Group, "g2")
 	restored := Merge(r, Listing{Era: 2, Endpoints: []Endpoint{entry("old", 8, "g1")}}, now.Add(time.Second), 0)
 	is.Equal(restored.Get("old").Member.Group, "g2")
-	is.True(restored.Get(Life("i", 7)) != nil) // missing from the copy; it may rewrite its entry within the grace
+	is.True(restored.Get(NewID("i", 7)) != nil) // missing from the copy; it may rewrite its entry within the grace
 	late := Merge(restored, Listing{Era: 2, Endpoints: []Endpoint{entry("old", 10, "g4")}}, now.Add(4*time.Second), 0)
 	is.Equal(late.Get("old").Member.Group, "g4")
-	is.True(late.Get(Life("i", 7)) == nil)
+	is.True(late.Get(NewID("i", 7)) == nil)
 	is.Equal(Merge(late, Listing{Era: 1}, now.Add(5*time.Second), 0), late) // late list of an earlier era
 }
--- a/internal/route/driver_test.go
+++ b/internal/route/driver_test.go
@@ -137,7 +137,7 @@
 		for i := range s.Groups {
 			s.Groups[i].FreshUntil = s.At + 2*second
 			if s.Groups[i].Zone == n.zone {
-				s.Groups[i].Prefixes = n.index.Set(s.Groups[i].Members[0].VM, s.At)
+				s.Groups[i].Prefixes = n.index.Prefixes(s.Groups[i].Members[0].VM, s.At)
 			}
 		}
 		n.snap = s
@@ -262,7 +262,7 @@
 	req    *request.Request
 	at     clock.Instant
 	tokens int
-	tried  []Tried
+	tried  []TriedDestination
 }
 
 func (w *world) send(n *fakeNode, t *simRequest) {
@@ -278,7 +278,7 @@
 		return
 	}
 	w.serve(n, ch, t, began, func(Result) {}, func() {
-		t.tried = append(t.tried, Tried{Group: ch.Group.ID})
+		t.tried = append(t.tried, TriedDestination{Group: ch.Group.ID})
 		w.after(time.Millisecond, func() { w.send(n, t) })
 	})
 }
@@ -310,7 +310,7 @@
 	to := w.node(ch.Node)
 	fail := func() {
 		n.router.End(ch, Result{Failed: true})
-		t.tried = append(t.tried, Tried{Node: ch.Node})
+		t.tried = append(t.tried, TriedDestination{Node: ch.Node})
 		w.send(n, t)
 	}
 	if w.isDisconnected(n.zone, to.zone) {
--- a/internal/route/facts.go
+++ b/internal/route/facts.go
@@ -12,11 +12,11 @@
 	Prefix       []uint64 // hashes of the prompt's prefixes, shortest first
 	PromptTokens int
 	Hops         int // above 0: only this zone may be chosen
-	Tried        []Tried
+	Tried        []TriedDestination
 }
 
-// FactsOf returns the facts of a request.
-func FactsOf(req *request.Request, tried []Tried) Facts {
+// NewFacts returns the facts of a request.
+func NewFacts(req *request.Request, tried []TriedDestination) Facts {
 	f := Facts{Hops: req.Hops, Tried: tried}
 	if req.Stage == request.StageKey {
 		// The node that holds a key or ticket routes like the first node, because
--- a/internal/route/fixtures_test.go
+++ b/internal/route/fixtures_test.go
@@ -37,7 +37,7 @@
 	return view.VM{
 		Record: fleet.Record{VM: fleet.VM(id), Kind: fleet.KindService, Service: "counter", Zone: zone, State: fleet.StateLive},
 		Listed: true,
-		Probe:  view.Probe{Answered: start},
+		Probe:  view.Probe{AnsweredAt: start},
 		Load:   fleet.Load{Running: load, Slots: 8}, LoadAt: start,
 	}
 }
--- a/internal/route/late_test.go
+++ b/internal/route/late_test.go
@@ -19,7 +19,7 @@
 		s.At = now.Now()
 		for _, vm := range endpoints {
 			e := service(vm, "z1", 0)
-			e.Probe.Answered, e.LoadAt = now.Now(), now.Now()
+			e.Probe.AnsweredAt, e.LoadAt = now.Now(), now.Now()
 			s.VMs = append(s.VMs, e)
 		}
 		ch, err := r.Pick(lookupRequest(), s, now.Now(), nil)
--- a/internal/route/policy_test.go
+++ b/internal/route/policy_test.go
@@ -184,7 +184,7 @@
 			set[i+1] = struct{}{}
 		}
 	}
-	f := FactsOf(req, nil)
+	f := NewFacts(req, nil)
 	d := decision{f: &f}
 	is.True(d.cachedShare(set) < 0.1)
 	is.Equal(d.cachedShare(map[uint64]struct{}{}), 0.0)
--- a/internal/route/property_test.go
+++ b/internal/route/property_test.go
@@ -35,9 +35,9 @@
 	v := service(fmt.Sprintf("s%d", i), rapid.SampledFrom(zoneNames).Draw(t, "zone"), rapid.IntRange(0, 20).Draw(t, "load"))
 	v.Leaving = rapid.IntRange(0, 3).Draw(t, "leaving") == 0
 	if rapid.IntRange(0, 3).Draw(t, "failing") == 0 {
-		v.Probe.Failing = start
+		v.Probe.FailingSince = start
 	}
-	v.Probe.Answered = start - clock.Instant(rapid.Int64Range(0, 3).Draw(t, "age"))*second
+	v.Probe.AnsweredAt = start - clock.Instant(rapid.Int64Range(0, 3).Draw(t, "age"))*second
 	return v
 }
 
@@ -73,23 +73,23 @@
 type choiceRules struct {
 	s     *view.Snapshot
 	req   *request.Request
-	tried []Tried
+	tried []TriedDestination
 	now   clock.Instant
 }
 
 func (r *choiceRules) group(g *view.Group) bool {
 	return g.Zone == r.s.Zone && g.Whole && g.Phase == fleet.PhaseServing && r.now.Before(g.FreshUntil) &&
-		g.Carries(r.req.Target, "v1") && !slices.Contains(r.tried, Tried{Group: g.ID})
+		g.Carries(r.req.Target, "v1") && !slices.Contains(r.tried, TriedDestination{Group: g.ID})
 }
 
 func (r *choiceRules) endpoint(v *view.VM) bool {
 	return v.Record.Zone == r.s.Zone && !v.Leaving && v.Record.Service == r.req.Service &&
-		v.Probe.Fresh(r.now, defaultProbeFresh) && !slices.Contains(r.tried, Tried{VM: v.Record.VM})
+		v.Probe.Fresh(r.now, defaultProbeFresh) && !slices.Contains(r.tried, TriedDestination{VM: v.Record.VM})
 }
 
 func (r *choiceRules) node(n *view.Node) bool {
 	return r.req.Hops == 0 && n.Zone != r.s.Zone && n.State == view.NodeAlive && !n.Draining &&
-		!slices.Contains(r.tried, Tried{Node: n.VM}) && r.zoneCarries(n.Zone)
+		!slices.Contains(r.tried, TriedDestination{Node: n.VM}) && r.zoneCarries(n.Zone)
 }
 
 func (r *choiceRules) zoneCarries(zone fleet.AvailabilityZone) bool {
@@ -100,7 +100,7 @@
 		})
 	}
 	return slices.ContainsFunc(r.s.VMs, func(v view.VM) bool {
-		return v.Record.Zone == zone && !v.Leaving && v.Probe.Failing == 0 && until(v.Probe.Answered.Add(defaultProbeFresh+1))
+		return v.Record.Zone == zone && !v.Leaving && v.Probe.FailingSince == 0 && until(v.Probe.AnsweredAt.Add(defaultProbeFresh+1))
 	})
 }
 
@@ -156,14 +156,14 @@
 	})
 }
 
-func triedOf(ch Choice) Tried {
+func triedOf(ch Choice) TriedDestination {
 	switch ch.Kind {
 	case ToGroup:
-		return Tried{Group: ch.Group.ID}
+		return TriedDestination{Group: ch.Group.ID}
 	case ToEndpoint:
-		return Tried{VM: ch.VM.Record.VM}
+		return TriedDestination{VM: ch.VM.Record.VM}
 	default:
-		return Tried{Node: ch.Node}
+		return TriedDestination{Node: ch.Node}
 	}
 }
 
@@ -213,10 +213,10 @@
 	s := fleetOf(60, 60, 0)
 	for i := range 59 {
 		s.Groups[i].FreshUntil = start
-		s.VMs[i].Probe.Failing = start - 1
+		s.VMs[i].Probe.FailingSince = start - 1
 	}
-	s.VMs[58].Probe.Failing = 0
-	s.VMs[58].Probe.Answered = start - 5*second
+	s.VMs[58].Probe.FailingSince = 0
+	s.VMs[58].Probe.AnsweredAt = start - 5*second
 	r := router(clock.NewManual(start))
 	for range 50 {
 		ch, err := r.Pick(modelRequest(fleet.Target{Model: "m"}), s, start, nil)
--- a/internal/route/refusal.go
+++ b/internal/route/refusal.go
@@ -47,5 +47,5 @@
 func noCapacity(r Refusal, destination string) *outcome.Error {
 	t := refusalTexts[r]
 	e := outcome.New(outcome.NoCapacity, outcome.NotRun, fmt.Sprintf(t.message, destination), t.remedy)
-	return e.After(t.after)
+	return e.WithRetryAfter(t.after)
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -53,8 +53,8 @@
 // Pick selects a destination that is not in tried. On failure it returns a
 // NoCapacity error with a reason and a retry delay. The error covers only this
 // call: its outcome is NotRun even if an earlier attempt of the request ran.
-func (r *Router) Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []Tried) (Choice, *outcome.Error) {
-	f := FactsOf(req, tried)
+func (r *Router) Pick(req *request.Request, snap *view.Snapshot, now clock.Instant, tried []TriedDestination) (Choice, *outcome.Error) {
+	f := NewFacts(req, tried)
 	ch, why := r.decide(&f, snap, now)
 	if why != Accepted {
 		r.metrics.countRefusal(why)
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -54,13 +54,13 @@
 		name   string
 		groups []view.Group
 		req    *request.Request
-		tried  []Tried
+		tried  []TriedDestination
 		want   Refusal
 	}{
 		{"nothing carries it", nil, modelRequest(fleet.Target{Model: "m"}), nil, NoneCarries},
 		{"not whole", []view.Group{broken}, modelRequest(fleet.Target{Model: "m"}), nil, NoneWhole},
 		{"stale exactly at the limit", []view.Group{stale}, modelRequest(fleet.Target{Model: "m"}), nil, AllStale},
-		{"tried", []view.Group{group("g1", "z1", 0)}, modelRequest(fleet.Target{Model: "m"}), []Tried{{Group: "g1"}}, AllTried},
+		{"tried", []view.Group{group("g1", "z1", 0)}, modelRequest(fleet.Target{Model: "m"}), []TriedDestination{{Group: "g1"}}, AllTried},
 		{"already forwarded once", []view.Group{group("g1", "z2", 0)}, &request.Request{Class: request.ClassModel, Target: fleet.Target{Model: "m"}, Hops: 1}, nil, NoneInZone},
 	}
 	for _, c := range cases {
@@ -98,7 +98,7 @@
 	is := is.New(t)
 	s := snapshot("")
 	leaving, silent := service("s1", "z1", 0), service("s2", "z1", 0)
-	leaving.Leaving, silent.Probe.Failing = true, start
+	leaving.Leaving, silent.Probe.FailingSince = true, start
 	s.VMs = []view.VM{leaving, silent, service("s3", "z1", 5)}
 	ch, err := router(clock.NewManual(start)).Pick(lookupRequest(), s, start, nil)
 	is.True(err == nil)
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -227,7 +227,7 @@
 		return
 	}
 	index := int32(-1)
-	if !v.Leaving && v.Record.State != fleet.StateLeaving && v.Probe.Answered != 0 && v.Probe.Failing == 0 {
+	if !v.Leaving && v.Record.State != fleet.StateLeaving && v.Probe.AnsweredAt != 0 && v.Probe.FailingSince == 0 {
 		index = int32(len(c.table.entries))
 		class := c.classIndex(classKey{ToEndpoint, v.Record.Service})
 		c.table.entries = append(c.table.entries, entry{
@@ -236,7 +236,7 @@
 			hash:       xxhash.Sum64String(string(v.Record.VM)),
 			class:      class,
 			peerSet:    c.peerSetIndex(peerSetKey{class, v.Record.Zone, ""}),
-			freshUntil: v.Probe.Answered.Add(c.probeFresh + 1), // Probe.Fresh includes the limit
+			freshUntil: v.Probe.AnsweredAt.Add(c.probeFresh + 1), // Probe.Fresh includes the limit
 			load:       v.Load,
 			loadAt:     v.LoadAt,
 			slots:      slotsOf(v.Load),
--- a/internal/route/types.go
+++ b/internal/route/types.go
@@ -57,9 +57,9 @@
 	expected estimate
 }
 
-// Tried identifies a destination that must not be chosen again for this request.
+// TriedDestination identifies a destination that must not be chosen again for this request.
 // Empty fields match nothing.
-type Tried struct {
+type TriedDestination struct {
 	VM    fleet.VM
 	Group fleet.GroupID
 	Node  fleet.VM
--- a/internal/standin/engine/chat.go
+++ b/internal/standin/engine/chat.go
@@ -177,7 +177,7 @@
 		panic(err) // strings and numbers only
 	}
 	w.Header().Set("Content-Type", "application/json")
-	fault.Answer(w, body, at)
+	fault.WriteAnswer(w, body, at)
 }
 
 func (s *stream) usage() *engine.Usage {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -24,24 +24,24 @@
 // Defaults of Options, limits and timeouts of the engine, and the causes with which
 // a boot ends.
 const (
-	DefaultSlots                  = 8
-	DefaultTokensPerSecond        = 50
-	DefaultPrefillPerSecond       = 5000
-	DefaultQueueLimit             = 256
-	DefaultCachePrefixes          = 1024
-	DefaultLoadLag                = 500 * time.Millisecond
-	DefaultCacheEventLag          = time.Second
-	DefaultLoadTime               = time.Second
-	DefaultPeerInterval           = 100 * time.Millisecond
-	DefaultPeerLost               = 10 * time.Second
-	DefaultStreamKept             = time.Minute
-	DefaultOrphanAfter            = 10 * time.Second
-	minPeerTimeout                = 250 * time.Millisecond
-	peerDialTimeout               = time.Second
-	peerIdleTimeout               = 10 * time.Second
-	maxEndedStreams               = 1024
-	shutdownCause           cause = "the engine was closed"
-	restartCause            cause = "the engine restarted"
+	DefaultSlots                        = 8
+	DefaultTokensPerSecond              = 50
+	DefaultPrefillTokensPerSecond       = 5000
+	DefaultQueueLimit                   = 256
+	DefaultCachePrefixes                = 1024
+	DefaultLoadLag                      = 500 * time.Millisecond
+	DefaultCacheEventLag                = time.Second
+	DefaultLoadTime                     = time.Second
+	DefaultPeerInterval                 = 100 * time.Millisecond
+	DefaultPeerLossTimeout              = 10 * time.Second
+	DefaultStreamRetention              = time.Minute
+	DefaultOrphanTimeout                = 10 * time.Second
+	minPeerTimeout                      = 250 * time.Millisecond
+	peerDialTimeout                     = time.Second
+	peerIdleTimeout                     = 10 * time.Second
+	maxEndedStreams                     = 1024
+	shutdownCause                 cause = "the engine was closed"
+	restartCause                  cause = "the engine restarted"
 )
 
 // cause is the reason for the end of a boot of the engine, as an error.
@@ -67,16 +67,16 @@
 	CheckFence             bool                   `yaml:"check_fence"`     // refuse orders with an outdated fence
 	LoadTime               config.Duration        `yaml:"load_time"`       // time to load weights
 	PeerInterval           config.Duration        `yaml:"peer_interval"`   // between health checks of the other members
-	PeerLost               config.Duration        `yaml:"peer_lost"`       // time without a reply from a member that ends the replica
-	StreamKept             config.Duration        `yaml:"stream_kept"`     // how long an ended stream can be resumed
-	OrphanAfter            config.Duration        `yaml:"orphan_after"`    // time without a reader that cancels a stream
+	PeerLossTimeout        config.Duration        `yaml:"peer_lost"`       // time without a reply from a member that ends the replica
+	StreamRetention        config.Duration        `yaml:"stream_kept"`     // how long an ended stream can be resumed
+	OrphanTimeout          config.Duration        `yaml:"orphan_after"`    // time without a reader that cancels a stream
 	Objects                platform.Objects       `yaml:"-"`               // store for KV transfers; nil refuses them
 	Clock                  clock.Clock            `yaml:"-"`               // for lags and loading; default clock.Boot
 }
 
-// Immediately as Options.LoadTime, LoadLag, CacheEventLag or OrphanAfter means no
+// NoDelay as Options.LoadTime, LoadLag, CacheEventLag or OrphanTimeout means no
 // delay; zero would select the default.
-const Immediately = config.Duration(-1)
+const NoDelay = config.Duration(-1)
 
 func (o *Options) setDefaults() {
 	o.Slots = intOrDefault(o.Slots, DefaultSlots)
@@ -86,7 +86,7 @@
 		o.TokensPerSecond = DefaultTokensPerSecond
 	}
 	if o.PrefillTokensPerSecond == 0 {
-		o.PrefillTokensPerSecond = DefaultPrefillPerSecond
+		o.PrefillTokensPerSecond = DefaultPrefillTokensPerSecond
 	}
 	if o.Clock == nil {
 		o.Clock = clock.Boot{}
@@ -132,14 +132,14 @@
 	mux           *http.ServeMux
 	peerTransport *http.Transport
 	slots         *slots
-	stages        fault.Switch
+	stages        fault.Injector
 	gate          fault.Gate // shut while stalled
 	executions    *fault.Executions
 	work          sync.WaitGroup
 
 	// Pressure adds rate limits, backoffs and leaving notices to the answers and
 	// checks that callers comply with them.
-	Pressure pressure.Endpoint
+	Pressure pressure.Monitor
 
 	mu         sync.Mutex
 	bootCtx    context.Context // done at a restart
--- a/internal/standin/engine/generate.go
+++ b/internal/standin/engine/generate.go
@@ -51,7 +51,7 @@
 		if paused {
 			next = time.Now()
 		}
-		if s.isOrphaned(e.opts.OrphanAfter.Or(DefaultOrphanAfter)) {
+		if s.isOrphaned(e.opts.OrphanTimeout.Or(DefaultOrphanTimeout)) {
 			return errStreamCancelled
 		}
 		s.advance()
@@ -130,7 +130,7 @@
 	}
 }
 
-// recordEnd records the end of a stream, from which Options.StreamKept counts.
+// recordEnd records the end of a stream, from which Options.StreamRetention counts.
 func (e *Engine) recordEnd(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -139,10 +139,10 @@
 	}
 }
 
-// purgeStreams removes ended streams that are older than Options.StreamKept, and the
+// purgeStreams removes ended streams that are older than Options.StreamRetention, and the
 // oldest ones beyond maxEndedStreams. The caller holds e.mu.
 func (e *Engine) purgeStreams() {
-	retention := e.opts.StreamKept.Or(DefaultStreamKept)
+	retention := e.opts.StreamRetention.Or(DefaultStreamRetention)
 	now := e.clock.Now()
 	for len(e.ended) > 0 && (len(e.ended) > maxEndedStreams || now.Sub(e.ended[0].at) > retention) {
 		delete(e.streams, e.ended[0].id)
--- a/internal/standin/engine/helpers_test.go
+++ b/internal/standin/engine/helpers_test.go
@@ -35,7 +35,7 @@
 func fastOptions(name string) Options {
 	return Options{
 		VM: fleet.VM(name), TokensPerSecond: 5000, PrefillTokensPerSecond: 1e6,
-		LoadTime: Immediately, LoadLag: Immediately, CacheEventLag: Immediately,
+		LoadTime: NoDelay, LoadLag: NoDelay, CacheEventLag: NoDelay,
 	}
 }
 
@@ -58,7 +58,7 @@
 	return v
 }
 
-const testTimeout = testkit.Patience
+const testTimeout = testkit.WaitTimeout
 
 func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -11,10 +11,10 @@
 	"chervilloom/internal/standin/pressure"
 )
 
-var pressureNames = pressure.Names{Limit: engine.HeaderRateLimit, RetryAfter: engine.HeaderRetryAfter, Leaving: engine.HeaderLeaving, NotRun: engine.HeaderNotRun, Promise: "true"}
+var pressureNames = pressure.HeaderNames{Limit: engine.HeaderRateLimit, RetryAfter: engine.HeaderRetryAfter, Leaving: engine.HeaderLeaving, NotRun: engine.HeaderNotRun, NotRunValue: "true"}
 
 // pressureBounds are short to keep tests fast.
-var pressureBounds = pressure.Bounds{Stable: time.Second, Drain: time.Second}
+var pressureBounds = pressure.GracePeriods{Limit: time.Second, Leaving: time.Second}
 
 // ServeHTTP serves the protocol of package engine and, for tests:
 //
@@ -44,14 +44,14 @@
 }
 
 func (e *Engine) serveState(w http.ResponseWriter, _ *http.Request) {
-	fault.Reply(w, http.StatusOK, e.State())
+	fault.ReplyJSON(w, http.StatusOK, e.State())
 }
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	l := e.load.reportAt(e.clock.Now())
 	e.mu.Unlock()
-	fault.Reply(w, http.StatusOK, l)
+	fault.ReplyJSON(w, http.StatusOK, l)
 }
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
@@ -64,7 +64,7 @@
 		orderAccepted: http.StatusOK, orderStaleFence: http.StatusConflict,
 		orderOtherBoot: http.StatusGone, orderMalformed: http.StatusBadRequest,
 	}[v]
-	fault.Reply(w, status, res)
+	fault.ReplyJSON(w, status, res)
 }
 
 func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
@@ -76,7 +76,7 @@
 	e.mu.Lock()
 	events := e.cache.eventsAfter(after, e.clock.Now(), delayOrDefault(e.opts.CacheEventLag, DefaultCacheEventLag))
 	e.mu.Unlock()
-	fault.Reply(w, http.StatusOK, events)
+	fault.ReplyJSON(w, http.StatusOK, events)
 }
 
 func (e *Engine) serveExport(w http.ResponseWriter, r *http.Request) {
@@ -154,7 +154,7 @@
 }
 
 func (e *Engine) serveFaults(w http.ResponseWriter, _ *http.Request) {
-	fault.Reply(w, http.StatusOK, e.Faults())
+	fault.ReplyJSON(w, http.StatusOK, e.Faults())
 }
 
 // faultOrder is the body of POST /faults. Fields that are left out keep their value.
@@ -172,5 +172,5 @@
 		e.Restart()
 	}
 	e.SetFaults(o.Faults)
-	fault.Reply(w, http.StatusOK, o.Faults)
+	fault.ReplyJSON(w, http.StatusOK, o.Faults)
 }
--- a/internal/standin/engine/load_test.go
+++ b/internal/standin/engine/load_test.go
@@ -168,7 +168,7 @@
 		Method: http.MethodPost, Path: "/v1/chat/completions", Body: body,
 		Header: http.Header{"Authorization": {"Bearer k"}},
 	}
-	if refused := identify.Identify(req, identify.Facts{Config: doc, Keys: identify.NewKeys(doc), ModelTimeout: time.Minute}); refused != nil {
+	if refused := identify.Identify(req, identify.Inputs{Config: doc, Keys: identify.NewKeys(doc), ModelTimeout: time.Minute}); refused != nil {
 		t.Fatal(refused)
 	}
 	var chat engine.ChatRequest
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -98,7 +98,7 @@
 		generationTag: engine.GenerationTag(o.Group, o.Generation),
 		client:        &http.Client{Transport: e.peerTransport},
 		interval:      e.opts.PeerInterval.Or(DefaultPeerInterval),
-		lossTimeout:   e.opts.PeerLost.Or(DefaultPeerLost),
+		lossTimeout:   e.opts.PeerLossTimeout.Or(DefaultPeerLossTimeout),
 		ctx:           ctx,
 		cancel:        cancel,
 		peerBoots:     make(map[string]fleet.BootID),
--- a/internal/standin/engine/orders_test.go
+++ b/internal/standin/engine/orders_test.go
@@ -59,7 +59,7 @@
 	is.True(after.Boot != before.Boot)
 	is.Equal(after, fleet.EngineState{VM: "e", Boot: after.Boot})
 	_, err = v.client.Order(testContext(t), v.addr, engine.Order{Verb: engine.VerbJoin, Fence: 9, Boot: before.Boot, Group: "g"})
-	is.True(errors.Is(err, engine.ErrOtherLife))
+	is.True(errors.Is(err, engine.ErrBootMismatch))
 	res, err := v.send(testContext(t), "GET", "/v1/streams/r1?from=0", "")
 	is.NoErr(err)
 	is.NoErr(res.Body.Close())
--- a/internal/standin/engine/replica_test.go
+++ b/internal/standin/engine/replica_test.go
@@ -109,7 +109,7 @@
 		a.mu.Lock()
 		r := a.replica
 		a.mu.Unlock()
-		return r.gate.Shut()
+		return r.gate.IsShut()
 	})
 	b.SetFaults(Faults{})
 	got := readEvents(res, nil)
@@ -118,10 +118,10 @@
 	is.Equal(got.tokens, ExpectedTokens([]byte(body)))
 }
 
-// A member that does not reply for longer than PeerLost ends the replica.
+// A member that does not reply for longer than PeerLossTimeout ends the replica.
 func TestSilentMemberEndsReplica(t *testing.T) {
 	is := is.New(t)
-	a, b := startReplica(t, func(o *Options) { o.PeerLost = config.Duration(time.Millisecond) })
+	a, b := startReplica(t, func(o *Options) { o.PeerLossTimeout = config.Duration(time.Millisecond) })
 	res, err := a.chat(testContext(t), "r", chatBody("x", MaxTokens, true))
 	is.NoErr(err)
 	b.SetFaults(Faults{Stall: true})
--- a/internal/standin/engine/stream_test.go
+++ b/internal/standin/engine/stream_test.go
@@ -101,12 +101,12 @@
 	is.Equal(res.StatusCode, 412)
 }
 
-// Ended streams are kept for StreamKept; beyond maxEndedStreams the oldest are dropped.
+// Ended streams are kept for StreamRetention; beyond maxEndedStreams the oldest are dropped.
 func TestEndedStreamsAreBounded(t *testing.T) {
 	is := is.New(t)
 	now := clock.NewManual(0)
 	o := fastOptions("e")
-	o.Clock, o.StreamKept = now, config.Duration(time.Minute)
+	o.Clock, o.StreamRetention = now, config.Duration(time.Minute)
 	v := startEngine(t, o)
 	v.join(1, 1, 0)
 	is.NoErr(readEvents(v.chat(testContext(t), "r", chatBody("x", 1, true))).err)
@@ -179,7 +179,7 @@
 func TestOrphanedStreamIsCancelled(t *testing.T) {
 	is := is.New(t)
 	o := fastOptions("e")
-	o.OrphanAfter = Immediately
+	o.OrphanTimeout = NoDelay
 	v := startEngine(t, o)
 	v.join(1, 1, 0)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -201,7 +201,7 @@
 			v.SetFaults(Faults{Stages: tt.Stages})
 			_, err := answerText(v.chat(testContext(t), "r", chatBody("x", 8, false)))
 			is.True(err != nil)
-			is.Equal(v.Executions("r"), tt.Runs)
+			is.Equal(v.Executions("r"), tt.ExpectedRuns)
 			body := chatBody("x", 8, false)
 			got, err := answerText(v.chat(testContext(t), "again", body))
 			is.NoErr(err)
--- a/internal/standin/fault/executions.go
+++ b/internal/standin/fault/executions.go
@@ -51,8 +51,8 @@
 // ServeHTTP replies with the counts by id as JSON, or only with that of "?id=".
 func (x *Executions) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if id := r.URL.Query().Get("id"); id != "" {
-		Reply(w, http.StatusOK, map[string]int{id: x.Count(id)})
+		ReplyJSON(w, http.StatusOK, map[string]int{id: x.Count(id)})
 		return
 	}
-	Reply(w, http.StatusOK, x.All())
+	ReplyJSON(w, http.StatusOK, x.All())
 }
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -49,23 +49,23 @@
 	Fail
 )
 
-// Switch contains the faults of one endpoint and selects the one for each request. It is
+// Injector contains the faults of one endpoint and selects the one for each request. It is
 // safe for concurrent use.
-type Switch struct {
+type Injector struct {
 	mu        sync.Mutex
 	stages    Stages
 	usedConns map[string]struct{} // remote addresses of connections that carried a request
 }
 
 // Set replaces the faults.
-func (s *Switch) Set(f Stages) {
+func (s *Injector) Set(f Stages) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stages = f
 }
 
 // Get returns the faults with their remaining counts.
-func (s *Switch) Get() Stages {
+func (s *Injector) Get() Stages {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stages
@@ -73,31 +73,31 @@
 
 // Next returns the stage at which a fault applies to r, and decrements that fault's
 // count. Faults of reused connections come first, then the order of Stages.
-func (s *Switch) Next(r *http.Request) Stage {
+func (s *Injector) Next(r *http.Request) Stage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reused := s.recordConn(r.RemoteAddr)
 	f := &s.stages
 	switch {
-	case reused && Take(&f.DropReused):
+	case reused && ConsumeCount(&f.DropReused):
 		return BeforeBody
-	case reused && Take(&f.DropReusedAfter):
+	case reused && ConsumeCount(&f.DropReusedAfter):
 		return AfterRun
-	case Take(&f.DropBeforeBody):
+	case ConsumeCount(&f.DropBeforeBody):
 		return BeforeBody
-	case Take(&f.DropHalfBody):
+	case ConsumeCount(&f.DropHalfBody):
 		return HalfBody
-	case Take(&f.DropAfterBody):
+	case ConsumeCount(&f.DropAfterBody):
 		return AfterBody
-	case Take(&f.DropAfterRun):
+	case ConsumeCount(&f.DropAfterRun):
 		return AfterRun
-	case Take(&f.CutAnswer):
+	case ConsumeCount(&f.CutAnswer):
 		return HalfAnswer
-	case Take(&f.CutAnswerClean):
+	case ConsumeCount(&f.CutAnswerClean):
 		return HalfAnswerClean
-	case Take(&f.RefuseNotRun):
+	case ConsumeCount(&f.RefuseNotRun):
 		return Refuse
-	case Take(&f.FailAfterRun):
+	case ConsumeCount(&f.FailAfterRun):
 		return Fail
 	default:
 		return None
@@ -106,7 +106,7 @@
 
 // recordConn records the connection and reports whether it carried a request before. The
 // record is cleared when it reaches maxUsedConns.
-func (s *Switch) recordConn(remote string) bool {
+func (s *Injector) recordConn(remote string) bool {
 	if _, ok := s.usedConns[remote]; ok {
 		return true
 	}
@@ -117,9 +117,9 @@
 	return false
 }
 
-// Take reports whether the fault with count n applies, and decrements n unless it is
+// ConsumeCount reports whether the fault with count n applies, and decrements n unless it is
 // Always.
-func Take(n *int) bool {
+func ConsumeCount(n *int) bool {
 	if *n == 0 {
 		return false
 	}
--- a/internal/standin/fault/gate.go
+++ b/internal/standin/fault/gate.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Shut reports whether the gate is shut.
-func (g *Gate) Shut() bool {
+// IsShut reports whether the gate is shut.
+func (g *Gate) IsShut() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.opened != nil
--- a/internal/standin/fault/http.go
+++ b/internal/standin/fault/http.go
@@ -18,8 +18,8 @@
 	return true
 }
 
-// Reply sends v as JSON with the given status.
-func Reply(w http.ResponseWriter, status int, v any) {
+// ReplyJSON sends v as JSON with the given status.
+func ReplyJSON(w http.ResponseWriter, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -30,9 +30,9 @@
 	_, _ = w.Write(body)
 }
 
-// Answer sends body with its Content-Length, or half of it if the stage is HalfAnswer,
+// WriteAnswer sends body with its Content-Length, or half of it if the stage is HalfAnswer,
 // which then resets the connection, or HalfAnswerClean.
-func Answer(w http.ResponseWriter, body []byte, at Stage) {
+func WriteAnswer(w http.ResponseWriter, body []byte, at Stage) {
 	switch at {
 	case HalfAnswer:
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
--- a/internal/standin/netfault/netfault.go
+++ b/internal/standin/netfault/netfault.go
@@ -82,8 +82,8 @@
 	r.cutFromTarget.Store(fromTarget)
 }
 
-// Loss drops the given fraction of datagrams, 0 to 1, in both directions.
-func (r *Relay) Loss(fraction float64) {
+// SetLoss drops the given fraction of datagrams, 0 to 1, in both directions.
+func (r *Relay) SetLoss(fraction float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lossFraction = fraction
@@ -96,8 +96,8 @@
 	r.rand = rand.New(rand.NewPCG(seed, seed))
 }
 
-// Delay delays each datagram by d, in each direction, without reordering.
-func (r *Relay) Delay(d time.Duration) { r.delay.Store(int64(d)) }
+// SetDelay delays each datagram by d, in each direction, without reordering.
+func (r *Relay) SetDelay(d time.Duration) { r.delay.Store(int64(d)) }
 
 // Close stops the relay and waits until its goroutines have ended.
 func (r *Relay) Close() error {
--- a/internal/standin/netfault/netfault_test.go
+++ b/internal/standin/netfault/netfault_test.go
@@ -126,7 +126,7 @@
 	draw := func(share float64) (lost int) {
 		r := &Relay{}
 		r.Seed(7)
-		r.Loss(share)
+		r.SetLoss(share)
 		for range 1000 {
 			if r.drawLoss() {
 				lost++
@@ -146,7 +146,7 @@
 	r := startRelay(t)
 	c := dialRelay(t, r)
 	const delay = 30 * time.Millisecond
-	r.Delay(delay)
+	r.SetDelay(delay)
 	start := time.Now()
 	_, err := c.Write([]byte("x"))
 	is.NoErr(err)
--- a/internal/standin/platform/faults.go
+++ b/internal/standin/platform/faults.go
@@ -12,9 +12,9 @@
 
 // The modes of Down.
 const (
-	Up          Down = ""            // no outage
-	DownClose   Down = "close"       // close connections without an answer
-	DownRefused Down = "unavailable" // answer 503 without applying the request
+	Up              Down = ""            // no outage
+	DownClose       Down = "close"       // close connections without an answer
+	DownUnavailable Down = "unavailable" // answer 503 without applying the request
 )
 
 // Always as the count of a fault applies it to every request.
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -195,14 +195,14 @@
 	switch {
 	case p.faults.Down == DownClose:
 		return effectClosed
-	case p.faults.Down == DownRefused:
+	case p.faults.Down == DownUnavailable:
 		return effectUnavailable
 	case !p.faults.NoLimits && !p.allowRate(a):
 		p.stats.Limited++
 		return effectLimited
-	case a.write && fault.Take(&p.faults.DropBefore):
+	case a.write && fault.ConsumeCount(&p.faults.DropBefore):
 		return effectClosed
-	case a.write && fault.Take(&p.faults.LoseAnswers):
+	case a.write && fault.ConsumeCount(&p.faults.LoseAnswers):
 		return effectLoseAnswer
 	default:
 		return effectNone
@@ -225,9 +225,9 @@
 func effectError(f requestEffect) error {
 	switch f {
 	case effectLimited:
-		return fmt.Errorf("%w: %w", platform.ErrDown, platform.ErrLimited)
+		return fmt.Errorf("%w: %w", platform.ErrUnavailable, platform.ErrRateLimited)
 	case effectClosed, effectUnavailable:
-		return platform.ErrDown
+		return platform.ErrUnavailable
 	case effectLoseAnswer:
 		return platform.ErrAmbiguous
 	default:
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -175,7 +175,7 @@
 
 // No mode of Down applies a write.
 func TestDownAppliesNothing(t *testing.T) {
-	for _, down := range []Down{DownClose, DownRefused} {
+	for _, down := range []Down{DownClose, DownUnavailable} {
 		t.Run(string(down), func(t *testing.T) {
 			is := is.New(t)
 			p := New(Options{NoLimits: true})
--- a/internal/standin/platform/table_test.go
+++ b/internal/standin/platform/table_test.go
@@ -142,7 +142,7 @@
 // runTransfers transfers one unit at a time between random accounts, and checks the sum
 // before each transfer.
 func runTransfers(ctx context.Context, t *testing.T, url string, r *rand.Rand, moves, accounts int) {
-	c := platform.NewClient(url, platform.WithSettleTimeout(200*time.Millisecond))
+	c := platform.NewClient(url, platform.WithResolveTimeout(200*time.Millisecond))
 	defer c.Close()
 	for range moves {
 		rows, err := c.List(ctx, "t", "")
@@ -290,7 +290,7 @@
 
 // runCASClient runs one client and returns its operations.
 func runCASClient(t *testing.T, url string, id int, start time.Time) (ops []porcupine.Operation) {
-	c := platform.NewClient(url, platform.WithSettleTimeout(50*time.Millisecond))
+	c := platform.NewClient(url, platform.WithResolveTimeout(50*time.Millisecond))
 	defer c.Close()
 	ctx := context.Background()
 	add := func(in casInput, f func() casOutput) {
--- a/internal/standin/pressure/pressure.go
+++ b/internal/standin/pressure/pressure.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// Names are the names of the response headers that carry the signals.
-type Names struct {
+// HeaderNames are the names of the response headers that carry the signals.
+type HeaderNames struct {
 	Limit      string // requests per second from all callers together
 	RetryAfter string // seconds for which a refused caller must not send requests
 	Leaving    string // the endpoint is leaving; its value is 1
 	// NotRun declares that a request did not run; its value is Promise.
-	NotRun, Promise string
+	NotRun, NotRunValue string
 }
 
 // Signals are the backpressure signals in the endpoint's answers.
@@ -39,9 +39,9 @@
 	maxInBackoff    = 2 // requests of a caller allowed during a backoff
 )
 
-// Endpoint sends the signals of a stand-in and checks that callers comply with them.
+// Monitor sends the signals of a stand-in and checks that callers comply with them.
 // The zero value sends no signals. It is safe for concurrent use.
-type Endpoint struct {
+type Monitor struct {
 	mu              sync.Mutex
 	signals         Signals
 	limitSince      time.Time            // when the limit was set
@@ -65,15 +65,15 @@
 	requests   int // received in the period
 }
 
-// Bounds are the grace periods of the deployment that the checks allow for.
-type Bounds struct {
-	Stable time.Duration // from the setting of a limit until callers together must comply
-	Drain  time.Duration // from the leaving notice until no request may arrive
+// GracePeriods are the grace periods of the deployment that the checks allow for.
+type GracePeriods struct {
+	Limit   time.Duration // from the setting of a limit until callers together must comply
+	Leaving time.Duration // from the leaving notice until no request may arrive
 }
 
-// Set changes the signals of the answers from now on. A new limit, or the end of
+// SetSignals changes the signals of the answers from now on. A new limit, or the end of
 // leaving, discards the record of the callers that received the previous signal.
-func (e *Endpoint) Set(s Signals) {
+func (e *Monitor) SetSignals(s Signals) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s.Limit != e.signals.Limit {
@@ -85,10 +85,10 @@
 	e.signals = s
 }
 
-// Excuse discards the signals and backoffs recorded for a caller, and its requests in
+// ForgetCaller discards the signals and backoffs recorded for a caller, and its requests in
 // the window. Tests call it for a caller that was paused, which after resuming acts on
 // outdated signals.
-func (e *Endpoint) Excuse(caller string) {
+func (e *Monitor) ForgetCaller(caller string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.limitReceived, caller)
@@ -98,14 +98,14 @@
 }
 
 // Arrivals returns the number of requests received.
-func (e *Endpoint) Arrivals() int {
+func (e *Monitor) Arrivals() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.arrivals
 }
 
-// Broken returns a description of each violation of a signal by a caller.
-func (e *Endpoint) Broken() []string {
+// Violations returns a description of each violation of a signal by a caller.
+func (e *Monitor) Violations() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]string(nil), e.violations...)
@@ -115,7 +115,7 @@
 // the request with status 503, else next serves it. The caller's name is the
 // X-Request-Id up to the first dot. The caller counts as informed once the response
 // header is written or next returns; an answer that is aborted before carries no signal.
-func (e *Endpoint) Serve(w http.ResponseWriter, r *http.Request, n Names, b Bounds, next http.HandlerFunc) {
+func (e *Monitor) Serve(w http.ResponseWriter, r *http.Request, n HeaderNames, b GracePeriods, next http.HandlerFunc) {
 	caller, _, _ := strings.Cut(r.Header.Get("X-Request-Id"), ".")
 	signals := e.recordArrival(caller, time.Now(), b)
 	if signals.Limit > 0 {
@@ -130,7 +130,7 @@
 		recordOnce()
 		return
 	}
-	w.Header().Set(n.NotRun, n.Promise)
+	w.Header().Set(n.NotRun, n.NotRunValue)
 	w.Header().Set(n.RetryAfter, strconv.FormatFloat(signals.RetryAfter.Seconds(), 'f', -1, 64))
 	recordOnce()
 	w.WriteHeader(http.StatusServiceUnavailable)
@@ -155,13 +155,13 @@
 func (h *headerWatcher) Unwrap() http.ResponseWriter { return h.ResponseWriter }
 
 // recordArrival counts and checks a request, and returns the signals for its answer.
-func (e *Endpoint) recordArrival(caller string, now time.Time, b Bounds) Signals {
+func (e *Monitor) recordArrival(caller string, now time.Time, b GracePeriods) Signals {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.arrivals++
 	e.checkLimit(caller, now, b)
 	e.checkBackoffs(caller, now)
-	if at, ok := e.leavingReceived[caller]; ok && now.Sub(at) > b.Drain {
+	if at, ok := e.leavingReceived[caller]; ok && now.Sub(at) > b.Leaving {
 		e.violations = append(e.violations, fmt.Sprintf("a request from %s arrived %v after the leaving notice", caller, now.Sub(at)))
 	}
 	return e.signals
@@ -169,7 +169,7 @@
 
 // checkLimit records a violation if callers that received the limit exceed it together.
 // A caller's requests count from complianceDelay after it first received the limit.
-func (e *Endpoint) checkLimit(caller string, now time.Time, b Bounds) {
+func (e *Monitor) checkLimit(caller string, now time.Time, b GracePeriods) {
 	if e.signals.Limit == 0 {
 		return
 	}
@@ -180,14 +180,14 @@
 		e.recentArrivals = e.recentArrivals[1:]
 	}
 	allowed := limitTolerance*e.signals.Limit*limitWindow.Seconds() + limitSlack
-	if now.Sub(e.limitSince) >= b.Stable && float64(len(e.recentArrivals)) > allowed {
+	if now.Sub(e.limitSince) >= b.Limit && float64(len(e.recentArrivals)) > allowed {
 		e.violations = append(e.violations, fmt.Sprintf("%d requests in %v at a rate limit of %v per second; at most %.0f are allowed", len(e.recentArrivals), limitWindow, e.signals.Limit, allowed))
 	}
 }
 
 // checkBackoffs records a violation if the caller sends more than maxInBackoff requests
 // during one of its backoffs, and drops the backoffs that are over.
-func (e *Endpoint) checkBackoffs(caller string, now time.Time) {
+func (e *Monitor) checkBackoffs(caller string, now time.Time) {
 	open := e.backoffs[:0]
 	for _, r := range e.backoffs {
 		if now.After(r.end) {
@@ -206,7 +206,7 @@
 
 // recordSignals records the signals that a caller receives. A limit or leaving notice
 // that has changed since the request arrived is not recorded.
-func (e *Endpoint) recordSignals(caller string, s Signals, now time.Time) {
+func (e *Monitor) recordSignals(caller string, s Signals, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, ok := e.limitReceived[caller]; !ok && s.Limit > 0 && s.Limit == e.signals.Limit {
--- a/internal/standin/pressure/pressure_test.go
+++ b/internal/standin/pressure/pressure_test.go
@@ -12,12 +12,12 @@
 
 // sendRequests sends 40 requests of one caller in 4 s. If lost is set, the endpoint
 // aborts each request without an answer.
-func sendRequests(e *Endpoint, lost bool) {
-	names := Names{Limit: "Limit", RetryAfter: "Retry-After", Leaving: "Leaving", NotRun: "Not-Run", Promise: "1"}
+func sendRequests(e *Monitor, lost bool) {
+	names := HeaderNames{Limit: "Limit", RetryAfter: "Retry-After", Leaving: "Leaving", NotRun: "Not-Run", NotRunValue: "1"}
 	for range 40 {
 		func() {
 			defer func() { _ = recover() }() // as the server does with http.ErrAbortHandler
-			e.Serve(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/", nil), names, Bounds{Stable: time.Second},
+			e.Serve(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/", nil), names, GracePeriods{Limit: time.Second},
 				func(w http.ResponseWriter, _ *http.Request) {
 					if lost {
 						panic(http.ErrAbortHandler)
@@ -35,12 +35,12 @@
 	for _, s := range []Signals{{Limit: 1}, {Leaving: true}} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			var e Endpoint
-			e.Set(s)
+			var e Monitor
+			e.SetSignals(s)
 			sendRequests(&e, true)
-			is.Equal(len(e.Broken()), 0)
+			is.Equal(len(e.Violations()), 0)
 			sendRequests(&e, false)
-			is.True(len(e.Broken()) > 0)
+			is.True(len(e.Violations()) > 0)
 		})
 	}
 }
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -31,13 +31,13 @@
 	Zone  fleet.AvailabilityZone `yaml:"zone"`
 	Name  string                 `yaml:"name"`  // of the service; default DefaultName
 	Delay config.Duration        `yaml:"delay"` // duration of each call; default 0
-	// ExitOn is a path; a call to it ends the process, with exit code ExitCrashed,
+	// ExitPath is a path; a call to it ends the process, with exit code ExitCodeCrashed,
 	// before the call runs. Empty disables it.
-	ExitOn string `yaml:"exit_on"`
+	ExitPath string `yaml:"exit_on"`
 }
 
-// ExitCrashed is the exit code of a process that a call to Options.ExitOn ended.
-const ExitCrashed = 70
+// ExitCodeCrashed is the exit code of a process that a call to Options.ExitPath ended.
+const ExitCodeCrashed = 70
 
 // Faults are the faults that can be injected into a stand-in service.
 type Faults struct {
@@ -54,16 +54,16 @@
 	Path   string `json:"path"`
 	// Serial is a new serial number for each run of a call other than GET and HEAD.
 	Serial uint64 `json:"serial,omitempty"`
-	// Check is the result of CheckOf for the request. Callers use it to recognise
+	// Check is the result of Checksum for the request. Callers use it to recognise
 	// the answer to their own request.
 	Check string `json:"check"`
 	// Runs is the number of runs of this request so far, including this one.
 	Runs int `json:"runs"`
 }
 
-// CheckOf returns a hash of the method, the path including the query, and the body of a
+// Checksum returns a hash of the method, the path including the query, and the body of a
 // request.
-func CheckOf(method, path string, body []byte) string {
+func Checksum(method, path string, body []byte) string {
 	d := xxhash.New()
 	_, _ = d.WriteString(method + " " + path + "\x00") // never fails
 	_, _ = d.Write(body)
@@ -75,7 +75,7 @@
 type Service struct {
 	opts       Options
 	mux        *http.ServeMux
-	stages     fault.Switch
+	stages     fault.Injector
 	gate       fault.Gate // shut while stalled
 	executions *fault.Executions
 
@@ -88,13 +88,13 @@
 
 	// Pressure adds rate limits, backoffs and leaving notices to the answers and
 	// checks that callers comply with them.
-	Pressure pressure.Endpoint
+	Pressure pressure.Monitor
 }
 
-var pressureNames = pressure.Names{Limit: engine.HeaderRateLimit, RetryAfter: engine.HeaderRetryAfter, Leaving: engine.HeaderLeaving, NotRun: engine.HeaderNotRun, Promise: "true"}
+var pressureNames = pressure.HeaderNames{Limit: engine.HeaderRateLimit, RetryAfter: engine.HeaderRetryAfter, Leaving: engine.HeaderLeaving, NotRun: engine.HeaderNotRun, NotRunValue: "true"}
 
 // pressureBounds are short to keep tests fast.
-var pressureBounds = pressure.Bounds{Stable: time.Second, Drain: time.Second}
+var pressureBounds = pressure.GracePeriods{Limit: time.Second, Leaving: time.Second}
 
 // New returns a service with a new boot id.
 func New(o Options) *Service {
@@ -171,13 +171,13 @@
 
 func (s *Service) routes() *http.ServeMux {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) { fault.Reply(w, http.StatusOK, s.State()) })
+	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) { fault.ReplyJSON(w, http.StatusOK, s.State()) })
 	mux.HandleFunc("GET /load", s.serveLoad)
 	mux.HandleFunc("POST /leave", func(w http.ResponseWriter, _ *http.Request) {
 		s.Leave()
 		w.WriteHeader(http.StatusNoContent)
 	})
-	mux.HandleFunc("GET "+fault.PathFaults, func(w http.ResponseWriter, _ *http.Request) { fault.Reply(w, http.StatusOK, s.Faults()) })
+	mux.HandleFunc("GET "+fault.PathFaults, func(w http.ResponseWriter, _ *http.Request) { fault.ReplyJSON(w, http.StatusOK, s.Faults()) })
 	mux.HandleFunc("POST "+fault.PathFaults, s.serveSetFaults)
 	mux.Handle("GET "+fault.PathExecutions, s.executions)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
@@ -191,7 +191,7 @@
 	s.sequence++
 	l := fleet.Load{VM: s.opts.VM, Boot: s.state.Boot, Sequence: s.sequence, Running: s.running}
 	s.mu.Unlock()
-	fault.Reply(w, http.StatusOK, l)
+	fault.ReplyJSON(w, http.StatusOK, l)
 }
 
 // faultOrder is the body of POST /faults. Fields that are left out keep their value.
@@ -209,7 +209,7 @@
 		s.Restart()
 	}
 	s.SetFaults(o.Faults)
-	fault.Reply(w, http.StatusOK, o.Faults)
+	fault.ReplyJSON(w, http.StatusOK, o.Faults)
 }
 
 // serveCall serves a call to the service, with the fault that applies to it.
@@ -226,8 +226,8 @@
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 		return
 	}
-	if s.opts.ExitOn != "" && r.URL.Path == s.opts.ExitOn {
-		os.Exit(ExitCrashed)
+	if s.opts.ExitPath != "" && r.URL.Path == s.opts.ExitPath {
+		os.Exit(ExitCodeCrashed)
 	}
 	answer := s.run(r, body)
 	switch at {
@@ -237,7 +237,7 @@
 		http.Error(w, "failed", http.StatusInternalServerError)
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		fault.Answer(w, answer, at)
+		fault.WriteAnswer(w, answer, at)
 	}
 }
 
@@ -258,7 +258,7 @@
 	path := r.URL.RequestURI()
 	a := Answer{
 		Method: r.Method, Path: path,
-		Check: CheckOf(r.Method, path, body),
+		Check: Checksum(r.Method, path, body),
 		Runs:  s.executions.Add(executionKey(r.Method, path, key)),
 	}
 	s.mu.Lock()
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -70,12 +70,12 @@
 	second, _, err := c.call("POST", "/receipts?desk=2", "fee 2", "b")
 	is.NoErr(err)
 	is.Equal(first.Serial+1, second.Serial)
-	is.Equal(first.Check, CheckOf("POST", "/receipts?desk=2", []byte("fee 1")))
+	is.Equal(first.Check, Checksum("POST", "/receipts?desk=2", []byte("fee 1")))
 	is.True(first.Check != second.Check)
 	look, h, err := c.call("GET", "/lookup/licence/17", "", "c")
 	is.NoErr(err)
 	is.Equal(look.Serial, uint64(0))
-	is.Equal(look.Check, CheckOf("GET", "/lookup/licence/17", nil))
+	is.Equal(look.Check, Checksum("GET", "/lookup/licence/17", nil))
 	is.Equal(h.Get(engine.HeaderBoot), string(c.State().Boot))
 }
 
@@ -98,10 +98,10 @@
 // the receipt was issued shows only in the execution count.
 func TestConnectionFaults(t *testing.T) {
 	cases := append(testkit.ConnectionFaults(),
-		testkit.ConnectionFault{Name: "reused connection closed", Stages: fault.Stages{DropReused: 1}, Runs: 0},
-		testkit.ConnectionFault{Name: "reused, closed after run", Stages: fault.Stages{DropReusedAfter: 1}, Runs: 1},
-		testkit.ConnectionFault{Name: "always, after the body", Stages: fault.Stages{DropAfterBody: fault.Always}, Runs: 0},
-		testkit.ConnectionFault{Name: "always, after running too", Stages: fault.Stages{DropAfterRun: fault.Always}, Runs: 1},
+		testkit.ConnectionFault{Name: "reused connection closed", Stages: fault.Stages{DropReused: 1}, ExpectedRuns: 0},
+		testkit.ConnectionFault{Name: "reused, closed after run", Stages: fault.Stages{DropReusedAfter: 1}, ExpectedRuns: 1},
+		testkit.ConnectionFault{Name: "always, after the body", Stages: fault.Stages{DropAfterBody: fault.Always}, ExpectedRuns: 0},
+		testkit.ConnectionFault{Name: "always, after running too", Stages: fault.Stages{DropAfterRun: fault.Always}, ExpectedRuns: 1},
 	)
 	for _, tt := range cases {
 		t.Run(tt.Name, func(t *testing.T) {
@@ -112,7 +112,7 @@
 			c.SetFaults(Faults{Stages: tt.Stages})
 			_, _, err = c.call("POST", "/receipts", strings.Repeat("x", 4096), "a")
 			is.True(err != nil)
-			is.Equal(c.Executions("POST", "/receipts", "a"), tt.Runs)
+			is.Equal(c.Executions("POST", "/receipts", "a"), tt.ExpectedRuns)
 		})
 	}
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -87,7 +87,7 @@
 	var receipt service.Answer
 	is.NoErr(json.Unmarshal(doRequest(t, http.MethodPost, "http://"+serviceAddr+"/receipts", "x", "Idempotency-Key", "k"), &receipt))
 	is.Equal(receipt.Serial, uint64(1))
-	is.Equal(receipt.Check, service.CheckOf(http.MethodPost, "/receipts", []byte("x")))
+	is.Equal(receipt.Check, service.Checksum(http.MethodPost, "/receipts", []byte("x")))
 }
 
 func waitLoaded(ctx context.Context, t *testing.T, c *engine.Client, addr string) fleet.EngineState {
--- a/internal/testkit/logs.go
+++ b/internal/testkit/logs.go
@@ -10,10 +10,10 @@
 // logsDirVariable is the environment variable with the directory for complete logs.
 const logsDirVariable = "CHERVILLOOM_TEST_LOGS"
 
-// KeepLog writes the log lines of a process to a file below the directory in
+// SaveLog writes the log lines of a process to a file below the directory in
 // CHERVILLOOM_TEST_LOGS, with a subdirectory per test run. It does nothing if the
 // variable is empty. Tests call it when they fail.
-func KeepLog(t testing.TB, process string, lines []string) {
+func SaveLog(t testing.TB, process string, lines []string) {
 	t.Helper()
 	root := os.Getenv(logsDirVariable)
 	if root == "" {
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -9,9 +9,9 @@
 	"chervilloom/internal/standin/fault"
 )
 
-// Patience is the timeout for conditions that must become true. It is much longer
+// WaitTimeout is the timeout for conditions that must become true. It is much longer
 // than any wait needs, so that results do not depend on the machine's speed.
-const Patience = 20 * time.Second
+const WaitTimeout = 20 * time.Second
 
 // pollInterval is the interval at which Eventually checks its condition. No test
 // result depends on it.
@@ -21,7 +21,7 @@
 // 20 s; what describes the condition.
 func Eventually(t testing.TB, what string, cond func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !cond(); time.Sleep(pollInterval) {
+	for end := time.Now().Add(WaitTimeout); !cond(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			t.Fatalf("condition not met in time: %s", what)
 		}
@@ -30,9 +30,9 @@
 
 // ConnectionFault is a fault injected into one connection to a stand-in.
 type ConnectionFault struct {
-	Name   string
-	Stages fault.Stages
-	Runs   int // how often the stand-in runs the affected request
+	Name         string
+	Stages       fault.Stages
+	ExpectedRuns int // how often the stand-in runs the affected request
 }
 
 // ConnectionFaults returns a fault for each stage at which a connection can break.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -47,26 +47,26 @@
 
 // Errors of an exchange.
 var (
-	// ErrUnsent means that no byte of the request was sent: it has not run.
-	ErrUnsent = errors.New("upstream: the request was not sent; it has not run")
-	// ErrNoAnswer means that at least a part of the request was sent and no response was
+	// ErrNotSent means that no byte of the request was sent: it has not run.
+	ErrNotSent = errors.New("upstream: the request was not sent; it has not run")
+	// ErrNoResponse means that at least a part of the request was sent and no response was
 	// received: the request may have run.
-	ErrNoAnswer = errors.New("upstream: the request was sent and not answered; it may have run")
+	ErrNoResponse = errors.New("upstream: the request was sent and not answered; it may have run")
 )
 
 // Send writes the request and reads the header of the response. The response body must be
 // read to its end before the connection is reused. Abort may end the exchange at any time.
-// Send fails with ErrNoAnswer.
+// Send fails with ErrNoResponse.
 func (c *Conn) Send(r *Request) (*http.Response, error) {
 	bodySent, err := c.write(r)
 	if err != nil {
 		c.unusable = true
-		return nil, fmt.Errorf("%w: %w", ErrNoAnswer, err)
+		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
 	resp, err := http.ReadResponse(c.buf, &http.Request{Method: r.Method})
 	if err != nil {
 		c.unusable = true
-		return nil, fmt.Errorf("%w: %w", ErrNoAnswer, err)
+		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
 	select {
 	case err := <-bodySent:
@@ -112,11 +112,11 @@
 // Abort makes all pending and later reads and writes fail immediately.
 func (c *Conn) Abort() { _ = c.SetDeadline(time.Unix(1, 0)) } // fails only on a closed connection
 
-// Fresh reports whether the connection has not been used for a request yet.
-func (c *Conn) Fresh() bool { return !c.used }
+// IsNew reports whether the connection has not been used for a request yet.
+func (c *Conn) IsNew() bool { return !c.used }
 
-// Spoil prevents the connection from being reused.
-func (c *Conn) Spoil() { c.unusable = true }
+// MarkUnusable prevents the connection from being reused.
+func (c *Conn) MarkUnusable() { c.unusable = true }
 
 // isReusable reports whether an idle connection is open and has no data to read. If the endpoint
 // has closed it, the next request would be lost; unread data belongs to no request and would
@@ -129,9 +129,9 @@
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// PeerLeft reports whether the peer has closed or reset the connection, as far as this VM
+// IsPeerClosed reports whether the peer has closed or reset the connection, as far as this VM
 // has received that. It consumes no data of the connection.
-func PeerLeft(c net.Conn) bool {
+func IsPeerClosed(c net.Conn) bool {
 	n, err := peek(c)
 	switch {
 	case err == nil:
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -33,7 +33,7 @@
 
 // Get returns an idle connection to addr, or a new one. With fresh it always opens a new
 // one: a request that may run only once cannot be sent again if an idle connection turns
-// out to be closed. It fails with ErrUnsent.
+// out to be closed. It fails with ErrNotSent.
 func (p *Pool) Get(ctx context.Context, addr string, fresh bool) (*Conn, error) {
 	if !fresh {
 		if c := p.takeIdle(addr); c != nil {
@@ -46,7 +46,7 @@
 	}
 	nc, err := dial(ctx, addr)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrUnsent, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	return &Conn{Conn: nc, addr: addr, buf: bufio.NewReaderSize(nc, readBufferBytes), idleLimit: defaultIdleLimit}, nil
 }
@@ -127,8 +127,8 @@
 	}
 }
 
-// Return returns a connection to the pool on which nothing was sent since Get.
-func (p *Pool) Return(c *Conn, keep int) {
+// PutUnused returns a connection to the pool on which nothing was sent since Get.
+func (p *Pool) PutUnused(c *Conn, keep int) {
 	if !c.used {
 		c.idleSince = p.Clock.Now()
 	}
@@ -152,8 +152,8 @@
 	return true
 }
 
-// Sweep closes the connections whose idle limit has passed.
-func (p *Pool) Sweep() {
+// CloseExpired closes the connections whose idle limit has passed.
+func (p *Pool) CloseExpired() {
 	now := p.Clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -150,7 +150,7 @@
 		requests <- struct{}{}
 	}).addr()
 	_, err := sendAndReturn(t, &Pool{Clock: clock.Boot{}}, addr)
-	is.True(errors.Is(err, ErrNoAnswer))
+	is.True(errors.Is(err, ErrNoResponse))
 	is.Equal(len(requests), 1)
 }
 
@@ -191,7 +191,7 @@
 	is.NoErr(err)
 	go func() { <-got; c.Abort() }()
 	_, err = c.Send(&Request{Method: "GET", Target: "/", Host: "h", Header: http.Header{}})
-	is.True(errors.Is(err, ErrNoAnswer))
+	is.True(errors.Is(err, ErrNoResponse))
 }
 
 func TestIdleLimitComesFromTheEndpoint(t *testing.T) {
@@ -211,10 +211,10 @@
 	p := &Pool{Clock: c}
 	_, err := sendAndReturn(t, p, addr)
 	is.NoErr(err)
-	p.Sweep()
+	p.CloseExpired()
 	is.Equal(len(p.idle[addr]), 1)
 	c.Advance(10 * time.Second)
-	p.Sweep()
+	p.CloseExpired()
 	is.Equal(len(p.idle[addr]), 0)
 }
 
@@ -255,7 +255,7 @@
 	}
 	waitForClose := func(server net.Conn) bool {
 		for range 1000 { // the FIN or RST has not arrived over the loopback yet
-			if PeerLeft(server) {
+			if IsPeerClosed(server) {
 				return true
 			}
 			time.Sleep(time.Millisecond)
@@ -263,10 +263,10 @@
 		return false
 	}
 	client, server := pair()
-	is.True(!PeerLeft(server))
+	is.True(!IsPeerClosed(server))
 	_, err = client.Write([]byte("GET"))
 	is.NoErr(err)
-	is.True(!PeerLeft(server))
+	is.True(!IsPeerClosed(server))
 	closing, closed := pair()
 	closing.Close()
 	is.True(waitForClose(closed))
--- a/internal/usage/bench_test.go
+++ b/internal/usage/bench_test.go
@@ -95,11 +95,11 @@
 		states[i].SetPeers(peers)
 	}
 	bytes := 0
-	for at := time.Duration(0); at < warm+length; at += TickEvery {
+	for at := time.Duration(0); at < warm+length; at += TickInterval {
 		now := clock.Instant(time.Second + at)
 		for i, s := range states {
 			m := s.Tick(now, func(o fleet.Organisation) Count {
-				rate := 100 * c.rate(i, nodes, hot[o]) * TickEvery.Seconds()
+				rate := 100 * c.rate(i, nodes, hot[o]) * TickInterval.Seconds()
 				return Count{Model: poisson(r, rate), Lookups: poisson(r, rate)}
 			})
 			if m == nil {
--- a/internal/usage/claim.go
+++ b/internal/usage/claim.go
@@ -55,9 +55,9 @@
 	// covers message delivery and the quarter of a second in which admission
 	// adopts a new share.
 	Holdoff = time.Second
-	// TickEvery is the interval at which demand is measured and claims are
+	// TickInterval is the interval at which demand is measured and claims are
 	// announced.
-	TickEvery = 500 * time.Millisecond
+	TickInterval = 500 * time.Millisecond
 	// minTimeConstant and maxTimeConstant bound the time constant of the
 	// measured demand, in seconds. Between them it covers timeConstantRequests
 	// requests of an even share.
--- a/internal/usage/state.go
+++ b/internal/usage/state.go
@@ -230,7 +230,7 @@
 // broadcast, or nil if there is nothing to announce. count returns the requests
 // since the last tick.
 func (s *State) Tick(now clock.Instant, count func(fleet.Organisation) Count) *Message {
-	dt := TickEvery.Seconds()
+	dt := TickInterval.Seconds()
 	if s.lastTick != 0 && now.After(s.lastTick) {
 		dt = now.Sub(s.lastTick).Seconds()
 	}
--- a/internal/usage/state_test.go
+++ b/internal/usage/state_test.go
@@ -81,7 +81,7 @@
 // run advances the time by d. The nodes tick in turn, evenly spaced.
 func (w *network) run(d time.Duration) {
 	end := w.now.Add(d)
-	gap := TickEvery / time.Duration(len(w.nodes))
+	gap := TickInterval / time.Duration(len(w.nodes))
 	for turn := 0; w.now.Before(end); turn++ {
 		w.now = w.now.Add(gap)
 		w.deliver()
@@ -104,7 +104,7 @@
 
 func (w *network) tick(i int) {
 	m := w.nodes[i].Tick(w.now, func(fleet.Organisation) Count {
-		w.fractions[i] += w.demand[i] * TickEvery.Seconds()
+		w.fractions[i] += w.demand[i] * TickInterval.Seconds()
 		n := int(w.fractions[i])
 		w.fractions[i] -= float64(n)
 		return Count{Model: n, Lookups: n}
@@ -190,7 +190,7 @@
 		clear(w.partition)
 		w.updateDeadPeers()
 		bound = float64(parts)
-		w.run(Holdoff + 2*TickEvery)
+		w.run(Holdoff + 2*TickInterval)
 		bound = 1
 		drawDemand(t, w, limit)
 		w.run(20 * time.Second)
--- a/internal/usage/tracker.go
+++ b/internal/usage/tracker.go
@@ -21,14 +21,14 @@
 // queue drops the newest message; senders repeat claims that are not even.
 const inboxSize = 1024
 
-// Peers sends messages to the other nodes.
-type Peers interface {
+// Broadcaster sends messages to the other nodes.
+type Broadcaster interface {
 	Broadcast(topic string, payload []byte)
 }
 
 // Options configures a Tracker.
 type Options struct {
-	Peers      Peers
+	Peers      Broadcaster
 	View       view.Source
 	Clock      clock.Clock
 	Log        *slog.Logger
@@ -79,7 +79,7 @@
 
 // Run measures demand and exchanges claims until ctx ends.
 func (t *Tracker) Run(ctx context.Context) {
-	tick := time.NewTicker(TickEvery)
+	tick := time.NewTicker(TickInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/view/assignment.go
+++ b/internal/view/assignment.go
@@ -53,8 +53,10 @@
 	return a.position(self, subject) < a.Watchers
 }
 
-// Leads reports whether self is the first of the nodes that watch the subject.
-func (a *Assignment) Leads(self fleet.VM, subject string) bool { return a.position(self, subject) == 0 }
+// IsFirstWatcher reports whether self is the first of the nodes that watch the subject.
+func (a *Assignment) IsFirstWatcher(self fleet.VM, subject string) bool {
+	return a.position(self, subject) == 0
+}
 
 // ZoneNodes returns the other entry nodes of the snapshot's zone that share its
 // watching: those that are alive and not draining. Suspect nodes are left out:
--- a/internal/view/bench_test.go
+++ b/internal/view/bench_test.go
@@ -96,7 +96,7 @@
 		}
 		sent := now.Add(-time.Duration(rng.Int64N(int64(300 * time.Millisecond))))
 		st.Apply(view.Probed{VM: r.VM, Sent: sent, RTT: 400 * time.Microsecond, Answered: true, State: p})
-		st.Apply(view.Loaded{At: now, Load: fleet.Load{VM: r.VM, Boot: p.Boot, Sequence: seq, Running: rng.IntN(8), Waiting: rng.IntN(4), Slots: 8}})
+		st.Apply(view.LoadReported{At: now, Load: fleet.Load{VM: r.VM, Boot: p.Boot, Sequence: seq, Running: rng.IntN(8), Waiting: rng.IntN(4), Slots: 8}})
 	}
 }
 
@@ -117,7 +117,7 @@
 	return w
 }
 
-func (d *seenBy) Leads(subject string) bool {
+func (d *seenBy) IsFirstWatcher(subject string) bool {
 	w, ok := d.leads[subject]
 	if !ok {
 		w = membership.Owner(subject, d.nodes) == d.self
@@ -126,7 +126,7 @@
 	return w
 }
 
-func (d *seenBy) Holds() bool { return d.self == d.nodes[0] }
+func (d *seenBy) HoldsLease() bool { return d.self == d.nodes[0] }
 
 // BenchmarkGossipBytes runs the digests of every node of one zone for a
 // simulated minute of constantly changing probes and loads. It reports the
@@ -152,13 +152,13 @@
 	}
 	far := s.nodes - len(near)
 	type zoneNode struct {
-		zone, remote *view.Teller
+		zone, remote *view.DigestProducer
 		duties       *seenBy
 		bytes, wire  int
 	}
 	var all []*zoneNode
 	for _, vm := range near {
-		all = append(all, &zoneNode{zone: view.NewTeller(false, begin), remote: view.NewTeller(true, begin), duties: &seenBy{vm, near, map[string]bool{}, map[string]bool{}}})
+		all = append(all, &zoneNode{zone: view.NewDigestProducer(false, begin), remote: view.NewDigestProducer(true, begin), duties: &seenBy{vm, near, map[string]bool{}, map[string]bool{}}})
 	}
 	var seq uint64
 	for ms := 0; ms < span*1000; ms += 100 {
@@ -169,11 +169,11 @@
 		}
 		snap := st.Snapshot(now)
 		for _, t := range all {
-			for _, m := range t.zone.Next(snap, t.duties, now, view.ZoneEvery(len(near)-1)) {
+			for _, m := range t.zone.Next(snap, t.duties, now, view.ZoneInterval(len(near)-1)) {
 				t.bytes += len(m) * (len(near) - 1)
 				t.wire += (len(m) + header) * (len(near) - 1)
 			}
-			for _, m := range t.remote.Next(snap, t.duties, now, view.RemoteEvery(far)) {
+			for _, m := range t.remote.Next(snap, t.duties, now, view.RemoteInterval(far)) {
 				t.bytes += len(m) * far
 				t.wire += (len(m) + header) * far
 			}
--- a/internal/view/digest_test.go
+++ b/internal/view/digest_test.go
@@ -16,17 +16,17 @@
 // watchAll implements Duties for a node that watches every subject.
 type watchAll struct{ holdsLease bool }
 
-func (watchAll) Watches(string) bool { return true }
-func (watchAll) Leads(string) bool   { return true }
-func (a watchAll) Holds() bool       { return a.holdsLease }
+func (watchAll) Watches(string) bool        { return true }
+func (watchAll) IsFirstWatcher(string) bool { return true }
+func (a watchAll) HoldsLease() bool         { return a.holdsLease }
 
 var peer = fleet.Node{VM: "n2", Incarnation: 1}
 
 // deliver decodes the messages at now and applies their events to a state.
-func deliver(t testing.TB, h *Hearer, to *State, messages [][]byte, now clock.Instant) {
+func deliver(t testing.TB, h *DigestReader, to *State, messages [][]byte, now clock.Instant) {
 	t.Helper()
 	for _, m := range messages {
-		received, err := h.Hear(peer, m, now)
+		received, err := h.Read(peer, m, now)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -43,7 +43,7 @@
 	records := []fleet.Record{record("a", fleet.StateLive), record("b", fleet.StateLive)}
 	from.Apply(List{At: at(0), Records: records})
 	to.Apply(List{At: at(0), Records: records})
-	producer, reader := NewTeller(false, at(0)), NewHearer()
+	producer, reader := NewDigestProducer(false, at(0)), NewDigestReader()
 	send := func(ms int) {
 		deliver(t, reader, to, producer.Next(from.Snapshot(at(ms)), watchAll{true}, at(ms), 300*time.Millisecond), at(ms))
 	}
@@ -60,13 +60,13 @@
 	send(400)
 	is.Equal(to.Snapshot(at(400)).Groups[0].FreshUntil, at(350+1500))
 
-	from.Apply(Probed{VM: "b", Sent: at(450), Failing: at(450), Failures: 1})
+	from.Apply(Probed{VM: "b", Sent: at(450), FailingSince: at(450), Failures: 1})
 	send(460) // sent at once, before the next regular digest
 	is.Equal(to.Snapshot(at(460)).Groups[0].FreshUntil, clock.Instant(0))
-	from.Apply(Probed{VM: "b", Sent: at(750), Failing: at(450), Failures: 2})
+	from.Apply(Probed{VM: "b", Sent: at(750), FailingSince: at(450), Failures: 2})
 	send(800)
 	b := to.Snapshot(at(800)).VMs[1].Probe
-	is.Equal(b.Failing, at(450))
+	is.Equal(b.FailingSince, at(450))
 	is.Equal(b.Failures, 2)
 
 	from.Apply(probeAnswer("b", "b2", 900)) // restarted
@@ -91,7 +91,7 @@
 		s.Apply(probeAnswer("a", "b1", 10))
 	}
 	none := watchAll{}
-	producer, reader := NewTeller(true, at(0)), NewHearer()
+	producer, reader := NewDigestProducer(true, at(0)), NewDigestReader()
 	from.Apply(MarkLeaving{VM: "a", Boot: "b1", Reason: "operator"})
 	round := 0
 	for ms := 100; ms < 3000; ms += 100 {
@@ -101,7 +101,7 @@
 		}
 	}
 	is.True(firstVM(to, 3000).Leaving)
-	forwarding := NewTeller(true, at(0))
+	forwarding := NewDigestProducer(true, at(0))
 	is.Equal(len(forwarding.Next(to.Snapshot(at(3000)), none, at(3000), time.Second)), 0)
 }
 
@@ -109,7 +109,7 @@
 	is := is.New(t)
 	from, to := newState(), NewState(fleet.Node{VM: "far"}, "y")
 	g := applyGroupOfTwo(from)
-	producer, reader := NewTeller(true, at(0)), NewHearer()
+	producer, reader := NewDigestProducer(true, at(0)), NewDigestReader()
 	send := func(ms int) {
 		deliver(t, reader, to, producer.Next(from.Snapshot(at(ms)), watchAll{}, at(ms), 500*time.Millisecond), at(ms))
 	}
@@ -118,7 +118,7 @@
 	is.True(got.Whole)
 	is.Equal(got.FreshUntil, at(10+1500))
 	is.Equal(len(got.Members), 1) // only the leader is sent
-	from.Apply(Loaded{At: at(550), Load: fleet.Load{VM: "a", Boot: "b1", Sequence: 1, Running: 4, Waiting: 2, Slots: 8}})
+	from.Apply(LoadReported{At: at(550), Load: fleet.Load{VM: "a", Boot: "b1", Sequence: 1, Running: 4, Waiting: 2, Slots: 8}})
 	send(600)
 	got = to.Snapshot(at(600)).Groups[0]
 	is.Equal(got.Load.Running, 4)
@@ -142,7 +142,7 @@
 	for _, s := range []*State{from, to} {
 		s.Apply(List{At: at(0), Records: []fleet.Record{record("a", fleet.StateLive), record("b", fleet.StateLive)}})
 	}
-	producer, reader := NewTeller(false, at(0)), NewHearer()
+	producer, reader := NewDigestProducer(false, at(0)), NewDigestReader()
 	deliver(t, reader, to, producer.Next(from.Snapshot(at(100)), watchAll{true}, at(100), time.Second), at(100))
 	g := from.groups["z.g"].group
 	for i, m := range g.Members {
@@ -169,7 +169,7 @@
 		rate := rapid.Float64Range(0.9999, 1.0001).Draw(t, "rate")
 		senderTime := func(real clock.Instant) clock.Instant { return offset + clock.Instant(float64(real-t0)*rate) }
 		base := time.Duration(rapid.Int64Range(0, 5).Draw(t, "shortest delay")) * time.Millisecond
-		producer, reader := NewTeller(false, senderTime(t0)), NewHearer()
+		producer, reader := NewDigestProducer(false, senderTime(t0)), NewDigestReader()
 		type delivery struct {
 			arrives clock.Instant
 			delay   time.Duration
@@ -194,17 +194,17 @@
 			slices.SortStableFunc(inFlight, func(a, b delivery) int { return int(a.arrives - b.arrives) })
 			for len(inFlight) > 0 && !inFlight[0].arrives.After(now) {
 				shortest = min(shortest, inFlight[0].delay)
-				received, err := reader.Hear(peer, inFlight[0].body, inFlight[0].arrives)
+				received, err := reader.Read(peer, inFlight[0].body, inFlight[0].arrives)
 				if err != nil {
 					t.Fatal(err)
 				}
-				before := firstVM(to, ms).Probe.Answered
+				before := firstVM(to, ms).Probe.AnsweredAt
 				for _, e := range received.Events {
 					to.Apply(e)
 				}
 				inFlight = inFlight[1:]
 				const drift = 10 * time.Millisecond
-				if got := firstVM(to, ms).Probe.Answered; got != before && got.After(newestProbe.Add(shortest+drift)) {
+				if got := firstVM(to, ms).Probe.AnsweredAt; got != before && got.After(newestProbe.Add(shortest+drift)) {
 					t.Fatalf("recorded probe time %v, newest probe sent at %v", got.Sub(t0), newestProbe.Sub(t0))
 				}
 			}
@@ -214,8 +214,8 @@
 
 func TestUnreadableDigestsAreDropped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := NewHearer()
-		if _, err := h.Hear(peer, rapid.SliceOf(rapid.Byte()).Draw(t, "bytes"), t0); err == nil {
+		h := NewDigestReader()
+		if _, err := h.Read(peer, rapid.SliceOf(rapid.Byte()).Draw(t, "bytes"), t0); err == nil {
 			t.Skip("random bytes that decode as a digest")
 		}
 	})
@@ -231,7 +231,7 @@
 	for _, s := range []*State{from, to} {
 		s.Apply(List{At: at(0), Records: []fleet.Record{record("a", fleet.StateLive)}})
 	}
-	producer, reader := NewTeller(false, at(0)), NewHearer()
+	producer, reader := NewDigestProducer(false, at(0)), NewDigestReader()
 	next := func(ms int) [][]byte {
 		return producer.Next(from.Snapshot(at(ms)), watchAll{}, at(ms), 300*time.Millisecond)
 	}
@@ -239,12 +239,12 @@
 	deliver(t, reader, to, next(100), at(100))
 	from.Apply(probeAnswer("a", "b1", 400))
 	deliver(t, reader, to, next(400), at(400))
-	is.Equal(firstVM(to, 400).Probe.Answered, at(400))
+	is.Equal(firstVM(to, 400).Probe.AnsweredAt, at(400))
 	from.Apply(probeAnswer("a", "b2", 800))
 	next(800) // lost
 	from.Apply(probeAnswer("a", "b2", 1200))
 	deliver(t, reader, to, next(1200), at(1200))
-	is.Equal(firstVM(to, 1200).Probe.Answered, at(400))
+	is.Equal(firstVM(to, 1200).Probe.AnsweredAt, at(400))
 	is.Equal(to.resyncPeers[peer.VM], at(1200)) // the sender's full state is requested
 	from.Apply(probeAnswer("a", "b2", 32000))
 	deliver(t, reader, to, next(32000), at(32000)) // sent in full after refreshInterval
@@ -254,7 +254,7 @@
 	to.Apply(probeAnswer("a", "b3", 32500)) // probed by this node itself
 	from.Apply(probeAnswer("a", "b2", 32800))
 	deliver(t, reader, to, next(32800), at(32800))
-	is.Equal(firstVM(to, 32800).Probe.Answered, at(32500))
+	is.Equal(firstVM(to, 32800).Probe.AnsweredAt, at(32500))
 }
 
 func TestDigestOfEarlierIncarnationIsStale(t *testing.T) {
@@ -262,22 +262,22 @@
 	from, to := newState(), newState()
 	from.Apply(List{At: at(0), Records: []fleet.Record{record("a", fleet.StateLive)}})
 	from.Apply(probeAnswer("a", "b1", 10))
-	message := NewTeller(false, at(0)).Next(from.Snapshot(at(100)), watchAll{}, at(100), time.Second)[0]
-	h := NewHearer()
+	message := NewDigestProducer(false, at(0)).Next(from.Snapshot(at(100)), watchAll{}, at(100), time.Second)[0]
+	h := NewDigestReader()
 	read := func(incarnation fleet.Incarnation) {
-		received, err := h.Hear(fleet.Node{VM: "n2", Incarnation: incarnation}, message, at(100))
+		received, err := h.Read(fleet.Node{VM: "n2", Incarnation: incarnation}, message, at(100))
 		is.NoErr(err)
 		for _, e := range received.Events {
 			to.Apply(e)
 		}
 	}
 	read(2)
-	first := firstVM(to, 100).Probe.Answered
+	first := firstVM(to, 100).Probe.AnsweredAt
 	is.Equal(first, at(10))
-	h = NewHearer()
+	h = NewDigestReader()
 	to = newState()
-	_, err := h.Hear(fleet.Node{VM: "n2", Incarnation: 2}, encode(&digest{}), at(50))
+	_, err := h.Read(fleet.Node{VM: "n2", Incarnation: 2}, encode(&digest{}), at(50))
 	is.NoErr(err)
 	read(1)
-	is.True(firstVM(to, 100).Probe.Answered.Before(at(0)))
+	is.True(firstVM(to, 100).Probe.AnsweredAt.Before(at(0)))
 }
--- a/internal/view/event.go
+++ b/internal/view/event.go
@@ -56,26 +56,26 @@
 
 // Probed is the result of one probe.
 type Probed struct {
-	VM       fleet.VM
-	From     fleet.VM      // node that sent the probe; empty: this one
-	Sent     clock.Instant // send time of the probe
-	RTT      time.Duration
-	Answered bool
-	State    fleet.EngineState // if answered; for a service only VM and Boot
-	Failing  clock.Instant     // if not answered: start of the current run of failed probes
-	Failures int               // if not answered: consecutive failed probes
+	VM           fleet.VM
+	From         fleet.VM      // node that sent the probe; empty: this one
+	Sent         clock.Instant // send time of the probe
+	RTT          time.Duration
+	Answered     bool
+	State        fleet.EngineState // if answered; for a service only VM and Boot
+	FailingSince clock.Instant     // if not answered: start of the current run of failed probes
+	Failures     int               // if not answered: consecutive failed probes
 }
 
-// Loaded is a load report received from an endpoint.
-type Loaded struct {
+// LoadReported is a load report received from an endpoint.
+type LoadReported struct {
 	From fleet.VM // node that received the report; empty: this one
 	At   clock.Instant
 	Load fleet.Load
 }
 
-// Cached is the approximate set of prefixes in an engine's cache. The map must
+// CacheReported is the approximate set of prefixes in an engine's cache. The map must
 // not change after the event has been put.
-type Cached struct {
+type CacheReported struct {
 	VM       fleet.VM
 	Boot     fleet.BootID
 	Prefixes map[uint64]struct{}
@@ -103,8 +103,8 @@
 func (Table) subject() subject            { return subject{kind: "table"} }
 func (PlatformAnswered) subject() subject { return subject{kind: "platform"} }
 func (e Probed) subject() subject         { return subject{"probe", string(e.VM), e.From} }
-func (e Loaded) subject() subject         { return subject{"load", string(e.Load.VM), e.From} }
-func (e Cached) subject() subject         { return subject{kind: "cache", id: string(e.VM)} }
+func (e LoadReported) subject() subject   { return subject{"load", string(e.Load.VM), e.From} }
+func (e CacheReported) subject() subject  { return subject{kind: "cache", id: string(e.VM)} }
 func (e MarkLeaving) subject() subject {
 	return subject{kind: "leaving", id: string(e.VM) + "|" + string(e.Boot)}
 }
--- a/internal/view/gossip.go
+++ b/internal/view/gossip.go
@@ -19,23 +19,23 @@
 
 // GossipOptions configures a Gossip.
 type GossipOptions struct {
-	View  *Merger
-	Clock clock.Clock
-	Send  Sender
+	View   *Merger
+	Clock  clock.Clock
+	Sender Sender
 	// First returns the first k nodes for a subject in rendezvous order.
-	First    func(subject string, nodes []fleet.VM, k int) []fleet.VM
-	Holds    func() bool // whether this node holds the lease of the zone's groups
-	Log      *slog.Logger
-	Registry prometheus.Registerer
-	Watchers int // number of nodes that watch each subject; default 2
+	First      func(subject string, nodes []fleet.VM, k int) []fleet.VM
+	HoldsLease func() bool // whether this node holds the lease of the zone's groups
+	Log        *slog.Logger
+	Registry   prometheus.Registerer
+	Watchers   int // number of nodes that watch each subject; default 2
 }
 
 // Gossip sends digests of what this node watches to its peers and merges the
 // digests that they send.
 type Gossip struct {
 	opt        GossipOptions
-	zone       *Teller
-	remote     *Teller
+	zone       *DigestProducer
+	remote     *DigestProducer
 	fullSentTo map[fleet.Node]bool // peers that have been sent the full state
 	assignment Assignment
 	// nextListRequest is when the VM list may be requested again, listRequests
@@ -47,7 +47,7 @@
 	unreadable      prometheus.Counter
 
 	mu           sync.Mutex
-	reader       *Hearer
+	reader       *DigestReader
 	fullRequests map[fleet.VM]bool // peers that requested the full state
 }
 
@@ -72,8 +72,8 @@
 	}
 	now := o.Clock.Now()
 	g := &Gossip{
-		opt: o, zone: NewTeller(false, now), remote: NewTeller(true, now),
-		fullSentTo: map[fleet.Node]bool{}, reader: NewHearer(),
+		opt: o, zone: NewDigestProducer(false, now), remote: NewDigestProducer(true, now),
+		fullSentTo: map[fleet.Node]bool{}, reader: NewDigestReader(),
 		fullRequestedAt: map[fleet.VM]clock.Instant{}, fullRequests: map[fleet.VM]bool{},
 		assignment: Assignment{First: o.First, Watchers: o.Watchers},
 		bytes: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -98,7 +98,7 @@
 func (g *Gossip) handle(topic string, from fleet.Node, payload []byte) {
 	g.bytes.WithLabelValues("received", topic).Add(float64(len(payload)))
 	g.mu.Lock()
-	received, err := g.reader.Hear(from, payload, g.opt.Clock.Now())
+	received, err := g.reader.Read(from, payload, g.opt.Clock.Now())
 	g.mu.Unlock()
 	if err != nil {
 		g.unreadable.Inc()
@@ -111,7 +111,7 @@
 	if received.WantList {
 		g.sendList(from.VM)
 	}
-	if received.WantAll {
+	if received.WantFull {
 		g.mu.Lock()
 		g.fullRequests[from.VM] = true
 		g.mu.Unlock()
@@ -137,7 +137,7 @@
 	if n.Zone != s.Zone {
 		t, topic = g.remote, TopicRemote
 	}
-	g.send([]fleet.VM{n.VM}, topic, t.All(s, d, now))
+	g.send([]fleet.VM{n.VM}, topic, t.Full(s, d, now))
 }
 
 // requestFull requests the full state from the peers that referred to state
@@ -204,24 +204,24 @@
 	// those that receive digests: a node must report exactly what its own
 	// probes watch.
 	g.assignment.Update(append(s.ZoneNodes(), s.Self.VM))
-	d := &nodeDuties{self: s.Self.VM, assignment: &g.assignment, holdsLease: g.opt.Holds}
+	d := &nodeDuties{self: s.Self.VM, assignment: &g.assignment, holdsLease: g.opt.HoldsLease}
 	g.sendFullToNewPeers(s, d, now)
 	g.requestList(s, append(zonePeers, remotePeers...), now)
 	g.requestFull(s, now)
 	g.answerFullRequests(s, d, now)
-	g.send(zonePeers, TopicZone, g.zone.Next(s, d, now, ZoneEvery(len(zonePeers))))
-	g.send(remotePeers, TopicRemote, g.remote.Next(s, d, now, RemoteEvery(len(remotePeers))))
+	g.send(zonePeers, TopicZone, g.zone.Next(s, d, now, ZoneInterval(len(zonePeers))))
+	g.send(remotePeers, TopicRemote, g.remote.Next(s, d, now, RemoteInterval(len(remotePeers))))
 }
 
-// ZoneEvery returns the interval between regular digests to the peers of the
+// ZoneInterval returns the interval between regular digests to the peers of the
 // node's own zone.
-func ZoneEvery(peers int) time.Duration {
+func ZoneInterval(peers int) time.Duration {
 	return min(max(time.Duration(peers)*zoneIntervalPerPeer, minZoneInterval), maxZoneInterval)
 }
 
-// RemoteEvery returns the interval between regular digests to the peers of
+// RemoteInterval returns the interval between regular digests to the peers of
 // other zones.
-func RemoteEvery(peers int) time.Duration {
+func RemoteInterval(peers int) time.Duration {
 	return min(max(time.Duration(peers)*remoteIntervalPerPeer, minRemoteInterval), maxRemoteInterval)
 }
 
@@ -263,7 +263,7 @@
 func (g *Gossip) send(to []fleet.VM, topic string, messages [][]byte) {
 	for _, m := range messages {
 		for _, vm := range to {
-			if err := g.opt.Send.Send(vm, topic, m); err != nil {
+			if err := g.opt.Sender.Send(vm, topic, m); err != nil {
 				g.opt.Log.Debug("digest not sent", "to", vm, "err", err)
 				continue
 			}
@@ -282,8 +282,10 @@
 // Watches implements Duties.
 func (d *nodeDuties) Watches(subject string) bool { return d.assignment.Watches(d.self, subject) }
 
-// Leads implements Duties.
-func (d *nodeDuties) Leads(subject string) bool { return d.assignment.Leads(d.self, subject) }
+// IsFirstWatcher implements Duties.
+func (d *nodeDuties) IsFirstWatcher(subject string) bool {
+	return d.assignment.IsFirstWatcher(d.self, subject)
+}
 
-// Holds implements Duties.
-func (d *nodeDuties) Holds() bool { return d.holdsLease != nil && d.holdsLease() }
+// HoldsLease implements Duties.
+func (d *nodeDuties) HoldsLease() bool { return d.holdsLease != nil && d.holdsLease() }
--- a/internal/view/gossip_test.go
+++ b/internal/view/gossip_test.go
@@ -31,7 +31,7 @@
 	is.Equal(len(got.VMs), 1)
 	is.Equal(got.VMs[0].Record, counter)
 	is.True(got.VMs[0].Listed)
-	is.Equal(got.VMs[0].Probe.Answered, at(10))
+	is.Equal(got.VMs[0].Probe.AnsweredAt, at(10))
 	is.Equal(got.PlatformSeen, clock.Instant(0)) // the platform answered the peer, not this node
 	mergers[0].state.Apply(List{At: clk.Now()})  // from now on only its own reads count
 	is.True(!mergers[0].state.Apply(peerList{list: List{At: clk.Now().Add(1), Records: []fleet.Record{counter}}}))
@@ -68,7 +68,7 @@
 	m := NewMerger(fleet.Node{VM: "n1", Incarnation: 1}, "z", clk)
 	out := &recordingSender{}
 	g := NewGossip(GossipOptions{
-		View: m, Clock: clk, Send: out, Log: slog.New(slog.DiscardHandler), Registry: prometheus.NewRegistry(),
+		View: m, Clock: clk, Sender: out, Log: slog.New(slog.DiscardHandler), Registry: prometheus.NewRegistry(),
 		First: func(_ string, nodes []fleet.VM, k int) []fleet.VM { return slices.Sorted(slices.Values(nodes))[:k] },
 	})
 	applyGroupOfTwo(m.state)
@@ -100,7 +100,7 @@
 	m := NewMerger(fleet.Node{VM: "n9", Incarnation: 1}, "z", clk)
 	out := &recordingSender{}
 	g := NewGossip(GossipOptions{
-		View: m, Clock: clk, Send: out, Log: slog.New(slog.DiscardHandler), Registry: prometheus.NewRegistry(), Watchers: 1,
+		View: m, Clock: clk, Sender: out, Log: slog.New(slog.DiscardHandler), Registry: prometheus.NewRegistry(), Watchers: 1,
 		First: func(_ string, nodes []fleet.VM, k int) []fleet.VM { return slices.Sorted(slices.Values(nodes))[:k] },
 	})
 	m.state.Apply(List{At: at(0), Records: []fleet.Record{record("a", fleet.StateLive)}})
@@ -124,7 +124,7 @@
 	for i, self := range nodes {
 		m := NewMerger(self, zones[i], clk)
 		links[1-i].to = NewGossip(GossipOptions{
-			View: m, Clock: clk, Send: links[i], Log: slog.New(slog.DiscardHandler), Registry: prometheus.NewRegistry(),
+			View: m, Clock: clk, Sender: links[i], Log: slog.New(slog.DiscardHandler), Registry: prometheus.NewRegistry(),
 			First: func(_ string, nodes []fleet.VM, k int) []fleet.VM { return nodes[:min(k, len(nodes))] },
 		})
 		m.state.Apply(Members{Nodes: []Node{{Node: nodes[1-i], Zone: zones[1-i], State: NodeAlive}}})
@@ -179,7 +179,7 @@
 	for i, self := range nodes {
 		m := NewMerger(self, "z", clk)
 		g := NewGossip(GossipOptions{
-			View: m, Clock: clk, Send: links[i], Log: slog.New(slog.DiscardHandler), Registry: prometheus.NewRegistry(),
+			View: m, Clock: clk, Sender: links[i], Log: slog.New(slog.DiscardHandler), Registry: prometheus.NewRegistry(),
 			First: func(_ string, nodes []fleet.VM, k int) []fleet.VM {
 				return slices.Sorted(slices.Values(nodes))[:min(k, len(nodes))]
 			},
--- a/internal/view/hearer.go
+++ b/internal/view/hearer.go
@@ -12,8 +12,8 @@
 // rates.
 const offsetDriftDivisor = 5000
 
-// Hearer decodes peers' digests into events. It is not safe for concurrent use.
-type Hearer struct {
+// DigestReader decodes peers' digests into events. It is not safe for concurrent use.
+type DigestReader struct {
 	senders map[fleet.VM]*senderOffset
 }
 
@@ -24,34 +24,34 @@
 	updatedAt   clock.Instant
 }
 
-// NewHearer returns a digest reader without known senders.
-func NewHearer() *Hearer { return &Hearer{senders: map[fleet.VM]*senderOffset{}} }
+// NewDigestReader returns a digest reader without known senders.
+func NewDigestReader() *DigestReader { return &DigestReader{senders: map[fleet.VM]*senderOffset{}} }
 
 // Heard is the decoded content of a digest.
-type Heard struct {
+type ReceivedDigest struct {
 	Events   []Event
 	WantList bool // the sender requests the VM list
-	WantAll  bool // the sender requests this node's full state
+	WantFull bool // the sender requests this node's full state
 }
 
-// Hear decodes a digest that was received now. It returns an error if the
+// Read decodes a digest that was received now. It returns an error if the
 // payload is malformed.
-func (h *Hearer) Hear(from fleet.Node, payload []byte, now clock.Instant) (Heard, error) {
+func (h *DigestReader) Read(from fleet.Node, payload []byte, now clock.Instant) (ReceivedDigest, error) {
 	d, err := decode(payload)
 	if err != nil {
-		return Heard{}, err
+		return ReceivedDigest{}, err
 	}
 	// A delayed message would make old data look fresh. The sender's uptime
 	// shows the delay in excess of its fastest message, which is added to the
 	// ages.
 	e := &eventCollector{from: from.VM, now: now, sentAt: now.Add(-h.excessDelay(from, d.Uptime, now))}
 	e.addDigest(d)
-	return Heard{Events: e.events, WantList: d.WantList, WantAll: d.WantFull}, nil
+	return ReceivedDigest{Events: e.events, WantList: d.WantList, WantFull: d.WantFull}, nil
 }
 
 // excessDelay returns the delay of this message beyond that of the sender's
 // fastest message.
-func (h *Hearer) excessDelay(from fleet.Node, uptime uint64, now clock.Instant) time.Duration {
+func (h *DigestReader) excessDelay(from fleet.Node, uptime uint64, now clock.Instant) time.Duration {
 	offset := time.Duration(now) - time.Duration(uptime)*time.Millisecond
 	s := h.senders[from.VM]
 	if s == nil || s.incarnation != from.Incarnation {
--- a/internal/view/poll.go
+++ b/internal/view/poll.go
@@ -20,10 +20,10 @@
 	Clock clock.Clock
 	View  *Merger
 	Log   *slog.Logger
-	// Every is the interval between reads in a small fleet; default 1 s. It
+	// Interval is the interval between reads in a small fleet; default 1 s. It
 	// grows with the number of nodes, so that all nodes together read at most
 	// maxListReadsPerSecond times a second.
-	Every time.Duration
+	Interval time.Duration
 }
 
 // maxListReadsPerSecond is the fleet's budget for reading the list, out of the
@@ -40,7 +40,7 @@
 }
 
 func (p *ListPoller) interval() time.Duration {
-	every := p.Every
+	every := p.Interval
 	if every == 0 {
 		every = time.Second
 	}
--- a/internal/view/remote.go
+++ b/internal/view/remote.go
@@ -106,7 +106,7 @@
 	if v == nil {
 		return s.requestResync(e.from, e.receivedAt)
 	}
-	if !e.at.After(v.probe.Answered) {
+	if !e.at.After(v.probe.AnsweredAt) {
 		return false
 	}
 	p := &v.probe
@@ -114,10 +114,10 @@
 		p.recordFailure(e.at, e.failures)
 		return true
 	}
-	if p.Answered == 0 || v.probeStateHash() != e.hash {
+	if p.AnsweredAt == 0 || v.probeStateHash() != e.hash {
 		return s.requestResync(e.from, e.receivedAt)
 	}
-	p.Answered, p.Failing, p.Failures = e.at, 0, 0
+	p.AnsweredAt, p.FailingSince, p.Failures = e.at, 0, 0
 	return true
 }
 
@@ -142,7 +142,7 @@
 	if shortHash(string(boot)) != e.load.Boot {
 		return false // of a boot that is not the known one
 	}
-	return s.applyLoaded(Loaded{From: e.from, At: e.at, Load: e.load.load(v.record.VM, boot)})
+	return s.applyLoaded(LoadReported{From: e.from, At: e.at, Load: e.load.load(v.record.VM, boot)})
 }
 
 // probeStateHash returns the hash of the newest probed state.
--- a/internal/view/run.go
+++ b/internal/view/run.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// PublishEvery is the minimum interval between new snapshots.
-	PublishEvery = 50 * time.Millisecond
+	// PublishInterval is the minimum interval between new snapshots.
+	PublishInterval = 50 * time.Millisecond
 	// mailboxSize bounds the subjects that wait to be merged: several events
 	// for each of some thousand endpoints. When the mailbox is full, the event
 	// of a new subject is dropped and counted; the subject's next report
@@ -61,14 +61,14 @@
 		}
 		if m.merge() {
 			m.publish()
-			sleep(ctx, PublishEvery)
+			sleep(ctx, PublishInterval)
 		}
 	}
 }
 
 func (m *Merger) merge() bool {
 	changed := false
-	for _, e := range m.mailbox.Take() {
+	for _, e := range m.mailbox.Drain() {
 		if m.state.Apply(e) {
 			changed = true
 		}
--- a/internal/view/snapshot.go
+++ b/internal/view/snapshot.go
@@ -20,7 +20,7 @@
 	snap.VMs = make([]VM, 0, len(s.vms))
 	for _, v := range s.sorted() {
 		snap.VMs = append(snap.VMs, VM{
-			Record: v.record, Listed: v.listed, Unlisted: v.unlistedSince, Leaving: v.isLeaving(now),
+			Record: v.record, Listed: v.listed, UnlistedSince: v.unlistedSince, Leaving: v.isLeaving(now),
 			Probe: v.probe, Load: v.load, LoadAt: v.loadAt, Claim: v.claim,
 		})
 	}
@@ -74,8 +74,8 @@
 			out.Whole, out.Reason, out.FreshUntil = false, fmt.Sprintf("%s %s", m.VM, reason), 0
 			break
 		}
-		until := v.probe.Answered.Add(limit)
-		if v.probe.Failing != 0 {
+		until := v.probe.AnsweredAt.Add(limit)
+		if v.probe.FailingSince != 0 {
 			until = 0 // the newest probe failed: a dispatch must probe again first
 		}
 		if i == 0 || until < out.FreshUntil {
@@ -99,18 +99,18 @@
 // if it does not. It compares boot IDs, not addresses: a VM that restarted
 // under its old address answers probes but has lost its state.
 func (v *vmState) memberFault(g *fleet.Group, m *fleet.Member, now clock.Instant) string {
-	if v == nil || v.probe.Answered == 0 {
+	if v == nil || v.probe.AnsweredAt == 0 {
 		return "has not answered a probe yet"
 	}
 	if v.isLeaving(now) {
 		return "is leaving"
 	}
-	return StateFault(g, m, &v.probe.State)
+	return MemberFault(g, m, &v.probe.State)
 }
 
-// StateFault compares a member's own report with its place in the group's
+// MemberFault compares a member's own report with its place in the group's
 // generation. It returns the first mismatch, or "" if there is none.
-func StateFault(g *fleet.Group, m *fleet.Member, st *fleet.EngineState) string {
+func MemberFault(g *fleet.Group, m *fleet.Member, st *fleet.EngineState) string {
 	switch {
 	case st.Boot != m.Boot:
 		return "restarted"
--- a/internal/view/state.go
+++ b/internal/view/state.go
@@ -108,9 +108,9 @@
 		return s.recordPlatformAnswer(e.At)
 	case Probed:
 		return s.applyProbed(e)
-	case Loaded:
+	case LoadReported:
 		return s.applyLoaded(e)
-	case Cached:
+	case CacheReported:
 		return s.applyCached(e)
 	case MarkLeaving:
 		return s.applyLeaving(e)
@@ -179,7 +179,7 @@
 		if v.listed || v.unlistedSince == 0 {
 			v.listed, v.unlistedSince = false, e.At
 		}
-		if e.At.Sub(max(v.unlistedSince, v.probe.Answered)) > forgetAfter {
+		if e.At.Sub(max(v.unlistedSince, v.probe.AnsweredAt)) > forgetAfter {
 			delete(s.vms, id)
 			s.vmOrder, s.vmsByHash = nil, nil
 		}
@@ -298,20 +298,20 @@
 	p := &v.probe
 	if !e.Answered {
 		// A newer answer to another watcher overrides this node's failed probe.
-		if !e.Sent.After(p.Answered) {
+		if !e.Sent.After(p.AnsweredAt) {
 			return false
 		}
-		p.recordFailure(e.Failing, e.Failures)
+		p.recordFailure(e.FailingSince, e.Failures)
 		return true
 	}
-	if !e.Sent.After(p.Answered) {
+	if !e.Sent.After(p.AnsweredAt) {
 		return false
 	}
 	if p.State.Boot == "" && v.listLeaving {
 		v.uncertainBoot = e.State.Boot
 	}
 	v.hashed = false
-	*p = Probe{State: e.State, Answered: e.Sent, RTT: e.RTT}
+	*p = Probe{State: e.State, AnsweredAt: e.Sent, RTT: e.RTT}
 	if v.pendingLeaving && e.State.Boot != "" {
 		v.pendingLeaving = false
 		s.markLeaving(v, e.State.Boot, e.From)
@@ -326,14 +326,14 @@
 // watcher's count of consecutive failures. The counts of several watchers are
 // not added up.
 func (p *Probe) recordFailure(since clock.Instant, failures int) {
-	since = max(since, p.Answered)
-	if p.Failing == 0 || since < p.Failing {
-		p.Failing = since
+	since = max(since, p.AnsweredAt)
+	if p.FailingSince == 0 || since < p.FailingSince {
+		p.FailingSince = since
 	}
 	p.Failures = max(p.Failures, failures)
 }
 
-func (s *State) applyLoaded(e Loaded) bool {
+func (s *State) applyLoaded(e LoadReported) bool {
 	v := s.vm(e.Load.VM)
 	same := v.load.Boot == e.Load.Boot
 	if same && e.Load.Sequence < v.load.Sequence {
@@ -361,7 +361,7 @@
 	return true
 }
 
-func (s *State) applyCached(e Cached) bool {
+func (s *State) applyCached(e CacheReported) bool {
 	v := s.vm(e.VM)
 	v.prefixesBoot, v.prefixes = e.Boot, e.Prefixes
 	return true
--- a/internal/view/state_test.go
+++ b/internal/view/state_test.go
@@ -124,7 +124,7 @@
 
 func TestMergeProbes(t *testing.T) {
 	fail := func(from fleet.VM, since, sent, n int) Probed {
-		return Probed{VM: "a", From: from, Sent: at(sent), Failing: at(since), Failures: n}
+		return Probed{VM: "a", From: from, Sent: at(sent), FailingSince: at(since), Failures: n}
 	}
 	for name, c := range map[string]struct {
 		events   []Event
@@ -146,12 +146,12 @@
 				s.Apply(e)
 			}
 			p := firstVM(s, 100).Probe
-			is.Equal(p.Answered, at(c.answered))
+			is.Equal(p.AnsweredAt, at(c.answered))
 			is.Equal(p.Failures, c.failures)
 			if c.failing == 0 {
-				is.Equal(p.Failing, clock.Instant(0))
+				is.Equal(p.FailingSince, clock.Instant(0))
 			} else {
-				is.Equal(p.Failing, at(c.failing))
+				is.Equal(p.FailingSince, at(c.failing))
 			}
 		})
 	}
@@ -160,8 +160,8 @@
 func TestMergeLoads(t *testing.T) {
 	is := is.New(t)
 	s := newState()
-	load := func(boot fleet.BootID, seq uint64, running int, ms int) Loaded {
-		return Loaded{At: at(ms), Load: fleet.Load{VM: "a", Boot: boot, Sequence: seq, Running: running, AgeMillis: 5}}
+	load := func(boot fleet.BootID, seq uint64, running int, ms int) LoadReported {
+		return LoadReported{At: at(ms), Load: fleet.Load{VM: "a", Boot: boot, Sequence: seq, Running: running, AgeMillis: 5}}
 	}
 	s.Apply(load("b1", 7, 3, 10))
 	s.Apply(load("b1", 6, 9, 20)) // delivered out of order
@@ -218,7 +218,7 @@
 		"reports leaving":  {change(func(st *fleet.EngineState) { st.Leaving = true }), false, 0},
 		"marked":           {func(s *State, _ fleet.Group) { s.Apply(MarkLeaving{VM: "b", Boot: "b1"}) }, false, 0},
 		"unanswered": {func(s *State, _ fleet.Group) {
-			s.Apply(Probed{VM: "b", Sent: at(50), Failing: at(50), Failures: 1})
+			s.Apply(Probed{VM: "b", Sent: at(50), FailingSince: at(50), Failures: 1})
 		}, true, 0},
 		"fresher probes": {func(s *State, g fleet.Group) {
 			s.Apply(Probed{VM: "a", Sent: at(90), Answered: true, State: inGroup(&g, &g.Members[0])})
@@ -271,7 +271,7 @@
 	vms := s.Snapshot(later.Add(time.Second)).VMs
 	is.Equal(len(vms), 1)
 	is.Equal(vms[0].Record.VM, fleet.VM("b"))
-	is.Equal(vms[0].Unlisted, at(10))
+	is.Equal(vms[0].UnlistedSince, at(10))
 }
 
 func TestRevisionNeverDecreases(t *testing.T) {
@@ -301,7 +301,7 @@
 			case 3:
 				s.Apply(List{At: at(200 + i), Records: []fleet.Record{record(vm, fleet.StateLeaving)}})
 			case 4:
-				s.Apply(Loaded{At: at(200 + i), Load: fleet.Load{VM: vm, Boot: "b1", Sequence: uint64(i + 1), Running: i}})
+				s.Apply(LoadReported{At: at(200 + i), Load: fleet.Load{VM: vm, Boot: "b1", Sequence: uint64(i + 1), Running: i}})
 			}
 			s.Snapshot(at(300 + i))
 		}
@@ -317,7 +317,7 @@
 	}
 	for i := range a.VMs {
 		x, y := a.VMs[i], b.VMs[i]
-		if x.Leaving != y.Leaving || x.Probe.Answered != y.Probe.Answered || x.Load != y.Load || x.Listed != y.Listed {
+		if x.Leaving != y.Leaving || x.Probe.AnsweredAt != y.Probe.AnsweredAt || x.Load != y.Load || x.Listed != y.Listed {
 			return false
 		}
 	}
@@ -347,9 +347,9 @@
 	is := is.New(t)
 	s := newState()
 	report := fleet.Load{VM: "a", Boot: "b1", Sequence: 7}
-	s.Apply(Loaded{At: at(10), Load: report})
-	s.Apply(Loaded{At: at(900), Load: report})
+	s.Apply(LoadReported{At: at(10), Load: report})
+	s.Apply(LoadReported{At: at(900), Load: report})
 	is.Equal(firstVM(s, 900).LoadAt, at(900))
-	s.Apply(Loaded{At: at(500), Load: report}) // delivered out of order
+	s.Apply(LoadReported{At: at(500), Load: report}) // delivered out of order
 	is.Equal(firstVM(s, 900).LoadAt, at(900))
 }
--- a/internal/view/teller.go
+++ b/internal/view/teller.go
@@ -20,10 +20,10 @@
 	maxItemsPerDigest = 256
 )
 
-// Teller decides what a node sends to its peers. It is a pure state machine,
+// DigestProducer decides what a node sends to its peers. It is a pure state machine,
 // not safe for concurrent use. A node uses one for the peers of its own zone
 // and another for those of other zones.
-type Teller struct {
+type DigestProducer struct {
 	startedAt    clock.Instant
 	nextRegular  clock.Instant // of the next regular digest
 	endpoints    map[fleet.VM]sentItem
@@ -54,18 +54,18 @@
 	// Watches reports whether this node is one of the watchers of the subject,
 	// a VM or a group of its zone.
 	Watches(subject string) bool
-	// Leads reports whether this node is the first of the subject's watchers.
+	// IsFirstWatcher reports whether this node is the first of the subject's watchers.
 	// Only the first reports to other zones: they decide nothing on the
 	// freshness of its reports alone.
-	Leads(subject string) bool
-	// Holds reports whether this node holds the lease of its zone's groups.
-	Holds() bool
+	IsFirstWatcher(subject string) bool
+	// HoldsLease reports whether this node holds the lease of its zone's groups.
+	HoldsLease() bool
 }
 
-// NewTeller returns a digest producer for the peers of other zones if remote is
+// NewDigestProducer returns a digest producer for the peers of other zones if remote is
 // set, else for those of the own zone.
-func NewTeller(remote bool, now clock.Instant) *Teller {
-	return &Teller{
+func NewDigestProducer(remote bool, now clock.Instant) *DigestProducer {
+	return &DigestProducer{
 		startedAt: now, remote: remote,
 		endpoints: map[fleet.VM]sentItem{}, loads: map[fleet.VM]sentLoad{},
 		rows: map[fleet.GroupID]sentItem{}, leavingSends: map[leavingKey]int{},
@@ -74,7 +74,7 @@
 
 // Next returns the messages to send now: changes at once, and once per interval
 // the ages of what is unchanged. Most calls return nothing.
-func (t *Teller) Next(s *Snapshot, d Duties, now clock.Instant, every time.Duration) [][]byte {
+func (t *DigestProducer) Next(s *Snapshot, d Duties, now clock.Instant, every time.Duration) [][]byte {
 	regular := !now.Before(t.nextRegular)
 	b := &digestBuilder{t: t, now: now, regular: regular}
 	if regular {
@@ -90,15 +90,15 @@
 	return b.messages()
 }
 
-// All returns the full state of what this node watches, for a new peer.
-func (t *Teller) All(s *Snapshot, d Duties, now clock.Instant) [][]byte {
-	fresh := NewTeller(t.remote, t.startedAt)
+// Full returns the full state of what this node watches, for a new peer.
+func (t *DigestProducer) Full(s *Snapshot, d Duties, now clock.Instant) [][]byte {
+	fresh := NewDigestProducer(t.remote, t.startedAt)
 	return fresh.Next(s, d, now, time.Second)
 }
 
 // digestBuilder collects the contents of one round of digests.
 type digestBuilder struct {
-	t       *Teller
+	t       *DigestProducer
 	now     clock.Instant
 	regular bool
 	out     digest
@@ -113,7 +113,7 @@
 		if r.Zone != s.Zone || r.Kind == fleet.KindEntry || b.t.remote && r.Kind != fleet.KindService {
 			continue
 		}
-		if !d.Watches(string(r.VM)) || b.t.remote && !d.Leads(string(r.VM)) {
+		if !d.Watches(string(r.VM)) || b.t.remote && !d.IsFirstWatcher(string(r.VM)) {
 			continue
 		}
 		b.addEndpointOrUpdate(v)
@@ -126,25 +126,25 @@
 func (b *digestBuilder) addEndpointOrUpdate(v *VM) {
 	vm := v.Record.VM
 	p := &v.Probe
-	hash := stateHash(&p.State) ^ uint64(boolBit(v.Leaving)) ^ uint64(boolBit(p.Failing != 0))<<1
+	hash := stateHash(&p.State) ^ uint64(boolBit(v.Leaving)) ^ uint64(boolBit(p.FailingSince != 0))<<1
 	last, known := b.t.endpoints[vm]
 	if !known || last.hash != hash || b.regular && b.now.Sub(last.at) >= refreshInterval {
 		b.t.endpoints[vm] = sentItem{hash, b.now}
 		b.addEndpoint(v)
-	} else if b.regular && p.Failing == 0 && p.Answered != 0 {
-		b.out.Unchanged = append(b.out.Unchanged, wireUnchanged{VM: shortHash(string(vm)), Hash: stateHash(&p.State), Age: ageMillis(b.now, p.Answered)})
+	} else if b.regular && p.FailingSince == 0 && p.AnsweredAt != 0 {
+		b.out.Unchanged = append(b.out.Unchanged, wireUnchanged{VM: shortHash(string(vm)), Hash: stateHash(&p.State), Age: ageMillis(b.now, p.AnsweredAt)})
 	}
-	if p.Failing != 0 && (b.regular || !known || last.hash != hash) {
-		b.out.Failing = append(b.out.Failing, wireFailing{VM: shortHash(string(vm)), Age: ageMillis(b.now, p.Failing), Failures: p.Failures})
+	if p.FailingSince != 0 && (b.regular || !known || last.hash != hash) {
+		b.out.Failing = append(b.out.Failing, wireFailing{VM: shortHash(string(vm)), Age: ageMillis(b.now, p.FailingSince), Failures: p.Failures})
 	}
 }
 
 func (b *digestBuilder) addEndpoint(v *VM) {
 	p := &v.Probe
-	f := wireEndpoint{State: toWireState(&p.State), Leaving: v.Leaving && p.State.Boot != "", Answered: p.Answered != 0}
+	f := wireEndpoint{State: toWireState(&p.State), Leaving: v.Leaving && p.State.Boot != "", Answered: p.AnsweredAt != 0}
 	f.State.VM = v.Record.VM
 	if f.Answered {
-		f.Age = ageMillis(b.now, p.Answered)
+		f.Age = ageMillis(b.now, p.AnsweredAt)
 		f.RTT = uint32(p.RTT / time.Microsecond)
 	}
 	b.out.Endpoints = append(b.out.Endpoints, f)
@@ -170,7 +170,7 @@
 // as soon as it has written them, a group's watchers send the rows that they
 // have read or received.
 func (b *digestBuilder) addGroupRows(s *Snapshot, d Duties) {
-	holds := d.Holds()
+	holds := d.HoldsLease()
 	for i := range s.Groups {
 		g := &s.Groups[i]
 		if g.Zone != s.Zone {
@@ -194,7 +194,7 @@
 func (b *digestBuilder) addSummaries(s *Snapshot, d Duties) {
 	for i := range s.Groups {
 		g := &s.Groups[i]
-		if g.Zone != s.Zone || !d.Leads(string(g.ID)) {
+		if g.Zone != s.Zone || !d.IsFirstWatcher(string(g.ID)) {
 			continue
 		}
 		w := b.buildSummary(g)
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -34,14 +34,14 @@
 type VM struct {
 	Record fleet.Record
 	Listed bool // present in the platform's newest list
-	// Unlisted is the time since which the VM has been missing from the list; 0
+	// UnlistedSince is the time since which the VM has been missing from the list; 0
 	// when it is listed.
-	Unlisted clock.Instant
-	Leaving  bool // sticky for the boot, whatever the source
-	Probe    Probe
-	Load     fleet.Load
-	LoadAt   clock.Instant // estimated time at which the load was measured
-	Claim    *Claim        // row of the claims table; nil: no claim known
+	UnlistedSince clock.Instant
+	Leaving       bool // sticky for the boot, whatever the source
+	Probe         Probe
+	Load          fleet.Load
+	LoadAt        clock.Instant // estimated time at which the load was measured
+	Claim         *Claim        // row of the claims table; nil: no claim known
 }
 
 // Claim is the row of one VM in the claims table.
@@ -54,17 +54,17 @@
 
 // Probe is the newest probe result of an endpoint.
 type Probe struct {
-	State    fleet.EngineState // from the newest answer; engines only
-	Answered clock.Instant     // send time of the newest answered probe; 0: never answered
-	Failing  clock.Instant     // start of the current run of failed probes; 0: the newest probe was answered
-	Failures int               // consecutive failed probes, as far as known
-	RTT      time.Duration
+	State        fleet.EngineState // from the newest answer; engines only
+	AnsweredAt   clock.Instant     // send time of the newest answered probe; 0: never answered
+	FailingSince clock.Instant     // start of the current run of failed probes; 0: the newest probe was answered
+	Failures     int               // consecutive failed probes, as far as known
+	RTT          time.Duration
 }
 
 // Fresh reports whether the newest probe was answered and was sent no more than
 // limit before now.
 func (p *Probe) Fresh(now clock.Instant, limit time.Duration) bool {
-	return p.Answered != 0 && p.Failing == 0 && now.Sub(p.Answered) <= limit
+	return p.AnsweredAt != 0 && p.FailingSince == 0 && now.Sub(p.AnsweredAt) <= limit
 }
 
 // Group is the known state of a group.
@@ -99,13 +99,13 @@
 // Node is the known state of another entry node.
 type Node struct {
 	fleet.Node
-	Zone     fleet.AvailabilityZone
-	Addr     string // peer ip:port
-	State    NodeState
-	Since    clock.Instant // start of State
-	Heard    clock.Instant // newest direct or indirect message from the node
-	Revision uint64        // configuration revision in force on the node
-	Draining bool
+	Zone       fleet.AvailabilityZone
+	Addr       string // peer ip:port
+	State      NodeState
+	StateSince clock.Instant // start of State
+	LastHeard  clock.Instant // newest direct or indirect message from the node
+	Revision   uint64        // configuration revision in force on the node
+	Draining   bool
 }
 
 // Source provides the newest snapshot to the filters of the request path.
--- a/internal/view/wire.go
+++ b/internal/view/wire.go
@@ -214,14 +214,14 @@
 
 func toWireRecord(r *fleet.Record) wireRecord {
 	return wireRecord{
-		VM: r.VM, Kind: r.Kind, Addr: r.Addr, Caller: r.Caller, Service: r.Service,
+		VM: r.VM, Kind: r.Kind, Addr: r.Addr, Caller: r.CallerAddr, Service: r.Service,
 		Zone: r.Zone, Domain: r.Domain, Accelerators: r.Accelerators, State: r.State,
 	}
 }
 
 func (w *wireRecord) record() fleet.Record {
 	return fleet.Record{
-		VM: w.VM, Kind: w.Kind, Addr: w.Addr, Caller: w.Caller, Service: w.Service,
+		VM: w.VM, Kind: w.Kind, Addr: w.Addr, CallerAddr: w.Caller, Service: w.Service,
 		Zone: w.Zone, Domain: w.Domain, Accelerators: w.Accelerators, State: w.State,
 	}
 }
--- a/test/caller_test.go
+++ b/test/caller_test.go
@@ -201,7 +201,7 @@
 	if err := json.Unmarshal(a.body, &got); err != nil {
 		return fmt.Errorf("response is incomplete: %w: %v", err, a)
 	}
-	if got.Check != service.CheckOf(method, path, []byte(body)) {
+	if got.Check != service.Checksum(method, path, []byte(body)) {
 		return fmt.Errorf("response belongs to another request: %v", a)
 	}
 	return nil
--- a/test/cut/links_test.go
+++ b/test/cut/links_test.go
@@ -211,8 +211,8 @@
 	f := startFleet(t, fleetSpec{groupZones: []string{zoneA}, tokensPerSec: 100})
 	for i, n := range f.nodes() {
 		n.relay.Seed(uint64(i) + 1)
-		n.relay.Loss(0.15)
-		n.relay.Delay(50 * time.Millisecond)
+		n.relay.SetLoss(0.15)
+		n.relay.SetDelay(50 * time.Millisecond)
 	}
 	const callersEach, rounds = 10, 3
 	var work sync.WaitGroup
--- a/test/cut/main_test.go
+++ b/test/cut/main_test.go
@@ -18,7 +18,7 @@
 var binary string
 
 func TestMain(m *testing.M) {
-	os.Exit(testkit.Exclusively(func() int { return run(m) }))
+	os.Exit(testkit.RunExclusively(func() int { return run(m) }))
 }
 
 func run(m *testing.M) int {
--- a/test/cut/process_test.go
+++ b/test/cut/process_test.go
@@ -51,7 +51,7 @@
 		p.kill()
 		if t.Failed() {
 			t.Logf("last lines of %s:\n%s", name, p.tail())
-			testkit.KeepLog(t, name, p.output())
+			testkit.SaveLog(t, name, p.output())
 		}
 	})
 	return p
--- a/test/entry_harm_test.go
+++ b/test/entry_harm_test.go
@@ -60,14 +60,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			f := startEntryFleet(t, "a", "a", "b")
-			f.fleet.AddHarm(platformtest.Harm{Body: "crash", Events: c.events, Back: endpointRestartDelay})
+			f.fleet.AddPoisonRequest(platformtest.PoisonRequest{Body: "crash", EventsBeforeCrash: c.events, ReplacementDelay: endpointRestartDelay})
 			var last *http.Response
 			var text string
 			for i := range harmfulAttempts {
 				f.awaitServing()
 				last, text = f.sendWithBody(f.nodes[i%len(f.nodes)], c.method, c.path, fmt.Sprintf("crash%d", i), "crash")
 			}
-			ended := f.fleet.Ended("crash")
+			ended := f.fleet.Crashed("crash")
 			if len(ended) > quarantineThreshold+quarantineOvershoot {
 				t.Errorf("one request crashed %d endpoints: %v", len(ended), ended)
 			}
--- a/test/entry_pressure_test.go
+++ b/test/entry_pressure_test.go
@@ -76,7 +76,7 @@
 func (f *entryFleet) checkPressureRespected(endpoints ...*platformtest.Endpoint) {
 	f.t.Helper()
 	for _, e := range endpoints {
-		if broken := e.Pressure.Broken(); len(broken) > 0 {
+		if broken := e.Pressure.Violations(); len(broken) > 0 {
 			f.t.Errorf("%s: %d violations, first: %s", e.ID, len(broken), broken[0])
 		}
 	}
@@ -105,9 +105,9 @@
 // serve every request.
 func testEntryPressure(t *testing.T, signals pressure.Signals, zones ...string) {
 	f := startEntryFleet(t, zones...)
-	head, plain := f.fleet.Open("m")[0], f.fleet.Get("i-p0")
-	head.Pressure.Set(signals)
-	plain.Pressure.Set(signals)
+	head, plain := f.fleet.OpenHeads("m")[0], f.fleet.Get("i-p0")
+	head.Pressure.SetSignals(signals)
+	plain.Pressure.SetSignals(signals)
 	before := head.Pressure.Arrivals()
 	tr := f.sendTraffic("/text/x", "/lookup/x")
 	f.checkPressureRespected(head, plain)
--- a/test/entry_restore_test.go
+++ b/test/entry_restore_test.go
@@ -17,7 +17,7 @@
 // group heads as well.
 func startRestoredFleet(t *testing.T) (f *entryFleet, open []string) {
 	t.Helper()
-	f = startEntryFleetOn(t, func(s *platformtest.Store) { s.TellEras(); s.Copy() }, "a", "a", "b")
+	f = startEntryFleetOn(t, func(s *platformtest.Store) { s.SendEras(); s.SaveCopy() }, "a", "a", "b")
 	f.keys = f.keys[:1]
 	f.writeNextDocument()
 	for _, n := range f.nodes {
@@ -32,7 +32,7 @@
 // groupHeads returns the sorted ids of the engines that lead groups.
 func (f *entryFleet) groupHeads() []string {
 	var out []string
-	for _, e := range f.fleet.Open("m") {
+	for _, e := range f.fleet.OpenHeads("m") {
 		out = append(out, e.ID)
 	}
 	slices.Sort(out)
@@ -59,7 +59,7 @@
 	is := is.New(t)
 	f, open := startRestoredFleet(t)
 	testkit.Eventually(t, "leases, claims and addresses are written again", func() bool {
-		return f.store.Rows("leases") >= 2+len(f.nodes) && f.store.Rows("groups") >= 1
+		return f.store.RowCount("leases") >= 2+len(f.nodes) && f.store.RowCount("groups") >= 1
 	})
 	for _, n := range f.nodes {
 		is.True(f.keyStatus(n, "k2") != http.StatusOK)
@@ -99,6 +99,6 @@
 			return code == http.StatusOK
 		})
 	}
-	testkit.Eventually(t, "the claims are written again", func() bool { return f.store.Rows("groups") >= 1 })
+	testkit.Eventually(t, "the claims are written again", func() bool { return f.store.RowCount("groups") >= 1 })
 	is.Equal(f.groupHeads(), open)
 }
--- a/test/entry_soak_test.go
+++ b/test/entry_soak_test.go
@@ -62,7 +62,7 @@
 // runSoak runs the soak test with one seed.
 func runSoak(t *testing.T, seed uint64) {
 	is := is.New(t)
-	s := &soak{entryFleet: startEntryFleetOn(t, (*platformtest.Store).TellEras, "a", "a", "b"), rng: rand.New(rand.NewPCG(seed, 0))}
+	s := &soak{entryFleet: startEntryFleetOn(t, (*platformtest.Store).SendEras, "a", "a", "b"), rng: rand.New(rand.NewPCG(seed, 0))}
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for c := range 6 {
@@ -89,9 +89,9 @@
 		})
 	}
 	s.checkHarmfulRequest(rand.New(rand.NewPCG(seed, 99)))
-	s.violations = append(s.violations, s.fleet.Broken()...)
+	s.violations = append(s.violations, s.fleet.Violations()...)
 	for _, e := range s.fleet.All() {
-		for _, b := range e.Pressure.Broken() {
+		for _, b := range e.Pressure.Violations() {
 			s.recordViolation("%s: pressure signal violated: %s", e.ID, b)
 		}
 	}
@@ -104,7 +104,7 @@
 
 // injectFault injects one random fault.
 func (s *soak) injectFault() {
-	engines := s.fleet.Open("m")
+	engines := s.fleet.OpenHeads("m")
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	kind := s.rng.IntN(15)
 	s.faults = append(s.faults, fmt.Sprintf("%s kind %d at %s", time.Now().Format(time.TimeOnly), kind, n.name))
@@ -129,26 +129,26 @@
 		s.signal(n, syscall.SIGSTOP)
 		time.Sleep(time.Duration(s.rng.IntN(2500)) * time.Millisecond) // length of the pause
 		for _, e := range s.fleet.All() {
-			e.Pressure.Excuse(callerID(n))
+			e.Pressure.ForgetCaller(callerID(n))
 		}
 		s.signal(n, syscall.SIGCONT)
 	case 6:
 		s.store.SetDown(s.rng.IntN(2) == 0)
 	case 7:
-		s.store.LoseAnswers(s.rng.IntN(2) == 0)
+		s.store.LoseTxResponses(s.rng.IntN(2) == 0)
 	case 8:
-		s.store.ForgetHistory()
+		s.store.DropHistory()
 	case 9: // a plain endpoint loses the responses of requests that it ran
 		id := []string{"i-p0", "i-p1"}[s.rng.IntN(2)]
 		e := s.fleet.Get(id)
 		if s.rng.IntN(2) == 0 {
 			s.faults = append(s.faults, id+" responds again")
-			e.Mangle(nil)
+			e.SetHandler(nil)
 			break
 		}
 		s.faults = append(s.faults, id+" loses its responses")
-		e.Mangle(func(_ http.ResponseWriter, r *http.Request) {
-			s.fleet.Ran(r.Header.Get("X-Request-Id"), id)
+		e.SetHandler(func(_ http.ResponseWriter, r *http.Request) {
+			s.fleet.RecordRun(r.Header.Get("X-Request-Id"), id)
 			panic(http.ErrAbortHandler)
 		})
 	case 10:
@@ -170,7 +170,7 @@
 // the operator then write their lost records again, in random order; the nodes
 // detect the loss themselves.
 func (s *soak) restoreStore() {
-	s.store.Copy()
+	s.store.SaveCopy()
 	time.Sleep(time.Duration(s.rng.IntN(3000)) * time.Millisecond) // age of the copy
 	s.store.Restore()
 	pause := func() { time.Sleep(time.Duration(s.rng.IntN(400)) * time.Millisecond) } // delay until the loss is noticed
@@ -189,7 +189,7 @@
 
 // setRandomPressure has an endpoint send a random pressure signal, or none.
 func (s *soak) setRandomPressure() {
-	endpoints := append(s.fleet.Open("m"), s.fleet.Get("i-p0"), s.fleet.Get("i-p1"))
+	endpoints := append(s.fleet.OpenHeads("m"), s.fleet.Get("i-p0"), s.fleet.Get("i-p1"))
 	i := s.rng.IntN(len(endpoints))
 	signals := []pressure.Signals{{}, {Limit: 0.1 + 4*s.rng.Float64()}, {RetryAfter: time.Duration(500+s.rng.IntN(2500)) * time.Millisecond}, {Leaving: true}}
 	w := signals[s.rng.IntN(len(signals))]
@@ -200,7 +200,7 @@
 		s.fleet.AddEngine(fmt.Sprintf("i-n%d", s.rng.Uint64()), "engines", "a", "d0")
 	}
 	s.faults = append(s.faults, fmt.Sprintf("%s sends pressure signals %+v", endpoints[i].ID, w))
-	endpoints[i].Pressure.Set(w)
+	endpoints[i].Pressure.SetSignals(w)
 }
 
 // callerID identifies a node's process to the endpoints: clients put it at the
@@ -211,8 +211,8 @@
 // run it.
 func (s *soak) addHarmfulRequest(rnd *rand.Rand) (body string) {
 	body = fmt.Sprintf("crash%d", rnd.Uint64())
-	s.fleet.AddHarm(platformtest.Harm{
-		Body: body, Events: rnd.IntN(3), Every: 1 + rnd.IntN(2), Back: time.Duration(100+rnd.IntN(700)) * time.Millisecond,
+	s.fleet.AddPoisonRequest(platformtest.PoisonRequest{
+		Body: body, EventsBeforeCrash: rnd.IntN(3), RunsPerCrash: 1 + rnd.IntN(2), ReplacementDelay: time.Duration(100+rnd.IntN(700)) * time.Millisecond,
 	})
 	return body
 }
@@ -246,7 +246,7 @@
 		}
 		time.Sleep(endpointRestartDelay) // interval between client retries
 	}
-	if ended := s.fleet.Ended(body); len(ended) > quarantineThreshold+quarantineOvershoot {
+	if ended := s.fleet.Crashed(body); len(ended) > quarantineThreshold+quarantineOvershoot {
 		s.recordViolation("one request crashed %d endpoints: %v", len(ended), ended)
 	}
 }
@@ -288,12 +288,12 @@
 // paused nodes.
 func (s *soak) clearFaults() {
 	s.store.SetDown(false)
-	s.store.LoseAnswers(false)
+	s.store.LoseTxResponses(false)
 	for _, id := range []string{"i-p0", "i-p1"} {
-		s.fleet.Get(id).Mangle(nil)
+		s.fleet.Get(id).SetHandler(nil)
 	}
 	for _, e := range s.fleet.All() {
-		e.Pressure.Set(pressure.Signals{})
+		e.Pressure.SetSignals(pressure.Signals{})
 	}
 	for _, n := range s.nodes {
 		s.signal(n, syscall.SIGCONT)
--- a/test/entry_test.go
+++ b/test/entry_test.go
@@ -97,7 +97,7 @@
 	for _, n := range f.nodes {
 		testkit.Eventually(t, "a node is ready", func() bool { return f.isReady(n) })
 	}
-	testkit.Eventually(t, "two groups serve", func() bool { return len(f.fleet.Open("m")) == 2 })
+	testkit.Eventually(t, "two groups serve", func() bool { return len(f.fleet.OpenHeads("m")) == 2 })
 	for i, n := range f.nodes {
 		testkit.Eventually(t, "a node serves streams", func() bool {
 			code, _ := f.status(n, "POST", "/text/x", fmt.Sprintf("first%d", i), textHeader(7))
@@ -263,7 +263,7 @@
 	is.NoErr(err)
 	defer resp.Body.Close()
 	testkit.Eventually(t, "the stream runs", func() bool { return len(f.fleet.Runs("moved")) == 1 })
-	for _, head := range f.fleet.Open("m") {
+	for _, head := range f.fleet.OpenHeads("m") {
 		if head.ID != f.fleet.Runs("moved")[0] {
 			continue
 		}
@@ -276,7 +276,7 @@
 	is.Equal(eventIDs(string(body)), wantEventIDs(200))
 	is.Equal(len(f.fleet.Runs("moved")), 2)
 	testkit.Eventually(t, "two groups serve again", func() bool {
-		open := f.fleet.Open("m")
+		open := f.fleet.OpenHeads("m")
 		return len(open) == 2
 	})
 }
@@ -306,8 +306,8 @@
 	is := is.New(t)
 	f := startEntryFleet(t, "a")
 	for _, id := range []string{"i-p0", "i-p1"} {
-		f.fleet.Get(id).Mangle(func(w http.ResponseWriter, r *http.Request) {
-			f.fleet.Ran(r.Header.Get("X-Request-Id"), id)
+		f.fleet.Get(id).SetHandler(func(w http.ResponseWriter, r *http.Request) {
+			f.fleet.RecordRun(r.Header.Get("X-Request-Id"), id)
 			panic(http.ErrAbortHandler)
 		})
 	}
@@ -330,7 +330,7 @@
 	}
 	for _, h := range answers {
 		for _, id := range []string{"i-p0", "i-p1"} {
-			f.fleet.Get(id).Mangle(func(w http.ResponseWriter, r *http.Request) {
+			f.fleet.Get(id).SetHandler(func(w http.ResponseWriter, r *http.Request) {
 				for k, v := range h {
 					w.Header()[k] = v
 				}
@@ -392,10 +392,10 @@
 	is.Equal(eventIDs(string(body)), wantEventIDs(100))
 	<-n.done
 	is.Equal(n.cmd.ProcessState.ExitCode(), 0)
-	f.fleet.Get(f.fleet.Open("m")[0].Members()[1]).Kill()
+	f.fleet.Get(f.fleet.OpenHeads("m")[0].Members()[1]).Kill()
 	testkit.Eventually(t, "the other node repairs the group", func() bool {
-		open := f.fleet.Open("m")
-		return len(open) == 2 && !open[0].Stalled() && !open[1].Stalled()
+		open := f.fleet.OpenHeads("m")
+		return len(open) == 2 && !open[0].HasDeadMember() && !open[1].HasDeadMember()
 	})
 }
 
@@ -405,7 +405,7 @@
 	is := is.New(t)
 	f := startEntryFleet(t, "a")
 	before := map[string]bool{}
-	for _, e := range f.fleet.Open("m") {
+	for _, e := range f.fleet.OpenHeads("m") {
 		before[e.ID] = true
 	}
 	f.nodes[0].kill()
@@ -415,7 +415,7 @@
 	n.awaitLine(t, "duty begun")
 	code, _ := f.status(n, "POST", "/text/x", "after", textHeader(70))
 	is.Equal(code, 200)
-	for _, e := range f.fleet.Open("m") {
+	for _, e := range f.fleet.OpenHeads("m") {
 		is.True(before[e.ID])
 	}
 }
--- a/test/experiment/main_test.go
+++ b/test/experiment/main_test.go
@@ -22,7 +22,7 @@
 )
 
 func TestMain(m *testing.M) {
-	os.Exit(testkit.Exclusively(func() int { return run(m) }))
+	os.Exit(testkit.RunExclusively(func() int { return run(m) }))
 }
 
 func run(m *testing.M) int {
--- a/test/experiment/share_test.go
+++ b/test/experiment/share_test.go
@@ -86,7 +86,7 @@
 		services = append(services, s.addr)
 	}
 	c, err := load.Compare(f.tb.Context(), newLoadPlan(keyB, 2*lookupRateB, runTime, lookup(1)),
-		load.Side{Name: "nodes", Targets: callerAddrs(f.nodes)}, load.Side{Name: "direct", Targets: services, Bare: true})
+		load.Side{Name: "nodes", Targets: callerAddrs(f.nodes)}, load.Side{Name: "direct", Targets: services, DirectToService: true})
 	must(f.tb, err)
 	nodes, direct := c.Sides[0], c.Sides[1]
 	return lookupLatency{float64(nodes.Kinds[0].Total.P99), float64(direct.Kinds[0].Total.P99)},
--- a/test/pressure_test.go
+++ b/test/pressure_test.go
@@ -68,9 +68,9 @@
 		{"leaving", pressure.Signals{Leaving: true}},
 	} {
 		before := target.Pressure.Arrivals()
-		target.Pressure.Set(c.signals)
+		target.Pressure.SetSignals(c.signals)
 		failed := f.sendLookupsFor(trafficDuration, c.name)
-		if broken := target.Pressure.Broken(); len(broken) > 0 {
+		if broken := target.Pressure.Violations(); len(broken) > 0 {
 			t.Fatalf("%s: %d violations, first: %s", c.name, len(broken), broken[0])
 		}
 		if len(failed) > 0 {
@@ -80,7 +80,7 @@
 		if c.signals.Leaving {
 			break // leaving is permanent
 		}
-		target.Pressure.Set(pressure.Signals{})
+		target.Pressure.SetSignals(pressure.Signals{})
 		used := target.Pressure.Arrivals()
 		testkit.Eventually(t, "the endpoint gets calls again", func() bool {
 			f.sendLookupsFor(requestInterval, c.name+"-after")
--- a/test/scale/fleet_test.go
+++ b/test/scale/fleet_test.go
@@ -87,11 +87,11 @@
 	e := engine.New(engine.Options{
 		VM: fleet.VM(fmt.Sprintf("engine-%d", i)), Zone: fleet.AvailabilityZone(zones[zone]),
 		Domain:       fleet.FabricDomain(fmt.Sprintf("%s-%d", zones[zone], within/enginesPerDomain)),
-		Accelerators: 8, CheckFence: true, LoadTime: engine.Immediately,
+		Accelerators: 8, CheckFence: true, LoadTime: engine.NoDelay,
 		Slots: f.spec.slots, TokensPerSecond: f.spec.tokens,
 		// Long intervals, because the load of the members' probes of each other
 		// is not measured here.
-		PeerInterval: config.Duration(2 * time.Second), PeerLost: config.Duration(time.Minute),
+		PeerInterval: config.Duration(2 * time.Second), PeerLossTimeout: config.Duration(time.Minute),
 	})
 	f.b.Cleanup(e.Close)
 	f.platform.AddVM(e.Record(f.serve(e)))
--- a/test/scale/path_test.go
+++ b/test/scale/path_test.go
@@ -68,7 +68,7 @@
 			for b.Loop() {
 				c, err := load.Compare(b.Context(), newLoadPlan(2*rate, lookup()),
 					load.Side{Name: "node", Targets: []string{f.nodes[0].caller}},
-					load.Side{Name: "direct", Targets: f.services[:1], Bare: true})
+					load.Side{Name: "direct", Targets: f.services[:1], DirectToService: true})
 				must(b, err)
 				reportAddedLatency(b, c)
 			}
@@ -81,8 +81,8 @@
 func reportAddedLatency(b *testing.B, c *load.Comparison) {
 	b.Helper()
 	node, direct := c.Sides[0], c.Sides[1]
-	for _, d := range c.Added {
-		if d.What == "total" {
+	for _, d := range c.Differences {
+		if d.Metric == "total" {
 			b.ReportMetric(float64(d.P50), "added-p50-us")
 			b.ReportMetric(float64(d.P99), "added-p99-us")
 		}
