--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -30,10 +30,11 @@
 }
 
 // decaySeconds is the time constant of the decay: a burst of one kind of request shows
-// within two seconds, and a node with ten requests per second still counts fifty.
+// within two seconds, and at ten requests per second a node's demand still comprises fifty
+// requests.
 const decaySeconds = 5.0
 
-// Note adds a request for a model. work is the group time that it needs, in seconds.
+// Record adds a request for a model. work is the group time that it needs, in seconds.
 func (d *Meter) Record(service, model string, work float64, now clock.Instant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/demand/zone.go
+++ b/internal/demand/zone.go
@@ -32,14 +32,14 @@
 	services   []ServiceDemand
 }
 
-// Note replaces the demand observed by a node and drops that of nodes past the TTL.
-func (z *ZoneDemand) Update(node string, told []ServiceDemand, now clock.Instant) {
+// Update replaces the demand observed by a node and drops that of nodes past the TTL.
+func (z *ZoneDemand) Update(node string, services []ServiceDemand, now clock.Instant) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if z.nodes == nil {
 		z.nodes = map[string]nodeDemand{}
 	}
-	z.nodes[node] = nodeDemand{now, told}
+	z.nodes[node] = nodeDemand{now, services}
 	for name, t := range z.nodes {
 		if now.Sub(t.receivedAt).Seconds() > nodeDemandTTLSeconds {
 			delete(z.nodes, name)
--- a/internal/entry/backoff.go
+++ b/internal/entry/backoff.go
@@ -16,7 +16,7 @@
 type backoff struct {
 	// usesFullRate reports whether this node keeps the usual rate.
 	usesFullRate        func() bool
-	consecutiveFailures int // consecutive
+	consecutiveFailures int
 }
 
 const (
--- a/internal/entry/current_test.go
+++ b/internal/entry/current_test.go
@@ -24,7 +24,7 @@
 	is.True(!n.isConfigCurrent())
 	is.True(n.acceptsKeys()) // keys are accepted for longer
 
-	// Whatever the age of an accepted answer, the next question is sent before the
+	// Whatever the age of an accepted answer, the next poll is sent before the
 	// configuration is too old.
 	for age := time.Duration(0); age <= n.follower.maxConfigAge(); age += 100 * time.Millisecond {
 		next := age + n.follower.intervalAfter(age)
--- a/internal/entry/duty.go
+++ b/internal/entry/duty.go
@@ -18,7 +18,9 @@
 	// core is too little for 219 engines and 59 followers: such a node could neither read
 	// the endpoint list within 700 ms nor renew its lease.
 	rankSmall = rankHolder + 1
-	rankNever = rankSmall + 1 // the number of ranks that watch a lease
+	// rankNever is the rank of nodes that do not compete for the lease. It is also the number
+	// of ranks below it, whose nodes watch the lease.
+	rankNever = rankSmall + 1
 )
 
 // Node sizes, in cores.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -268,7 +268,7 @@
 	return false
 }
 
-// newFeedServer returns the server that answers the questions of other nodes.
+// newFeedServer returns the server that answers the polls of other nodes.
 func (n *Node) newFeedServer() *http.Server {
 	return &http.Server{ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, Handler: &feed.Server{
 		Source: feed.Source{
@@ -279,14 +279,14 @@
 			Era:         n.tableEra,
 		},
 		Journal: &feed.Journal{Incarnation: uuid.NewString()},
-		Clock:   n.Clock, Log: n.Log, OnPoll: n.recordQuestion,
+		Clock:   n.Clock, Log: n.Log, OnPoll: n.recordPoll,
 		Serving: func() bool { return !n.leaving.Load() && !n.follower.isFollowing() },
 	}}
 }
 
-// recordQuestion records the configuration version and, from nodes of the local zone, the
-// demand in a question.
-func (n *Node) recordQuestion(q feed.PollRequest) {
+// recordPoll records the configuration version and, from nodes of the local zone, the demand
+// in a poll.
+func (n *Node) recordPoll(q feed.PollRequest) {
 	n.config.recordPeerVersion(q.Config)
 	if q.Zone == n.Settings.Zone && q.Node != n.Settings.VM {
 		n.peerDemand.Update(q.Node, q.Demand, n.Clock.Now())
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -213,7 +213,7 @@
 }
 
 // The holder of a zone's duty gets one in sixty of the zone's requests. It plans for the
-// demand at all nodes of the zone, which their questions contain; reports from another zone
+// demand at all nodes of the zone, which their polls contain; reports from another zone
 // or from itself are not counted.
 func TestDutyHolderSumsZoneDemand(t *testing.T) {
 	is := is.New(t)
@@ -223,7 +223,7 @@
 		{Node: "n1", Zone: "a", Demand: reports}, {Node: "n2", Zone: "a", Demand: reports},
 		{Node: "n3", Zone: "b", Demand: reports}, {Node: "me", Zone: "a", Demand: reports},
 	} {
-		n.recordQuestion(q)
+		n.recordPoll(q)
 	}
 	is.Equal(n.zoneDemand("s"), demand.Demand{Requests: 10, Work: map[string]float64{"big": 4}})
 }
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -19,21 +19,21 @@
 	clock  clock.Clock
 	log    *slog.Logger
 
-	lastSuccess  atomic.Int64 // when the last successful question was sent
+	lastSuccess  atomic.Int64 // when the last successful poll was sent
 	fromOwnZone  atomic.Bool  // the last answer came from the holder of the local zone's duty
 	wake         chan struct{}
-	nextInterval time.Duration            // interval to the next question; used by run only
+	nextInterval time.Duration            // interval to the next poll; used by run only
 	source       string                   // address of the node that answered last; used by run only
 	copies       map[string]*feed.Replica // state received from each node, by address; used by run only
 }
 
 const (
-	followInterval = 900 * time.Millisecond // between two questions
+	followInterval = 900 * time.Millisecond // between two polls
 	followTimeout  = 400 * time.Millisecond // timeout of one answer
 	// followRetryInterval is the interval after a round without a usable answer: the few
 	// nodes that keep polling a failing store notice its recovery first.
 	followRetryInterval = 400 * time.Millisecond
-	// followValidity is how long after a successful question the store is not read.
+	// followValidity is how long after a successful poll the store is not read.
 	followValidity = 1500 * time.Millisecond
 	// maxFollowAge is the greatest accepted age of another node's state: the duty holder reads
 	// the endpoint list every second and has its configuration confirmed every 0.8 s.
@@ -42,7 +42,7 @@
 	// in force: it covers the detection that no node is followed any more and one read of
 	// the store.
 	followMargin      = 300 * time.Millisecond
-	minFollowInterval = 200 * time.Millisecond // least interval between two questions
+	minFollowInterval = 200 * time.Millisecond // least interval between two polls
 	// maxCopies is the number of nodes whose copies are kept: the duty holders of a
 	// region's zones.
 	maxCopies = 4
@@ -59,7 +59,7 @@
 // a second later, which would delay the takeover of the duty by as much.
 func (f *follower) isFollowingOwnZone() bool { return f.fromOwnZone.Load() && f.isFollowing() }
 
-// pollSoon triggers the next question before it is due.
+// pollSoon triggers the next poll before it is due.
 func (f *follower) pollSoon() {
 	select {
 	case f.wake <- struct{}{}:
--- a/internal/entry/leases.go
+++ b/internal/entry/leases.go
@@ -120,7 +120,9 @@
 	if !due {
 		return nil
 	}
-	era := c.Table.Era() // era of an empty answer, or an earlier one; a write checked against an earlier era is rejected
+	// The era of an answer without rows is this one or a later one. An era that is too early is
+	// safe: a write that is checked against it is rejected.
+	era := c.Table.Era()
 	rows, err := c.Table.List(ctx, tab, "")
 	c.readErr = err
 	if err != nil {
@@ -134,7 +136,7 @@
 	case len(rows) > 0:
 		era = rows[0].Era
 	case era == 0:
-		era = c.Table.Era() // the first answer of all contained it
+		era = c.Table.Era() // no era was known before this answer, which contained one
 	}
 	c.mu.Lock()
 	c.readAt = now
--- a/internal/entry/loads.go
+++ b/internal/entry/loads.go
@@ -100,7 +100,7 @@
 }
 
 // sendCounts sends this node's counts to the holder of each zone's duty if they have
-// changed, or at the latest after board.TellAgain.
+// changed, or at the latest after board.ResendInterval.
 func (l *loadExchange) sendCounts() {
 	n := l.node
 	now := n.Clock.Now()
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -11,7 +11,7 @@
 // quarantinePrefix is the key prefix of the rows of quarantined requests. They are in the
 // same table as the leases, so that the regular reads and feed answers carry them to every
 // node, also to one that starts after a power loss of all nodes or that missed a packet:
-// within 1.6 s by the intervals of a duty holder's reads and its followers' questions.
+// within 1.6 s by the intervals of a duty holder's reads and its followers' polls.
 const quarantinePrefix = "quarantine/"
 
 func (n *Node) newQuarantineGuard() *quarantine.Guard {
--- a/internal/feed/record.go
+++ b/internal/feed/record.go
@@ -32,7 +32,7 @@
 // complete table.
 const maxRemovals = 256
 
-// update updates the record to the newest content of the table. Entries that are the same as
+// update updates the log to the newest content of the table. Entries that are the same as
 // before keep their numbers.
 func (r *changeLog[V]) update(next map[string]V, same func(a, b V) bool) {
 	if r.current == nil {
@@ -60,7 +60,7 @@
 	}
 }
 
-// stateSince returns the changes after seq, or the complete table if seq is too old or, as known
+// since returns the changes after seq, or the complete table if seq is too old or, as known
 // reports, not of this incarnation.
 func (r *changeLog[V]) since(seq uint64, known bool) changes[V] {
 	out := changes[V]{Seq: r.seq, Full: !known || seq < r.discardedSeq}
--- a/internal/formation/allot.go
+++ b/internal/formation/allot.go
@@ -47,9 +47,9 @@
 	// noFreeEngineMargin is the minimum gain of conversions in a domain without free
 	// engines.
 	noFreeEngineMargin = 0.1
-	// weighInterval is the interval between evaluations of a domain without free
+	// evaluationInterval is the interval between evaluations of a domain without free
 	// engines.
-	weighInterval = time.Second
+	evaluationInterval = time.Second
 	// settleTime is the time during which a domain's engines aren't reassigned after one
 	// of its groups began to close. Its members leave within a few milliseconds of each
 	// other; the first two must not be assigned before the others are free.
@@ -143,10 +143,10 @@
 	if len(free) == 0 {
 		// A conversion can still be useful if demand has shifted, or if another domain
 		// has lost engines that it can't replace.
-		if p.in.Now.Sub(p.mem.weighedAt[domain]) < weighInterval {
+		if p.in.Now.Sub(p.mem.evaluatedAt[domain]) < evaluationInterval {
 			return best
 		}
-		p.mem.weighedAt[domain] = p.in.Now
+		p.mem.evaluatedAt[domain] = p.in.Now
 		best.value += noFreeEngineMargin
 	}
 	for i := range p.in.Engine.Models {
--- a/internal/formation/allot_test.go
+++ b/internal/formation/allot_test.go
@@ -187,13 +187,13 @@
 		break
 	}
 	p := planner{in: &Input{
-		Now: w.now, Engine: w.engine, Engines: w.facts, Ledger: w.ledger, Params: DefaultParams(5*time.Second, 7, 2),
+		Now: w.now, Engine: w.engine, Engines: w.engineStates, Ledger: w.ledger, Params: DefaultParams(5*time.Second, 7, 2),
 	}, mem: w.mem, claimed: map[roster.ID]bool{}, groupsInPreparation: map[string]int{}}
 	for _, g := range w.ledger.Groups {
 		p.keepClaim(&g)
 	}
 	domain := w.engines[lost].domain
-	free := []*EngineState{w.facts[lost]}
+	free := []*EngineState{w.engineStates[lost]}
 	best := math.Inf(-1)
 	for b.Loop() {
 		best = p.bestOption(domain, free).value
--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -53,7 +53,7 @@
 	Announce func(roster.Hint)
 
 	mu            sync.Mutex // guards the fields below
-	facts         map[roster.ID]*EngineState
+	engineStates  map[roster.ID]*EngineState
 	probes        map[roster.ID]*probe
 	ledger        Ledger
 	ledgerRow     table.Row     // table row of the ledger, as last read or written
@@ -202,7 +202,7 @@
 		c.fence, c.epochs = grant.Fence, 0
 	}
 	c.tenureStart = c.Clock.Now()
-	c.facts = map[roster.ID]*EngineState{}
+	c.engineStates = map[roster.ID]*EngineState{}
 	c.probes = map[roster.ID]*probe{}
 	c.memories = map[string]*Memory{}
 	c.reportRTT = roundTrip{}
@@ -264,9 +264,9 @@
 		mem = NewMemory()
 		c.memories[s.Name] = mem
 	}
-	facts := map[roster.ID]*EngineState{}
+	engineStates := map[roster.ID]*EngineState{}
 	r := c.Roster()
-	for id, f := range c.facts {
+	for id, f := range c.engineStates {
 		e := r.Get(id)
 		if e != nil && e.Service != s.Name {
 			continue
@@ -275,11 +275,11 @@
 		if p := c.probes[id]; p != nil && c.Clock.Now().Before(p.suspectUntil) {
 			f.Stalled = true // in a large fleet most requests at a head come from other nodes
 		}
-		facts[id] = f
+		engineStates[id] = f
 	}
 	return Plan(&Input{
 		Now: c.Clock.Now(), TenureStart: c.tenureStart, Zone: c.Zone, Service: s.Name, Engine: s.Engine,
-		Engines: facts, Ledger: c.ledger, NextEpoch: c.nextEpoch, Demand: c.Demand(s.Name),
+		Engines: engineStates, Ledger: c.ledger, NextEpoch: c.nextEpoch, Demand: c.Demand(s.Name),
 		BeforeFirstRequest: c.BeforeFirstRequest(), Params: c.Params(s.Engine),
 	}, mem)
 }
--- a/internal/formation/formation.go
+++ b/internal/formation/formation.go
@@ -76,7 +76,7 @@
 	Model   string      // set for Join and Stage
 	Members []roster.ID // set for Join
 	Mode    CloseMode   // set for Close
-	// Count, if set, is the number of orders that the engine must have begun so far. If
+	// ExpectedCount, if set, is the number of orders that the engine must have begun so far. If
 	// the engine's count differs, it answers Conflict and ignores the order. This voids
 	// a delayed join once the engine has begun a newer order.
 	ExpectedCount *uint64
@@ -96,10 +96,10 @@
 	OtherProcess                    // another process has the address: the engine is gone
 )
 
-var verdictText = [...]string{"lost", "begun", "done", "rejected", "conflict", "other_life"}
+var orderResultText = [...]string{"lost", "begun", "done", "rejected", "conflict", "other_life"}
 
 // String returns the name used in logs.
-func (v OrderResult) String() string { return verdictText[v] }
+func (v OrderResult) String() string { return orderResultText[v] }
 
 // ErrOtherProcess is returned when another process answers at an engine's address. The
 // engine that had the address has ended permanently.
--- a/internal/formation/giving.go
+++ b/internal/formation/giving.go
@@ -104,7 +104,7 @@
 func (c *Controller) addr(id roster.ID) (string, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := c.facts[id]
+	f := c.engineStates[id]
 	if f == nil {
 		return "", false // the tenure has ended
 	}
@@ -132,8 +132,8 @@
 		"reason", o.Reason, "verdict", v.String(), "err", err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if f := c.facts[o.To]; f != nil {
-		f.applyVerdict(o, v, c.Clock.Now())
+	if f := c.engineStates[o.To]; f != nil {
+		f.applyOrderResult(o, v, c.Clock.Now())
 	}
 	if p := c.probes[o.To]; p != nil && !p.inFlight {
 		p.next = 0
@@ -145,8 +145,8 @@
 // previous state. The engines' published lag is 200 ms.
 const reportLag = 400 * time.Millisecond
 
-// applyVerdict updates the engine's known state from its response to an order.
-func (f *EngineState) applyVerdict(o Order, v OrderResult, now clock.Instant) {
+// applyOrderResult updates the engine's known state from its response to an order.
+func (f *EngineState) applyOrderResult(o Order, v OrderResult, now clock.Instant) {
 	f.updateOrderCount(o, v, now)
 	switch {
 	case v == OtherProcess:
--- a/internal/formation/plan.go
+++ b/internal/formation/plan.go
@@ -53,7 +53,7 @@
 	opened      map[string]bool          // groups that have been open
 	firstSeen   map[string]clock.Instant // when a group was first seen, by name
 	conversions map[string]conversion    // by domain
-	weighedAt   map[string]clock.Instant // newest evaluation of a domain without free engines
+	evaluatedAt map[string]clock.Instant // newest evaluation of a domain without free engines
 	ended       map[string]bool          // groups whose head can't accept requests any more
 	formed      map[string]bool          // groups that this owner formed
 }
@@ -77,7 +77,7 @@
 	return &Memory{
 		sent: map[orderKey]clock.Instant{}, joinDue: map[orderKey]clock.Instant{}, closing: map[string]*closing{},
 		loading: map[roster.ID]load{}, opened: map[string]bool{},
-		conversions: map[string]conversion{}, weighedAt: map[string]clock.Instant{},
+		conversions: map[string]conversion{}, evaluatedAt: map[string]clock.Instant{},
 		firstSeen: map[string]clock.Instant{}, ended: map[string]bool{}, formed: map[string]bool{},
 	}
 }
--- a/internal/formation/plan_test.go
+++ b/internal/formation/plan_test.go
@@ -179,8 +179,8 @@
 	head := w.serving("big")[0]
 	w.engines[head.members[1]].dead = true
 	for _, e := range w.sorted() {
-		w.facts[e.id].Report.OrderCount += 5
-		w.facts[e.id].OrderCountUntil = w.now.Add(reportLag)
+		w.engineStates[e.id].Report.OrderCount += 5
+		w.engineStates[e.id].OrderCountUntil = w.now.Add(reportLag)
 	}
 	w.run(4 * time.Second)
 	is.Equal(len(w.serving("big")), 2)
@@ -195,9 +195,9 @@
 	is := is.New(t)
 	f := &EngineState{ID: "e", Report: Report{OrderCount: 5}}
 	join := Order{To: "e", Op: Join, Group: "g", Epoch: 7, Members: []roster.ID{"e", "o"}}
-	f.applyVerdict(join, Lost, 1)
+	f.applyOrderResult(join, Lost, 1)
 	f.applyReport(Report{OrderCount: 6, Member: roster.Membership{Group: "g", Epoch: 7, State: roster.Joining}}, 2)
-	f.applyVerdict(join, Begun, 3)
+	f.applyOrderResult(join, Begun, 3)
 	is.Equal(f.Report.OrderCount, uint64(6))
 }
 
--- a/internal/formation/probe.go
+++ b/internal/formation/probe.go
@@ -34,7 +34,7 @@
 func (c *Controller) ReportSuspectedStall(id roster.ID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p, f := c.probes[id], c.facts[id]
+	p, f := c.probes[id], c.engineStates[id]
 	if p == nil || f == nil {
 		return
 	}
@@ -89,7 +89,7 @@
 	}
 	for _, m := range ids {
 		if p := c.probes[m]; p != nil {
-			p.next = min(p.next, c.facts[m].ReportedAt.Add(minProbeInterval))
+			p.next = min(p.next, c.engineStates[m].ReportedAt.Add(minProbeInterval))
 			p.shortTimeoutUntil = now.Add(suspicionDuration)
 		}
 	}
@@ -119,23 +119,23 @@
 	for id := range listed {
 		latest[id.Name()] = id
 	}
-	for id, f := range c.facts {
+	for id, f := range c.engineStates {
 		f.Listed = listed[id]
 		if id.Before(latest[id.Name()]) {
 			f.markRestarted()
 		}
 		if !f.Listed && !c.isClaimed(id) && f.Failures > 0 {
-			delete(c.facts, id)
+			delete(c.engineStates, id)
 			delete(c.probes, id)
 		}
 	}
 }
 
 func (c *Controller) trackEndpoint(e *roster.Endpoint) {
-	f := c.facts[e.ID]
+	f := c.engineStates[e.ID]
 	if f == nil {
 		f = &EngineState{ID: e.ID, Addr: e.Addr, Domain: e.Domain}
-		c.facts[e.ID] = f
+		c.engineStates[e.ID] = f
 		c.probes[e.ID] = &probe{}
 	}
 	f.Draining = e.Draining
@@ -157,7 +157,7 @@
 		if now.Before(p.shortTimeoutUntil) {
 			limit = c.reportRTT.shortTimeout()
 		}
-		go c.runProbe(ctx, id, c.facts[id].Addr, now, limit)
+		go c.runProbe(ctx, id, c.engineStates[id].Addr, now, limit)
 	}
 }
 
@@ -167,7 +167,7 @@
 	rep, err := c.Engines.Report(ctx, addr, id)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f, p := c.facts[id], c.probes[id]
+	f, p := c.engineStates[id], c.probes[id]
 	if f == nil || p == nil {
 		return // the tenure has ended
 	}
@@ -223,7 +223,7 @@
 	// Other nodes' requests at the head reveal a loss as this node's own do, because
 	// those nodes report it. In a fleet of 80 nodes hardly any requests are this node's
 	// own.
-	head := c.facts[g.Head()]
+	head := c.engineStates[g.Head()]
 	busy := head != nil && head.Failures == 0 && head.Report.Active > 0
 	if busy || sign != 0 && now.Sub(sign) < maxSignAge {
 		return servingProbeInterval
@@ -268,7 +268,7 @@
 		return
 	}
 	for _, m := range g.Members {
-		if other := c.facts[m]; m != f.ID && other != nil && other.Failures == 0 {
+		if other := c.engineStates[m]; m != f.ID && other != nil && other.Failures == 0 {
 			c.probes[m].next = c.Clock.Now()
 			return
 		}
@@ -287,7 +287,7 @@
 		if e.Zone != c.Zone {
 			continue
 		}
-		f := c.facts[e.ID]
+		f := c.engineStates[e.ID]
 		if f == nil || f.ReportedAt == 0 && f.Failures == 0 {
 			return false
 		}
--- a/internal/formation/probe_test.go
+++ b/internal/formation/probe_test.go
@@ -32,9 +32,9 @@
 			is := is.New(t)
 			f := &EngineState{ID: "m", Report: Report{Member: member}}
 			ctl := &Controller{
-				Activity: func(roster.ID) (clock.Instant, bool) { return c.sign, c.suspect },
-				ledger:   Ledger{Groups: []Group{{Name: "g", Epoch: 1, Members: []roster.ID{"h", "m"}}}},
-				facts:    map[roster.ID]*EngineState{"h": {ID: "h", Report: Report{Active: c.active}, Failures: c.failures}, "m": f},
+				Activity:     func(roster.ID) (clock.Instant, bool) { return c.sign, c.suspect },
+				ledger:       Ledger{Groups: []Group{{Name: "g", Epoch: 1, Members: []roster.ID{"h", "m"}}}},
+				engineStates: map[roster.ID]*EngineState{"h": {ID: "h", Report: Report{Active: c.active}, Failures: c.failures}, "m": f},
 			}
 			is.Equal(ctl.probeDelay(f, now), c.want)
 		})
--- a/internal/formation/reborn_test.go
+++ b/internal/formation/reborn_test.go
@@ -35,8 +35,8 @@
 
 // A head restarts while no node plans for the zone. The orders that made it lead its
 // group are executed again, late, and the new incarnation, whose order count happens to
-// match, leads the group again. The next owner ends the previous incarnation: if the
-// members joined another group at once, they would be in two serving groups.
+// match, leads the group again. The next owner considers the previous incarnation ended: if
+// it let the members join another group at once, they would be in two serving groups.
 func TestRestartedHeadMayLeadItsFormerGroup(t *testing.T) {
 	is := is.New(t)
 	w := startedZone()
@@ -72,9 +72,9 @@
 		for _, e := range w.sorted() {
 			w.report(e)
 		}
-		f := *w.facts[currentID]
+		f := *w.engineStates[currentID]
 		f.ID = formerID
-		w.facts[formerID] = &f
+		w.engineStates[formerID] = &f
 		for _, o := range Plan(w.input(), w.mem).Orders {
 			is.True(o.Op != Open)
 			if o.To != formerID { // a process with another ID refuses its orders
@@ -101,8 +101,8 @@
 	f := &EngineState{ID: roster.NewID("e", 5), ReportedAt: now, Report: Report{Model: "m"}}
 	c := &Controller{
 		Engines: failingEngines{err}, Clock: clock.NewManual(now), Log: slog.New(slog.DiscardHandler),
-		Catalog: func() *catalog.Catalog { return nil },
-		facts:   map[roster.ID]*EngineState{f.ID: f}, probes: map[roster.ID]*probe{f.ID: {}}, wake: make(chan struct{}, 1),
+		Catalog:      func() *catalog.Catalog { return nil },
+		engineStates: map[roster.ID]*EngineState{f.ID: f}, probes: map[roster.ID]*probe{f.ID: {}}, wake: make(chan struct{}, 1),
 	}
 	c.runProbe(context.Background(), f.ID, "10.0.0.1:1", now, time.Second)
 	return f
@@ -130,10 +130,10 @@
 	is.NoErr(err)
 	c := &Controller{
 		Zone: "z", Catalog: func() *catalog.Catalog { return cat }, Roster: func() *roster.Roster { return r },
-		facts: map[roster.ID]*EngineState{first: f}, probes: map[roster.ID]*probe{first: {}},
+		engineStates: map[roster.ID]*EngineState{first: f}, probes: map[roster.ID]*probe{first: {}},
 	}
 	c.syncRoster()
 	is.True(f.Ended)
 	is.True(!f.Listed)
-	is.True(c.facts[second] != nil && !c.facts[second].Ended)
+	is.True(c.engineStates[second] != nil && !c.engineStates[second].Ended)
 }
--- a/internal/formation/recover.go
+++ b/internal/formation/recover.go
@@ -35,11 +35,11 @@
 	if !c.ledgerStale || !c.ledgerLoaded {
 		return nil, true
 	}
-	if c.Clock.Now().Sub(c.tenureStart) < recoverTimeout && !allReported(c.facts, c.tenureStart) {
+	if c.Clock.Now().Sub(c.tenureStart) < recoverTimeout && !allReported(c.engineStates, c.tenureStart) {
 		return nil, false
 	}
 	l := c.ledger
-	for _, g := range unclaimedGroups(c.facts, l, c.serviceAndGroupSize) {
+	for _, g := range unclaimedGroups(c.engineStates, l, c.serviceAndGroupSize) {
 		l.Groups = append(slices.Clip(l.Groups), g)
 		c.Log.Info("serving group has no claim; claiming it again", "zone", c.Zone, "group", g.Name, "epoch", g.Epoch, "model", g.Model, "members", len(g.Members))
 	}
@@ -70,11 +70,11 @@
 
 // allReported reports whether each engine either has reported its state from after the
 // start of the tenure, allowing for the report lag, or is unresponsive.
-func allReported(facts map[roster.ID]*EngineState, since clock.Instant) bool {
-	if len(facts) == 0 {
+func allReported(engineStates map[roster.ID]*EngineState, since clock.Instant) bool {
+	if len(engineStates) == 0 {
 		return false
 	}
-	for _, f := range facts {
+	for _, f := range engineStates {
 		if f.ReportedAt.Before(since.Add(reportLag)) && f.Failures < 2 {
 			return false
 		}
@@ -85,13 +85,13 @@
 // unclaimedGroups returns the serving groups without a claim: the head accepts requests,
 // and the engine of each rank reports its membership. A group with a missing member is
 // stalled anyway and is left out, so its engines are ordered to leave it.
-func unclaimedGroups(facts map[roster.ID]*EngineState, l Ledger, serviceAndGroupSize func(head *EngineState) (service string, size int)) []Group {
+func unclaimedGroups(engineStates map[roster.ID]*EngineState, l Ledger, serviceAndGroupSize func(head *EngineState) (service string, size int)) []Group {
 	named := map[string]bool{}
 	for _, g := range l.Groups {
 		named[g.Name] = true
 	}
 	members := map[string][]*EngineState{}
-	for _, f := range facts {
+	for _, f := range engineStates {
 		m := f.Report.Member
 		if m.Group != "" && !isStandby(m) && !named[m.Group] && !f.Ended && f.Failures == 0 {
 			members[m.Group] = append(members[m.Group], f)
--- a/internal/formation/restore_test.go
+++ b/internal/formation/restore_test.go
@@ -107,7 +107,7 @@
 func (w *simZone) takeOverFromCopy(l Ledger) {
 	w.takeOver()
 	w.ledger = l
-	for !allReported(w.facts, w.tenureStart) && w.now.Sub(w.tenureStart) < recoverTimeout {
+	for !allReported(w.engineStates, w.tenureStart) && w.now.Sub(w.tenureStart) < recoverTimeout {
 		for _, e := range w.sorted() {
 			w.report(e)
 		}
@@ -119,7 +119,7 @@
 		}
 		return "", 0
 	}
-	w.ledger.Groups = append(slices.Clone(w.ledger.Groups), unclaimedGroups(w.facts, w.ledger, kind)...)
+	w.ledger.Groups = append(slices.Clone(w.ledger.Groups), unclaimedGroups(w.engineStates, w.ledger, kind)...)
 }
 
 // The table is restored without the claims of serving groups, and their owner has died.
--- a/internal/formation/suspect_test.go
+++ b/internal/formation/suspect_test.go
@@ -35,9 +35,9 @@
 	before := len(w.serving("big")) + len(w.serving("small"))
 	is.True(before > 0)
 	for _, head := range append(w.serving("big"), w.serving("small")...) {
-		late := w.facts[head.members[len(head.members)-1]]
+		late := w.engineStates[head.members[len(head.members)-1]]
 		w.plan()
-		w.facts[head.id].Stalled = true
+		w.engineStates[head.id].Stalled = true
 		late.Failures, late.FailingSince, late.LastMissedAt = 1, w.now, w.now
 		out := Plan(w.input(), w.mem)
 		is.Equal(len(out.Lost), 0)
@@ -46,7 +46,7 @@
 		out = Plan(w.input(), w.mem)
 		is.Equal(len(out.Lost), 1)
 		late.Failures = 0
-		w.facts[head.id].Stalled = false
+		w.engineStates[head.id].Stalled = false
 		clear(w.mem.closing)
 	}
 }
@@ -57,8 +57,8 @@
 	w := startedZone()
 	head := w.serving("big")[0]
 	w.plan()
-	w.facts[head.id].Stalled = true
-	f := w.facts[head.members[1]]
+	w.engineStates[head.id].Stalled = true
+	f := w.engineStates[head.members[1]]
 	f.Failures, f.FailingSince, f.LastMissedAt = 1, w.now, w.now
 	is.Equal(len(Plan(w.input(), w.mem).Lost), 1)
 }
@@ -69,9 +69,9 @@
 	w := startedZone()
 	head := w.serving("big")[0]
 	w.plan()
-	w.facts[head.id].Stalled = true
+	w.engineStates[head.id].Stalled = true
 	for _, m := range head.members {
-		f := w.facts[m]
+		f := w.engineStates[m]
 		f.Failures, f.FailingSince, f.LastMissedAt = largeGroupMisses, w.now, w.now
 	}
 	is.Equal(len(Plan(w.input(), w.mem).Lost), 0)
@@ -99,10 +99,10 @@
 	f := &EngineState{ID: "b", Report: Report{Member: member}, ReportedAt: now}
 	far := now.Add(time.Minute)
 	c := &Controller{
-		Clock:  clock.NewManual(now),
-		facts:  map[roster.ID]*EngineState{"a": {ID: "a", ReportedAt: now}, "b": f},
-		probes: map[roster.ID]*probe{"a": {next: far}, "b": {next: far, shortTimeoutUntil: now.Add(suspicionDuration)}},
-		ledger: Ledger{Groups: []Group{{Name: "g", Epoch: 1, Members: []roster.ID{"a", "b"}}}},
+		Clock:        clock.NewManual(now),
+		engineStates: map[roster.ID]*EngineState{"a": {ID: "a", ReportedAt: now}, "b": f},
+		probes:       map[roster.ID]*probe{"a": {next: far}, "b": {next: far, shortTimeoutUntil: now.Add(suspicionDuration)}},
+		ledger:       Ledger{Groups: []Group{{Name: "g", Epoch: 1, Members: []roster.ID{"a", "b"}}}},
 	}
 	c.recordProbeFailure(f, c.probes["b"], now, now, ErrOtherProcess)
 	is.Equal(c.probes["a"].next, now)
--- a/internal/formation/world_test.go
+++ b/internal/formation/world_test.go
@@ -82,7 +82,7 @@
 	engines      map[roster.ID]*simEngine
 	ledger       Ledger
 	mem          *Memory
-	facts        map[roster.ID]*EngineState
+	engineStates map[roster.ID]*EngineState
 	fence        uint64
 	epochs       uint64
 	tenureStart  clock.Instant // start of this owner's tenure
@@ -135,7 +135,7 @@
 	w.fence++
 	w.epochs = 0
 	w.mem = NewMemory()
-	w.facts = map[roster.ID]*EngineState{}
+	w.engineStates = map[roster.ID]*EngineState{}
 	w.tenureStart = w.now
 }
 
@@ -339,10 +339,10 @@
 
 // report probes an engine as the controller does.
 func (w *simZone) report(e *simEngine) {
-	f := w.facts[e.endpointID()]
+	f := w.engineStates[e.endpointID()]
 	if f == nil {
 		f = &EngineState{ID: e.endpointID(), Domain: e.domain}
-		w.facts[e.endpointID()] = f
+		w.engineStates[e.endpointID()] = f
 	}
 	f.Listed, f.Draining = !e.dead, e.draining
 	if e.dead || e.partitioned {
@@ -362,7 +362,7 @@
 	for _, e := range w.sorted() {
 		w.report(e)
 	}
-	for id, f := range w.facts {
+	for id, f := range w.engineStates {
 		if e := w.engineAt(id); !e.partitioned && id.Before(e.endpointID()) {
 			f.Listed = false
 			f.markRestarted()
@@ -381,7 +381,7 @@
 
 func (w *simZone) input() *Input {
 	return &Input{
-		Now: w.now, TenureStart: w.tenureStart, Zone: "z", Service: "s", Engine: w.engine, Engines: w.facts, Ledger: w.ledger,
+		Now: w.now, TenureStart: w.tenureStart, Zone: "z", Service: "s", Engine: w.engine, Engines: w.engineStates, Ledger: w.ledger,
 		NextEpoch:          func() uint64 { w.epochs++; return w.fence*1_000_000 + w.epochs },
 		BeforeFirstRequest: w.loadsAreFree, Demand: w.demand, Params: DefaultParams(5*time.Second, 7, 2),
 	}
@@ -402,8 +402,8 @@
 		return
 	}
 	v := w.execute(o)
-	if f := w.facts[o.To]; f != nil {
-		f.applyVerdict(o, v, w.now)
+	if f := w.engineStates[o.To]; f != nil {
+		f.applyOrderResult(o, v, w.now)
 	}
 }
 
--- a/internal/forward/codec.go
+++ b/internal/forward/codec.go
@@ -1,7 +1,7 @@
 // Package forward proxies client requests to endpoints. One loop of attempts serves every
 // kind of request: pick an endpoint, send the request, classify the response, then retry,
-// give up or finish. The decision between two attempts is a pure function (Next); the loop
-// does the I/O.
+// give up or finish. The decision between two attempts is a pure function (NextStep); the
+// loop does the I/O.
 package forward
 
 import (
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -49,8 +49,8 @@
 	// BeginRun registers the start of a run; the caller calls end when the run ends. recall
 	// aborts a run that is to be repeated later; nil: the run must not be aborted.
 	BeginRun(fp quarantine.Fingerprint, recall func()) (end func())
-	// AttemptFailed reports an attempt that ended without a usable response, Recalled one that was
-	// recalled, and Sound one that succeeded.
+	// AttemptFailed reports an attempt that ended without a usable response, AttemptRecalled one
+	// that was recalled, and RunSucceeded a run that succeeded.
 	AttemptFailed(endpoint, addr string, fp quarantine.Fingerprint, attempt uint32)
 	AttemptRecalled(endpoint, addr string, fp quarantine.Fingerprint, attempt uint32)
 	RunSucceeded(fp quarantine.Fingerprint)
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -173,7 +173,7 @@
 	return m.recordRow(row) == nil
 }
 
-// recordRow records the row. First is unchanged if the version is the same. A row from an
+// recordRow records the row. FirstSeen is unchanged if the version is the same. A row from an
 // earlier era, which arrives late after a table restore, is ignored.
 func (m *Manager) recordRow(row platform.Row) error {
 	if m.seen.Known && (row.Era < m.seen.Era || row.Era == m.seen.Era && row.Version == m.seen.Version) {
@@ -192,17 +192,17 @@
 	}
 	m.seen = ObservedRow{
 		Row: r, Version: row.Version, FirstSeen: now, Known: true, TableClock: row.ClockMs,
-		Era: row.Era, EraFirstSeen: m.eraFirst(r, row.Era, now),
+		Era: row.Era, EraFirstSeen: m.eraFirstSeen(r, row.Era, now),
 	}
 	m.rowRead = true
 	return nil
 }
 
-// eraFirst returns when this node first saw the era in which it has just read the row; 0 if
+// eraFirstSeen returns when this node first saw the era in which it has just read the row; 0 if
 // no other node can hold the lease by a row from an earlier era. A node that has just
 // started does not know the era's start, but a row written in the current era is
 // sufficient.
-func (m *Manager) eraFirst(r Row, era uint64, now clock.Instant) clock.Instant {
+func (m *Manager) eraFirstSeen(r Row, era uint64, now clock.Instant) clock.Instant {
 	switch {
 	case m.rowRead && era == m.seen.Era:
 		return m.seen.EraFirstSeen
--- a/internal/lease/restore_test.go
+++ b/internal/lease/restore_test.go
@@ -88,7 +88,7 @@
 // keeps.
 type tableClient struct {
 	*restoringTable
-	newestEra uint64 // newest era
+	newestEra uint64 // newest era that an answer to this node has shown
 }
 
 func (s *tableClient) currentRow() platform.Row {
--- a/internal/quarantine/bans.go
+++ b/internal/quarantine/bans.go
@@ -49,7 +49,7 @@
 	v.Trials++
 	granted, err = g.AcquireTrial(ctx, v)
 	if err != nil {
-		g.Log.Info("trial run of a request could not be requested", "suspect", v.Suspect, "fingerprint", v.Fingerprint, "err", err)
+		g.Log.Info("request trial could not be acquired", "suspect", v.Suspect, "fingerprint", v.Fingerprint, "err", err)
 	}
 	if !granted {
 		return false, err
@@ -61,8 +61,8 @@
 	return true, nil
 }
 
-// Sound records a successful run. It releases a suspect, lifts a ban whose trial run this was,
-// and otherwise reports the runs of a banned request to the other nodes.
+// RunSucceeded records a successful run. It releases a suspect, lifts a ban whose trial run this
+// was, and otherwise reports the runs of a banned request to the other nodes.
 func (g *Guard) RunSucceeded(fp Fingerprint) {
 	g.mu.Lock()
 	g.history.add(fp, g.Clock.Now())
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -28,10 +28,11 @@
 	// Persist persists a verdict, so that it survives a restart of this node; nil: verdicts are
 	// not persisted.
 	Persist func(Verdict)
-	// Drop deletes the persisted verdict of a request that was lifted or released; may be nil.
+	// DeletePersisted deletes the persisted verdict of a request that was lifted or released; may
+	// be nil.
 	DeletePersisted func(Fingerprint)
 	// AcquireTrial reports whether this node may make the single trial run of a suspect, or of a request
-	// whose ban has run its time. On success the verdict that it is passed becomes the one all
+	// whose ban has run its time. On success the verdict passed to it becomes the one that all
 	// nodes know, and no other node may make that run. It is called before the request is sent.
 	// An error means that the answer is unknown now. nil: no trial runs, and no request becomes
 	// a suspect.
--- a/internal/quarantine/message.go
+++ b/internal/quarantine/message.go
@@ -6,7 +6,7 @@
 	Node string `json:"n"` // the sender
 	// Crashes is sent to the nodes that tally.
 	Crashes []CrashReport `json:"e,omitempty"`
-	// Sound is sent to them as well: the sender's successful runs of a request that was found
+	// Successes is sent to them as well: the sender's successful runs of a request that was found
 	// harmful.
 	Successes *SuccessfulRuns `json:"s,omitempty"`
 	// Queries is sent to all nodes: requests that are about to be found harmful. Nodes that have
--- a/internal/quarantine/rows.go
+++ b/internal/quarantine/rows.go
@@ -98,7 +98,7 @@
 	return err == nil && stored.Suspect == v.Suspect && stored.Trials < v.Trials
 }
 
-// Drop deletes a request's row.
+// Delete deletes a request's row.
 func (r *Rows) Delete(ctx context.Context, fp Fingerprint) {
 	ctx, cancel := context.WithTimeout(ctx, rowTimeout)
 	defer cancel()
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -13,7 +13,7 @@
 	"chervilloom/internal/engine"
 )
 
-// The errors of a stream. Each means that the stream is incomplete; Resumable reports
+// The errors of a stream. Each means that the stream is incomplete; IsResumable reports
 // whether it can be resumed.
 var (
 	errIncomplete = errors.New("relay: the connection ended before the stream's end; resume it from the last event")
