--- a/internal/admit/bucket.go
+++ b/internal/admit/bucket.go
@@ -50,7 +50,7 @@
 	return b.tokens >= 1
 }
 
-// take removes a token that has reported as available.
+// take removes a token that hasToken has reported as available.
 func (b *bucket) take() {
 	if b.rate > 0 {
 		b.tokens--
--- a/internal/admit/lane.go
+++ b/internal/admit/lane.go
@@ -34,8 +34,8 @@
 	processed chan struct{} // closed when the event was processed; may be nil
 }
 
-// call is the lane's record of one request. handle and left are accessed only by
-// the lane's goroutine.
+// call is the lane's record of one request. handle and withdrawn are accessed only
+// by the lane's goroutine.
 type call struct {
 	handle    Handle // noHandle until the request has arrived
 	withdrawn bool   // withdrawn before it arrived
--- a/internal/admit/limiter.go
+++ b/internal/admit/limiter.go
@@ -59,7 +59,7 @@
 	windowMeans   [windowCapacity]float64 // 0: empty
 	nextWindow    int
 	lowestMean    float64 // lowest of windowMeans; 0: none yet
-	floorLifted   bool    // endpoints refused since the last raise: the floor is 1 slot
+	floorLifted   bool    // endpoints refused, and limit was not raised to minShareKept since: the floor is 1 slot
 }
 
 // resize applies the slots of a new plan.
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -255,14 +255,14 @@
 // checkDomains fails if a spec that requires a single domain has more replicas than
 // fit into the domains.
 func checkDomains(t *rapid.T, in *Input, spec config.GroupSpec, n int) {
-	room := 0
+	fitting := 0
 	for _, z := range in.Zones {
 		for _, vms := range z.VMsPerDomain {
-			room += vms / spec.VMs
+			fitting += vms / spec.VMs
 		}
 	}
-	if spec.OneDomain && n > room {
-		t.Fatalf("%s: %d replicas, but only %d fit into single domains", spec.Name, n, room)
+	if spec.OneDomain && n > fitting {
+		t.Fatalf("%s: %d replicas, but only %d fit into single domains", spec.Name, n, fitting)
 	}
 }
 
--- a/internal/capacity/export.go
+++ b/internal/capacity/export.go
@@ -37,7 +37,7 @@
 	Reason    string
 }
 
-// Reasons of an Advice.
+// Reasons of an ExportAdvice.
 const (
 	reasonExport     = "computing these prefixes again costs more than moving them"
 	reasonNoSaving   = "no prefix is used enough to pay for moving it"
@@ -54,11 +54,11 @@
 		a.Reason = reasonNoTransfer
 		return a
 	}
-	heat := slices.Clone(e.PrefixUsage)
-	slices.SortStableFunc(heat, func(x, y PrefixUsage) int { return cmp.Compare(e.savingRate(&y), e.savingRate(&x)) })
+	candidates := slices.Clone(e.PrefixUsage)
+	slices.SortStableFunc(candidates, func(x, y PrefixUsage) int { return cmp.Compare(e.savingRate(&y), e.savingRate(&x)) })
 	timeLeft := e.TimeLimit
-	for i := range heat {
-		h := &heat[i]
+	for i := range candidates {
+		h := &candidates[i]
 		exportTime := e.transferTime(h)
 		if e.netSaving(h) <= 0 || exportTime > timeLeft {
 			continue
--- a/internal/capacity/facts.go
+++ b/internal/capacity/facts.go
@@ -43,7 +43,7 @@
 	snap    *view.Snapshot
 	now     clock.Instant
 	in      Input
-	domains [][]fleet.FabricDomain // names for in.Zones[].Domains, by zone and domain
+	domains [][]fleet.FabricDomain // names for in.Zones[].VMsPerDomain, by zone and domain
 }
 
 // addZone adds a reachable zone. A zone without a live node counts as having no
--- a/internal/capacity/forecast.go
+++ b/internal/capacity/forecast.go
@@ -63,8 +63,8 @@
 }
 
 // forecastAt forecasts the demand at a wall time: the baseline at that time
-// multiplied by a ratio. With the distance the ratio moves from the current one to
-// the day's, and from there to 1. It returns false if no baseline is known.
+// multiplied by a ratio. The later the time, the closer the ratio is to the day's
+// instead of the current one, and then to 1. It returns false if no baseline is known.
 func (s *series) forecastAt(when, now time.Time) (forecast, bool) {
 	baseline, known := s.baselineAt(when)
 	if !known {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -33,7 +33,7 @@
 	End(route.Choice, route.Result)
 }
 
-// RetryBudget is the retry budget.
+// RetryBudget limits the retries of this node.
 type RetryBudget interface {
 	// CountFirst counts the first try of a request.
 	CountFirst(class request.Class)
@@ -49,7 +49,8 @@
 }
 
 // Prober probes every member of a group immediately. Probe returns the time until which
-// the group may receive requests, or false if a member did not answer.
+// the group may receive requests, or false if a member did not answer or does not
+// report the group's generation and its expected boot ID.
 type Prober interface {
 	Probe(ctx context.Context, g *view.Group) (freshUntil clock.Instant, ok bool)
 }
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -111,7 +111,7 @@
 	relays  []relayedPing
 	updates updateQueue
 
-	lastTick, nextProbe, nextGossip, nextSync, nextDead, nextCleanup clock.Instant
+	lastTick, nextProbe, nextGossip, nextSync, nextAbsentSync, nextCleanup clock.Instant
 
 	actions []Action
 }
@@ -203,8 +203,8 @@
 		s.nextSync = now.Add(s.cfg.SyncPeriod)
 		s.syncRandom()
 	}
-	if !now.Before(s.nextDead) {
-		s.nextDead = now.Add(s.contactPeriod())
+	if !now.Before(s.nextAbsentSync) {
+		s.nextAbsentSync = now.Add(s.contactPeriod())
 		s.syncAbsent()
 	}
 	if !now.Before(s.nextCleanup) {
@@ -220,12 +220,13 @@
 	s.nextProbe = phase(s.cfg.PingPeriod)
 	s.nextGossip = phase(s.cfg.GossipPeriod)
 	s.nextSync = phase(s.cfg.SyncPeriod)
-	s.nextDead = now
+	s.nextAbsentSync = now
 	s.nextCleanup = now
 }
 
 // maxMissedTicks is the number of tick periods between two ticks above which
-// the gap counts as a pause of this process.
+// this process counts as paused and deadlines are extended by the gap. The pause
+// is reported only if it exceeds Config.PauseThreshold.
 const maxMissedTicks = 3
 
 // resumeAfterPause extends the deadlines of pings and suspects by the gap. Acks
--- a/internal/prefix/set.go
+++ b/internal/prefix/set.go
@@ -42,7 +42,7 @@
 	builtAt       clock.Instant
 	dirty         bool
 	builds        uint64 // number of rebuilds of published
-	reportedBuild uint64 // value of builds at the last call of Changed
+	reportedBuild uint64 // value of builds at the last call of PrefixesChanged
 }
 
 func newCacheSet(boot fleet.BootID, limit int) *cacheSet {
--- a/internal/probe/cache_test.go
+++ b/internal/probe/cache_test.go
@@ -36,7 +36,7 @@
 
 func (p *putEvents) Put(e view.Event) { *p = append(*p, e) }
 
-// lastPrefixes returns the prefixes of the latest view.Cached, sorted.
+// lastPrefixes returns the prefixes of the latest view.CacheReported, sorted.
 func (p putEvents) lastPrefixes() []uint64 {
 	var got []uint64
 	if len(p) > 0 {
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -30,9 +30,9 @@
 }
 
 const (
-	defaultRatio = 0.1
-	defaultFloor = 1
-	defaultBurst = 10
+	defaultRatio        = 0.1
+	defaultMinPerSecond = 1
+	defaultBurst        = 10
 )
 
 // Budget allows retries as a fraction of first tries, separately for each class: failing
@@ -40,20 +40,20 @@
 // try there fails; without a limit each request would be sent several times, and the
 // retries alone would overload the remaining endpoints. It is safe for concurrent use.
 type Budget struct {
-	clock       clock.Clock
-	backoff     Backoff
-	floor       float64
-	burst       time.Duration // time in which the floor earns the burst
-	retryCost   time.Duration // time in which the floor earns one retry
-	firstCredit atomic.Int64  // time credited for one first try, in nanoseconds
-	randomState atomic.Uint64
-	accounts    [len(classes)]creditAccount
-	decisions   [len(classes)][2]prometheus.Counter
+	clock        clock.Clock
+	backoff      Backoff
+	minPerSecond float64
+	burst        time.Duration // time in which minPerSecond earns the burst
+	retryCost    time.Duration // time in which minPerSecond earns one retry
+	firstCredit  atomic.Int64  // time credited for one first try, in nanoseconds
+	randomState  atomic.Uint64
+	accounts     [len(classes)]creditAccount
+	decisions    [len(classes)][2]prometheus.Counter
 }
 
 // creditAccount is the token bucket of one class, padded to its own cache line. It stores the
-// instant up to which the floor has been spent: the earlier it is, the more retries are
-// available. A first try moves it back, a retry forward.
+// instant up to which the retries of minPerSecond have been spent: the earlier it is, the
+// more retries are available. A first try moves it back, a retry forward.
 type creditAccount struct {
 	spentUntil atomic.Int64
 	_          [56]byte
@@ -74,13 +74,13 @@
 // NewBudget returns a Budget with a full burst.
 func NewBudget(o BudgetOptions) *Budget {
 	setDefault(&o.Ratio, defaultRatio)
-	setDefault(&o.MinPerSecond, defaultFloor)
+	setDefault(&o.MinPerSecond, defaultMinPerSecond)
 	setDefault(&o.Burst, defaultBurst)
 	if o.Clock == nil {
 		o.Clock = newSteadyClock()
 	}
 	b := &Budget{
-		clock: o.Clock, backoff: o.Backoff.withDefaults(), floor: o.MinPerSecond,
+		clock: o.Clock, backoff: o.Backoff.withDefaults(), minPerSecond: o.MinPerSecond,
 		retryCost: earnTime(1, o.MinPerSecond), burst: earnTime(o.Burst, o.MinPerSecond),
 	}
 	b.SetRatio(o.Ratio)
@@ -99,15 +99,15 @@
 	}
 }
 
-// earnTime returns the time in which the floor earns n retries.
-func earnTime(n, floor float64) time.Duration {
-	return time.Duration(n / floor * float64(time.Second))
+// earnTime returns the time in which minPerSecond earns n retries.
+func earnTime(n, minPerSecond float64) time.Duration {
+	return time.Duration(n / minPerSecond * float64(time.Second))
 }
 
 // SetRatio changes the number of retries per first try.
-func (b *Budget) SetRatio(ratio float64) { b.firstCredit.Store(int64(earnTime(ratio, b.floor))) }
+func (b *Budget) SetRatio(ratio float64) { b.firstCredit.Store(int64(earnTime(ratio, b.minPerSecond))) }
 
-// First counts the first try of a request.
+// CountFirst counts the first try of a request.
 func (b *Budget) CountFirst(c request.Class) {
 	at := &b.accounts[classIndex(c)].spentUntil
 	// spendRetry limits the credit to the burst; this only prevents an overflow if no
@@ -118,7 +118,7 @@
 }
 
 // Allow consumes one retry from the class's budget. If ok, the retry should start after
-// wait; otherwise wait is the time until the floor earns one, which is sent to the
+// wait; otherwise wait is the time until minPerSecond earns one, which is sent to the
 // caller.
 func (b *Budget) Allow(c request.Class) (ok bool, wait time.Duration) {
 	i := classIndex(c)
--- a/internal/retry/outliers.go
+++ b/internal/retry/outliers.go
@@ -59,10 +59,10 @@
 
 // Verdicts.
 const (
-	NoChange Verdict = iota // nothing changed; a wanted request may be sent
+	NoChange Verdict = iota // nothing changed; the requested send is allowed
 	Eject                   // ejected until Decision.Until
-	Refuse                  // a wanted request must not be sent: the candidate is ejected
-	Trial                   // the wanted request may be sent as the single trial
+	Refuse                  // the requested send is not allowed: the candidate is ejected
+	Trial                   // the requested send is allowed as the single trial
 	Restore                 // the trial succeeded and the ejection ended
 )
 
@@ -117,7 +117,7 @@
 	case Failed:
 		return s.failed(now, s.members[ev.ID])
 	case SendRequested:
-		return s.wanted(now, s.members[ev.ID])
+		return s.sendRequested(now, s.members[ev.ID])
 	}
 	return Decision{}
 }
@@ -245,7 +245,7 @@
 	return rate >= others[len(others)/2]+s.opt.Margin
 }
 
-func (s *Outliers) wanted(now clock.Instant, m *candidateState) Decision {
+func (s *Outliers) sendRequested(now clock.Instant, m *candidateState) Decision {
 	switch {
 	case m == nil || !m.ejected:
 		return Decision{}
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -19,8 +19,8 @@
 
 func TestBudgetBoundsRetries(t *testing.T) {
 	// Every try fails and is retried as often as allowed, in any order and at any pace.
-	// No class may get more retries than its burst, its share of first tries and the
-	// floor together, and after the wait returned with a refusal a retry must be
+	// No class may get more retries than its burst, its share of first tries and
+	// MinPerSecond together, and after the wait returned with a refusal a retry must be
 	// available.
 	rapid.Check(t, func(t *rapid.T) {
 		c := clock.NewManual(clock.Instant(time.Hour))
@@ -48,7 +48,7 @@
 				retries++
 			}
 		}
-		most := defaultBurst + defaultRatio*float64(firsts) + defaultFloor*c.Now().Sub(start).Seconds()
+		most := defaultBurst + defaultRatio*float64(firsts) + defaultMinPerSecond*c.Now().Sub(start).Seconds()
 		if float64(retries) > most+1e-6 {
 			t.Fatalf("%d retries, want at most %.2f", retries, most)
 		}
--- a/internal/retry/windowed.go
+++ b/internal/retry/windowed.go
@@ -57,7 +57,7 @@
 	w.repeats.advance(now)
 }
 
-// First counts the first try of a request.
+// CountFirst counts the first try of a request.
 func (w *WindowedBudget) CountFirst() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/route/align.go
+++ b/internal/route/align.go
@@ -145,10 +145,10 @@
 		k := &c.peerSets[e.peerSet]
 		half := reportHalfLife * c.byClass[e.class].serviceTime
 		age := max(0, now.Sub(e.loadAt).Seconds())
-		trust := half / (half + age)
+		freshness := half / (half + age)
 		mean := k.sum / k.n
-		l.othersLoad = mean + (l.othersLoad-mean)*trust
-		l.noise = peerNoise * math.Sqrt(mean*(1-trust))
+		l.othersLoad = mean + (l.othersLoad-mean)*freshness
+		l.noise = peerNoise * math.Sqrt(mean*(1-freshness))
 	}
 }
 
--- a/internal/route/decide.go
+++ b/internal/route/decide.go
@@ -86,7 +86,7 @@
 // routeToOtherZone selects a node of another zone when no entry of this zone is
 // eligible. Without one it returns the refusal.
 func (d *decision) routeToOtherZone() (Choice, Refusal) {
-	if z := d.roomiestZone(); z >= 0 {
+	if z := d.zoneWithMostFreeSlots(); z >= 0 {
 		return d.nodeChoice(z, reasonNoLocal), Accepted
 	}
 	return Choice{}, d.refusalReason()
--- a/internal/route/zones.go
+++ b/internal/route/zones.go
@@ -99,12 +99,12 @@
 	x := d.rng.Float64() * total
 	last := -1
 	for i := range d.p.remote {
-		room := d.usableFreeSlots(i)
-		if room == 0 {
+		freeSlots := d.usableFreeSlots(i)
+		if freeSlots == 0 {
 			continue
 		}
 		last = i
-		if x -= room; x < 0 {
+		if x -= freeSlots; x < 0 {
 			break
 		}
 	}
@@ -133,9 +133,9 @@
 	return false
 }
 
-// roomiestZone returns the reachable remote pool with the most free slots, or -1.
+// zoneWithMostFreeSlots returns the reachable remote pool with the most free slots, or -1.
 // It is used when no entry of this zone is eligible.
-func (d *decision) roomiestZone() int {
+func (d *decision) zoneWithMostFreeSlots() int {
 	best, most := -1, -1.0
 	if d.f.Hops > 0 {
 		return -1
--- a/internal/view/hearer.go
+++ b/internal/view/hearer.go
@@ -27,7 +27,7 @@
 // NewDigestReader returns a digest reader without known senders.
 func NewDigestReader() *DigestReader { return &DigestReader{senders: map[fleet.VM]*senderOffset{}} }
 
-// Heard is the decoded content of a digest.
+// ReceivedDigest is the decoded content of a digest.
 type ReceivedDigest struct {
 	Events   []Event
 	WantList bool // the sender requests the VM list
--- a/internal/view/remote.go
+++ b/internal/view/remote.go
@@ -142,7 +142,7 @@
 	if shortHash(string(boot)) != e.load.Boot {
 		return false // of a boot that is not the known one
 	}
-	return s.applyLoaded(LoadReported{From: e.from, At: e.at, Load: e.load.load(v.record.VM, boot)})
+	return s.applyLoadReported(LoadReported{From: e.from, At: e.at, Load: e.load.load(v.record.VM, boot)})
 }
 
 // probeStateHash returns the hash of the newest probed state.
--- a/internal/view/state.go
+++ b/internal/view/state.go
@@ -109,9 +109,9 @@
 	case Probed:
 		return s.applyProbed(e)
 	case LoadReported:
-		return s.applyLoaded(e)
+		return s.applyLoadReported(e)
 	case CacheReported:
-		return s.applyCached(e)
+		return s.applyCacheReported(e)
 	case MarkLeaving:
 		return s.applyLeaving(e)
 	case Members:
@@ -333,7 +333,7 @@
 	p.Failures = max(p.Failures, failures)
 }
 
-func (s *State) applyLoaded(e LoadReported) bool {
+func (s *State) applyLoadReported(e LoadReported) bool {
 	v := s.vm(e.Load.VM)
 	same := v.load.Boot == e.Load.Boot
 	if same && e.Load.Sequence < v.load.Sequence {
@@ -361,7 +361,7 @@
 	return true
 }
 
-func (s *State) applyCached(e CacheReported) bool {
+func (s *State) applyCacheReported(e CacheReported) bool {
 	v := s.vm(e.VM)
 	v.prefixesBoot, v.prefixes = e.Boot, e.Prefixes
 	return true
