--- a/internal/admit/limiter.go
+++ b/internal/admit/limiter.go
@@ -29,8 +29,8 @@
 	// share yield first.
 	cutWithinShare = 0.9
 	cutAboveShare  = 0.7
-	// raiseBelowShare is the number of slots added per limit answers while the
-	// limit is below the share.
+	// raiseBelowShare is the number of slots added over as many answers as the
+	// limit, while the limit is below the share.
 	raiseBelowShare = 4.0
 	// minShareKept is the part of its share that a node keeps in spite of latency
 	// and load reports, because both also rise when requests get larger.
@@ -133,7 +133,8 @@
 	}
 }
 
-// raise adds one slot per limit answers, and more below the share.
+// raise raises the limit after an answer: by one slot over as many answers as the
+// limit, and by raiseBelowShare slots while the limit is below the share.
 func (l *limiter) raise() {
 	step := 1.0
 	if l.limit < l.share {
--- a/internal/admit/pool.go
+++ b/internal/admit/pool.go
@@ -29,8 +29,8 @@
 	return p.estimate.drainRate(p.limiter.limit)
 }
 
-// wait estimates how long a request of flow f waits behind a cost of ahead in
-// its own flow, if no other request arrives. It is the smaller of two upper
+// wait estimates how long a request of flow f waits behind requests of the total
+// cost ahead in its own flow, if no other request arrives. It is the smaller of two upper
 // bounds: all queued work, and the virtual time until the request's start with
 // every waiting organisation using its share.
 func (p *pool) wait(now clock.Instant, f *flow, ahead float64) time.Duration {
--- a/internal/prefix/set.go
+++ b/internal/prefix/set.go
@@ -70,7 +70,7 @@
 
 // recordGap handles missed events. Their number of evictions is estimated from the share
 // of evictions among the received events; engines evict the least recently used prefixes,
-// so that many of the oldest entries are dropped immediately. The remaining entries may
+// so this number of the oldest entries is dropped immediately. The remaining entries may
 // still include evicted ones and are dropped after doubtDuration unless the engine stores
 // them again. A wrong hint costs the computation of one prompt.
 func (s *cacheSet) recordGap(missed uint64, now clock.Instant) {
