--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -75,7 +75,7 @@
 	mu        sync.Mutex
 	rows      map[fleet.VM]Row
 	listed    map[fleet.VM]fleet.Record
-	lastFound []peer.Peer
+	lastPeers []peer.Peer
 
 	// accessed only by Run
 	registered    bool
@@ -129,7 +129,7 @@
 	d.mu.Lock()
 	d.rows = known
 	d.mu.Unlock()
-	d.notifyFound()
+	d.notifyPeersChanged()
 	if d.opt.OwnsDuty(SweepSubject) {
 		d.sweep(ctx, rows)
 	}
@@ -162,7 +162,7 @@
 	d.mu.Lock()
 	d.listed = listed
 	d.mu.Unlock()
-	d.notifyFound()
+	d.notifyPeersChanged()
 }
 
 // Row returns the row of the VM's node.
@@ -173,18 +173,20 @@
 	return r, ok
 }
 
-// notifyFound calls Found if the peers have changed.
-func (d *Directory) notifyFound() {
+// notifyPeersChanged calls OnPeersChanged if the peers have changed.
+func (d *Directory) notifyPeersChanged() {
 	d.mu.Lock()
 	peers := mergePeers(d.rows, d.listed)
-	changed := !slices.Equal(peers, d.lastFound)
-	d.lastFound = peers
+	changed := !slices.Equal(peers, d.lastPeers)
+	d.lastPeers = peers
 	d.mu.Unlock()
 	if changed {
 		d.opt.OnPeersChanged(peers)
 	}
 }
 
+// mergePeers returns the peers in the rows and in the platform's list. A node's own row
+// takes precedence over the list, which lags behind.
 func mergePeers(rows map[fleet.VM]Row, listed map[fleet.VM]fleet.Record) []peer.Peer {
 	var peers []peer.Peer
 	for vm, r := range rows {
--- a/internal/kv/decide.go
+++ b/internal/kv/decide.go
@@ -194,12 +194,13 @@
 }
 
 // adviseExport compares the cost and the savings of exporting the group's prefixes. All
-// prefixes go into one object, so the fixed cost is subtracted once from the sum.
+// prefixes go into one object, so the fixed costs of one export and one import are
+// subtracted from the sum.
 func (d *decision) adviseExport(g *view.Group) Action {
 	c := &d.input.Costs
 	uses := d.input.Uses(g.ID)
 	e := capacity.ExportInput{
-		Group: g.ID, PrefixUsage: d.heat(g, uses), PrefillPerToken: c.PrefillPerToken,
+		Group: g.ID, PrefixUsage: d.prefixUsage(g, uses), PrefillPerToken: c.PrefillPerToken,
 		BytesPerSecond: c.BytesPerSecond, TimeLimit: c.Timeout - c.FixedCost, CacheLifetime: c.CacheLifetime,
 	}
 	best := capacity.AdviseExport(e)
@@ -218,9 +219,10 @@
 	return out
 }
 
-// heat converts uses into the input of capacity.AdviseExport. The load balancer spreads
-// requests over the zone's nodes, so this node's count is multiplied by their number.
-func (d *decision) heat(g *view.Group, uses []Use) []capacity.PrefixUsage {
+// prefixUsage converts uses into the input of capacity.AdviseExport. The load balancer
+// spreads requests over the zone's nodes, so this node's count is multiplied by their
+// number.
+func (d *decision) prefixUsage(g *view.Group, uses []Use) []capacity.PrefixUsage {
 	nodes := float64(len(d.input.Snapshot.ZoneNodes()) + 1)
 	cachedElsewhere := d.cachedElsewhere(g)
 	out := make([]capacity.PrefixUsage, 0, len(uses))
--- a/internal/once/fake_test.go
+++ b/internal/once/fake_test.go
@@ -29,7 +29,7 @@
 	mu            sync.Mutex
 	rows          map[string]platform.Row
 	down          atomic.Bool
-	refuse        atomic.Bool  // commits fail with ErrRefused, without effect
+	refuse        atomic.Bool  // commits fail with ErrRejected, without effect
 	loseResponses atomic.Int32 // number of next commits that are applied but fail with ErrAmbiguous
 	failReads     atomic.Bool  // reads fail
 	commits       atomic.Int64
--- a/internal/once/writer.go
+++ b/internal/once/writer.go
@@ -175,7 +175,7 @@
 }
 
 // collect waits for the next batch. Only one committer collects at a time, so that
-// the writes that arrive within the gap go into one batch instead of one per
+// the writes that arrive within MinInterval go into one batch instead of one per
 // committer.
 func (w *writer) collect(ctx context.Context) ([]write, bool) {
 	w.collecting <- struct{}{}
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -37,7 +37,7 @@
 // Relay sends the request to the handler of the VM and writes its answer to w.
 //
 // A nil result means that an answer started and w.Finish was called: with
-// End.Whole if the answer is complete and verified, with End.Error if it was
+// End.Complete if the answer is complete and verified, with End.Error if it was
 // cut. A non-nil result means that no answer started and w was not used, so the
 // caller may retry on another node if the error's outcome allows it, or finish w
 // with the error. Relay itself never retries.
--- a/internal/platform/commit.go
+++ b/internal/platform/commit.go
@@ -127,10 +127,10 @@
 		return Result{}, verdictUnsettled
 	}
 	if resent.result.Committed {
-		return resent.result, verdictLanded
+		return resent.result, verdictApplied
 	}
 	if resent.response.header.Get(HeaderAttempts) == AttemptsKept {
-		return resent.result, verdictNotLanded
+		return resent.result, verdictNotApplied
 	}
 	// The checks may have failed because the first request was applied in the
 	// meantime. The next read of the rows shows that.
@@ -210,7 +210,7 @@
 // resolveFromRows determines the result of a transaction from rows read after its
 // response was lost, in the order of rowIDs. It relies on two properties of the table:
 // a transaction is applied completely or not at all, and a row's version is never
-// reused. verdictNotLanded also guarantees that a copy still in flight can't be applied
+// reused. verdictNotApplied also guarantees that a copy still in flight can't be applied
 // later.
 //
 //   - A row has the transaction's attempt ID: it was applied.
@@ -226,7 +226,7 @@
 func resolveFromRows(txn *Txn, rows map[rowID]Row) (Result, verdict) {
 	for _, w := range txn.Writes {
 		if rows[rowID{w.Table, w.Key}].Attempt == txn.Attempt {
-			return landedResult(txn, rows), verdictLanded
+			return appliedResult(txn, rows), verdictApplied
 		}
 	}
 	checked := txn.checkedVersions()
@@ -242,7 +242,7 @@
 		isSuperseded := written[id] && isNewer && row.Version == version+1
 		isUnchanged := written[id] && row.Version == version
 		if isSuperseded || (isUnchanged && hasFailedCheck) {
-			return Result{Rows: failedChecks(txn, rows)}, verdictNotLanded
+			return Result{Rows: failedChecks(txn, rows)}, verdictNotApplied
 		}
 		hasFailedCheck = hasFailedCheck || isNewer
 	}
@@ -261,10 +261,10 @@
 	return failed
 }
 
-// landedResult reconstructs the result of a transaction that was applied. A row that
+// appliedResult reconstructs the result of a transaction that was applied. A row that
 // was overwritten since is returned as this transaction wrote it if a check gives its
 // version, and is omitted otherwise.
-func landedResult(txn *Txn, rows map[rowID]Row) Result {
+func appliedResult(txn *Txn, rows map[rowID]Row) Result {
 	checked := txn.checkedVersions()
 	res := Result{Committed: true}
 	for _, w := range txn.Writes {
--- a/internal/platform/judge_test.go
+++ b/internal/platform/judge_test.go
@@ -50,7 +50,7 @@
 // The response to a write is lost. While the writer reads the rows back one by one, its
 // own write may still be applied once, and others write, delete and recreate the same
 // rows between the reads. The verdict of resolveFromRows must be correct, and
-// verdictNotLanded must remain correct however late the write arrives.
+// verdictNotApplied must remain correct however late the write arrives.
 func TestResolveFromRowsIsCorrect(t *testing.T) {
 	verdicts := map[verdict]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -65,13 +65,13 @@
 			other()
 		}
 		txn := drawTxn(t, s, "own")
-		landed := false
+		applied := false
 		step := func() {
 			for range rapid.IntRange(0, 2).Draw(t, "others") {
 				other()
 			}
-			if !landed && rapid.IntRange(0, 3).Draw(t, "arrives") == 0 {
-				landed = s.apply(txn)
+			if !applied && rapid.IntRange(0, 3).Draw(t, "arrives") == 0 {
+				applied = s.apply(txn)
 			}
 		}
 		step()
@@ -83,17 +83,17 @@
 		res, v := resolveFromRows(txn, rows)
 		verdicts[v]++
 		switch {
-		case v == verdictLanded && !landed:
+		case v == verdictApplied && !applied:
 			t.Fatalf("verdict landed, but not applied: %+v rows %+v", txn, rows)
-		case v == verdictLanded && !res.Committed, v == verdictNotLanded && res.Committed:
+		case v == verdictApplied && !res.Committed, v == verdictNotApplied && res.Committed:
 			t.Fatalf("verdict %s with result %+v", v, res)
-		case v == verdictNotLanded && landed:
+		case v == verdictNotApplied && applied:
 			t.Fatalf("verdict not_landed, but applied: %+v rows %+v", txn, rows)
-		case v == verdictNotLanded && s.apply(txn):
+		case v == verdictNotApplied && s.apply(txn):
 			t.Fatalf("verdict not_landed, but applied afterwards: %+v rows %+v", txn, rows)
 		}
 	})
-	for _, v := range []verdict{verdictLanded, verdictNotLanded, verdictUnsettled} {
+	for _, v := range []verdict{verdictApplied, verdictNotApplied, verdictUnsettled} {
 		if verdicts[v] == 0 {
 			t.Errorf("verdict %s was never reached: %v", v, verdicts)
 		}
--- a/internal/platform/metrics.go
+++ b/internal/platform/metrics.go
@@ -22,9 +22,9 @@
 type verdict string
 
 const (
-	verdictLanded    verdict = "landed"
-	verdictNotLanded verdict = "not_landed"
-	verdictUnsettled verdict = "unsettled"
+	verdictApplied    verdict = "landed"
+	verdictNotApplied verdict = "not_landed"
+	verdictUnsettled  verdict = "unsettled"
 )
 
 type clientMetrics struct {
--- a/internal/revision/decide.go
+++ b/internal/revision/decide.go
@@ -220,7 +220,7 @@
 	return s, actions
 }
 
-// detectClashes returns a Report for each revision in memory that was accepted
+// detectClashes returns a ReportClash for each revision in memory that was accepted
 // independently of h.
 func (s *State) detectClashes(h HeldRevision) []Action {
 	var out []Action
--- a/internal/revision/store.go
+++ b/internal/revision/store.go
@@ -184,7 +184,7 @@
 }
 
 // RetainedRevisions is how many revisions the table keeps; accepting one more deletes
-// the oldest.
+// the oldest, since nobody clears a table that grows for years.
 const RetainedRevisions = 1000
 
 // transaction returns the transaction that accepts r after head. It checks the
