--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -172,9 +172,9 @@
 
 // quicConfig returns the limits of a connection. The effective idle timeout is
 // the smaller of the two sides' values, so the protocol that the dialler chose
-// determines it. The stream window bounds the memory that one slow caller
-// occupies; the connection window is 256 times as large, so that a few slow
-// callers don't block the other answers.
+// determines it. The maximum stream window bounds the memory that one slow
+// caller occupies; the maximum connection window is 256 times as large, so that
+// a few slow callers don't block the other answers.
 func (m *Mesh) quicConfig(protocol string) *quic.Config {
 	c := &quic.Config{
 		Versions:                       []quic.Version{quic.Version1},
--- a/internal/revision/spread.go
+++ b/internal/revision/spread.go
@@ -31,9 +31,9 @@
 	callTimeout = time.Second
 	// tableTimeout is the timeout of one read of the table.
 	tableTimeout = 5 * time.Second
-	// healDelayPolls is how many poll intervals a node that lacks revisions
-	// waits before it heals the table, so that the nodes that have them go
-	// first.
+	// healDelayPolls is the time, in multiples of MinPollInterval, that a node
+	// which lacks revisions waits before it heals the table, so that the nodes
+	// that have them go first.
 	healDelayPolls = 3
 	// joinRetryInterval is the pause between two rounds of asking peers at
 	// startup.
--- a/internal/revision/store.go
+++ b/internal/revision/store.go
@@ -288,8 +288,8 @@
 }
 
 // raiseHead repairs a head that is lower than an accepted row, as after a
-// partial restore of the table. It always returns an error: errRestart on
-// success.
+// partial restore of the table. It always returns an error: errRestart, also if
+// another writer changed the head first, or that of a call to the table.
 func (s *Store) raiseHead(ctx context.Context, head Head, row *Record) error {
 	top := row
 	for {
