--- a/internal/revision/store.go
+++ b/internal/revision/store.go
@@ -184,7 +184,7 @@
 }
 
 // RetainedRevisions is how many revisions the table keeps; accepting one more deletes
-// the oldest.
+// the oldest, since nobody clears a table that grows for years.
 const RetainedRevisions = 1000
 
 // transaction returns the transaction that accepts r after head. It checks the
@@ -288,8 +288,8 @@
 }
 
 // raiseHead repairs a head that is lower than an accepted row, as after a
-// partial restore of the table. It always returns an error: errRestart on
-// success.
+// partial restore of the table. It always returns an error: errRestart, also if
+// another writer changed the head first, or that of a call to the table.
 func (s *Store) raiseHead(ctx context.Context, head Head, row *Record) error {
 	top := row
 	for {
