--- a/internal/accept/drain.go
+++ b/internal/accept/drain.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// Drain fails the readiness check, accepts requests for Options.Notice more,
-// then refuses new ones and waits for those in progress. It returns ctx.Err()
-// if requests are still in progress when ctx ends.
+// Drain fails the readiness check, accepts requests for Options.DrainNotice
+// more, then refuses new ones and waits for those in progress. It returns
+// ctx.Err() if requests are still in progress when ctx ends.
 func (s *Server) Drain(ctx context.Context) error {
 	s.inFlight.advance(phaseNotice)
 	notice := time.NewTimer(s.opt.DrainNotice)
--- a/internal/accept/path_test.go
+++ b/internal/accept/path_test.go
@@ -174,7 +174,7 @@
 		wg.Go(func() {
 			got, err := readTokens(srv.URL, body)
 			if err != nil || !slices.Equal(got, standin.ExpectedTokens([]byte(body))) {
-				t.Errorf("clerk %d: %v, %q", i, err, got)
+				t.Errorf("caller %d: %v, %q", i, err, got)
 			}
 		})
 	}
--- a/internal/console/attempt.go
+++ b/internal/console/attempt.go
@@ -53,7 +53,7 @@
 type writeState string
 
 const (
-	writePending     writeState = "open" // the write may have been applied, or may still be
+	writePending     writeState = "open" // the write may have been applied, or may still be applied
 	writeAccepted    writeState = "accepted"
 	writeNotAccepted writeState = "not accepted"
 )
--- a/internal/console/revisions.go
+++ b/internal/console/revisions.go
@@ -70,9 +70,9 @@
 	Document   string
 }
 
-// spreadRefreshSeconds is the reload interval until a revision is in force on
+// propagationRefreshSeconds is the reload interval until a revision is in force on
 // every node.
-const spreadRefreshSeconds = 2
+const propagationRefreshSeconds = 2
 
 // revision shows a revision and the nodes on which it is in force. A node with a
 // higher revision counts, because higher revisions build on lower ones.
@@ -96,7 +96,7 @@
 		status = http.StatusNotFound
 	}
 	if data.Known && !data.Everywhere {
-		v.Refresh = spreadRefreshSeconds
+		v.Refresh = propagationRefreshSeconds
 	}
 	c.render(w, status, "revision", v.withSession(s))
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -31,7 +31,7 @@
 	requests               []string       // "METHOD path"
 	requestsByOrganisation map[string]int // requests by Authorization header
 	requestsByKey          map[string]int // requests by idempotency key or ticket
-	ticketsIssued          int            // tickets
+	ticketsIssued          int
 }
 
 func startFakeNode(t *testing.T, serve func(w http.ResponseWriter, r *http.Request, body string)) *fakeNode {
--- a/internal/logwalk/logwalk.go
+++ b/internal/logwalk/logwalk.go
@@ -71,7 +71,7 @@
 type RelatedLine struct {
 	Line     Line
 	Age      time.Duration // negative: logged after the request's end
-	Relation string        // relation to the request
+	Relation string        // why the line is related to the request, as printed
 }
 
 // Explanation contains the log lines about a request and those related to it.
@@ -151,7 +151,7 @@
 }
 
 // ExplainRequest collects the lines with the request's id and the related lines of all
-// nodes. Own is empty if no line has the id.
+// nodes. OwnLines is empty if no line has the id.
 func ExplainRequest(lines []Line, request string) Explanation {
 	ex := Explanation{Request: request}
 	for _, l := range lines {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -97,7 +97,7 @@
 	dispatcher *dispatch.Dispatcher
 	quarantine *quarantine.Guard
 	pressure   *backpressure.Guard
-	// quarantineRows stores the requests that the quarantine refuses in the table.
+	// quarantineRows stores quarantined requests in the platform's table.
 	quarantineRows *quarantine.Rows
 	accept         *accept.Server
 
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -13,11 +13,11 @@
 
 const (
 	topicQuarantine = "quarantine"
-	// tallyReplicas is the number of nodes that receive each end of an endpoint. One of
-	// them may be dead but not yet detected, another unreachable through a partition.
+	// tallyReplicas is the number of nodes that receive each report of a crashed endpoint.
+	// One of them may be dead but not yet detected, another unreachable through a partition.
 	tallyReplicas = 3
-	// tallyInterval is the interval at which ends are sent. The limit on runs after the
-	// third end applies only seconds later.
+	// tallyInterval is the interval at which crashes are reported and evaluated. The delay
+	// is acceptable: the limit on runs applies only from seconds after the third crash.
 	tallyInterval = 100 * time.Millisecond
 	// quarantineReadInterval is the interval at which a node reads the stored quarantine,
 	// in case it missed a message. 370 nodes make 12 reads a second; the table serves
@@ -66,7 +66,7 @@
 	n.quarantineRows.Persist(ctx, v, row, n.quarantine.IsQuarantined)
 }
 
-// runQuarantine sends and evaluates ends until ctx ends. It reads the stored quarantine
+// runQuarantine reports and evaluates crashes until ctx ends. It reads the stored quarantine
 // at the start, because all nodes may have restarted, and then periodically.
 func (n *Node) runQuarantine(ctx context.Context) error {
 	lastRead := clock.Instant(0)
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -13,8 +13,8 @@
 
 var pressureNames = pressure.HeaderNames{Limit: engine.HeaderRateLimit, RetryAfter: engine.HeaderRetryAfter, Leaving: engine.HeaderLeaving, NotRun: engine.HeaderNotRun, NotRunValue: "true"}
 
-// pressureBounds are short to keep tests fast.
-var pressureBounds = pressure.GracePeriods{Limit: time.Second, Leaving: time.Second}
+// gracePeriods are short to keep tests fast.
+var gracePeriods = pressure.GracePeriods{Limit: time.Second, Leaving: time.Second}
 
 // ServeHTTP serves the protocol of package engine and, for tests:
 //
@@ -29,7 +29,7 @@
 	mux.HandleFunc("GET /load", e.serveLoad)
 	mux.HandleFunc("POST /orders", e.serveOrder)
 	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) {
-		e.Pressure.Serve(w, r, pressureNames, pressureBounds, e.serveChat)
+		e.Pressure.Serve(w, r, pressureNames, gracePeriods, e.serveChat)
 	})
 	mux.HandleFunc("GET /v1/streams/{id}", e.serveResume)
 	mux.HandleFunc("DELETE /v1/streams/{id}", e.serveCancel)
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -7,7 +7,7 @@
 	"chervilloom/internal/fleet"
 )
 
-// Bound of the load points that are kept for the lag.
+// maxLoadPoints bounds the load points that are kept to report the load with a lag.
 const maxLoadPoints = 8192
 
 // loadPoint is the load that applies from an instant on.
--- a/internal/standin/fault/executions.go
+++ b/internal/standin/fault/executions.go
@@ -6,7 +6,8 @@
 	"sync"
 )
 
-// Bound of the ids whose executions are counted; the oldest are dropped first.
+// maxExecutionIDs bounds the ids whose executions are counted; the oldest are dropped
+// first.
 const maxExecutionIDs = 500_000
 
 // Executions counts how often each request ran. It is safe for concurrent use.
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -11,7 +11,7 @@
 // Always as the count of a fault applies it to every request.
 const Always = -1
 
-// Bounds.
+// Limits of a request body, in bytes, and of the connections that an Injector records.
 const (
 	maxBody      = 64 << 20
 	maxUsedConns = 4096
--- a/internal/standin/pressure/pressure.go
+++ b/internal/standin/pressure/pressure.go
@@ -18,7 +18,7 @@
 	Limit      string // requests per second from all callers together
 	RetryAfter string // seconds for which a refused caller must not send requests
 	Leaving    string // the endpoint is leaving; its value is 1
-	// NotRun declares that a request did not run; its value is Promise.
+	// NotRun declares that a request did not run; its value is NotRunValue.
 	NotRun, NotRunValue string
 }
 
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -93,8 +93,8 @@
 
 var pressureNames = pressure.HeaderNames{Limit: engine.HeaderRateLimit, RetryAfter: engine.HeaderRetryAfter, Leaving: engine.HeaderLeaving, NotRun: engine.HeaderNotRun, NotRunValue: "true"}
 
-// pressureBounds are short to keep tests fast.
-var pressureBounds = pressure.GracePeriods{Limit: time.Second, Leaving: time.Second}
+// gracePeriods are short to keep tests fast.
+var gracePeriods = pressure.GracePeriods{Limit: time.Second, Leaving: time.Second}
 
 // New returns a service with a new boot id.
 func New(o Options) *Service {
@@ -181,7 +181,7 @@
 	mux.HandleFunc("POST "+fault.PathFaults, s.serveSetFaults)
 	mux.Handle("GET "+fault.PathExecutions, s.executions)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		s.Pressure.Serve(w, r, pressureNames, pressureBounds, s.serveCall)
+		s.Pressure.Serve(w, r, pressureNames, gracePeriods, s.serveCall)
 	})
 	return mux
 }
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -18,7 +18,7 @@
 	dropped atomic.Uint64
 }
 
-// boundedLines is the capacity of the ring in lines: about one second of logs of
+// maxQueuedLines is the capacity of the ring in lines: about one second of logs of
 // a busy node, 1 MB.
 const maxQueuedLines = 4096
 
