--- a/internal/backpressure/world_test.go
+++ b/internal/backpressure/world_test.go
@@ -147,8 +147,8 @@
 	if !n.isAllowed("e", w.now) {
 		return
 	}
-	ok, tell := n.tryTake("e", w.now)
-	w.broadcast(n, tell)
+	ok, notice := n.tryTake("e", w.now)
+	w.broadcast(n, notice)
 	if !ok {
 		return
 	}
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -119,13 +119,13 @@
 		_, reason := Pick([]Candidate{{Load: st.Load, Unconfirmed: st.Unconfirmed, Slots: 8}}, Bounds{}, 0)
 		return reason
 	}
-	tell := func() {
+	reportRequests := func() {
 		for range 20 {
 			c.Advance(10 * time.Millisecond)
 			tr.AddReported("e", 1, 0, turnover)
 		}
 	}
-	tell()
+	reportRequests()
 	is.Equal(pick(), Chosen)
 	k := tr.Start("e", nil)
 	is.Equal(pick(), AllFull) // one request at a time checks the load
@@ -134,7 +134,7 @@
 	k.RecordLoad(20, 0)
 	k.End()
 	is.Equal(pick(), AllFull)
-	tell()
+	reportRequests()
 	is.Equal(pick(), AllFull)
 }
 
--- a/internal/formation/allot_test.go
+++ b/internal/formation/allot_test.go
@@ -127,9 +127,9 @@
 		{4, 2, 0.25, 8, []int{0, 3, 15}},
 	} {
 		is := is.New(t)
-		model, broken := z.starvedModel()
+		model, violation := z.starvedModel()
 		is.Equal(model, "")
-		is.Equal(broken, "")
+		is.Equal(violation, "")
 	}
 }
 
@@ -142,8 +142,8 @@
 		for range rapid.IntRange(0, 2).Draw(r, "losses") {
 			z.lost = append(z.lost, rapid.IntRange(0, 2*z.domain-1).Draw(r, "lost"))
 		}
-		if model, broken := z.starvedModel(); model != "" || broken != "" {
-			r.Fatalf("no group of %s in %+v; %s", model, z, broken)
+		if model, violation := z.starvedModel(); model != "" || violation != "" {
+			r.Fatalf("no group of %s in %+v; %s", model, z, violation)
 		}
 	})
 }
--- a/internal/formation/restore_test.go
+++ b/internal/formation/restore_test.go
@@ -113,13 +113,13 @@
 		}
 		w.advance(50 * time.Millisecond)
 	}
-	kind := func(head *EngineState) (string, int) {
+	serviceAndGroupSize := func(head *EngineState) (string, int) {
 		if m := w.engine.Model(head.Report.Model); m != nil {
 			return "s", m.Size
 		}
 		return "", 0
 	}
-	w.ledger.Groups = append(slices.Clone(w.ledger.Groups), unclaimedGroups(w.engineStates, w.ledger, kind)...)
+	w.ledger.Groups = append(slices.Clone(w.ledger.Groups), unclaimedGroups(w.engineStates, w.ledger, serviceAndGroupSize)...)
 }
 
 // The table is restored without the claims of serving groups, and their owner has died.
--- a/internal/formation/world_test.go
+++ b/internal/formation/world_test.go
@@ -251,25 +251,25 @@
 	if o.ExpectedCount != nil && *o.ExpectedCount != e.count {
 		return Conflict
 	}
-	mine := e.group == o.Group && e.epoch == o.Epoch
+	isCurrentGroup := e.group == o.Group && e.epoch == o.Epoch
 	switch o.Op {
 	case Join:
 		return w.join(e, o)
 	case Open:
 		switch {
-		case !mine || e.state != roster.Ready && e.state != roster.Open:
+		case !isCurrentGroup || e.state != roster.Ready && e.state != roster.Open:
 			return Conflict
 		case e.state == roster.Open:
 			return Done
 		}
 		e.opening, e.until = true, w.now.Add(w.engine.FormTime)
 	case Close:
-		if !mine {
+		if !isCurrentGroup {
 			return Conflict
 		}
 		e.state, e.opening, e.until = roster.Ready, false, 0
 	case Leave:
-		if mine {
+		if isCurrentGroup {
 			e.group, e.epoch, e.members, e.state, e.opening, e.until = "", 0, nil, "", false, 0
 			e.count++
 		}
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -231,13 +231,13 @@
 		tc := newTestCluster(2)
 		late := (&Guard{Node: "late", Clock: tc.clock, Log: slog.New(slog.DiscardHandler), SendToTalliers: func(Message) {}}).Init(nil)
 		tc.crashRepeatedly("bad")
-		kept := []Verdict{tc.persisted["bad"]}
-		late.ApplyPersisted(kept)
+		persisted := []Verdict{tc.persisted["bad"]}
+		late.ApplyPersisted(persisted)
 		_, refused := late.Refused(context.Background(), "bad")
 		is.True(refused)
 		late.ApplyPersisted(nil)
 		tc.clock.Advance(missingRowTimeout / 2)
-		late.ApplyPersisted(kept)
+		late.ApplyPersisted(persisted)
 		late.ApplyPersisted(nil)
 		tc.clock.Advance(missingRowTimeout / 2)
 		late.ApplyPersisted(nil)
@@ -257,11 +257,11 @@
 		is.True(!tc.nodes[0].Banned()[0].IsExpired())
 		tc.clock.Advance(banRetention + time.Second)
 		is.True(tc.nodes[0].Banned()[0].IsExpired())
-		unkept := (&Guard{Node: "x", Clock: tc.clock, Log: slog.New(slog.DiscardHandler)}).Init(nil)
-		unkept.ban(Verdict{Fingerprint: "bad"}, "x")
+		unpersisted := (&Guard{Node: "x", Clock: tc.clock, Log: slog.New(slog.DiscardHandler)}).Init(nil)
+		unpersisted.ban(Verdict{Fingerprint: "bad"}, "x")
 		tc.clock.Advance(banRetention + time.Second)
-		unkept.Tick()
-		is.Equal(len(unkept.Banned()), 0)
+		unpersisted.Tick()
+		is.Equal(len(unpersisted.Banned()), 0)
 	})
 }
 
@@ -457,11 +457,11 @@
 func TestOwnSuccessesPreventFinding(t *testing.T) {
 	is := is.New(t)
 	c := clock.NewManual(clock.Instant(time.Hour))
-	var found, kept int
+	var found, persisted int
 	g := (&Guard{
 		Node: "0", Clock: c, Log: slog.New(slog.DiscardHandler), SendToTalliers: func(Message) {},
 		Broadcast: func(m Message) { found += len(m.Found) },
-		Persist:   func(Verdict) { kept++ },
+		Persist:   func(Verdict) { persisted++ },
 	}).Init(nil)
 	for range 20 {
 		g.RunSucceeded("hot")
@@ -474,7 +474,7 @@
 		}
 	}
 	is.Equal(found, 0)
-	is.Equal(kept, 0)
+	is.Equal(persisted, 0)
 }
 
 // Guards against a finding that is received, or read, after its request was lifted.
--- a/internal/quarantine/suspects_test.go
+++ b/internal/quarantine/suspects_test.go
@@ -69,9 +69,9 @@
 	runInBubble(t, func(is *is.I) {
 		tc := newTestCluster(1)
 		tc.makeSuspect("good")
-		kept := []Verdict{tc.persisted["good"]}
+		persisted := []Verdict{tc.persisted["good"]}
 		tc.nodes[0].RunSucceeded("good")
-		tc.nodes[0].ApplyPersisted(kept)
+		tc.nodes[0].ApplyPersisted(persisted)
 		is.Equal(len(tc.nodes[0].Banned()), 0)
 	})
 }
